--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -1,10 +1,13 @@
-"""What membership does at its sizes, in virtual time: state machine and codec alone (`lab/gossip.py`).
+"""What membership does at its sizes, in virtual time: state machine and codec alone
+(`lab/gossip.py`).
 
     python benchmarks/members_size.py detect 400 --seeds 20
     python benchmarks/members_size.py lossy 100 --loss 0.2 --seconds 120 --seeds 20
 
-`detect` kills one (or `--part` of all) and prints seconds to the first suspicion and until all agree;
-`lossy`, `pause`, `deaf` and `calm` print how many were called dead, wrongly, and bytes a second of each.
+`detect` kills one (or `--part` of all) and prints seconds to the first suspicion and until all
+agree;
+`lossy`, `pause`, `deaf` and `calm` print how many were called dead, wrongly, and bytes a second of
+each.
 Each seed is a process of its own; `--jobs` at once.
 """
 
@@ -68,7 +71,7 @@
 def line(name: str, values: list[float]) -> str:
     some = sorted(values)
     at = lambda q: some[min(len(some) - 1, int(q * len(some)))]  # noqa: E731
-    return f"  {name}: median {at(0.5):.1f}, 99th {at(0.99):.1f}, least {some[0]:.1f}, most {some[-1]:.1f}"
+    return f"  {name}: median {at(0.5):.1f}, 99th {at(0.99):.1f}, least {some[0]:.1f}, most {some[-1]:.1f}"  # noqa: E501
 
 
 @click.command()
@@ -79,8 +82,14 @@
 @click.option("--loss", default=0.2, help="Part of the datagrams lost; of `pause`, its seconds.")
 @click.option("--seconds", default=120.0)
 @click.option("--jobs", default=8)
-def main(kind: str, count: int, seeds: int, part: float, loss: float, seconds: float, jobs: int) -> None:
-    play = partial(detect, count, part) if kind == "detect" else partial(quiet, kind, count, loss, seconds)
+def main(
+    kind: str, count: int, seeds: int, part: float, loss: float, seconds: float, jobs: int
+) -> None:
+    play = (
+        partial(detect, count, part)
+        if kind == "detect"
+        else partial(quiet, kind, count, loss, seconds)
+    )
     wrongly = "called dead wrongly"
     names = ("first", "agreed", wrongly) if kind == "detect" else (wrongly, "bytes/s", "healed s")
     with ProcessPoolExecutor(jobs) as pool:
--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -1,11 +1,16 @@
-"""CPU an RPC of a node, and what its clients see, on loopback: two builds in turns where two are named.
+"""CPU an RPC of a node, and what its clients see, on loopback: two builds in turns where two are
+named.
 
     python benchmarks/node_cpu.py [--root DIR] [--against DIR] [--rate 600] [--duty 0.5] [--storm]
 
-One process stands in for caches, origin and discovery, one for clients (open loop: an RPC is sent when it is
-due, however late the answers are). `--duty` stops the node for the rest of every 20 ms, `--gap` for 300 ms in
-every second, as a busy neighbour would. `--storm`: a client that is exhausted, fails or waits too long tries
-again at once, three times at the most, on a new connection. Latencies count from the time an RPC was due.
+One process stands in for caches, origin and discovery, one for clients (open loop: an RPC is sent
+when it is
+due, however late the answers are). `--duty` stops the node for the rest of every 20 ms, `--gap`
+for 300 ms in
+every second, as a busy neighbour would. `--storm`: a client that is exhausted, fails or waits too
+long tries
+again at once, three times at the most, on a new connection. Latencies count from the time an RPC
+was due.
 """
 
 from __future__ import annotations
@@ -74,9 +79,13 @@
             server = await loop.create_server(kind, HOST, 0, backlog=4096)
             ports.append(server.sockets[0].getsockname()[1])
         plain = {"site": "a", "block": 0, "health": "in_service", "share": 1.0, "born_ms": 0}
-        Web.hosts = [{"host": f"s{n}-{i}", "dial": f"{HOST}:{p}", "class": "std", **plain}
-                     for i, p in enumerate(ports[:-1])]  # fmt: skip
-        Web.hosts.append({"host": "origin", "dial": f"{HOST}:{ports[-1]}", "class": "origin", **plain})
+        Web.hosts = [
+            {"host": f"s{n}-{i}", "dial": f"{HOST}:{p}", "class": "std", **plain}
+            for i, p in enumerate(ports[:-1])
+        ]
+        Web.hosts.append(
+            {"host": "origin", "dial": f"{HOST}:{ports[-1]}", "class": "origin", **plain}
+        )
         pipe.send((ports[-1], Web.hosts))
         await asyncio.Event().wait()
 
@@ -153,7 +162,10 @@
         else:
             asker = self.free.pop()
         self.count += 1
-        key, id = b"key%d" % (int(self.rng.paretovariate(0.6)) % 5000), b"%016x" % self.rng.getrandbits(62)
+        key, id = (
+            b"key%d" % (int(self.rng.paretovariate(0.6)) % 5000),
+            b"%016x" % self.rng.getrandbits(62),
+        )
         words = (b"OBJ.GET", key, id, b"c=%b,d=%d" % (method.encode(), 800))
         asker.due.append((time.monotonic(), *rpc))
         asker.transport.write(b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
@@ -194,10 +206,21 @@
     work = Load(address, args, seed)
     asyncio.run(work.run())
     took = sorted(work.took) or [0.0]
-    at = {q: round(1000 * took[min(len(took) - 1, int(q / 100 * len(took)))], 1) for q in (50, 99, 99.9)}
+    at = {
+        q: round(1000 * took[min(len(took) - 1, int(q / 100 * len(took)))], 1)
+        for q in (50, 99, 99.9)
+    }
     in_time = {m: round(b / max(1, a), 3) for m, (a, b) in work.by_method.items()}
     behind = round(1000 * work.behind)
-    pipe.send({"sent": work.count, "ends": work.ends, "ms_at": at, "in_time": in_time, "behind_ms": behind})
+    pipe.send(
+        {
+            "sent": work.count,
+            "ends": work.ends,
+            "ms_at": at,
+            "in_time": in_time,
+            "behind_ms": behind,
+        }
+    )
 
 
 def merged(figures: list[dict]) -> dict:
@@ -297,7 +320,9 @@
     parser.add_argument("--sockets", type=int, default=1024)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--duty", type=float, default=1.0)
-    parser.add_argument("--loaders", type=int, default=1, help="processes of clients, and of servers")
+    parser.add_argument(
+        "--loaders", type=int, default=1, help="processes of clients, and of servers"
+    )
     parser.add_argument("--gap", action="store_true")
     parser.add_argument("--storm", action="store_true")
     parser.add_argument("--profile", help="write a profile of the node there")
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -1,7 +1,9 @@
 """What a relay adds to a round trip, and how many round trips a second it carries.
 
-`python benchmarks/relay_cost.py`. One request and one answer of 100 bytes on each connection at a time,
-straight and through a relay process; server and clients are processes of their own. On loopback, bounded in
+`python benchmarks/relay_cost.py`. One request and one answer of 100 bytes on each connection at a
+time,
+straight and through a relay process; server and clients are processes of their own. On loopback,
+bounded in
 time.
 """
 
@@ -67,7 +69,9 @@
 def measured(at: tuple[str, int], connections: int, processes: int) -> tuple[float, float, float]:
     """Round trips a second, median and 99th percentile in ms."""
     out: multiprocessing.Queue = multiprocessing.Queue()
-    asking = [multiprocessing.Process(target=ask, args=(at, connections, out)) for _ in range(processes)]
+    asking = [
+        multiprocessing.Process(target=ask, args=(at, connections, out)) for _ in range(processes)
+    ]
     for one in asking:
         one.start()
     took = [ms for _ in asking for ms in out.get(timeout=60)]
@@ -87,10 +91,15 @@
         control.bind(f"{folder}/control")
         control.listen()
         given = {
-            "name": "relay0", "control": f"{folder}/control", "begun": time.monotonic(), "seed": 1,
-            "nodes": ["n0"], "history": f"{folder}/history", "udp": [],
+            "name": "relay0",
+            "control": f"{folder}/control",
+            "begun": time.monotonic(),
+            "seed": 1,
+            "nodes": ["n0"],
+            "history": f"{folder}/history",
+            "udp": [],
             "tcp": [["n0", "s0", THROUGH, STRAIGHT, f"{NET}.9.9"]],
-        }  # fmt: skip
+        }
         Path(f"{folder}/given").write_text(json.dumps(given))
         relay = subprocess.Popen([sys.executable, "-m", "hookpitch.lab.relay", f"{folder}/given"])
         line = control.accept()[0].makefile()
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,8 +1,8 @@
 """Asks a node once, as a client would, and prints its answer.
 
-    python examples/ask.py get KEY
-    python examples/ask.py set KEY VALUE
-    python examples/ask.py info
+python examples/ask.py get KEY
+python examples/ask.py set KEY VALUE
+python examples/ask.py info
 """
 
 from __future__ import annotations
@@ -28,7 +28,9 @@
             return 2
     encoded = [p.encode() for p in parts]
     with socket.create_connection(NODE, timeout=5) as line:
-        line.sendall(b"*%d\r\n" % len(encoded) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in encoded))
+        line.sendall(
+            b"*%d\r\n" % len(encoded) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in encoded)
+        )
         stream = line.makefile("rb")
         head = stream.readline()
         if head.startswith(b"$"):
--- a/hookpitch/__main__.py
+++ b/hookpitch/__main__.py
@@ -61,7 +61,10 @@
             break
         except CannotListenError as fault:
             # Danger: the process before may still hold the address for a moment.
-            if tries == LISTEN_TRIES - 1 or getattr(fault.socketError, "errno", 0) != errno.EADDRINUSE:
+            if (
+                tries == LISTEN_TRIES - 1
+                or getattr(fault.socketError, "errno", 0) != errno.EADDRINUSE
+            ):
                 print(f"hookpitch: cannot start: {fault}", file=sys.stderr)
                 return 2
             time.sleep(LISTEN_PAUSE_S)
--- a/hookpitch/balancer/decisions.py
+++ b/hookpitch/balancer/decisions.py
@@ -1,6 +1,8 @@
-"""Every decision of one node: keys hash into buckets, buckets are homed on a ring, rounds move them.
+"""Every decision of one node: keys hash into buckets, buckets are homed on a ring, rounds move
+them.
 
-Tell a `Node` what happens, then call `decide(now, host)` until it returns False. Reasons: docs/design.md."""
+Tell a `Node` what happens, then call `decide(now, host)` until it returns False. Reasons:
+docs/design.md."""
 
 from __future__ import annotations
 
@@ -19,7 +21,9 @@
 BUCKETS = 4096  # the unit moved; a hundred for each cache of a fleet of forty
 RING_POINTS = 150  # of a cache of mean size
 CHAIN = 8  # servers looked at along the ring
-SPREAD = 3.0  # a bucket that is more than its home's part of the fleet over this is spread over several
+SPREAD = (
+    3.0  # a bucket that is more than its home's part of the fleet over this is spread over several
+)
 RECALL = 512  # RPCs by which a node tells a bucket's part of its traffic
 ROUND_MS = 2500.0  # half the design page's starting value
 DEAD_BAND = 1.5  # a round acts only when the heaviest is this many times the mean
@@ -38,13 +42,20 @@
 ORIGIN_START = 64.0, 12.0  # transmissions out at the origin at the start: over all nodes; at one
 ORIGIN_LEAST = 6.0, 1 / 4  # the lowest limit there: over all nodes; at one
 SHED_FROM = 0.2  # of what is within shares turned away or late: from here on less is let in
-ONE_OFF = (Outcome.SPOILT, Outcome.RESET)  # tells of one connection: the same server may be asked again
+ONE_OFF = (
+    Outcome.SPOILT,
+    Outcome.RESET,
+)  # tells of one connection: the same server may be asked again
 STRIKES = 3  # failures in a row that take a server off the path
 TRIALS, TRIAL = 10.0, 0.05  # second opinions on errors: saved up at the most; for each good answer
 PRIOR = 40.0  # RPCs of each method taken for seen before any is: all nodes begin alike
-LEAST_FREE, SLACK = 0.5, 0.15  # of its points, a server's least for what is not bound; a change that counts
+LEAST_FREE, SLACK = (
+    0.5,
+    0.15,
+)  # of its points, a server's least for what is not bound; a change that counts
 EASE = 1.5  # times its usual mean answer: from here on the origin is crowded
-STIR = 0x9E3779B97F4A7C15  # Danger: a CRC is linear; seeds and counters that follow one another draw alike.
+# Danger: a CRC is linear; seeds and counters that follow one another draw alike.
+STIR = 0x9E3779B97F4A7C15
 FAR = float("inf")
 Place = tuple[bool, float, int, "Rpc"]  # in a line: over share, -gain, arrival
 Places = tuple[str, ...]  # kinds or locations that a method is bound to; none: all are open to it
@@ -52,18 +63,48 @@
 
 class Server:  # all that is known of one cache server, or of the origin
     def __init__(self, id: str) -> None:
-        self.id, self.state, self.zone, self.cell, self.size, self.kind = id, State.GONE, "", 0, 1.0, 0
-        self.listed, self.advised = State.GONE, False  # advised: listed as gone, which binds nothing; READY
+        self.id, self.state, self.zone, self.cell, self.size, self.kind = (
+            id,
+            State.GONE,
+            "",
+            0,
+            1.0,
+            0,
+        )
+        self.listed, self.advised = (
+            State.GONE,
+            False,
+        )  # advised: listed as gone, which binds nothing; READY
         self.live: dict[Tx, None] = {}  # transmissions out, oldest first
         self.limit, self.least, self.growth, self.latency = START_LIMIT, 1.0, 1.0, 0.0
         self.failures, self.off_until, self.backoff, self.off = 0, 0.0, 0.0, False
         self.answered_at = self.struck_at = self.rest_until = self.started = self.cold_until = -FAR
-        self.back_at, self.usual = -FAR, 0.0  # on the path again; the least that its mean answer has been
-        self.tokens, self.refilled, self.boost = 0.0, 0.0, 1.0  # while cold; boost: part of the node's
-        self.open, self.last, self.sent, self.rate = False, -FAR, 0, 0.0  # a connection; the latest send
+        self.back_at, self.usual = (
+            -FAR,
+            0.0,
+        )  # on the path again; the least that its mean answer has been
+        self.tokens, self.refilled, self.boost = (
+            0.0,
+            0.0,
+            1.0,
+        )  # while cold; boost: part of the node's
+        self.open, self.last, self.sent, self.rate = (
+            False,
+            -FAR,
+            0,
+            0.0,
+        )  # a connection; the latest send
         self.load = -1.0  # as told; -1 where it is not
-        self.first, self.again = list[Place](), list[Place]()  # lines; further transmissions have their own
-        self.c, self.m, self.points, self.heard = 0.0, 0.0, 0, 0  # the mechanism's loads; points on the ring
+        self.first, self.again = (
+            list[Place](),
+            list[Place](),
+        )  # lines; further transmissions have their own
+        self.c, self.m, self.points, self.heard = (
+            0.0,
+            0.0,
+            0,
+            0,
+        )  # the mechanism's loads; points on the ring
         self.free = 1.0  # the part of its points at which it takes what is bound to no servers
         self.ok = False  # ready, on the path and warm: the ordinary path asks no more than this
 
@@ -75,32 +116,60 @@
         self.at: Server | None = None
         self.chain: list[Server] | None = None  # along the ring, home first; made when asked for
         self.count, self.rate, self.keys = 0, 0.0, 0
-        self.seen, self.wide = 0.0, 0.0  # lately asked for; of a heavy bucket: the size it is spread over
+        self.seen, self.wide = (
+            0.0,
+            0.0,
+        )  # lately asked for; of a heavy bucket: the size it is spread over
 
 
 class Tx:
     def __init__(self, rpc: Rpc, server: Server, n: int, sent: float) -> None:
         self.rpc, self.server, self.n, self.sent = rpc, server, n, sent
-        self.done = self.counted = self.begun = self.slow = self.spoilt = False  # slow: one more may go out
+        self.done = self.counted = self.begun = self.slow = self.spoilt = (
+            False  # slow: one more may go out
+        )
         self.ran = True  # it may have, until proven otherwise
 
 
 class Rpc:
-    def __init__(self, n: int, id: str, key: str, bucket: Bucket, method: Method, write: bool) -> None:
-        self.n, self.id, self.key, self.bucket, self.method, self.write = n, id, key, bucket, method, write
-        self.until = self.aim = self.line = 0.0  # line: when its stay in one is over; 0 when in none
+    def __init__(
+        self, n: int, id: str, key: str, bucket: Bucket, method: Method, write: bool
+    ) -> None:
+        self.n, self.id, self.key, self.bucket, self.method, self.write = (
+            n,
+            id,
+            key,
+            bucket,
+            method,
+            write,
+        )
+        self.until = self.aim = self.line = (
+            0.0  # line: when its stay in one is over; 0 when in none
+        )
         self.queued: Server | None = None  # in whose
-        self.over = self.missed = self.closed = self.lost = self.onward = False  # onward: a line was in vain
+        self.over = self.missed = self.closed = self.lost = self.onward = (
+            False  # onward: a line was in vain
+        )
         self.vain = False  # fails anywhere, as far as is known
         self.accused: Server | None = None  # answered it with an error; what another says will tell
         self.share: Share | None = None  # whose tokens it took
-        self.txs, self.live, self.slow = list[Tx](), 0, 0  # out; of these: silent, and another may be sent
+        self.txs, self.live, self.slow = (
+            list[Tx](),
+            0,
+            0,
+        )  # out; of these: silent, and another may be sent
 
 
 class Share:  # a customer's share at this node, as tokens
     def __init__(self, rate: float, now: float) -> None:
-        # Danger: hundreds of nodes, a quota under one RPC a window for each: all are over it for good.
-        self.rate, self.most, self.tokens, self.at = rate, rate * ROUND_MS / 5 + SAVED, SAVED / 4, now
+        # Danger: hundreds of nodes, a quota under one RPC a window for each: all are over it for
+        # good.
+        self.rate, self.most, self.tokens, self.at = (
+            rate,
+            rate * ROUND_MS / 5 + SAVED,
+            SAVED / 4,
+            now,
+        )
 
     def spent(self, now: float) -> bool:
         self.tokens, self.at = min(self.most, self.tokens + (now - self.at) * self.rate), now
@@ -130,9 +199,13 @@
     return min(loads, key=lambda p: (lam * p[0] - h[0]) ** 2 + ((1 - lam) * p[1] - h[1]) ** 2)
 
 
-def migrate(caches: list[Server], loads: dict[Server, list[Load]],
-            fits: Callable[[Bucket, Server], bool] = lambda *_: True) -> list[tuple[Bucket, Server]]:
-    """One round: move nearest-neighbour buckets from heaviest to lightest while sigma falls, until IT."""
+def migrate(
+    caches: list[Server],
+    loads: dict[Server, list[Load]],
+    fits: Callable[[Bucket, Server], bool] = lambda *_: True,
+) -> list[tuple[Bucket, Server]]:
+    """One round: move nearest-neighbour buckets from heaviest to lightest while sigma falls, until
+    IT."""
     lam, mu = weights(caches)
     moves: list[tuple[Bucket, Server]] = []
     sigma = begun = imbalance(caches, mu)
@@ -143,7 +216,9 @@
         if a is b or not held or max(utility) < DEAD_BAND * sum(utility) / len(caches):
             break
         v, w, bucket = point = nearest(held, target_point(a, b, lam), lam)
-        ratio = a.size / b.size  # the same traffic weighs more on a smaller cache; the paper's are all equal
+        ratio = (
+            a.size / b.size
+        )  # the same traffic weighs more on a smaller cache; the paper's are all equal
         a.c, a.m, b.c, b.m = a.c - v, a.m - w, b.c + v * ratio, b.m + w
         after = imbalance(caches, mu)
         if after >= sigma:
@@ -157,49 +232,109 @@
 
 class Node:  # one instance: it shares nothing with any other
     def __init__(self, now: float, d: Deployment) -> None:
-        self.now, self.seed, self.draws, self.part = now, d.seed, count((d.seed + 1) * STIR, STIR), 1.0
+        self.now, self.seed, self.draws, self.part = (
+            now,
+            d.seed,
+            count((d.seed + 1) * STIR, STIR),
+            1.0,
+        )
         self.shares, self.mix, self.kinds = dict[str, Share](), dict[str, float](), d.kinds
-        self.servers, self.rpcs, self.bans = dict[str, Server](), dict[str, Rpc](), dict[str, None]()
-        self.origin, self.ring = None, array("Q")  # a point, and in sixteen bits a cache's place in `caches`
+        self.servers, self.rpcs, self.bans = (
+            dict[str, Server](),
+            dict[str, Rpc](),
+            dict[str, None](),
+        )
+        self.origin, self.ring = (
+            None,
+            array("Q"),
+        )  # a point, and in sixteen bits a cache's place in `caches`
         # Asked for so far, one for each placement; all on the ring.
         self.buckets, self.caches = dict[tuple[int, Places, Places], Bucket](), list[Server]()
-        # RPCs of the buckets' `seen`; sizes of all caches; the usual time of an answer by one of size one
-        self.seen, self.size, self.work, self.able = 0.0, 1.0, 0.0, dict[tuple[Places, Places], int]()
+        # RPCs of the buckets' `seen`; sizes of all caches; the usual time of an answer by one of
+        # size one
+        self.seen, self.size, self.work, self.able = (
+            0.0,
+            1.0,
+            0.0,
+            dict[tuple[Places, Places], int](),
+        )
         self.closing, self.freed = deque[Server](), deque[Server]()
         self.todo, self.retract, self.news = deque[Rpc](), deque[Tx](), deque[str](maxlen=8)
-        self.young, self.old = dict[str, Bucket](), dict[str, Bucket]()  # keys asked for, in two generations
+        self.young, self.old = (
+            dict[str, Bucket](),
+            dict[str, Bucket](),
+        )  # keys asked for, in two generations
         self.wakes: list[tuple[float, int, Rpc, Tx | None]] = []
-        self.armed, self.aged_at, self.points_per_size, self.beat_at, self.warm_rate = FAR, now, 0.0, now, 0.0
-        self.asked, self.turned, self.pressure, self.shed = 1, 0, 0.0, 0.0  # shed: turned away at the door
-        self.burden, self.lag, self.away_at, self.boost = 0.0, 0.0, -FAR, 1.0  # the node's own; of the cold
+        self.armed, self.aged_at, self.points_per_size, self.beat_at, self.warm_rate = (
+            FAR,
+            now,
+            0.0,
+            now,
+            0.0,
+        )
+        self.asked, self.turned, self.pressure, self.shed = (
+            1,
+            0,
+            0.0,
+            0.0,
+        )  # shed: turned away at the door
+        self.burden, self.lag, self.away_at, self.boost = (
+            0.0,
+            0.0,
+            -FAR,
+            1.0,
+        )  # the node's own; of the cold
         self.flow, self.typical = dict[str, float](), 0.0  # work lately asked for; its unit in ms
-        self.trials, self.idle, self.ramp = TRIALS, 0.0, 1.3  # second opinions; how long one may be idle
+        self.trials, self.idle, self.ramp = (
+            TRIALS,
+            0.0,
+            1.3,
+        )  # second opinions; how long one may be idle
         self.reconfigured(now, d)
         self.next_beat, self.next_round = now + self.window, now + ROUND_MS * (1 + self._chance())
 
     def reconfigured(self, now: float, d: Deployment) -> None:
-        """New settings. RPCs in flight keep their deadlines; what is known of servers and shares stays."""
+        """New settings. RPCs in flight keep their deadlines; what is known of servers and shares
+        stays."""
         self.now, self.methods, self.nodes = now, {m.name: m for m in d.methods}, max(1, d.nodes)
         self.max_txs = d.max_transmissions
         self.cancelling, self.copies, self.customers = d.cancelling, d.second_copies, d.customers
         self.shared_by(now, 1 / self.part)
         for rpc in self.rpcs.values():  # Danger: servers may know repeats for less long by now.
             rpc.method = rpc.method.under(self.methods.get(rpc.method.name))
-        for rpc in self.rpcs.values() if not d.second_copies else ():  # where they were allowed until now
+        for rpc in (
+            self.rpcs.values() if not d.second_copies else ()
+        ):  # where they were allowed until now
             self.retract.extend(tx for tx in rpc.txs if tx.slow and not tx.done)
-        self.tick, self.margin, self.retry_after = d.tick_ms or 1.0, 2 * d.tick_ms + 1, d.max_retry_after_ms
-        self.pause = 2 * min((m.soft_ms for m in d.methods), default=1000.0)  # the first time off the path
+        self.tick, self.margin, self.retry_after = (
+            d.tick_ms or 1.0,
+            2 * d.tick_ms + 1,
+            d.max_retry_after_ms,
+        )
+        self.pause = 2 * min(
+            (m.soft_ms for m in d.methods), default=1000.0
+        )  # the first time off the path
         self.advice = d.gone_is_advice
         self.boost_most, self.overage_gain = max(1.0, d.overload_factor / 1.5), d.overage_gain
-        self.cold_share, self.cold_ms, self.window = d.cold_share, d.cold_ms, d.tip_after_ms or 1000.0
+        self.cold_share, self.cold_ms, self.window = (
+            d.cold_share,
+            d.cold_ms,
+            d.tip_after_ms or 1000.0,
+        )
         self.held = self.pause * d.dial_cost / d.hold_cost if d.hold_cost > 0 else d.conn_idle_ms
         self.brief = self.held if d.hold_cost > 0 else min(self.held, self.pause)
-        self.idle = min(max(self.idle, self.brief), self.held)  # Danger: who came first keeps tables full
-        self.parts = self.bands = self._bands(dict.fromkeys(self.methods, 1.0))  # parts: as they come in
+        self.idle = min(
+            max(self.idle, self.brief), self.held
+        )  # Danger: who came first keeps tables full
+        self.parts = self.bands = self._bands(
+            dict.fromkeys(self.methods, 1.0)
+        )  # parts: as they come in
         self.mix = {name: self.mix.get(name, 0.0) for name in self.methods}
         self.flow = {name: self.flow.get(name, 0.0) for name in self.methods}
         before, self.kinds, self.origin_kind = self.kinds, d.kinds, d.origin_kind
-        self.nominal = dict[int, float]() if d.live_sizes else None  # sizes move with load: a kind's largest
+        self.nominal = (
+            dict[int, float]() if d.live_sizes else None
+        )  # sizes move with load: a kind's largest
         for s in self.servers.values():
             name = before[s.kind] if 0 <= s.kind < len(before) else ""
             s.kind, s.load = d.kinds.index(name) if name in d.kinds else -2, -1.0
@@ -221,14 +356,18 @@
                 self._cool(s, started)
             changed |= s.listed != e.state or (s.zone, s.kind) != (e.zone, e.kind)
             size = max(e.size, 1e-3)
-            if self.nominal is not None:  # Danger: sizes that move with load move the ring at every list.
+            if (
+                self.nominal is not None
+            ):  # Danger: sizes that move with load move the ring at every list.
                 full = self.nominal[e.kind] = max(size, self.nominal.get(e.kind, 0.0))
                 s.load, size = (full / size - 1) * full, full
             if e.state == State.READY and (not s.points or s.size != size):
                 resized.append(s)
             s.zone, s.cell, s.size, s.kind = e.zone, e.cell, size, e.kind
             if e.kind == self.origin_kind and s.least == 1.0:
-                s.least, s.limit = (min(one, n / self.nodes) for n, one in (ORIGIN_LEAST, ORIGIN_START))
+                s.least, s.limit = (
+                    min(one, n / self.nodes) for n, one in (ORIGIN_LEAST, ORIGIN_START)
+                )
             self._state(s, e.state)
         for s in self.servers.values() if kind != ListKind.DELTA else ():
             if s.id not in listed and s.listed != State.GONE:
@@ -243,30 +382,51 @@
         self.bans = {b: None for b in self.bans if b != id} | ({id: None} if banned else {})
         if s is None or banned == before:
             return
-        if not banned:  # Danger: what was restarted while out is cold; old strikes would keep it waiting.
+        if (
+            not banned
+        ):  # Danger: what was restarted while out is cold; old strikes would keep it waiting.
             s.failures, s.off, s.backoff, s.limit = 0, False, 0.0, min(s.limit, START_LIMIT)
             self._cool(s, now)
         self._state(s, s.listed)
         self._rebuild([] if s.points or s.state != State.READY else [s])
 
     def shared_by(self, now: float, processes: float) -> None:
-        """So many processes are this one node for now: budgets of cold servers and quotas are the node's."""
+        """So many processes are this one node for now: budgets of cold servers and quotas are the
+        node's."""
         self.now, was, self.part, before = now, self.part, 1 / processes, self.shares
-        if self.origin and not self.origin.heard:  # Danger: beside the old one it asks for as much again
+        if (
+            self.origin and not self.origin.heard
+        ):  # Danger: beside the old one it asks for as much again
             self.origin.limit *= self.part / was
-        rate = self.part / 1000 / self.nodes  # of a quota a second over all nodes, to this one's a ms
-        self.shares = {c.name: Share(c.quota_per_s * rate, now) for c in self.customers if c.quota_per_s > 0}
+        rate = (
+            self.part / 1000 / self.nodes
+        )  # of a quota a second over all nodes, to this one's a ms
+        self.shares = {
+            c.name: Share(c.quota_per_s * rate, now) for c in self.customers if c.quota_per_s > 0
+        }
         for name, share in self.shares.items():
             if name in before:
                 before[name].spent(now)
                 share.tokens = min(share.most, before[name].tokens)
 
-    def rpc_arrived(self, now: float, id: str, key: str, method: str, customer: str, write: bool,
-                    grace: float, age: float = 0.0, work: float = 0.0) -> None:  # fmt: skip
+    def rpc_arrived(
+        self,
+        now: float,
+        id: str,
+        key: str,
+        method: str,
+        customer: str,
+        write: bool,
+        grace: float,
+        age: float = 0.0,
+        work: float = 0.0,
+    ) -> None:
         self.now = now
         if id in self.rpcs:
             return
-        m = self.methods.get(method) or Method(method, grace, grace, 0.0, 0.0, Idempotency.NON_RETRIABLE)
+        m = self.methods.get(method) or Method(
+            method, grace, grace, 0.0, 0.0, Idempotency.NON_RETRIABLE
+        )
         # A keyless RPC still needs a bucket: any will do.
         number = crc32(key.encode() or b"%d/%d" % (self.seed, next(self.draws))) % BUCKETS
         bucket = self._bucket(number, m.kinds, m.zones)
@@ -274,14 +434,18 @@
             bucket.keys += key not in self.old
             self.young[key] = self.old.get(key, bucket)
         if method in self.flow:
-            self.typical += (work - self.typical) * (0.05 if self.typical else 1.0) if work > 0 else 0.0
+            self.typical += (
+                (work - self.typical) * (0.05 if self.typical else 1.0) if work > 0 else 0.0
+            )
             self.flow[method] += work / self.typical if work > 0 else 1.0
         self._heavy(bucket)
         bucket.count, rpc = bucket.count + 1, Rpc(next(self.draws), id, key, bucket, m, write)
         useful = grace if m.late_gain > 0 else min(grace, m.soft_ms)
         # Danger: what stood unread here has that much less time; `grace` counts from when it came.
         rpc.until, rpc.aim = now + useful - age - self.margin, now + m.soft_ms - age - self.margin
-        share = self.shares.get(customer)  # Danger: those over it in others' way, or lost to an idle fleet
+        share = self.shares.get(
+            customer
+        )  # Danger: those over it in others' way, or lost to an idle fleet
         rpc.over = share is not None and share.spent(now)
         if share and not rpc.over:
             share.tokens, rpc.share = share.tokens - 1, share
@@ -292,8 +456,9 @@
         self.asked, self.rpcs[id] = self.asked + (not rpc.over), rpc
         self.todo.append(rpc)
 
-    def tx_ended(self, now: float, id: str, n: int, outcome: Outcome, last: bool, took: float,
-                 report: Report) -> None:  # fmt: skip
+    def tx_ended(
+        self, now: float, id: str, n: int, outcome: Outcome, last: bool, took: float, report: Report
+    ) -> None:
         self.now = now
         rpc = self.rpcs.get(id)
         tx = rpc.txs[n] if rpc and 0 <= n < len(rpc.txs) else None
@@ -311,27 +476,45 @@
             held = report.get("utilisation", report.get("inflight", report.get("queue", -2.0) + 1))
             s.load += (held - s.load) / 8 if s.load >= 0 else held + 1
         if outcome <= Outcome.MISS:
-            self._answered(tx, took, outcome == Outcome.COMPLETED and not (rpc.write and s is self.origin))
-            if rpc.accused not in (None, s, self.origin) and not rpc.vain:  # another can do what it could not
+            self._answered(
+                tx, took, outcome == Outcome.COMPLETED and not (rpc.write and s is self.origin)
+            )
+            if (
+                rpc.accused not in (None, s, self.origin) and not rpc.vain
+            ):  # another can do what it could not
                 self._strike(rpc.accused)
                 rpc.accused = None
         elif outcome == Outcome.FULL:
-            # Danger: what warm servers refuse, taken for what they can do, pushes the cold ones over.
-            s.answered_at, s.boost, s.heard, s.sent = now, 1 / self.boost_most, s.heard + 1, s.sent - 1
+            # Danger: what warm servers refuse, taken for what they can do, pushes the cold ones
+            # over.
+            s.answered_at, s.boost, s.heard, s.sent = (
+                now,
+                1 / self.boost_most,
+                s.heard + 1,
+                s.sent - 1,
+            )
             s.latency += (rpc.method.soft_ms - s.latency) * 0.1
-        elif outcome == Outcome.ERROR and (s is not self.origin or now - s.answered_at <= self.pause):
-            # Danger: RPCs that fail anywhere take every server off the path, and their tries crowd the rest.
+        elif outcome == Outcome.ERROR and (
+            s is not self.origin or now - s.answered_at <= self.pause
+        ):
+            # Danger: RPCs that fail anywhere take every server off the path, and their tries crowd
+            # the rest.
             rpc.vain = rpc.accused is not None or self.trials < 1
             rpc.accused = s
         elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.SPOILT):
-            # Danger: a server that refuses after failures died and comes back cold, maybe unannounced.
-            # What fails by turns is off at one failure: from its second fall on, one refusal says as much.
+            # Danger: a server that refuses after failures died and comes back cold, maybe
+            # unannounced. What fails by turns is off at one failure: from its second fall on, one
+            # refusal says
+            # as much.
             died = s.failures > 1 or self.now < s.back_at + 8 * self.pause
             died &= 2 * sum(c.failures > 0 for c in self.caches) <= len(self.caches)
             if outcome == Outcome.CONNECT_FAILED and died and s.started < tx.sent:
                 self._cool(s, now)
-            # Danger: a limit cut for what befalls any server, or each slip of the one origin, starves all.
-            if now - s.answered_at > self.pause or not (s is self.origin or outcome == Outcome.SPOILT):
+            # Danger: a limit cut for what befalls any server, or each slip of the one origin,
+            # starves all.
+            if now - s.answered_at > self.pause or not (
+                s is self.origin or outcome == Outcome.SPOILT
+            ):
                 self._strike(s)
         elif outcome == Outcome.TIMEOUT and max(s.answered_at, s.struck_at) < tx.sent:
             if not tx.counted and not away:
@@ -352,7 +535,13 @@
         rpc = self.rpcs.get(id)
         if rpc is not None and 0 <= n < len(rpc.txs) and not rpc.txs[n].done:
             tx = rpc.txs[n]
-            tx.counted, tx.begun, tx.slow, rpc.slow, rpc.line = True, True, False, rpc.slow - tx.slow, 0.0
+            tx.counted, tx.begun, tx.slow, rpc.slow, rpc.line = (
+                True,
+                True,
+                False,
+                rpc.slow - tx.slow,
+                0.0,
+            )
             self.retract.extend(copy for copy in rpc.txs if not copy.done and copy is not tx)
             self._answered(tx, now - tx.sent, False)
 
@@ -366,7 +555,8 @@
         self.now = now  # the time asked for by `wake` has come
 
     def burdened(self, now: float, burden: float, lag: float = 0.0) -> None:
-        """Of a window: the part of what came in that the node cannot do; how many ms it stood unread."""
+        """Of a window: the part of what came in that the node cannot do; how many ms it stood
+        unread."""
         self.now, self.burden, self.lag = now, burden, lag
         if burden > 0 and any(self.mix.values()):
             self.parts = self._bands(self.mix)
@@ -374,19 +564,27 @@
             self.mix[name] *= 0.9
 
     def _bands(self, mix: dict[str, float]) -> dict[str, tuple[float, float]]:
-        at, bands, gains = 0.0, dict[str, tuple[float, float]](), {m.gain for m in self.methods.values()}
-        for gain in sorted(gains):  # of methods that gain alike: where they begin among all, how wide
+        at, bands, gains = (
+            0.0,
+            dict[str, tuple[float, float]](),
+            {m.gain for m in self.methods.values()},
+        )
+        for gain in sorted(
+            gains
+        ):  # of methods that gain alike: where they begin among all, how wide
             alike = [name for name in mix if self.methods[name].gain == gain]
             width = sum(mix[name] for name in alike) / sum(mix.values())
             bands, at = bands | dict.fromkeys(alike, (at, width)), at + width
         return bands
 
     def was_away(self, now: float) -> None:
-        """The node itself did nothing for a while: what was out then tells nothing of its servers."""
+        """The node itself did nothing for a while: what was out then tells nothing of its
+        servers."""
         self.now = self.away_at = now
 
     def turned_away(self, now: float, method: str, customer: str, age: float) -> float:
-        """At the door, before an RPC costs anything: when to come back, in ms; under 0 where it is let in."""
+        """At the door, before an RPC costs anything: when to come back, in ms; under 0 where it is
+        let in."""
         self.now, m = now, self.methods.get(method)
         if m is None:
             return -1.0
@@ -394,11 +592,16 @@
         if self.burden <= 0:
             return -1.0
         share, (low, width) = self.shares.get(customer), self.parts[method]
-        # Danger: what is over a share, gains least or is too late already, in the place of the rest.
+        # Danger: what is over a share, gains least or is too late already, in the place of the
+        # rest.
         spent = (share and share.spent(now)) or (m.late_gain <= 0 and age > (1 - WAIT) * m.soft_ms)
         if not spent and low + width * self._chance() >= self.burden:
             return -1.0
-        return min(self.retry_after, m.soft_ms) * (0.5 + self._chance() / 2) if self.retry_after > 0 else 0.0
+        return (
+            min(self.retry_after, m.soft_ms) * (0.5 + self._chance() / 2)
+            if self.retry_after > 0
+            else 0.0
+        )
 
     # ---- decisions, one a call
 
@@ -415,7 +618,9 @@
             return True
         while self.todo:
             rpc = self.todo.popleft()
-            if not (rpc.closed or rpc.line or rpc.live > rpc.slow * self.copies) and self._route(rpc, host):
+            if not (rpc.closed or rpc.line or rpc.live > rpc.slow * self.copies) and self._route(
+                rpc, host
+            ):
                 return True
         while self.freed:
             s = self.freed[0]
@@ -441,22 +646,35 @@
             _, _, rpc, tx = heapq.heappop(self.wakes)
             if tx is None:
                 if rpc.line and rpc.line <= now and not rpc.closed:
-                    # Danger: refused for its own home's line while the next along the ring stands idle.
+                    # Danger: refused for its own home's line while the next along the ring stands
+                    # idle.
                     stuck = rpc.onward or rpc.over or rpc.queued is self.origin or self._crowded()
                     rpc.line, rpc.lost, rpc.onward = 0.0, stuck, True
                     self.todo.append(rpc)
                 elif rpc.queued:
                     self.freed.append(rpc.queued)
-            elif now < (anew := max(tx.sent + self.lag, self.away_at) + PATIENCE * rpc.method.soft_ms):
-                if not tx.done:  # Danger: an answer that stands unread here taken for its server's silence
+            elif now < (
+                anew := max(tx.sent + self.lag, self.away_at) + PATIENCE * rpc.method.soft_ms
+            ):
+                if (
+                    not tx.done
+                ):  # Danger: an answer that stands unread here taken for its server's silence
                     heapq.heappush(self.wakes, (anew, next(self.draws), rpc, tx))
-            elif not (tx.done or tx.counted or tx.server is self.origin and tx.server.answered_at < tx.sent):
-                # Danger: a server silent since the send looks idle; one lost answer holds its RPC to the end.
+            elif not (
+                tx.done
+                or tx.counted
+                or tx.server is self.origin
+                and tx.server.answered_at < tx.sent
+            ):
+                # Danger: a server silent since the send looks idle; one lost answer holds its RPC
+                # to the end.
                 s, lost, tx.counted = tx.server, not any(t.counted for t in rpc.txs), True
                 if s.answered_at < tx.sent >= s.struck_at:
                     self._strike(s)
                 calm = lost and self.pressure < SHED_FROM / 2
-                ease = self.origin.latency < rpc.method.soft_ms / 3 if self.origin else calm  # or it stops
+                ease = (
+                    self.origin.latency < rpc.method.soft_ms / 3 if self.origin else calm
+                )  # or it stops
                 if ease if self.copies else calm if s.answered_at > tx.sent else s.failures > 1:
                     self._abandon(tx)
         if now >= self.next_beat:
@@ -469,7 +687,9 @@
         now, tries = self.now, len(rpc.txs)
         if rpc.lost or rpc.vain or tries >= self.max_txs or rpc.until - now <= self.margin:
             return self._give_up(rpc, host)
-        if self.origin_kind >= 0 and (rpc.write or rpc.missed or rpc.slow or 0 < tries == self.max_txs - 1):
+        if self.origin_kind >= 0 and (
+            rpc.write or rpc.missed or rpc.slow or 0 < tries == self.max_txs - 1
+        ):
             return self._offer(rpc, self.origin, host)
         s = rpc.bucket.at
         if tries or rpc.onward or s is None or not s.ok or not self._room(s):
@@ -478,7 +698,9 @@
                 return self._give_up(rpc, host)
         return self._offer(rpc, s, host)
 
-    def _offer(self, rpc: Rpc, s: Server | None, host: Host) -> bool:  # send, stand in line or give up
+    def _offer(
+        self, rpc: Rpc, s: Server | None, host: Host
+    ) -> bool:  # send, stand in line or give up
         # Danger: what is over a share crowds the others out.
         crowds = s is not None and rpc.over and (len(s.live) >= s.limit or s.limit < 1)
         if s is None or s.state != State.READY or crowds or not self._may_send(rpc, s):
@@ -492,7 +714,9 @@
         for at in (rpc.line, max(s.rest_until, self.now)):
             heapq.heappush(self.wakes, (at, next(self.draws), rpc, None))
         room = max(1.0, s.limit * WAIT * rpc.method.soft_ms / max(s.latency, 1.0))
-        if len(s.first) + len(s.again) > room:  # Danger: a long line makes everyone late; its last goes.
+        if (
+            len(s.first) + len(s.again) > room
+        ):  # Danger: a long line makes everyone late; its last goes.
             line = s.again or s.first
             worst = max(line)
             line.remove(worst)
@@ -514,32 +738,57 @@
 
     def _send(self, rpc: Rpc, s: Server, host: Host) -> None:
         now, tx, again = self.now, Tx(rpc, s, len(rpc.txs), self.now), self._again_until(rpc)
-        if s.open and not s.live and now - s.last > self.idle < 0.9 * self.held:  # Danger: dropped unseen
+        if (
+            s.open and not s.live and now - s.last > self.idle < 0.9 * self.held
+        ):  # Danger: dropped unseen
             host.close(s.id)
         self.trials, rpc.live = self.trials - (rpc.accused is not None), rpc.live + 1
         rpc.txs.append(tx)
         s.live[tx] = None
         s.sent, s.open, s.last, s.tokens = s.sent + 1, True, now, s.tokens - (now < s.cold_until)
-        soft = rpc.method.soft_ms  # Danger: a server that fails or is slow is waited for to the end.
+        soft = (
+            rpc.method.soft_ms
+        )  # Danger: a server that fails or is slow is waited for to the end.
         usual = min(2 * self.work / s.size, COPY_BY * soft) if self.copies else 4 * s.latency
         usual *= not (self.copies and s.failures)
         heapq.heappush(self.wakes, (now + max(PATIENCE * soft, usual), next(self.draws), rpc, tx))
         host.send(rpc.id, s.id, rpc.until - now, again - now)
 
-    def _open(self, to: Bucket | Method, s: Server) -> bool:  # placement; no kind or zone listed: fits none
-        if to.kinds and (self.kinds[s.kind] if 0 <= s.kind < len(self.kinds) else "") not in to.kinds:
+    def _open(
+        self, to: Bucket | Method, s: Server
+    ) -> bool:  # placement; no kind or zone listed: fits none
+        if (
+            to.kinds
+            and (self.kinds[s.kind] if 0 <= s.kind < len(self.kinds) else "") not in to.kinds
+        ):
             return s is self.origin
         return not to.zones or s.zone in to.zones or s is self.origin
 
-    def _again_until(self, rpc: Rpc) -> float:  # rule 2: by then a further transmission has to be begun
+    def _again_until(
+        self, rpc: Rpc
+    ) -> float:  # rule 2: by then a further transmission has to be begun
         kind = rpc.method.idempotency  # none of these is zero but RETRIABLE
         ran = next((tx.sent for tx in rpc.txs if tx.ran and kind), FAR)
-        return ran + rpc.method.window_ms - self.margin if kind <= Idempotency.DEDUPED or ran == FAR else -FAR
-
-    def _may_send(self, rpc: Rpc, s: Server) -> bool:  # placement; rule 2, for a further transmission
-        # Danger: an effect carried out twice. Only servers that drop repeats, and only while they remember.
-        m, a = rpc.method, next((tx.server for tx in rpc.txs if tx.ran and rpc.method.idempotency), s)
-        alike = s is a or m.group == "all" or (s.zone == a.zone if m.group == "zone" else s.cell == a.cell)
+        return (
+            ran + rpc.method.window_ms - self.margin
+            if kind <= Idempotency.DEDUPED or ran == FAR
+            else -FAR
+        )
+
+    def _may_send(
+        self, rpc: Rpc, s: Server
+    ) -> bool:  # placement; rule 2, for a further transmission
+        # Danger: an effect carried out twice. Only servers that drop repeats, and only while they
+        # remember.
+        m, a = (
+            rpc.method,
+            next((tx.server for tx in rpc.txs if tx.ran and rpc.method.idempotency), s),
+        )
+        alike = (
+            s is a
+            or m.group == "all"
+            or (s.zone == a.zone if m.group == "zone" else s.cell == a.cell)
+        )
         return alike and self._open(m, s) and self.now < self._again_until(rpc)
 
     def _give_up(self, rpc: Rpc, host: Host) -> bool:
@@ -547,11 +796,14 @@
             rpc.lost = False
             return False
         m = rpc.method
-        # Danger: what one slow home's line gives up while others stand idle, taken for a fleet that is full.
+        # Danger: what one slow home's line gives up while others stand idle, taken for a fleet that
+        # is full.
         idle = rpc.lost and sum(self._eased(s, m) for s in self._chain(rpc.bucket)) > 1
         turned = rpc.lost or any(not t.ran for t in rpc.txs[-1:])
         self.turned += turned and not (rpc.over or rpc.missed or idle or rpc.vain)
-        if rpc.vain and rpc.share:  # Danger: a customer's good RPCs pay for those that are worth nothing.
+        if (
+            rpc.vain and rpc.share
+        ):  # Danger: a customer's good RPCs pay for those that are worth nothing.
             rpc.share.tokens += 1
         harmless = m.idempotency == Idempotency.RETRIABLE or not any(tx.ran for tx in rpc.txs)
         if harmless or (m.idempotency == Idempotency.DEDUPED and m.group == "all"):
@@ -569,13 +821,19 @@
 
     # ---- off the ordinary path: along the ring
 
-    def _along(self, rpc: Rpc) -> Server | None:  # the first fit server; else one whose line to stand in
+    def _along(
+        self, rpc: Rpc
+    ) -> Server | None:  # the first fit server; else one whose line to stand in
         now, busy, crowded = self.now, None, self._crowded()
         for s in self._chain(rpc.bucket):
-            tried = any(tx.server is s and not tx.spoilt for tx in rpc.txs) or not self._may_send(rpc, s)
+            tried = any(tx.server is s and not tx.spoilt for tx in rpc.txs) or not self._may_send(
+                rpc, s
+            )
             if s.state != State.READY or tried or (now < s.cold_until and not self._cold_room(s)):
                 continue
-            if s.off:  # Danger: shut out for good. After its pause it is tried with one RPC at a time.
+            if (
+                s.off
+            ):  # Danger: shut out for good. After its pause it is tried with one RPC at a time.
                 if now < s.off_until or s.live or rpc.over:
                     continue
                 s.off_until = now + s.backoff
@@ -589,10 +847,18 @@
 
     def _crowded(self) -> bool:  # the origin has no room for more misses
         o = self.origin
-        return o is not None and (bool(o.again) or 2 * len(o.live) >= o.limit and o.latency > EASE * o.usual)
-
-    def _eased(self, s: Server, m: Method) -> bool:  # it takes what it is sent, at once, and could take more
-        return s.ok and max(START_LIMIT, 2 * len(s.live)) < s.limit and s.latency < TARGET * m.soft_ms / 2
+        return o is not None and (
+            bool(o.again) or 2 * len(o.live) >= o.limit and o.latency > EASE * o.usual
+        )
+
+    def _eased(
+        self, s: Server, m: Method
+    ) -> bool:  # it takes what it is sent, at once, and could take more
+        return (
+            s.ok
+            and max(START_LIMIT, 2 * len(s.live)) < s.limit
+            and s.latency < TARGET * m.soft_ms / 2
+        )
 
     def _room(self, s: Server) -> bool:
         # A limit under one is kept by rests: one transmission is out for that part of the time.
@@ -600,7 +866,8 @@
         return free and (self.now >= s.cold_until or self._cold_room(s))
 
     def _cold_room(self, s: Server) -> bool:
-        # Danger: rule 4, by the sum of nodes. It gets, as tokens, a warm one's part, cut by its warm-up.
+        # Danger: rule 4, by the sum of nodes. It gets, as tokens, a warm one's part, cut by its
+        # warm-up.
         grown = max(0.0, 1 - (s.cold_until - self.now) / self.cold_ms) if self.cold_ms else 1.0
         share = self.cold_share + (1 - self.cold_share) * grown
         share *= max(1.0, s.boost * self.boost) * self.part
@@ -609,7 +876,9 @@
         return s.tokens >= 1
 
     def _chain(self, bucket: Bucket) -> list[Server]:
-        if bucket.chain is None:  # Danger: what is turned away goes to the same next one from all nodes.
+        if (
+            bucket.chain is None
+        ):  # Danger: what is turned away goes to the same next one from all nodes.
             met = dict.fromkeys(([bucket.at] if bucket.at else []) + self._taking(bucket)[:CHAIN])
             for s in self._ready_from(bucket):
                 met[s] = None
@@ -635,18 +904,28 @@
             s.usual = min(s.usual * 1.001 or s.latency, s.latency)
             if s is not self.origin:
                 self.work += (took * s.size - self.work) * (0.02 if self.work else 1.0)
-        slow = TARGET * tx.rpc.method.soft_ms  # Danger: work at the origin that varies, taken for congestion.
-        # Danger: RPCs turned away before idle cold caches. One that answers at once tells of all of them.
+        slow = (
+            TARGET * tx.rpc.method.soft_ms
+        )  # Danger: work at the origin that varies, taken for congestion.
+        # Danger: RPCs turned away before idle cold caches. One that answers at once tells of all of
+        # them.
         s.boost = min(1.0, s.boost * 1.1) if took < slow / 2 else 1 / self.boost_most
         if self.now < s.cold_until:
-            self.boost = min(self.boost_most, max(1.0, self.boost * (1.1 if took < slow / 2 else 0.8)))
-        if full_work and took > slow < s.latency / 0.7 if s is self.origin else took > slow * SLOW / TARGET:
+            self.boost = min(
+                self.boost_most, max(1.0, self.boost * (1.1 if took < slow / 2 else 0.8))
+            )
+        if (
+            full_work and took > slow < s.latency / 0.7
+            if s is self.origin
+            else took > slow * SLOW / TARGET
+        ):
             s.limit, s.growth = max(s.least, s.limit * 0.9), 0.25
         elif len(s.live) + 2 > s.limit:
             s.limit += (1.0 if s is self.origin else s.growth) * min(s.limit, 1 / s.limit)
 
     def _strike(self, s: Server) -> None:
-        # Danger: tables full of idle connections, and such as were dropped unseen: all hold them for less.
+        # Danger: tables full of idle connections, and such as were dropped unseen: all hold them
+        # for less.
         self.idle, self.ramp = max(self.brief, 0.8 * self.idle), 1.05
         if s is self.origin:  # there is no other: it is asked less, never left
             s.limit = max(s.least, min(s.limit, len(s.live) + 1) * (0.8 if s.live else 0.5))
@@ -667,14 +946,23 @@
         self._leave(s, True)
 
     def _cool(self, s: Server, since: float) -> None:
-        first, s.boost = self.now >= s.cold_until, 1.0  # else it fell while cold, maybe by what it was sent
+        first, s.boost = (
+            self.now >= s.cold_until,
+            1.0,
+        )  # else it fell while cold, maybe by what it was sent
         s.tokens, s.refilled = (self._chance(), self.now) if first else (s.tokens, s.refilled)
-        self.boost = self.boost if first and any(self.now < c.cold_until for c in self.caches) else 1.0
+        self.boost = (
+            self.boost if first and any(self.now < c.cold_until for c in self.caches) else 1.0
+        )
         s.cold_until = since + self.cold_ms
 
     def _abandon(self, tx: Tx) -> None:  # call it off where another server may still answer in time
         rpc = tx.rpc  # Danger: it may not go out again.
-        if rpc.closed or len(rpc.txs) >= self.max_txs or self.now >= self._again_until(rpc) - self.margin:
+        if (
+            rpc.closed
+            or len(rpc.txs) >= self.max_txs
+            or self.now >= self._again_until(rpc) - self.margin
+        ):
             return
         if self.copies and not tx.slow:  # Danger: called off, what is only slow has run for nothing
             tx.slow, rpc.slow = True, rpc.slow + 1
@@ -682,7 +970,9 @@
         else:
             self.retract.append(tx)
 
-    def _leave(self, s: Server, dead: bool) -> None:  # its line, and all that is out, is decided anew
+    def _leave(
+        self, s: Server, dead: bool
+    ) -> None:  # its line, and all that is out, is decided anew
         for tx in s.live if dead else ():
             self._abandon(tx)
         for rpc in [place[3] for place in s.first + s.again if place[3].line]:
@@ -693,7 +983,8 @@
     # ---- the list and the ring
 
     def _state(self, s: Server, state: State) -> None:
-        # Danger: a list that lags what goes and comes by turns. Gone alone: off the path, to be tried.
+        # Danger: a list that lags what goes and comes by turns. Gone alone: off the path, to be
+        # tried.
         s.advised = state == State.GONE and self.advice and (s.listed == State.READY or s.advised)
         s.listed, state = state, State.READY if s.advised else state
         if s.advised and not s.off and self.now - s.answered_at > self.pause:
@@ -710,24 +1001,39 @@
         resized = [s for s in resized if s.kind != self.origin_kind]
         if resized and not self.points_per_size:
             self.points_per_size = RING_POINTS * len(resized) / sum(s.size for s in resized)
-        # Danger: a large ring made anew at each change of the list. Caches not ready stay till most are gone.
+        # Danger: a large ring made anew at each change of the list. Caches not ready stay till most
+        # are gone.
         gone = sum(s.state == State.GONE for s in self.caches)
         if 2 * gone > len(self.caches) or any(s.points for s in resized):
             for s in self.caches:
                 s.points = 0
-            self.servers = {s.id: s for s in self.servers.values() if s.state != State.GONE or s.live}
-            self.caches, self.ring, resized = [], array("Q"), [s for s in ready if s.kind != self.origin_kind]
+            self.servers = {
+                s.id: s for s in self.servers.values() if s.state != State.GONE or s.live
+            }
+            self.caches, self.ring, resized = (
+                [],
+                array("Q"),
+                [s for s in ready if s.kind != self.origin_kind],
+            )
         ring = list(self.ring) if resized else []
         for s in resized:
-            s.points, n = int(min(8 * RING_POINTS, 8 + self.points_per_size * s.size)), len(self.caches)
+            s.points, n = (
+                int(min(8 * RING_POINTS, 8 + self.points_per_size * s.size)),
+                len(self.caches),
+            )
             self.caches.append(s)
             ring += [p << 16 | n for p in array("I", shake_128(s.id.encode()).digest(4 * s.points))]
         if resized:
             self.ring = array("Q", sorted(ring))
         self.size = sum(s.size for s in self.caches if s.state != State.GONE)
-        # Danger: the whole ring gone through for each bucket at each list, where few are left for a method.
-        self.able = {(m.kinds, m.zones): sum(s.state == State.READY and self._open(m, s) for s in self.caches)
-                     for m in self.methods.values()}  # fmt: skip
+        # Danger: the whole ring gone through for each bucket at each list, where few are left for a
+        # method.
+        self.able = {
+            (m.kinds, m.zones): sum(
+                s.state == State.READY and self._open(m, s) for s in self.caches
+            )
+            for m in self.methods.values()
+        }
         self._relieve()
         for b in self.buckets.values():
             self._home(b)
@@ -766,10 +1072,14 @@
         for i in range(start, start + n * (self.able.get((b.kinds, b.zones), 1) > 0)):
             point = self.ring[i % n]
             s = self.caches[point & 0xFFFF]
-            if s.state == State.READY and (self._open(b, s) if bound else point >> 16 & 0xFF < s.free * 256):
+            if s.state == State.READY and (
+                self._open(b, s) if bound else point >> 16 & 0xFF < s.free * 256
+            ):
                 yield s
 
-    def _relieve(self) -> bool:  # True where a server keeps more or less of its points for what is not bound
+    def _relieve(
+        self,
+    ) -> bool:  # True where a server keeps more or less of its points for what is not bound
         # Danger: what is bound to a few servers finds them full of what any could do.
         bound = [m for m in self.methods.values() if m.kinds or m.zones]
         ready, changed = [s for s in self.caches if s.state == State.READY], False
@@ -788,28 +1098,47 @@
         now, span, self.beat_at = self.now, max(self.now - self.beat_at, 1.0), self.now
         self.next_beat = now + self.window
         late, asked, self.asked, self.turned = self.turned / self.asked, self.asked, 1, 0
-        self.pressure, self.idle = max(late, self.pressure / 2), min(self.held, self.ramp * self.idle)
-        # Danger: more than the fleet can do, from nodes that never fill a server, is late as a whole.
-        self.shed = min(0.9, max(0.0, self.shed + (late / 4 if late > SHED_FROM else -SHED_FROM / 4)))
+        self.pressure, self.idle = (
+            max(late, self.pressure / 2),
+            min(self.held, self.ramp * self.idle),
+        )
+        # Danger: more than the fleet can do, from nodes that never fill a server, is late as a
+        # whole.
+        self.shed = min(
+            0.9, max(0.0, self.shed + (late / 4 if late > SHED_FROM else -SHED_FROM / 4))
+        )
         for s in self.servers.values():
             s.rate, s.sent = s.rate / 2 + s.sent * 500 / span, 0
-            for line in (s.first, s.again):  # Danger: a line of RPCs that have long had their answer
+            for line in (
+                s.first,
+                s.again,
+            ):  # Danger: a line of RPCs that have long had their answer
                 line[:] = sorted(place for place in line if place[3].line)
-            if s.open and not s.live and now - s.last > self.idle:  # Danger: full tables of connections
+            if (
+                s.open and not s.live and now - s.last > self.idle
+            ):  # Danger: full tables of connections
                 s.open = False
                 self.closing.append(s)
             s.ok = s.state == State.READY and not s.off and now >= s.cold_until
         warm = [s for s in self.servers.values() if s.ok and s is not self.origin]
-        # Danger: a node that starts among cold caches alone would send them nothing until they are warm.
+        # Danger: a node that starts among cold caches alone would send them nothing until they are
+        # warm.
         known = self.warm_rate or 1000 * asked / span / max(1.0, sum(s.size for s in self.caches))
         self.warm_rate = sum(s.rate for s in warm) / sum(s.size for s in warm) if warm else known
 
-    def _round(self) -> None:  # the mechanism's, over caches heard and warm; others count at the mean
+    def _round(
+        self,
+    ) -> None:  # the mechanism's, over caches heard and warm; others count at the mean
         self.flow = {name: 0.85 * flow for name, flow in self.flow.items()}
         for b in self.buckets.values() if self._relieve() else ():
             self._home(b)
-        # Danger: hundreds of nodes each move keys on a few answers' noise, and every cache misses them.
-        heard = (s for s in self.servers.values() if s.ok and s.heard >= EVIDENCE and s is not self.origin)
+        # Danger: hundreds of nodes each move keys on a few answers' noise, and every cache misses
+        # them.
+        heard = (
+            s
+            for s in self.servers.values()
+            if s.ok and s.heard >= EVIDENCE and s is not self.origin
+        )
         held: dict[Server, list[Bucket]] = {s: [] for s in heard}
         if len(self.young) >= KEYS_KEPT or self.now >= self.aged_at + AGE * ROUND_MS:
             for key, bucket in self.old.items():
@@ -828,7 +1157,10 @@
             own = s.rate * max(1.0, s.latency) / 1000  # Danger: what is told may be untrue.
             s.c = (max(s.load + len(s.first), own * self.nodes) if s.load >= 0 else own) / s.size
             s.m = float(sum(b.keys for b in held[s]))
-        mean_c, mean_m = sum(s.c for s in caches) / len(caches), sum(s.m for s in caches) / len(caches)
+        mean_c, mean_m = (
+            sum(s.c for s in caches) / len(caches),
+            sum(s.m for s in caches) / len(caches),
+        )
         loads: dict[Server, list[Load]] = {}
         for s in caches:
             s.c, s.m = s.c / mean_c if mean_c else 1.0, s.m / mean_m if mean_m else 1.0
--- a/hookpitch/balancer/deployment.py
+++ b/hookpitch/balancer/deployment.py
@@ -14,9 +14,15 @@
     "fragile": Idempotency.NON_RETRIABLE,
 }
 FIELDS = {
-    "utilization": "utilisation", "outstanding": "inflight", "backlog": "queue", "recent_ms": "recent_ms",
-    "throughput": "rate", "errors_per_s": "errors_per_s", "x0": "x0", "x1": "x1",
-}  # fmt: skip
+    "utilization": "utilisation",
+    "outstanding": "inflight",
+    "backlog": "queue",
+    "recent_ms": "recent_ms",
+    "throughput": "rate",
+    "errors_per_s": "errors_per_s",
+    "x0": "x0",
+    "x1": "x1",
+}
 WEIGHTS = ("silent", "nominal", "rough", "live")  # what the sizes in a list tell
 GROUPS = ("all", "zone", "cell")
 NO_REPORT: Report = {}
@@ -40,7 +46,8 @@
 
 
 def deployment(seed: int, top: object) -> Deployment:
-    """The settings as a node is given them, parsed from their JSON. ValueError names what is wrong."""
+    """The settings as a node is given them, parsed from their JSON. ValueError names what is
+    wrong."""
     try:
         return _deployment(seed, top)
     except (TypeError, AttributeError, OverflowError) as fault:
@@ -78,7 +85,9 @@
             raise ValueError(f"setting {name} is no list of names: {value!r}")
         return tuple(value)
 
-    limits, rules, tariffs, goal = (top.get(name) or {} for name in ("limits", "rules", "tariffs", "goal"))
+    limits, rules, tariffs, goal = (
+        top.get(name) or {} for name in ("limits", "rules", "tariffs", "goal")
+    )
     family = top.get("family_info") or {}
     methods = []
     for m in need(top, "methods", ""):
--- a/hookpitch/balancer/interface.py
+++ b/hookpitch/balancer/interface.py
@@ -1,7 +1,10 @@
-"""Plain types that stand between a host (the bench's adapter, later a node on sockets) and the decisions.
+"""Plain types that stand between a host (the bench's adapter, later a node on sockets) and the
+decisions.
 
-A host makes one `Node` (see decisions.py) per instance from a `Deployment`, tells it what happens through
-its input calls, then calls `decide(now, host)` until that returns False; a call hands at most one decision to
+A host makes one `Node` (see decisions.py) per instance from a `Deployment`, tells it what happens
+through
+its input calls, then calls `decide(now, host)` until that returns False; a call hands at most one
+decision to
 the host. Times are float milliseconds of the host's clock. Ids are used at this door only.
 """
 
@@ -76,17 +79,24 @@
     window_ms: float = 0.0
     streamed: bool = False
     kinds: tuple[str, ...] = ()  # the only kinds of machine, and
-    zones: tuple[str, ...] = ()  # the only locations it may be sent to; empty: any. The origin is always open
+    zones: tuple[
+        str, ...
+    ] = ()  # the only locations it may be sent to; empty: any. The origin is always open
 
     def under(self, new: Method | None) -> Method:
-        """For an RPC in flight, once the settings say otherwise of its method, or know it no more: its
+        """For an RPC in flight, once the settings say otherwise of its method, or know it no more:
+        its
         deadlines and gain stay, and of what binds a further transmission the stricter holds."""
         if new is None or new == self:
             return self
-        return replace(self, idempotency=max(self.idempotency, new.idempotency),
-                       group=min(self.group, new.group, key=GROUPS.index),
-                       window_ms=min(self.window_ms, new.window_ms),
-                       kinds=new.kinds or self.kinds, zones=new.zones or self.zones)  # fmt: skip
+        return replace(
+            self,
+            idempotency=max(self.idempotency, new.idempotency),
+            group=min(self.group, new.group, key=GROUPS.index),
+            window_ms=min(self.window_ms, new.window_ms),
+            kinds=new.kinds or self.kinds,
+            zones=new.zones or self.zones,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,8 +147,12 @@
     kinds: tuple[str, ...] = ()  # names of the machine kinds, in the order of their numbers
     dial_timeout_ms: float = 250.0
     conn_idle_ms: float = 15000.0  # a server closes a connection that was idle for so long
-    gone_is_advice: bool = False  # only a server seen draining is sent nothing new; gone alone binds nothing
-    nines_part: float = 0.0  # what the goal gives for each tenfold step by which little is lost, and
+    gone_is_advice: bool = (
+        False  # only a server seen draining is sent nothing new; gone alone binds nothing
+    )
+    nines_part: float = (
+        0.0  # what the goal gives for each tenfold step by which little is lost, and
+    )
     nines_full: float = 3.0  # how many such steps earn it in full
 
 
--- a/hookpitch/cli/lab.py
+++ b/hookpitch/cli/lab.py
@@ -49,11 +49,17 @@
 
 @lab.command()
 @click.argument("names", nargs=-1, required=True)
-@click.option("--clock", type=click.Choice(["virtual", "wall"]), default="virtual", show_default=True)
+@click.option(
+    "--clock", type=click.Choice(["virtual", "wall"]), default="virtual", show_default=True
+)
 @click.option("--seed", type=int, help="In place of the file's.")
-@click.option("--json", "json_path", type=click.Path(path_type=Path), help="Write the figures there.")
+@click.option(
+    "--json", "json_path", type=click.Path(path_type=Path), help="Write the figures there."
+)
 @click.option("--report", type=click.Path(path_type=Path), help="Write an HTML page there.")
-@click.option("--logs", type=click.Path(path_type=Path), help="Keep every process's log there (wall).")
+@click.option(
+    "--logs", type=click.Path(path_type=Path), help="Keep every process's log there (wall)."
+)
 def run(
     names: tuple[str, ...],
     clock: str,
@@ -62,7 +68,8 @@
     report: Path | None,
     logs: Path | None,
 ) -> None:
-    """Run experiments. Exit 0: rules and expectations hold; 1: not; 2: a file is wrong, or a run did not come
+    """Run experiments. Exit 0: rules and expectations hold; 1: not; 2: a file is wrong, or a run
+    did not come
     about; 3: the rig fell behind, and nothing is judged."""
     from hookpitch.lab.experiment import load
     from hookpitch.lab.figures import summary
@@ -121,7 +128,9 @@
         click.echo(f"  raised: {text}")
     if figures["rig"]:
         who, ms = max(figures["rig"].items(), key=lambda item: item[1])
-        click.echo(f"  the rig was {ms:.0f} ms late at the worst ({who}); bounds are wider by twice that")
+        click.echo(
+            f"  the rig was {ms:.0f} ms late at the worst ({who}); bounds are wider by twice that"
+        )
     for text in figures["broken"][:5]:
         click.echo(f"  broken: {text}")
     if len(figures["broken"]) > 5:
@@ -129,7 +138,11 @@
     for expected in figures["expected"]:
         mark = "holds" if expected["holds"] else "DOES NOT HOLD"
         click.echo(f"  {expected['text']}: {expected['figure']:g}, {mark}")
-    return not figures["broken"] and not figures["programs"] and all(e["holds"] for e in figures["expected"])
+    return (
+        not figures["broken"]
+        and not figures["programs"]
+        and all(e["holds"] for e in figures["expected"])
+    )
 
 
 @lab.command()
@@ -152,11 +165,16 @@
 @lab.command()
 @click.option("--runs", type=int, default=100, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--keep", type=click.Path(path_type=Path), help="Write what is found there, as experiments.")
+@click.option(
+    "--keep", type=click.Path(path_type=Path), help="Write what is found there, as experiments."
+)
 @click.option("--only", help="Kinds of faults, with commas; `links` and `processes` are theirs.")
-@click.option("--clock", type=click.Choice(["virtual", "wall"]), default="virtual", show_default=True)
+@click.option(
+    "--clock", type=click.Choice(["virtual", "wall"]), default="virtual", show_default=True
+)
 def fuzz(runs: int, seed: int, keep: Path | None, only: str | None, clock: str) -> None:
-    """Draw experiments, run them, and shrink those that break a rule (on loopback they stay as they are)."""
+    """Draw experiments, run them, and shrink those that break a rule (on loopback they stay as
+    they are)."""
     from hookpitch.lab import fuzz as fuzzing
     from hookpitch.lab.experiment import ON_LINKS, ON_PROCESSES
 
@@ -165,9 +183,15 @@
     kinds = [kind for word in words for kind in groups.get(word, (word,))] or fuzzing.KINDS
     for kind in kinds:
         if kind not in fuzzing.KINDS:
-            _fail(ValueError(f"--only: '{kind}' is none of links, processes, {', '.join(fuzzing.KINDS)}"))
+            _fail(
+                ValueError(
+                    f"--only: '{kind}' is none of links, processes, {', '.join(fuzzing.KINDS)}"
+                )
+            )
     if clock == "wall":
-        broke, void = fuzzing.fuzz_on_processes(runs, seed, lambda text: click.echo(text), kinds, keep)
+        broke, void = fuzzing.fuzz_on_processes(
+            runs, seed, lambda text: click.echo(text), kinds, keep
+        )
         click.echo(f"{runs} runs on processes, {broke} found, {void} void")
         sys.exit(1 if broke else 0)
     found = fuzzing.fuzz(runs, seed, lambda text: click.echo(text, err=True), kinds)
--- a/hookpitch/cli/members.py
+++ b/hookpitch/cli/members.py
@@ -1,4 +1,4 @@
-"""`hookpitch members FILE|ADDRESS`: the fleet as one node sees it, asked at its door for operators."""
+"""`hookpitch members FILE|ADDRESS`: the fleet as one node sees it, asked at its door for operators."""  # noqa: E501
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 
 def door(file: Path) -> str:
-    """The address of the door, from a node's configuration. ValueError says in one line why there is none."""
+    """The address of the door, from a node's configuration. ValueError says in one line why there
+    is none."""
     try:
         top = json.loads(file.read_text(encoding="utf-8"))
     except (OSError, ValueError) as fault:
@@ -27,7 +28,8 @@
 @click.command()
 @click.argument("address", metavar="FILE|ADDRESS")
 def members(address: str) -> None:
-    """Print the members that a node knows of: FILE is its configuration, ADDRESS its door (host:port)."""
+    """Print the members that a node knows of: FILE is its configuration, ADDRESS its door
+    (host:port)."""
     if Path(address).is_file():
         try:
             address = door(Path(address))
--- a/hookpitch/cli/node.py
+++ b/hookpitch/cli/node.py
@@ -11,10 +11,16 @@
 
 @click.command()
 @click.option(
-    "--post", "path", type=click.Path(path_type=Path), help="The node's JSON file; else PROXY_CONFIG."
+    "--post",
+    "path",
+    type=click.Path(path_type=Path),
+    help="The node's JSON file; else PROXY_CONFIG.",
 )
 @click.option(
-    "--config", "config", type=click.Path(path_type=Path), help="The operator's file; else HOOKPITCH_CONFIG."
+    "--config",
+    "config",
+    type=click.Path(path_type=Path),
+    help="The operator's file; else HOOKPITCH_CONFIG.",
 )
 def node(path: Path | None, config: Path | None) -> None:
     """Run one node in the foreground, as `python -m hookpitch` does."""
@@ -44,7 +50,7 @@
 
                 x = read(text, str(path))
                 click.echo(
-                    f"{path}: experiment {x.name}, {len(x.fault)} faults, {len(x.expect)} expectations"
+                    f"{path}: experiment {x.name}, {len(x.fault)} faults, {len(x.expect)} expectations"  # noqa: E501
                 )
             else:
                 from hookpitch.net.operator import load
--- a/hookpitch/cli/snapshot.py
+++ b/hookpitch/cli/snapshot.py
@@ -35,12 +35,24 @@
     now = time.time() * 1000
     age = now - x.written
     weight = 0.5 ** (max(0.0, age) / HALF_MS)
-    click.echo(f"{path}: node {x.node} of fleet {x.fleet or '-'}, {age / 1000:.0f} s old: by {weight:.2f}")
-    click.echo(f"list version {x.seq}, {len(x.listed)} servers; banned: {', '.join(x.bans) or 'none'}")
-    click.echo(f"{len(x.moved)} buckets moved; {len(x.heavy)} sighted often, of {x.sighted:.0f} RPCs")
+    click.echo(
+        f"{path}: node {x.node} of fleet {x.fleet or '-'}, {age / 1000:.0f} s old: by {weight:.2f}"
+    )
+    click.echo(
+        f"list version {x.seq}, {len(x.listed)} servers; banned: {', '.join(x.bans) or 'none'}"
+    )
+    click.echo(
+        f"{len(x.moved)} buckets moved; {len(x.heavy)} sighted often, of {x.sighted:.0f} RPCs"
+    )
     click.echo(f"{'server':24} {'limit':>7} {'answer ms':>9} {'failures':>8}  state")
     for s in x.servers:
-        states = [f"off the path for {(s.off_until - now) / 1000:.1f} s more"] if s.off_until > now else []
-        states += [f"cold for {(s.cold_until - now) / 1000:.1f} s more"] if s.cold_until > now else []
+        states = (
+            [f"off the path for {(s.off_until - now) / 1000:.1f} s more"]
+            if s.off_until > now
+            else []
+        )
+        states += (
+            [f"cold for {(s.cold_until - now) / 1000:.1f} s more"] if s.cold_until > now else []
+        )
         state = ", ".join(states) or "on the path"
         click.echo(f"{s.id:24} {s.limit:7.2f} {s.latency:9.1f} {s.failures:8}  {state}")
--- a/hookpitch/cli/standin.py
+++ b/hookpitch/cli/standin.py
@@ -16,10 +16,14 @@
 @standin.command()
 @click.argument("path", type=click.Path(path_type=Path))
 @click.option(
-    "--post", "post_path", type=click.Path(path_type=Path), help="Write the JSON file of a node for them."
+    "--post",
+    "post_path",
+    type=click.Path(path_type=Path),
+    help="Write the JSON file of a node for them.",
 )
 def fleet(path: Path, post_path: Path | None) -> None:
-    """Cache servers, the origin and discovery of an experiment's file, on loopback until they are ended."""
+    """Cache servers, the origin and discovery of an experiment's file, on loopback until they are
+    ended."""
     from hookpitch.lab.experiment import load
     from hookpitch.lab.wall import serve_fleet
 
--- a/hookpitch/core/documents.py
+++ b/hookpitch/core/documents.py
@@ -1,8 +1,11 @@
 """JSON objects out of a stream of bytes: one a line, indented over many, or in pieces cut anywhere.
 
-Feed what comes; take what has come whole: an object's text, or a beat (a line with nothing on it between
-two objects). Invariants: a byte is scanned once, whatever the pieces; what is held is the beginning of one
-object; a byte that can begin none is a ValueError at once. Whether it is good JSON its reader finds out.
+Feed what comes; take what has come whole: an object's text, or a beat (a line with nothing on it
+between
+two objects). Invariants: a byte is scanned once, whatever the pieces; what is held is the
+beginning of one
+object; a byte that can begin none is a ValueError at once. Whether it is good JSON its reader
+finds out.
 """
 
 from __future__ import annotations
@@ -11,7 +14,9 @@
 from collections.abc import Iterator
 
 BLANK = b" \t\r\n"
-OUTSIDE = re.compile(rb'(?:[^"{}\[\]]|"[^"\\]*")*+(.)', re.DOTALL)  # whole strings are passed over in one go
+OUTSIDE = re.compile(
+    rb'(?:[^"{}\[\]]|"[^"\\]*")*+(.)', re.DOTALL
+)  # whole strings are passed over in one go
 INSIDE = re.compile(rb'[^"\\]*+(.)', re.DOTALL)
 
 
@@ -30,7 +35,8 @@
         return len(self._held)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The whole objects, and an empty string for each beat. ValueError where no object begins, or one is
+        """The whole objects, and an empty string for each beat. ValueError where no object begins,
+        or one is
         too long; nothing may be fed after that."""
         self._held += data
         while True:
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -1,4 +1,5 @@
-"""Carries the decisions out: RPCs in numbered slots, their transmissions, and one final answer to each."""
+"""Carries the decisions out: RPCs in numbered slots, their transmissions, and one final answer to
+each."""
 
 from __future__ import annotations
 
@@ -29,7 +30,11 @@
 EXTRAS_MOST = 512  # bytes
 HELD_MOST = 1 << 24  # bytes of large writes, where nothing else is said
 ODD_LOGGED = 3  # lines for each kind of odd input
-FINAL = {"completed": "completed", "exhausted": "rejected", "errored": "failed"}  # in operators' words
+FINAL = {
+    "completed": "completed",
+    "exhausted": "rejected",
+    "errored": "failed",
+}  # in operators' words
 TX_NAMES = [f"tx.{outcome.name.lower()}" for outcome in Outcome]
 
 
@@ -40,8 +45,9 @@
     def call_off(self, now: float, tx: Tx) -> None: ...
     def close_idle(self, server: str) -> None: ...
     def stop(self, server: str) -> None: ...  # nothing new may be sent to it
-    def listed(self, kind: ListKind, entries: Sequence[Entry], dials: Mapping[str, str]) -> None: ...
-
+    def listed(
+        self, kind: ListKind, entries: Sequence[Entry], dials: Mapping[str, str]
+    ) -> None: ...
 
     def answer_stands(self, tx: Tx) -> bool: ...  # whether its answer has come and is only unread
 
@@ -57,7 +63,9 @@
     def begun(self, place: list[bytes | None], stream: Stream) -> None: ...
     def piece(self, place: list[bytes | None], data: bytes) -> None: ...
     def broken(self, place: list[bytes | None]) -> None: ...  # what was begun cannot be finished
-    def gone(self) -> bool: ...  # its client has gone, or has ended its sending, as far as this machine knows
+    def gone(
+        self,
+    ) -> bool: ...  # its client has gone, or has ended its sending, as far as this machine knows
 
 
 class Tx:
@@ -65,10 +73,14 @@
 
     __slots__ = ("rpc", "n", "server", "sent", "until", "begin_by", "carrier", "written", "done")
 
-    def __init__(self, rpc: Rpc, n: int, server: str, sent: float, until: float, begin_by: float) -> None:
+    def __init__(
+        self, rpc: Rpc, n: int, server: str, sent: float, until: float, begin_by: float
+    ) -> None:
         self.rpc, self.n, self.server, self.sent, self.until = rpc, n, server, sent, until
         self.begin_by = begin_by  # later it is not begun any more
-        self.carrier: object | None = None  # the pool in which it waits, or the connection that it is on
+        self.carrier: object | None = (
+            None  # the pool in which it waits, or the connection that it is on
+        )
         self.written = self.done = False  # written: maybe
 
     def extras(self, now: float) -> bytes:
@@ -82,11 +94,30 @@
 class Rpc:
     """An RPC from the time it is taken until it is answered and no transmission is out."""
 
-    __slots__ = ("number", "client", "place", "command", "key", "id", "extras", "value", "hard", "deadline",
-                 "txs", "live", "open", "parting", "method", "stream", "streaming", "came")  # fmt: skip
-
-    def __init__(self, client: Client, place: list[bytes | None], words: Sequence[bytes],
-                 method: str) -> None:  # fmt: skip
+    __slots__ = (
+        "number",
+        "client",
+        "place",
+        "command",
+        "key",
+        "id",
+        "extras",
+        "value",
+        "hard",
+        "deadline",
+        "txs",
+        "live",
+        "open",
+        "parting",
+        "method",
+        "stream",
+        "streaming",
+        "came",
+    )
+
+    def __init__(
+        self, client: Client, place: list[bytes | None], words: Sequence[bytes], method: str
+    ) -> None:
         self.client, self.place, self.method = client, place, method
         self.command, self.key, self.id, self.extras = words[:4]
         self.value: bytes | Pieces | None = words[4] if len(words) > 4 else None
@@ -101,18 +132,28 @@
 class Host:
     """One node's host. Adapters tell it what happens; it hands on what the decisions say."""
 
-    def __init__(self, now: float, deployment: Deployment, deadlines: Deadlines, counters: Counters,
-                 logger: Logger) -> None:  # fmt: skip
+    def __init__(
+        self,
+        now: float,
+        deployment: Deployment,
+        deadlines: Deadlines,
+        counters: Counters,
+        logger: Logger,
+    ) -> None:
         self.now, self.deployment = now, deployment
         self.deadlines, self.counters, self.logger = deadlines, counters, logger
         self.methods = {m.name.encode(): m for m in deployment.methods}
         self.node = Node(now, deployment)
-        self.admission = Admission(now, min((m.soft_ms for m in deployment.methods), default=1000.0))
+        self.admission = Admission(
+            now, min((m.soft_ms for m in deployment.methods), default=1000.0)
+        )
         self.rpcs: Slots[Rpc] = Slots()
         self.ids: set[bytes] = set()  # of all RPCs in slots
         self.open = 0  # RPCs taken and not ended
         self.held = Held(HELD_MOST)
-        self.patience = max((m.hard_ms for m in deployment.methods), default=1000.0)  # with a silent stream
+        self.patience = max(
+            (m.hard_ms for m in deployment.methods), default=1000.0
+        )  # with a silent stream
         self.connections: Slots[object] = Slots()
         self.carrier: Carrier
         self._unsent: deque[Tx] = deque()
@@ -121,9 +162,16 @@
 
     # ---- inputs
 
-    def taken(self, now: float, client: Client, place: list[bytes | None], words: Sequence[bytes],
-              age: float = 0.0) -> Rpc | None:  # fmt: skip
-        """An RPC as a client wrote it, read `age` ms after it came. None where its words are wrong, or where
+    def taken(
+        self,
+        now: float,
+        client: Client,
+        place: list[bytes | None],
+        words: Sequence[bytes],
+        age: float = 0.0,
+    ) -> Rpc | None:
+        """An RPC as a client wrote it, read `age` ms after it came. None where its words are
+        wrong, or where
         it was turned away: then the place holds its answer."""
         pairs = read_pairs(words[3])
         method = self.methods.get(pairs.get(b"c", b""))
@@ -137,7 +185,8 @@
         customer = pairs.get(CUSTOMER, b"").decode("latin-1")
         wait = self.node.turned_away(now, method.name, customer, age)
         if wait >= 0 or age >= grace:
-            # Danger: in a surge, what is refused must cost next to nothing: no slot, deadline or bucket.
+            # Danger: in a surge, what is refused must cost next to nothing: no slot, deadline or
+            # bucket.
             self.admission.turned_away()
             self.counters.add("rpcs.turned_away")
             self.counters.add(f"rejected.{method.name}")
@@ -162,7 +211,8 @@
             self.counters.add(f"rejected.{method.name}")
 
     def _watch(self, rpc: Rpc, at: float) -> None:
-        """The RPC's one place among the deadlines: the next time at which something of it may be over."""
+        """The RPC's one place among the deadlines: the next time at which something of it may be
+        over."""
         if rpc.deadline is None or rpc.deadline.call is None or at < rpc.deadline.at:
             self.deadlines.drop(rpc.deadline)
             rpc.deadline = self.deadlines.add(at, lambda now: self._due(now, rpc))
@@ -172,7 +222,8 @@
             if now - rpc.stream.moved < self.patience:
                 return self._watch(rpc, rpc.stream.moved + self.patience)
             tx = rpc.streaming
-            # Danger: a server or a reader that has gone without a word holds both connections for good.
+            # Danger: a server or a reader that has gone without a word holds both connections for
+            # good.
             self.counters.add("streams.silent")
             self.carrier.call_off(now, tx)
             return self.tx_over(now, tx, Outcome.TIMEOUT)
@@ -185,9 +236,17 @@
         if rpc.open or out:
             self._watch(rpc, min(out + [rpc.hard] if rpc.open else out))
 
-    def tx_over(self, now: float, tx: Tx, outcome: Outcome, value: bytes | None = None,
-                report: Report = NO_REPORT, age: float = 0.0) -> None:  # fmt: skip
-        """A transmission is over, as was read `age` ms after it came; a value with it is the RPC's answer."""
+    def tx_over(
+        self,
+        now: float,
+        tx: Tx,
+        outcome: Outcome,
+        value: bytes | None = None,
+        report: Report = NO_REPORT,
+        age: float = 0.0,
+    ) -> None:
+        """A transmission is over, as was read `age` ms after it came; a value with it is the RPC's
+        answer."""
         self.counters.must(not tx.done, "a transmission ends once")
         if tx.done:
             return
@@ -216,7 +275,8 @@
         self.counters.add("streams")
         rpc.stream, rpc.streaming = Stream(source, length, max(0.0, now - tx.sent), now), tx
         self.node.stream_begun(now, str(rpc.number), tx.n)
-        # Danger: its deadline was for the first bytes; what the server still gives is passed on to the end.
+        # Danger: its deadline was for the first bytes; what the server still gives is passed on to
+        # the end.
         self.deadlines.drop(rpc.deadline)
         self._watch(rpc, now + self.patience)
         rpc.client.begun(rpc.place, rpc.stream)
@@ -245,9 +305,10 @@
             rpc.client.broken(rpc.place)
 
     def client_left(self, now: float, rpcs: Sequence[Rpc], reads: bool) -> None:
-        """A client has gone or (reads) has ended its sending: then it has gone, too, or still reads."""
-        # Danger: all of its RPCs are told of before anything is decided. Room that the first one leaves would
-        # go to the next in line, and nothing may be sent for a client that has gone.
+        """A client has gone or (reads) has ended its sending: then it has gone, too, or still
+        reads."""
+        # Danger: all of its RPCs are told of before anything is decided. Room that the first one
+        # leaves would go to the next in line, and nothing may be sent for a client that has gone.
         deciding, self._deciding = self._deciding, True
         try:
             for rpc in rpcs:
@@ -258,8 +319,8 @@
         self.decide(now)
 
     def _left(self, now: float, rpc: Rpc, reads: bool) -> None:
-        # Danger: both ends of sending look alike. One who reads must get its answer, so what is out may end;
-        # for one who has gone nothing further may be sent.
+        # Danger: both ends of sending look alike. One who reads must get its answer, so what is out
+        # may end; for one who has gone nothing further may be sent.
         rpc.parting = reads
         if not reads:
             self.counters.add("rpcs.client_left")
@@ -275,7 +336,9 @@
                 self.tx_over(now, tx, Outcome.CANCELLED)
         self._free(rpc)
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry], dials: Mapping[str, str]) -> None:
+    def listed(
+        self, now: float, kind: ListKind, entries: list[Entry], dials: Mapping[str, str]
+    ) -> None:
         """A list of servers, or that none could be had."""
         self.counters.add(f"lists.{kind.name.lower()}")
         if kind == ListKind.FAILED:  # what was told before stands
@@ -290,7 +353,8 @@
         self.decide(now)
 
     def reconfigured(self, now: float, deployment: Deployment) -> None:
-        """New settings, for what comes from now on; RPCs that were taken keep method and deadlines."""
+        """New settings, for what comes from now on; RPCs that were taken keep method and
+        deadlines."""
         self.deployment, self.methods = deployment, {m.name.encode(): m for m in deployment.methods}
         # Danger: a stream or a leave cut short that began under longer deadlines.
         self.patience = max(self.patience, *(m.hard_ms for m in deployment.methods))
@@ -314,13 +378,15 @@
         self.decide(now)
 
     def bannable(self, id: str) -> bool:
-        """Whether an operator may name it: a listed cache server, or one that is out by hand already."""
+        """Whether an operator may name it: a listed cache server, or one that is out by hand
+        already."""
         s = self.node.servers.get(id)
         listed = s is not None and s.listed != State.GONE and s.kind != self.deployment.origin_kind
         return id in self.node.bans or listed
 
     def members(self) -> tuple[int, int]:
-        """Cache servers in the list, and those of them that are avoided now, by hand or by choice."""
+        """Cache servers in the list, and those of them that are avoided now, by hand or by
+        choice."""
         servers = (s for s in self.node.servers.values() if s.kind != self.deployment.origin_kind)
         listed = [s for s in servers if s.listed != State.GONE]
         return len(listed), sum(s.state != State.READY or s.off for s in listed)
@@ -355,7 +421,8 @@
         tx = Tx(rpc, len(rpc.txs), server_id, self.now, until, self.now + begin_ms)
         rpc.txs.append(tx)
         rpc.live += 1
-        # Danger: its client has gone while it waited, and that stands unread behind what else happens.
+        # Danger: its client has gone while it waited, and that stands unread behind what else
+        # happens.
         if rpc.open and self.now > rpc.came and rpc.client.gone():
             rpc.parting = True
             self.counters.add("tx.for_nobody")
@@ -396,14 +463,16 @@
         self.logger.info(text)
 
     def late(self, now: float, late: float, used: float) -> None:
-        """The loop is late with its deadlines, which wait for one more look at the sockets; CPU time used
+        """The loop is late with its deadlines, which wait for one more look at the sockets; CPU
+        time used
         since the last beat. All in ms."""
         if self.admission.paused(late, used):
             self.counters.add("node.away")
             self.node.was_away(now)
 
     def beat(self, now: float, late: float, cpu: float) -> None:
-        """A window of the admission has ended, seen `late` ms after; `cpu` ms of CPU time used so far."""
+        """A window of the admission has ended, seen `late` ms after; `cpu` ms of CPU time used so
+        far."""
         before = self.admission.burden
         self.admission.beat(now, late, cpu)
         burden = self.admission.burden
@@ -411,7 +480,11 @@
         if burden or before:
             self.counters.add("node.burdened")
             if bool(burden) != bool(before):
-                self.log("more comes in than this node can do" if burden else "the node can do what comes in")
+                self.log(
+                    "more comes in than this node can do"
+                    if burden
+                    else "the node can do what comes in"
+                )
 
     def odd(self, what: str, text: str) -> None:
         """Something came in a form that is not known: counted, the first of them logged."""
@@ -437,7 +510,8 @@
         self.tx_over(now, tx, outcome)
 
     def _overdue(self, now: float, rpc: Rpc) -> None:
-        # Danger: rule 1. No RPC passes its hard deadline unanswered, whatever went wrong in the decisions.
+        # Danger: rule 1. No RPC passes its hard deadline unanswered, whatever went wrong in the
+        # decisions.
         self._answer(rpc, b"-ERR failed\r\n", "errored")
         self.node.client_left(now, str(rpc.number))
         self._free(rpc)
@@ -475,7 +549,8 @@
 
 @lru_cache(maxsize=EXTRAS_KEPT)
 def read_pairs(extras: bytes) -> Mapping[bytes, bytes]:
-    """An RPC's names and values; none where one comes twice or cannot be read. Clients say the same often."""
+    """An RPC's names and values; none where one comes twice or cannot be read. Clients say the
+    same often."""
     if len(extras) > EXTRAS_MOST or not EXTRAS.fullmatch(extras):
         return {}
     listed = [pair.partition(b"=")[::2] for pair in extras.split(b",")]
--- a/hookpitch/core/resp.py
+++ b/hookpitch/core/resp.py
@@ -29,8 +29,10 @@
 class Parser:
     """Takes whole values off a ring. `commands_only`: arrays of bulk strings, as clients send them.
 
-    The value in a command or an answer may have up to `most` bytes. One over `VALUE_MOST` is not taken whole:
-    `passing` tells how many bytes of it are still to come, the caller takes them (off the ring with `part`,
+    The value in a command or an answer may have up to `most` bytes. One over `VALUE_MOST` is not
+    taken whole:
+    `passing` tells how many bytes of it are still to come, the caller takes them (off the ring
+    with `part`,
     or past it) and counts them off, and an empty string stands in the value's place.
     """
 
@@ -38,7 +40,9 @@
 
     def __init__(self, ring: Ring, commands_only: bool = False, most: int = 0) -> None:
         self.ring, self.commands_only, self._most, self.passing = ring, commands_only, most, 0
-        self._arrays: list[tuple[list[Value], int]] = []  # open ones, outermost first, with their lengths
+        self._arrays: list[
+            tuple[list[Value], int]
+        ] = []  # open ones, outermost first, with their lengths
         self._bulk, self._seen = -1, 0  # the bulk string's length; where the line's end is sought
 
     @property
@@ -50,7 +54,12 @@
         """(True, a value), or (False, None) until more has come."""
         if self.passing or not len(self.ring):
             return False, None
-        if self._bulk < 0 and not self._arrays and not self._seen and (words := self._quick()) is not None:
+        if (
+            self._bulk < 0
+            and not self._arrays
+            and not self._seen
+            and (words := self._quick()) is not None
+        ):
             return True, words
         while True:
             found, value = self._one()
@@ -79,7 +88,8 @@
         return data
 
     def _quick(self) -> list[Value] | None:
-        """A short array of bulk strings that has come whole; of all else None, and nothing is taken."""
+        """A short array of bulk strings that has come whole; of all else None, and nothing is
+        taken."""
         data = self.ring.peek(QUICK)
         if data.startswith(b"*4\r\n$"):  # nearly all commands
             parts = data.split(b"\r\n", 9)
--- a/hookpitch/core/slots.py
+++ b/hookpitch/core/slots.py
@@ -1,4 +1,5 @@
-"""A table of numbered slots. A number that was freed names nothing, even once its place is used again."""
+"""A table of numbered slots. A number that was freed names nothing, even once its place is used
+again."""
 
 from __future__ import annotations
 
--- a/hookpitch/core/stream.py
+++ b/hookpitch/core/stream.py
@@ -1,8 +1,11 @@
 """Values too large to hold: answers in pieces, and what large writes may hold.
 
-An answer over `resp.VALUE_MOST` goes from its server's connection (the source) to its client's in pieces.
-Its last bytes stay here until the server's whole reply has been read and found right, so that a spoilt answer
-never looks whole. Invariants: what was passed on plus what is held is what came; a stream ends once.
+An answer over `resp.VALUE_MOST` goes from its server's connection (the source) to its client's in
+pieces.
+Its last bytes stay here until the server's whole reply has been read and found right, so that a
+spoilt answer
+never looks whole. Invariants: what was passed on plus what is held is what came; a stream ends
+once.
 """
 
 from __future__ import annotations
@@ -12,7 +15,10 @@
 HELD = 1024  # bytes at the end of a value that wait for the rest of its reply
 PIECE = 32768  # bytes from which on a piece of a write is closed
 MOST = 1 << 22  # bytes of a value that passes at all
-ROOM = 1 << 17, 1 << 14  # bytes that wait for a slow reader: at most, and at least with many streams
+ROOM = (
+    1 << 17,
+    1 << 14,
+)  # bytes that wait for a slow reader: at most, and at least with many streams
 
 
 class Source(Protocol):
@@ -29,7 +35,13 @@
 
     def __init__(self, source: Source, length: int, took: float, now: float) -> None:
         """`took`: milliseconds from the send to the first bytes."""
-        self.source, self.length, self.left, self.held, self.took = source, length, length, b"", took
+        self.source, self.length, self.left, self.held, self.took = (
+            source,
+            length,
+            length,
+            b"",
+            took,
+        )
         self.moved = now  # when a piece came or the reader last took something
 
     def piece(self, data: bytes) -> bytes:
@@ -57,7 +69,9 @@
 
     def add(self, data: bytes) -> None:
         self.length += len(data)
-        if self.parts and len(self.parts[-1]) < PIECE:  # Danger: a value sent by the byte, an object for each
+        if (
+            self.parts and len(self.parts[-1]) < PIECE
+        ):  # Danger: a value sent by the byte, an object for each
             self.parts[-1] += data
         else:
             self.parts.append(bytearray(data))
--- a/hookpitch/lab/child.py
+++ b/hookpitch/lab/child.py
@@ -1,7 +1,9 @@
 """What every process of the rig has: a control line to the run, a history on disk, a pulse.
 
-The control line is JSON, a list a line, over a Unix socket; where it ends, the process ends. Events are
-written one by one, so that a process that is killed has told all it saw. The pulse tells how late the process
+The control line is JSON, a list a line, over a Unix socket; where it ends, the process ends.
+Events are
+written one by one, so that a process that is killed has told all it saw. The pulse tells how late
+the process
 itself was: a run whose rig fell behind is void.
 """
 
@@ -34,7 +36,14 @@
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def add(
-        self, at: float, kind: str, who: str, rpc: str = "", what: str = "", value: float = 0.0, port: int = 0
+        self,
+        at: float,
+        kind: str,
+        who: str,
+        rpc: str = "",
+        what: str = "",
+        value: float = 0.0,
+        port: int = 0,
     ) -> None:
         line = json.dumps([round(at, 4), kind, who, rpc, what, value, port], separators=(",", ":"))
         os.write(self._file, line.encode() + b"\n")
@@ -102,7 +111,8 @@
 
 
 def run_child(make: Callable[[Any, dict[str, Any], Witness, Line], Callable[..., None]]) -> int:
-    """The main function of a process of the rig: reads the file that it is given, makes what it is for and
+    """The main function of a process of the rig: reads the file that it is given, makes what it is
+    for and
     does what it is told until its line ends. `make` answers with what carries out orders."""
     from twisted.internet import reactor
 
--- a/hookpitch/lab/ends.py
+++ b/hookpitch/lab/ends.py
@@ -1,12 +1,15 @@
 """TCP in virtual time: a connection is two `End`s.
 
-What one writes goes through a bounded send buffer, over a link, into the bounded receive buffer of the
+What one writes goes through a bounded send buffer, over a link, into the bounded receive buffer of
+the
 other's kernel, and is read in the other's turn.
 
-Invariants: what was in flight plus what stands unread never exceeds `KERNEL`; every `End` ends with exactly
+Invariants: what was in flight plus what stands unread never exceeds `KERNEL`; every `End` ends
+with exactly
 one `connectionLost` unless its machine vanished.
 
-Sources: Twisted's interfaces; RFC 9293 for resets, half-closes and zero windows; socket(7) and tcp(7)
+Sources: Twisted's interfaces; RFC 9293 for resets, half-closes and zero windows; socket(7) and
+tcp(7)
 of Linux for what a close with unread bytes does.
 """
 
@@ -65,14 +68,22 @@
     TLS = False
 
     def __init__(self, machine: Machine, port: int, peer_address: str, peer_port: int) -> None:
-        self.machine, self.port, self.peer_address, self.peer_port = machine, port, peer_address, peer_port
+        self.machine, self.port, self.peer_address, self.peer_port = (
+            machine,
+            port,
+            peer_address,
+            peer_port,
+        )
         self.peer: End = self
         self.protocol: Any = None
         self.connector: Connector | None = None
         self.socket = _Socket(self)
         self.out: deque[bytes] = deque()  # handed over by the program, not yet sent
         self.kernel: deque[bytes] = deque()  # arrived, unread
-        self.unread, self.travelling = 0, 0  # bytes: arrived here; sent from here and not yet read there
+        self.unread, self.travelling = (
+            0,
+            0,
+        )  # bytes: arrived here; sent from here and not yet read there
         self.came_at, self.last_arrival = machine.world.now, 0.0
         self.ended = False  # the peer's end of sending has arrived
         self.was_reset = False
@@ -175,7 +186,9 @@
                 self.out.appendleft(data[SEGMENT:])
                 data = data[:SEGMENT]
             self.travelling += len(data)
-            world.send(self.machine.address, self.peer_address, len(data) + 40, self._carry(data), self)
+            world.send(
+                self.machine.address, self.peer_address, len(data) + 40, self._carry(data), self
+            )
         if not self.out:
             if self.producer is not None and not self._feeding:
                 self._feeding = True
@@ -211,7 +224,13 @@
 
     def _read_soon(self) -> None:
         ready = self.kernel or (self.ended and not self._told_end) or self.was_reset
-        if ready and self.reading and self.protocol is not None and not self._reading_due and not self.over:
+        if (
+            ready
+            and self.reading
+            and self.protocol is not None
+            and not self._reading_due
+            and not self.over
+        ):
             self._reading_due = True
             self.machine.world.at(self.machine.world.now, self.machine, self._turn)
 
@@ -247,7 +266,9 @@
     def _end_sending(self) -> None:
         if not self.out and not self.sent_end:
             self.sent_end = True
-            self.machine.world.send(self.machine.address, self.peer_address, 40, self.peer.end_arrives, self)
+            self.machine.world.send(
+                self.machine.address, self.peer_address, 40, self.peer.end_arrives, self
+            )
 
     def end_arrives(self) -> None:
         if self.machine.present and not self.over:
@@ -302,7 +323,9 @@
         world, peer = self.machine.world, self.peer
         if reset:
             self.aborted = True
-            world.send(self.machine.address, self.peer_address, 40, peer.reset_arrives, self, once=True)
+            world.send(
+                self.machine.address, self.peer_address, 40, peer.reset_arrives, self, once=True
+            )
         elif not self.sent_end:
             self.sent_end = True
             world.send(self.machine.address, self.peer_address, 40, peer.end_arrives, self)
@@ -326,4 +349,6 @@
             if program is not None:
                 self.protocol = None
                 failure = Failure(ConnectionLost())
-                self.machine.world.at(self.machine.world.now, self.machine, program.connectionLost, failure)
+                self.machine.world.at(
+                    self.machine.world.now, self.machine, program.connectionLost, failure
+                )
--- a/hookpitch/lab/experiment.py
+++ b/hookpitch/lab/experiment.py
@@ -1,6 +1,7 @@
 """An experiment as a file: fleet, nodes, methods, traffic, a time line of faults, expectations.
 
-Decoded with msgspec into frozen types; a slip is told with its place (`fault[2].at: ...`). Times are
+Decoded with msgspec into frozen types; a slip is told with its place (`fault[2].at: ...`). Times
+are
 seconds in files and milliseconds inside.
 """
 
@@ -96,7 +97,7 @@
 ON_PROCESSES = FAULTS[FAULTS.index("stall") :]
 PARTS = ("lossy", "doubled", "shuffled", "starved")  # whose `by` is a part
 ONLY_VIRTUAL = {  # why a process cannot have it
-    "node_slow": "a process's events cannot be charged one by one; `starved` takes CPU away in both clocks",
+    "node_slow": "a process's events cannot be charged one by one; `starved` takes CPU away in both clocks",  # noqa: E501
 }
 
 
@@ -138,10 +139,14 @@
 
 
 class Nodes(Strict):
-    """`event_us`: CPU that each event of a node takes, in microseconds of its core. `peer_port`: where nodes
-    may talk to one another, TCP and UDP; 0: no links between them. `snapshot_s`: how often each writes what
-    it has learned to a disk that lasts; 0: never. `known`: the list that it is told at its start: of
-    now, of yesterday (every server in it is gone) or none. `members`: nodes are members of one fleet,
+    """`event_us`: CPU that each event of a node takes, in microseconds of its core. `peer_port`:
+    where nodes
+    may talk to one another, TCP and UDP; 0: no links between them. `snapshot_s`: how often each
+    writes what
+    it has learned to a disk that lasts; 0: never. `known`: the list that it is told at its start:
+    of
+    now, of yesterday (every server in it is gone) or none. `members`: nodes are members of one
+    fleet,
     by their peer port."""
 
     count: int = 1
@@ -171,7 +176,8 @@
 
 
 class Traffic(Strict):
-    """`rate`: RPCs a second over all nodes. `halving`: of the `fresh` connections, the part that closes its
+    """`rate`: RPCs a second over all nodes. `halving`: of the `fresh` connections, the part that
+    closes its
     own way with the RPC. `large`: the part of the keys whose values have `large_kb`;
     `slow_readers`: the part of the connections that read in small pieces, with pauses."""
 
@@ -195,8 +201,10 @@
 
 
 class Fault(Strict):
-    """`for`: seconds that it lasts; 0: to the end. `by`: how strong, where that has a meaning. `whom`, `to`:
-    names or groups (`lab/groups.py`). `spread`: seconds over which the members of a group are met, one after
+    """`for`: seconds that it lasts; 0: to the end. `by`: how strong, where that has a meaning.
+    `whom`, `to`:
+    names or groups (`lab/groups.py`). `spread`: seconds over which the members of a group are met,
+    one after
     the other. `kept`: whether what a cut holds back comes when it ends."""
 
     at: float
@@ -285,7 +293,9 @@
     for slip in _slips(file):
         raise ValueError(f"{where}: {slip}")
     expected = tuple(_expectation(n, line, file, where) for n, line in enumerate(file.expect))
-    return Experiment(**{name: getattr(file, name) for name in _File.__struct_fields__}, expected=expected)
+    return Experiment(
+        **{name: getattr(file, name) for name in _File.__struct_fields__}, expected=expected
+    )
 
 
 def load(path: Path) -> Experiment:
@@ -315,9 +325,17 @@
     )
     bad("seconds", 0 < f.seconds <= 3600, "wants more than 0, at most 3600")
     bad("fleet.caches", 1 <= f.fleet.caches <= 500, "wants 1 to 500")
-    bad("fleet.speeds", bool(f.fleet.speeds) and min(f.fleet.speeds, default=0) > 0, "wants figures over 0")
+    bad(
+        "fleet.speeds",
+        bool(f.fleet.speeds) and min(f.fleet.speeds, default=0) > 0,
+        "wants figures over 0",
+    )
     bad("fleet.cold_from", 0 < f.fleet.cold_from <= 1, "wants more than 0, at most 1")
-    bad("fleet.kinds", bool(f.fleet.kinds) and "origin" not in f.fleet.kinds, "wants names, not origin")
+    bad(
+        "fleet.kinds",
+        bool(f.fleet.kinds) and "origin" not in f.fleet.kinds,
+        "wants names, not origin",
+    )
     bad("nodes.count", 1 <= f.nodes.count <= 1000, "wants 1 to 1000")
     kept = f.nodes.snapshot_s
     bad("nodes.members", f.nodes.peer_port > 0 or not f.nodes.members, "wants a peer_port")
@@ -325,14 +343,24 @@
     bad("nodes.sockets", f.nodes.sockets >= 64, "wants 64 or more")
     bad("traffic.rate", f.traffic.rate > 0, "wants more than 0")
     bad("traffic.keys", f.traffic.keys >= 1, "wants 1 or more")
-    bad("method", len({m.name for m in f.method}) == len(f.method) > 0, "wants one at least, each name once")
+    bad(
+        "method",
+        len({m.name for m in f.method}) == len(f.method) > 0,
+        "wants one at least, each name once",
+    )
     for n, m in enumerate(f.method):
-        bad(f"method[{n}].hard_ms", m.hard_ms >= m.soft_ms > 0, "wants soft_ms > 0 and no hard_ms under it")
+        bad(
+            f"method[{n}].hard_ms",
+            m.hard_ms >= m.soft_ms > 0,
+            "wants soft_ms > 0 and no hard_ms under it",
+        )
         bad(f"method[{n}].share", m.share >= 0, "wants 0 or more")
     for n, fault in enumerate(f.fault):
         place = f"fault[{n}]"
         bad(f"{place}.what", fault.what in FAULTS, f"'{fault.what}' is none of {', '.join(FAULTS)}")
-        bad(f"{place}.at", 0 <= fault.at <= f.seconds, f"wants 0 to {f.seconds:g}, the run's length")
+        bad(
+            f"{place}.at", 0 <= fault.at <= f.seconds, f"wants 0 to {f.seconds:g}, the run's length"
+        )
         bad(f"{place}.for", fault.lasting >= 0, "wants 0 or more")
         if fault.what in ON_SERVERS and fault.what != "add":
             known = (
@@ -351,23 +379,37 @@
             try:
                 group = members(fault.whom, *_names(f), f.seed, 2 * n)
                 if fault.what in ON_PROCESSES:
-                    bad(f"{place}.whom", "clients" not in group, "clients are no process of their own")
+                    bad(
+                        f"{place}.whom",
+                        "clients" not in group,
+                        "clients are no process of their own",
+                    )
                     fits = fault.what != "reload" or set(group) <= set(_names(f)[0])
                     bad(f"{place}.whom", fits, "only nodes read their file anew")
                     bad(f"{place}.to", not fault.to, f"{fault.what} is no link's")
                 else:
                     there = members(fault.to, *_names(f), f.seed, 2 * n + 1)
                     linked = directions(group, there, _names(f)[0], True)
-                    bad(f"{place}.to", bool(linked), "no link goes from there to there; one end is a node")
+                    bad(
+                        f"{place}.to",
+                        bool(linked),
+                        "no link goes from there to there; one end is a node",
+                    )
             except ValueError as fault_:
                 bad(f"{place}.whom", False, str(fault_))
         elif fault.to or fault.spread or not fault.kept:
             bad(place, False, f"{fault.what} has no `to`, `spread` or `kept`")
         if fault.what == "restart" and any(other.what == "node_upgrade" for other in f.fault):
-            bad(f"{place}.whom", False, "no restart beside a node_upgrade: its socket outlasts its processes")
+            bad(
+                f"{place}.whom",
+                False,
+                "no restart beside a node_upgrade: its socket outlasts its processes",
+            )
         if fault.what in ("node_kill", "node_leave"):
             # Nobody would hear what waits at a socket that outlasts its processes.
-            replaced = any(other.what == "node_upgrade" and other.whom == fault.whom for other in f.fault)
+            replaced = any(
+                other.what == "node_upgrade" and other.whom == fault.whom for other in f.fault
+            )
             bad(f"{place}.whom", not replaced, f"'{fault.whom}' is replaced by node_upgrade")
     return found
 
--- a/hookpitch/lab/figures.py
+++ b/hookpitch/lab/figures.py
@@ -52,7 +52,8 @@
 
 
 def figure(name: str, ended: Ended, rpcs: Sequence[Seen], since_s: float, until_s: float) -> float:
-    """One figure over RPCs asked in a span of seconds. Parts are of gain for `served`, of RPCs otherwise."""
+    """One figure over RPCs asked in a span of seconds. Parts are of gain for `served`, of RPCs
+    otherwise."""
     since, until = since_s * 1000, until_s * 1000
     stay = [s for s in rpcs if s.answer != "left"]
     total = max(1, len(stay))
@@ -60,7 +61,9 @@
     if name == "served":
         gain = sum(s.gain for s in stay)
         return (
-            sum(s.gain for s in stay if s.answer == "completed" and s.took <= s.soft) / gain if gain else 1.0
+            sum(s.gain for s in stay if s.answer == "completed" and s.took <= s.soft) / gain
+            if gain
+            else 1.0
         )
     if name in ("completed", "exhausted", "errored"):
         return sum(s.answer == name for s in stay) / total
@@ -72,7 +75,9 @@
         return sum(s.transmissions for s in rpcs) / max(1, len(rpcs))
     events = [e for e in ended.history.events if since <= e.at < until]
     if name == "fetches_per_s":
-        return sum(e.kind == "came" and e.who == ORIGIN for e in events) / max(1e-9, until_s - since_s)
+        return sum(e.kind == "came" and e.who == ORIGIN for e in events) / max(
+            1e-9, until_s - since_s
+        )
     if name == "misses":
         sent = [e.what for e in events if e.kind == "sent" and e.who != ORIGIN]
         return sum(w in ("miss", "pending") for w in sent) / max(1, len(sent))
@@ -86,7 +91,10 @@
         return most_a_second(e.at for e in events if e.kind == "called")
     if name == "dials_at_one":
         servers = dict.fromkeys(e.who for e in events if e.kind == "dialled")
-        dials = (most_a_second(e.at for e in events if (e.kind, e.who) == ("dialled", s)) for s in servers)
+        dials = (
+            most_a_second(e.at for e in events if (e.kind, e.who) == ("dialled", s))
+            for s in servers
+        )
         return max(dials, default=0.0)
     if name == "listed_s":
         return listed_s(ended.history.events)
@@ -95,7 +103,9 @@
     if name == "lists_taken":
         return float(sum(c.get("members.lists_taken", 0) for c in ended.counters.values()))
     if name in membership.FIGURES:
-        return membership.figure(name, membership.said(ended.logs), ended.history.events, since, until)
+        return membership.figure(
+            name, membership.said(ended.logs), ended.history.events, since, until
+        )
     raise ValueError(name)
 
 
@@ -105,7 +115,8 @@
 
 
 def listed_s(events: Iterable[Event]) -> float:
-    """Seconds from its start to its first list, of the node for which that took longest; a node that was
+    """Seconds from its start to its first list, of the node for which that took longest; a node
+    that was
     killed before, or never told, counts to the end."""
     started: dict[str, float] = {}
     worst = end = 0.0
@@ -137,7 +148,11 @@
     """Each expectation with its figure, and whether it holds."""
     rpcs, found = seen(ended.experiment, ended.history.events), []
     for e in ended.experiment.expected:
-        some = [s for s in rpcs if e.since * 1000 <= s.at < e.until * 1000 and e.method in ("", s.method)]
+        some = [
+            s
+            for s in rpcs
+            if e.since * 1000 <= s.at < e.until * 1000 and e.method in ("", s.method)
+        ]
         value = figure(e.figure, ended, some, e.since, e.until)
         found.append((e, value, value >= e.bound if e.least else value <= e.bound))
     return found
@@ -163,11 +178,20 @@
                 "asked": len(some),
                 **{
                     n: round(figure(n, ended, some, second, second + 1), 4)
-                    for n in ("served", "exhausted", "p99_ms", "transmissions", "fetches_per_s", "misses")
+                    for n in (
+                        "served",
+                        "exhausted",
+                        "p99_ms",
+                        "transmissions",
+                        "fetches_per_s",
+                        "misses",
+                    )
                 },
             }
         )
-    more = [n for n in FIGURES[FIGURES.index("list_calls") :] if x.nodes.members or n not in OF_MEMBERS]
+    more = [
+        n for n in FIGURES[FIGURES.index("list_calls") :] if x.nodes.members or n not in OF_MEMBERS
+    ]
     whole |= {n: round(figure(n, ended, rpcs, 0.0, x.seconds), 4) for n in more}
     sent: dict[str, int] = {}
     for e in ended.history.events:
@@ -187,7 +211,9 @@
         "void": ended.void,
         "rig": ended.rig,
         "no_room": ended.no_room,
-        "expected": [{"text": e.text, "figure": round(v, 4), "holds": h} for e, v, h in expected(ended)],
+        "expected": [
+            {"text": e.text, "figure": round(v, 4), "holds": h} for e, v, h in expected(ended)
+        ],
         "faults": [{"what": f.what, "whom": f.whom, "at": f.at, "end": f.end} for f in x.fault],
         "counters": ended.counters,
         "events": ended.events,
--- a/hookpitch/lab/fuzz.py
+++ b/hookpitch/lab/fuzz.py
@@ -1,4 +1,5 @@
-"""Draws experiments, runs them, and shrinks one that breaks a rule to a small file that plays again."""
+"""Draws experiments, runs them, and shrinks one that breaks a rule to a small file that plays
+again."""
 
 from __future__ import annotations
 
@@ -44,7 +45,8 @@
 
 
 def draw(seed: int, kinds: Sequence[str] = OLDER) -> Experiment:
-    """An experiment of any kind that a file may hold; the same for the same seed and `kinds` of faults."""
+    """An experiment of any kind that a file may hold; the same for the same seed and `kinds` of
+    faults."""
     rng = random.Random(seed)
     caches, nodes = rng.randint(1, 8), rng.randint(1, 3)
     methods = []
@@ -81,7 +83,9 @@
         lasting = rng.choice([0.2, 1.0, 3.0, 0.0 if what in ON_SET else 2.0])
         if what == "node_leave":
             lasting = 4.0  # SIGKILL comes no sooner than the longest deadline and 0.7 s after
-        if what in ENDING and any(f.whom == whom and f.what in ENDING and f.what != what for f in faults):
+        if what in ENDING and any(
+            f.whom == whom and f.what in ENDING and f.what != what for f in faults
+        ):
             continue  # a node is either replaced or ends
         if what == "restart" and any(f.what == "node_upgrade" for f in faults):
             continue
@@ -90,7 +94,9 @@
         by = float(rng.random() < 0.3) if what == "node_upgrade" else 0.0
         at = round(rng.uniform(1.5, SECONDS), 2)
         faults.append(
-            Fault(at=at, what=what, whom=whom, lasting=lasting, by=by, to=to, spread=spread, kept=kept)
+            Fault(
+                at=at, what=what, whom=whom, lasting=lasting, by=by, to=to, spread=spread, kept=kept
+            )
         )
     fleet = Fleet(
         caches=caches,
@@ -100,7 +106,8 @@
         speeds=rng.choice([(1.0,), (1.0, 0.5)]),
         connections=rng.choice([8, 100]),
     )
-    # A core that all events take up has nothing left to answer with: that is a measurement, no rule.
+    # A core that all events take up has nothing left to answer with: that is a measurement, no
+    # rule.
     event_us = rng.choice([0.0, 0.0, 100.0])
     traffic = Traffic(
         rate=rng.choice([20.0, 100.0, 400.0]),
@@ -130,14 +137,20 @@
     some = rng.choice([f"n{rng.randrange(nodes)}", "nodes", "0.5 of nodes"])
     other = rng.choice([f"s{rng.randrange(caches)}", "0.4 of servers", "origin", "discovery"])
     if what in ON_PROCESSES:
-        return some if what == "reload" else rng.choice([some, other]), "", rng.choice([0.0, 1.0]), True
+        return (
+            some if what == "reload" else rng.choice([some, other]),
+            "",
+            rng.choice([0.0, 1.0]),
+            True,
+        )
     other = rng.choice([other, other, "clients"])
     whom, to = (some, other) if rng.random() < 0.5 else (other, some)
     return whom, to, 0.0, rng.random() < 0.6
 
 
 def whole(x: Experiment) -> Experiment:
-    """The same, checked as a file is: faults may not overlap where one undoes what the other needs."""
+    """The same, checked as a file is: faults may not overlap where one undoes what the other
+    needs."""
     return read(text(x), x.name)
 
 
@@ -181,7 +194,8 @@
     kinds: Sequence[str] = KINDS,
     keep: Path | None = None,
 ) -> tuple[int, int]:
-    """The same drawn experiments on loopback, `AT_ONCE` at a time: how many broke a rule, and how many were
+    """The same drawn experiments on loopback, `AT_ONCE` at a time: how many broke a rule, and how
+    many were
     void. A file that broke one is kept."""
     broke = void = 0
     with tempfile.TemporaryDirectory(prefix="hookpitch-fuzz-") as folder:
@@ -190,8 +204,19 @@
             for one in range(seed + n, seed + min(runs, n + AT_ONCE)):
                 path = Path(folder) / f"fuzz-{one}.toml"
                 path.write_text(text(draw(one, kinds)))
-                words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(path), "--clock", "wall"]
-                popen = partial(subprocess.Popen, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+                words = [
+                    sys.executable,
+                    "-m",
+                    "hookpitch.cli",
+                    "lab",
+                    "run",
+                    str(path),
+                    "--clock",
+                    "wall",
+                ]
+                popen = partial(
+                    subprocess.Popen, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
+                )
                 plays.append((path, popen(words)))
             for path, play in plays:
                 said, _ = play.communicate()
--- a/hookpitch/lab/gossip.py
+++ b/hookpitch/lab/gossip.py
@@ -1,7 +1,10 @@
-"""Members alone in virtual time: their state machines over a network of datagrams with loss, cuts and pauses.
+"""Members alone in virtual time: their state machines over a network of datagrams with loss, cuts
+and pauses.
 
-For sizes at which whole nodes would take too long (400), and for the tests. The state machine and the codec
-are the program's; what they run in is here: one heap of events, a seeded draw, one-way cuts by pair.
+For sizes at which whole nodes would take too long (400), and for the tests. The state machine and
+the codec
+are the program's; what they run in is here: one heap of events, a seeded draw, one-way cuts by
+pair.
 """
 
 from __future__ import annotations
@@ -49,7 +52,9 @@
         chance = draws(self.starts * 7919 + self.rng.randrange(1 << 30), "members")
         tell = lambda text: self.logs.append((self.now, name, text))  # noqa: E731
         self.down.discard(name)
-        m = self.members[name] = Members(self.now + after, name, self.address(name), self.seeds, chance, tell)
+        m = self.members[name] = Members(
+            self.now + after, name, self.address(name), self.seeds, chance, tell
+        )
         self.at(after, lambda: self.run(name, m))
 
     def at(self, after: float, call: Callable[[], None]) -> None:
@@ -75,9 +80,13 @@
             self.bytes[name] = self.bytes.get(name, 0) + len(data) + 28
             self.datagrams[name] = self.datagrams.get(name, 0) + 1
             other = self.name(to)
-            lost = 1 - (1 - self.loss) * (1 - self.lossy.get(name, 0.0)) * (1 - self.lossy.get(other, 0.0))
+            lost = 1 - (1 - self.loss) * (1 - self.lossy.get(name, 0.0)) * (
+                1 - self.lossy.get(other, 0.0)
+            )
             if self.rng.random() >= lost and (name, other) not in self.cut:
-                self.at(self.rng.uniform(*DELAY_MS), lambda o=other, d=data: self.deliver(name, o, d))
+                self.at(
+                    self.rng.uniform(*DELAY_MS), lambda o=other, d=data: self.deliver(name, o, d)
+                )
 
     def deliver(self, source: str, name: str, data: bytes) -> None:
         m = self.members.get(name)
--- a/hookpitch/lab/groups.py
+++ b/hookpitch/lab/groups.py
@@ -1,7 +1,9 @@
 """Groups of an experiment's parts, as faults name them: a list, a count, a part of the fleet.
 
-`s1 s3`, `nodes`, `servers` or `all`, `2 of nodes`, `0.3 of servers`, `origin`, `discovery`, `clients`. A
-count or a part is drawn by the run's seed and the fault's place in its file: the same in both clocks.
+`s1 s3`, `nodes`, `servers` or `all`, `2 of nodes`, `0.3 of servers`, `origin`, `discovery`,
+`clients`. A
+count or a part is drawn by the run's seed and the fault's place in its file: the same in both
+clocks.
 """
 
 from __future__ import annotations
@@ -15,7 +17,9 @@
 SINGLE = ("origin", "discovery", "clients")
 
 
-def members(text: str, nodes: Sequence[str], servers: Sequence[str], seed: int, place: int) -> list[str]:
+def members(
+    text: str, nodes: Sequence[str], servers: Sequence[str], seed: int, place: int
+) -> list[str]:
     """The names in a group, in the fleet's order. ValueError says in one line what is wrong."""
     whole = {"nodes": nodes, "servers": servers, "all": servers}
     if text in whole:
@@ -40,7 +44,8 @@
 def directions(
     a: Sequence[str], b: Sequence[str], nodes: Sequence[str], both: bool
 ) -> list[tuple[str, str]]:
-    """From each of a to each of b, and back where `both`; only what has a link: one end is a node."""
+    """From each of a to each of b, and back where `both`; only what has a link: one end is a
+    node."""
     found: dict[tuple[str, str], None] = {}
     known = set(nodes)
     for x in a:
--- a/hookpitch/lab/happenings.py
+++ b/hookpitch/lab/happenings.py
@@ -1,6 +1,7 @@
 """Faults: what each does when it comes and what undoes it, the same for both clocks.
 
-A fault asks its run for what only a clock can do (`kill`, `begin`, `stall`, `spoil`, `sever`) and gives
+A fault asks its run for what only a clock can do (`kill`, `begin`, `stall`, `spoil`, `sever`) and
+gives
 stand-ins orders by name (`standin/orders.py`); all else stands here, one small method a fault.
 """
 
@@ -139,7 +140,8 @@
             self._later(SLICE_S, self._starve, name, until)
 
     def restart(self, name: str) -> None:
-        """Killed in the middle of its work, and started again under its name and address after `by` seconds
+        """Killed in the middle of its work, and started again under its name and address after
+        `by` seconds
         (0.5); a server comes back cold and empty, discovery counts its versions anew."""
         run = self.run
         if name in run.nodes:
@@ -157,7 +159,8 @@
             self._later(BEFORE_S, self._front, name, True)
 
     def reload(self, name: str) -> None:
-        """Its file is written anew and read: other settings, and back the next time; `by` from 1: torn, no
+        """Its file is written anew and read: other settings, and back the next time; `by` from 1:
+        torn, no
         object, an empty one, no methods."""
         if self.run.nodes[name].node is not None:
             self.run.nodes[name].reload(int(self.fault.by))
@@ -204,7 +207,8 @@
         self._order("slow", 1.0)
 
     def drain(self) -> None:
-        """It is listed as terminating, goes after `by` seconds (5), and comes back new and cold at the
+        """It is listed as terminating, goes after `by` seconds (5), and comes back new and cold at
+        the
         end."""
         if self.fault.whom not in self.run.directory.hosts:  # it has gone already
             return
@@ -317,7 +321,8 @@
         self.node_kill_ends()
 
     def node_drain(self) -> None:
-        """An operator's PAUSE, and RESUME at the end. The front sends new connections for a little longer."""
+        """An operator's PAUSE, and RESUME at the end. The front sends new connections for a little
+        longer."""
         name = self.fault.whom
         if self.node.node is None:
             return
@@ -340,7 +345,8 @@
             self._later(ASKED_S, self._front, self.fault.whom, True)
 
     def suspend(self) -> None:
-        """By hand, at all nodes, and back at the end; after `by` seconds (1) the server is restarted."""
+        """By hand, at all nodes, and back at the end; after `by` seconds (1) the server is
+        restarted."""
         for name, node in self.run.nodes.items():
             if node.node is not None:
                 self.run.call(name, f"SUSPEND {self.fault.whom}", "banned", self.fault.whom)
@@ -356,9 +362,12 @@
                 self.run.call(name, f"RESTORE {self.fault.whom}", "back", self.fault.whom)
 
     def callers(self) -> None:
-        """Operators' calls, some good and some not, at every node's door, and callers that say nothing."""
+        """Operators' calls, some good and some not, at every node's door, and callers that say
+        nothing."""
         for name, node in self.run.nodes.items():
-            calls = Calls(self.run.crowd.reactor, self.run.history, name, node.at_door(), self.run.begun)
+            calls = Calls(
+                self.run.crowd.reactor, self.run.history, name, node.at_door(), self.run.begun
+            )
             calls.start(self.fault.lasting or 1.0, self.fault.by or 5.0)
 
     def node_upgrade(self) -> None:
--- a/hookpitch/lab/judge.py
+++ b/hookpitch/lab/judge.py
@@ -1,6 +1,7 @@
 """The four rules over a recorded history: what clients, servers, origin and discovery saw.
 
-It asks nothing of the node. A broken rule is named and comes with the whole history of its RPC. Times in ms;
+It asks nothing of the node. A broken rule is named and comes with the whole history of its RPC.
+Times in ms;
 on sockets each limit is `SLACK_MS` longer, as the platform's protocol has it.
 """
 
@@ -15,7 +16,11 @@
 CALL_MS = 1000.0  # that an operator waits
 HEAD_MS = 2000.0  # that a client may take to write its request
 FIGURE_OFF, FIGURE_PART = 3, 0.01  # by so many, or by such a part, a node's figure may be off
-FIGURES = {"completed": "completed", "exhausted": "rejected", "errored": "failed"}  # as clients see them
+FIGURES = {
+    "completed": "completed",
+    "exhausted": "rejected",
+    "errored": "failed",
+}  # as clients see them
 UNUSED_MS = 5000.0
 BUSY_RPCS = 200  # sent by a node in the time in which it must use a server that was called back
 
@@ -30,11 +35,14 @@
     heads: bool = True  # nodes have room for every honest client
     most_transmissions: int = 3
     second_copies: bool = False
-    retriable: Mapping[str, bool] = field(default_factory=dict)  # by method: whether it may run again
+    retriable: Mapping[str, bool] = field(
+        default_factory=dict
+    )  # by method: whether it may run again
     # By method that is bound: the only kinds and the only zones it may be sent to; none named: any.
     bound: Mapping[str, tuple[Sequence[str], Sequence[str]]] = field(default_factory=dict)
-    # Where the network itself tells nothing (on loopback): for how long two transmissions may seem to be out,
-    # and how soon after an RPC was asked its connection's end counts as one that crossed it.
+    # Where the network itself tells nothing (on loopback): for how long two transmissions may seem
+    # to be out, and how soon after an RPC was asked its connection's end counts as one that crossed
+    # it.
     overlap_ms: float = 0.0
     crossing_ms: float = 0.0
     slack_ms: float = SLACK_MS  # on each time limit
@@ -51,8 +59,13 @@
     story: tuple[Event, ...] = ()
 
     def __str__(self) -> str:
-        head = f"{self.rule} at {self.at:.1f} ms{f', RPC {self.rpc}' if self.rpc else ''}: {self.why}"
-        lines = [f"    {e.at:10.3f}  {e.kind:9} {e.who:10} {e.what} {e.value:g}".rstrip() for e in self.story]
+        head = (
+            f"{self.rule} at {self.at:.1f} ms{f', RPC {self.rpc}' if self.rpc else ''}: {self.why}"
+        )
+        lines = [
+            f"    {e.at:10.3f}  {e.kind:9} {e.who:10} {e.what} {e.value:g}".rstrip()
+            for e in self.story
+        ]
         return "\n".join([head, *lines])
 
 
@@ -71,13 +84,21 @@
             if event.rpc:
                 self._stories.setdefault(event.rpc, []).append(event)
         slack = self.rules.slack_ms
-        self._away = [(e.who, e.at, e.at + e.value + slack) for e in history.events if e.kind == "away"]
-        self._away += [(e.who, e.at - slack, e.at + slack) for e in history.events if e.kind == "stop"]
+        self._away = [
+            (e.who, e.at, e.at + e.value + slack) for e in history.events if e.kind == "away"
+        ]
+        self._away += [
+            (e.who, e.at - slack, e.at + slack) for e in history.events if e.kind == "stop"
+        ]
         self._apart = [
-            (e.what, e.who, e.at, e.at + e.value + slack) for e in history.events if e.kind == "apart"
+            (e.what, e.who, e.at, e.at + e.value + slack)
+            for e in history.events
+            if e.kind == "apart"
         ]
         self._unread = {(e.who, e.port) for e in history.events if e.kind == "unread"}
-        self._places = {e.who: tuple(e.what.split(" ")) for e in history.events if e.kind == "place"}
+        self._places = {
+            e.who: tuple(e.what.split(" ")) for e in history.events if e.kind == "place"
+        }
         self._network(history)
         for rpc, story in self._stories.items():
             self._rpc(rpc, story, end)
@@ -86,13 +107,17 @@
         return self.broken
 
     def _network(self, history: History) -> None:
-        """A transmission that its node has closed is out no more, whenever its server learns of it."""
+        """A transmission that its node has closed is out no more, whenever its server learns of
+        it."""
         on: dict[tuple[str, int], tuple[str, str]] = {}
         ended: dict[tuple[str, int], None] = {}  # closed so far; no port is used twice
         for e in history.events:
             if e.kind == "came":
                 on[e.what, e.port] = e.rpc, e.who
-                if (e.what, e.port) in ended:  # it was on its way when its node closed the connection
+                if (
+                    e.what,
+                    e.port,
+                ) in ended:  # it was on its way when its node closed the connection
                     self._stories[e.rpc].append(Event(e.at, "closed", e.who))
             elif e.kind == "closed":
                 ended[e.who, e.port] = None
@@ -104,10 +129,13 @@
 
     def _excused(self, node: str, since: float, until: float) -> bool:
         """Whether the node's process was stopped, or died, in that span."""
-        return any(who == node and begun <= until and end >= since for who, begun, end in self._away)
+        return any(
+            who == node and begun <= until and end >= since for who, begun, end in self._away
+        )
 
     def _cut(self, outside: str, node: str, since: float, until: float) -> float:
-        """When the last cut between them that touches that span ends; `since` where there is none. `outside`:
+        """When the last cut between them that touches that span ends; `since` where there is none.
+        `outside`:
         clients or discovery."""
         cuts = ((begun, end) for o, n, begun, end in self._apart if (o, n) == (outside, node))
         return max((end for begun, end in cuts if begun <= until and end >= since), default=since)
@@ -131,15 +159,25 @@
             self._say("rule 1", answers[1].at, rpc, "answered twice")
         lost = next((e for e in ends if e.kind == "lost"), None)
         if lost is not None:
-            crossed = (lost.who, lost.port) in self._unread or lost.at - asked.at < self.rules.crossing_ms
+            crossed = (
+                lost.who,
+                lost.port,
+            ) in self._unread or lost.at - asked.at < self.rules.crossing_ms
             crossed |= healed > asked.at
             if not crossed and not self._excused(lost.who, lost.at - self.rules.slack_ms, lost.at):
                 self._say("rule 1", lost.at, rpc, "its connection was ended with no answer")
         if any(e.what == "wrong" for e in answers):
-            self._say("rule 1", answers[0].at, rpc, "served with a value that was made for another RPC")
+            self._say(
+                "rule 1", answers[0].at, rpc, "served with a value that was made for another RPC"
+            )
         over = min((e.at for e in ends), default=float("inf"))
         late = hard + self.rules.slack_ms
-        if over > late and end > late and healed == asked.at and not self._excused(asked.who, asked.at, hard):
+        if (
+            over > late
+            and end > late
+            and healed == asked.at
+            and not self._excused(asked.who, asked.at, hard)
+        ):
             why = (
                 "not answered before its hard deadline"
                 if over > end
@@ -147,7 +185,9 @@
             )
             self._say("rule 1", hard, rpc, why)
         closed = min(over, hard) + self.rules.slack_ms
-        if healed > asked.at:  # the node neither knows that its client has gone, nor since when it asked
+        if (
+            healed > asked.at
+        ):  # the node neither knows that its client has gone, nor since when it asked
             closed = healed + asked.value + self.rules.slack_ms
         kinds = ("came", "sent", "dropped", "closed")
         self._transmissions(rpc, asked, [e for e in story if e.kind in kinds], closed)
@@ -156,7 +196,9 @@
             self._say("rule 2", effects[1].at, rpc, f"{len(effects)} effects")
 
     def _transmissions(self, rpc: str, asked: Event, events: list[Event], closed: float) -> None:
-        out: list[tuple[str, float]] = []  # servers at which one is out, and since when beside another
+        out: list[
+            tuple[str, float]
+        ] = []  # servers at which one is out, and since when beside another
         method = asked.what
         came = ran = 0
         for e in events:
@@ -165,13 +207,17 @@
                 # What a stopped server finds when it goes on was sent before.
                 stood = self._excused(e.who, e.at - self.rules.slack_ms, e.at)
                 if e.at > closed and not stood and not self._excused(asked.who, asked.at, e.at):
-                    self._say("rule 1", e.at, rpc, "sent after its final answer or its hard deadline")
+                    self._say(
+                        "rule 1", e.at, rpc, "sent after its final answer or its hard deadline"
+                    )
                 out = [(server, min(since, e.at)) for server, since in out]
                 if ran and not self.rules.retriable.get(method, True):
                     self._say("rule 2", e.at, rpc, "sent again though it may have run")
                 kinds, zones = self.rules.bound.get(method, ((), ()))
                 place = self._places.get(e.who)  # the origin has none, and is open to all
-                if place and ((kinds and place[0] not in kinds) or (zones and place[1] not in zones)):
+                if place and (
+                    (kinds and place[0] not in kinds) or (zones and place[1] not in zones)
+                ):
                     why = f"sent to {e.who} ({', '.join(place)}), which is not open to {method}"
                     self._say("placement", e.at, rpc, why)
                 if came > self.rules.most_transmissions:
@@ -188,17 +234,24 @@
 
     def _copies(self, rpc: str, place: tuple[str, float], until: float) -> None:
         server, since = place
-        if since < float("inf") and until - since > self.rules.overlap_ms and not self.rules.second_copies:
+        if (
+            since < float("inf")
+            and until - since > self.rules.overlap_ms
+            and not self.rules.second_copies
+        ):
             self._say("second copy", since, rpc, f"sent again while it was still out at {server}")
 
     # ---- figures
 
     def figures(self, history: History, told: Mapping[str, Mapping[str, int]]) -> list[Broken]:
-        """What nodes counted, by node, all its processes together, against what clients and servers saw. What
+        """What nodes counted, by node, all its processes together, against what clients and
+        servers saw. What
         a client abandoned may be counted or not, and what was cut off on its way to a server."""
         method = {e.rpc: e.what for e in history.events if e.kind == "asked"}
         seen: dict[tuple[str, str], int] = {}  # node, figure
-        abandoned: dict[tuple[str, str], int] = {}  # node, method: RPCs with no answer that a client saw
+        abandoned: dict[
+            tuple[str, str], int
+        ] = {}  # node, method: RPCs with no answer that a client saw
         came, cut = dict[str, int](), dict[str, int]()
 
         def one(counts: dict, key: object, by: int = 1) -> None:
@@ -218,11 +271,13 @@
             for of in sorted(set(method.values())):
                 for kind in FIGURES.values():
                     left = abandoned.get((node, of), 0)
-                    rows.append((f"{kind}.{of}", seen.get((node, f"{kind}.{of}"), 0), FIGURE_PART, left))
+                    rows.append(
+                        (f"{kind}.{of}", seen.get((node, f"{kind}.{of}"), 0), FIGURE_PART, left)
+                    )
             for name, there, part, more in rows:
                 said, off = counts.get(name, 0), max(FIGURE_OFF, part * there)
                 if not there - off <= said <= there + off + more:
-                    why = f"{node} counted {name} {said}, the others saw {there} and at most {more} more"
+                    why = f"{node} counted {name} {said}, the others saw {there} and at most {more} more"  # noqa: E501
                     broken.append(Broken("figures", 0.0, "", why))
         return broken
 
@@ -231,7 +286,9 @@
     def _servers(self, history: History) -> None:
         told: dict[tuple[str, str], float] = {}  # (node, server): since when it is to be left alone
         changed: dict[str, float] = {}  # a server that is not in service: since when
-        by_hand: dict[tuple[str, str], float] = {}  # (node, server): since when it is left out by hand
+        by_hand: dict[
+            tuple[str, str], float
+        ] = {}  # (node, server): since when it is left out by hand
         back: list[tuple[str, str, float]] = []  # node, server, when it was called back
         traffic, troubled = list[tuple[float, str]](), list[tuple[float, str]]()
         used: dict[tuple[str, str], float] = {}  # (node, server): the last transmission
@@ -265,13 +322,22 @@
             elif e.kind == "back":
                 by_hand.pop((e.who, e.what), None)
                 back.append((e.who, e.what, e.at))
-            elif e.kind == "stop":  # it knows of bans from calls alone, and the next process was not called
+            elif (
+                e.kind == "stop"
+            ):  # it knows of bans from calls alone, and the next process was not called
                 by_hand = {pair: at for pair, at in by_hand.items() if pair[0] != e.who}
             elif e.kind == "cut":
                 if self.rules.heads and not self._excused(e.who, e.at - HEAD_MS, e.at):
-                    self._say("head", e.at, "", f"{e.who} closed an honest client that was still writing")
+                    self._say(
+                        "head", e.at, "", f"{e.who} closed an honest client that was still writing"
+                    )
             elif e.kind == "held":
-                self._say("drain", e.at, "", f"{e.who} holds {e.value:.0f} clients' connections in a drain")
+                self._say(
+                    "drain",
+                    e.at,
+                    "",
+                    f"{e.who} holds {e.value:.0f} clients' connections in a drain",
+                )
             elif e.kind == "call" and e.what != "well":
                 if not self._excused(e.who, e.at - CALL_MS, e.at):
                     self._say("door", e.at, "", f"{e.who}: {e.what}")
@@ -283,13 +349,19 @@
                 troubled.append((e.at, e.what if e.kind == "banned" else e.who))
             elif e.kind == "fell":
                 self._say(
-                    "rule 4", e.at, e.rpc, f"{e.who} was pushed over while cold: {e.value:.1f} times its work"
+                    "rule 4",
+                    e.at,
+                    e.rpc,
+                    f"{e.who} was pushed over while cold: {e.value:.1f} times its work",
                 )
         end = history.events[-1].at if history.events else 0.0
         for node, server, at in back:
             until = at + self.rules.unused_ms
-            # What a node does not do for want of RPCs, or as the server was down or out again, is no fault.
+            # What a node does not do for want of RPCs, or as the server was down or out again, is
+            # no fault.
             busy = sum(who == node and at < t <= until for t, who in traffic) >= BUSY_RPCS
             well = not any(who in (node, server) and at < t <= until for t, who in troubled)
             if end > until and busy and well and used.get((node, server), -1.0) < at:
-                self._say("unused", at, "", f"{node} did not use {server} again after it was called back")
+                self._say(
+                    "unused", at, "", f"{node} did not use {server} again after it was called back"
+                )
--- a/hookpitch/lab/links.py
+++ b/hookpitch/lab/links.py
@@ -1,9 +1,12 @@
-"""What can be wrong with one direction of a link, the same in both clocks, and how several faults add up.
+"""What can be wrong with one direction of a link, the same in both clocks, and how several faults
+add up.
 
-A direction is a pair of names: from whom, to whom. Faults put a `Spoil` on it and take it off again, each its
+A direction is a pair of names: from whom, to whom. Faults put a `Spoil` on it and take it off
+again, each its
 own, so that two that overlap neither undo nor outlast one another.
 
-Sources: RFC 9293 (what is lost is sent again, late), RFC 768 (a datagram is not), RFC 6298 (how late).
+Sources: RFC 9293 (what is lost is sent again, late), RFC 768 (a datagram is not), RFC 6298 (how
+late).
 """
 
 from __future__ import annotations
@@ -27,7 +30,8 @@
     reorder: float = 0.0  # datagrams that later ones overtake
     bandwidth: float = FAR  # bytes a second
     silent: bool = False  # nothing gets through, and connections stay open
-    kept: bool = True  # what a silence holds back comes when it ends; False: never, and its connection breaks
+    # what a silence holds back comes when it ends; False: never, and its connection breaks
+    kept: bool = True
     refusing: bool = False  # dials are refused
     deaf: bool = False  # a dial gets no answer
 
@@ -43,11 +47,17 @@
     kept = True
     for s in spoils:
         delay, jitter = delay + s.delay_ms, jitter + s.jitter_ms
-        through, once, straight = through * (1 - s.loss), once * (1 - s.repeat), straight * (1 - s.reorder)
+        through, once, straight = (
+            through * (1 - s.loss),
+            once * (1 - s.repeat),
+            straight * (1 - s.reorder),
+        )
         width = min(width, s.bandwidth)
         silent, refusing, deaf = silent or s.silent, refusing or s.refusing, deaf or s.deaf
         kept = kept and (s.kept or not s.silent)
-    return Spoil(delay, jitter, 1 - through, 1 - once, 1 - straight, width, silent, kept, refusing, deaf)
+    return Spoil(
+        delay, jitter, 1 - through, 1 - once, 1 - straight, width, silent, kept, refusing, deaf
+    )
 
 
 class Spoils:
--- a/hookpitch/lab/membership.py
+++ b/hookpitch/lab/membership.py
@@ -1,6 +1,8 @@
-"""What nodes that are members said of one another, from their logs: who was called dead, when, by whom.
+"""What nodes that are members said of one another, from their logs: who was called dead, when, by
+whom.
 
-A log line tells a change of what one member holds of another: `n4 dead by n3, incarnation 7`. Restarts, kills
+A log line tells a change of what one member holds of another: `n4 dead by n3, incarnation 7`.
+Restarts, kills
 and leaving are taken from the history, which the lab wrote. Times are in ms.
 """
 
@@ -46,13 +48,19 @@
     return found
 
 
-def figure(name: str, changes: Sequence[Said], events: Sequence[Event], since: float, until: float) -> float:
+def figure(
+    name: str, changes: Sequence[Said], events: Sequence[Event], since: float, until: float
+) -> float:
     """One figure over a span in ms.
 
-    `called_dead`: members that some other called dead. `found_s`: from the first kill in the span until each
-    that was killed then was suspected or called dead by somebody; `agreed_s`: until all others called them
-    dead (the span's length where that never came). `views_wrong`: pairs of running members of which, at the
-    span's end, the one does not hold the other for alive. `turns`: the most changes that one told of another.
+    `called_dead`: members that some other called dead. `found_s`: from the first kill in the span
+    until each
+    that was killed then was suspected or called dead by somebody; `agreed_s`: until all others
+    called them
+    dead (the span's length where that never came). `views_wrong`: pairs of running members of
+    which, at the
+    span's end, the one does not hold the other for alive. `turns`: the most changes that one told
+    of another.
     """
     some = [c for c in changes if since <= c.at < until]
     if name == "called_dead":
@@ -64,7 +72,9 @@
         first = min(killed.values())
         worst = 0.0
         for of, at in killed.items():
-            here = up(events, at + 1) - killed.keys()  # on processes one dies some ms after the other
+            here = (
+                up(events, at + 1) - killed.keys()
+            )  # on processes one dies some ms after the other
             late = []
             bad = ("dead",) if name == "agreed_s" else ("suspected", "dead")
             for who in here:
@@ -78,7 +88,11 @@
         wrong = 0
         for who in here:
             for of in here - {who}:
-                told = [c for c in changes if (c.who, c.of) == (who, of) and restarted[who] <= c.at < until]
+                told = [
+                    c
+                    for c in changes
+                    if (c.who, c.of) == (who, of) and restarted[who] <= c.at < until
+                ]
                 wrong += not told or told[-1].state != "alive"
         return float(wrong)
     if name == "turns":
--- a/hookpitch/lab/nodes.py
+++ b/hookpitch/lab/nodes.py
@@ -72,7 +72,9 @@
         log = _Log(run, self.name)
         self.node = SocketNode(reactor, clock, told, self.counters, log, lambda: machine.used)
         if run.x.nodes.snapshot_s:
-            kept = Settings(f"{run.folder.name}/{{name}}.snapshot", run.x.name, run.x.nodes.snapshot_s)
+            kept = Settings(
+                f"{run.folder.name}/{{name}}.snapshot", run.x.name, run.x.nodes.snapshot_s
+            )
             self.node.keeper = Keeper(kept, self.node, partial(self._away, reactor))
         if run.x.nodes.members:
             port = run.x.nodes.peer_port
@@ -107,14 +109,20 @@
             self.node.shared.close()
         self.node, self.machine, self.counters, self.door = old, machine, counters, door
 
-    def _when_ready(self, old: SocketNode, machine: Machine, counters: Counters, latest: float) -> None:
+    def _when_ready(
+        self, old: SocketNode, machine: Machine, counters: Counters, latest: float
+    ) -> None:
         run = self.run
         if self.node is None:
             return
         if self.node.ready():
             if run.now() > latest:
-                run.history.add(run.now(), "call", self.name, what="late: a new process says no for 6 s")
-            run.world.at(run.world.now + LOOK_S, None, self._when_ready, old, machine, counters, latest)
+                run.history.add(
+                    run.now(), "call", self.name, what="late: a new process says no for 6 s"
+                )
+            run.world.at(
+                run.world.now + LOOK_S, None, self._when_ready, old, machine, counters, latest
+            )
             return
 
         def ended() -> None:
@@ -140,7 +148,9 @@
     def reload(self, wrong: int) -> None:
         """SIGHUP, with its file written anew."""
         path = Path(self.run.folder.name) / f"{self.name}.json"
-        path.write_text(self.run.file(self, self.run.told(self, f"10.2.0.1:{DISCOVERY_PORT}"), wrong))
+        path.write_text(
+            self.run.file(self, self.run.told(self, f"10.2.0.1:{DISCOVERY_PORT}"), wrong)
+        )
         if self.node is not None:
             self.node.reload(partial(anew, {"PROXY_CONFIG": str(path)}))
 
@@ -153,7 +163,8 @@
         return self.address, self.door
 
     def call(self, line: str) -> str:
-        """An operator's call, answered at once; while two processes are one node, either may be called."""
+        """An operator's call, answered at once; while two processes are one node, either may be
+        called."""
         words = line.split()
         if len(words) == 1:
             return getattr(self.node, words[0].lower())()
--- a/hookpitch/lab/processes.py
+++ b/hookpitch/lab/processes.py
@@ -1,6 +1,8 @@
-"""The processes of a run on loopback: nodes, relays and stand-ins, started, stopped, killed and ended.
+"""The processes of a run on loopback: nodes, relays and stand-ins, started, stopped, killed and
+ended.
 
-Every process dies with the one that started it, however that one ends (prctl(2), PR_SET_PDEATHSIG), and is
+Every process dies with the one that started it, however that one ends (prctl(2),
+PR_SET_PDEATHSIG), and is
 ended by its own number alone.
 """
 
@@ -43,9 +45,14 @@
     def __init__(self, words: list[str], log: Path, environment: dict[str, str], *fds: int) -> None:
         with log.open("ab") as file:
             self.popen = subprocess.Popen(
-                words, env=os.environ | environment, stdin=subprocess.DEVNULL, stdout=file, stderr=file,
-                pass_fds=fds, preexec_fn=_with_parent,  # noqa: PLW1509 - no thread runs here
-            )  # fmt: skip
+                words,
+                env=os.environ | environment,
+                stdin=subprocess.DEVNULL,
+                stdout=file,
+                stderr=file,
+                pass_fds=fds,
+                preexec_fn=_with_parent,  # noqa: PLW1509 - no thread runs here
+            )
         self.stopped = 0  # how many stops are on
         self.asked = False  # its end was asked for
 
@@ -76,7 +83,9 @@
 class Child:
     """A process of the rig: a relay or stand-ins, with its control line."""
 
-    def __init__(self, run: WallRun, name: str, module: str, given: Callable[[], dict[str, Any]]) -> None:
+    def __init__(
+        self, run: WallRun, name: str, module: str, given: Callable[[], dict[str, Any]]
+    ) -> None:
         self.run, self.name, self.module, self.given = run, name, module, given
         self.process: Process | None = None
         self.line: Line | None = None
@@ -88,9 +97,12 @@
     def start(self) -> None:
         run, self.starts = self.run, self.starts + 1
         top = self.given() | {
-            "name": self.name, "control": run.control, "begun": run.begun,
-            "seed": run.seed * 100 + self.starts, "history": str(run.folder / f"{self.name}.history"),
-        }  # fmt: skip
+            "name": self.name,
+            "control": run.control,
+            "begun": run.begun,
+            "seed": run.seed * 100 + self.starts,
+            "history": str(run.folder / f"{self.name}.history"),
+        }
         path = run.folder / f"{self.name}.json"
         path.write_text(json.dumps(top))
         words = [sys.executable, "-m", self.module, str(path)]
@@ -162,8 +174,12 @@
         """The operator's file, by lines; none where nothing is turned on."""
         run, x, lines = self.run, self.run.x.nodes, list[str]()
         if x.snapshot_s:
-            lines += ["[snapshot]", f'path = "{run.folder}/{{name}}.snapshot"', f'fleet = "{run.x.name}"',
-                      f"every_s = {x.snapshot_s}"]  # fmt: skip
+            lines += [
+                "[snapshot]",
+                f'path = "{run.folder}/{{name}}.snapshot"',
+                f'fleet = "{run.x.name}"',
+                f"every_s = {x.snapshot_s}",
+            ]
         if x.members:  # each finds another at an address of its own, where a relay listens
             at = {other: f"{run.nets[other]}.0.1:{x.peer_port}" for other in run.nets}
             seeds = ", ".join(f'"{address}"' for address in list(at.values())[:SEEDS])
@@ -175,7 +191,9 @@
                     lines.append(f'"{address}" = "{host}:{port}"')
                     # What another tells of a server is true in the other's net.
                     mine, theirs = run.dials(self.net), run.dials(run.nets[other])
-                    lines += [f'"{there}" = "{here}"' for here, there in zip(mine, theirs, strict=True)]
+                    lines += [
+                        f'"{there}" = "{here}"' for here, there in zip(mine, theirs, strict=True)
+                    ]
         return lines
 
     def told(self) -> dict[str, Any]:
@@ -223,7 +241,9 @@
         def answered(yes: bool) -> None:
             if not yes:
                 if run.now() > latest:
-                    run.history.add(run.now(), "call", self.name, what="late: a new process says no for 6 s")
+                    run.history.add(
+                        run.now(), "call", self.name, what="late: a new process says no for 6 s"
+                    )
                     return
                 run.world.at(run.world.now + LOOK_S, None, self._when_yes, old, latest)
                 return
--- a/hookpitch/lab/reactor.py
+++ b/hookpitch/lab/reactor.py
@@ -1,7 +1,9 @@
 """What the programs of a machine in virtual time are given in place of Twisted's reactor.
 
-`Reactor` is `IReactorTime` and the parts of `IReactorTCP` and `IReactorUDP` that they use; a `Port` is a
-process's hold on a listening socket, a `Connector` one dial, a `DatagramPort` a socket for datagrams.
+`Reactor` is `IReactorTime` and the parts of `IReactorTCP` and `IReactorUDP` that they use; a
+`Port` is a
+process's hold on a listening socket, a `Connector` one dial, a `DatagramPort` a socket for
+datagrams.
 
 Sources: Twisted's interfaces; listen(2), socket(7) and udp(7) of Linux.
 """
@@ -58,13 +60,19 @@
         return Port(self.machine, listening, factory)
 
     def listenUDP(  # noqa: N802
-        self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192  # noqa: ANN401, N803
+        self,
+        port: int,
+        protocol: Any,
+        interface: str = "",
+        maxPacketSize: int = 8192,  # noqa: ANN401, N803
     ) -> DatagramPort:
         if port == 0:
             port = self.machine.port()
         if port in self.machine.sockets:
             raise CannotListenError(interface, port, OSError(errno.EADDRINUSE, "address in use"))
-        made = self.machine.sockets[port] = DatagramPort(self.machine, port, protocol, maxPacketSize)
+        made = self.machine.sockets[port] = DatagramPort(
+            self.machine, port, protocol, maxPacketSize
+        )
         protocol.makeConnection(made)
         return made
 
@@ -96,7 +104,8 @@
 
 
 class Listening:
-    """A listening socket in the kernel: what it has accepted waits for one of the processes that hold it."""
+    """A listening socket in the kernel: what it has accepted waits for one of the processes that
+    hold it."""
 
     def __init__(self, world: World, port: int, backlog: int, kept: bool = False) -> None:
         """`kept`: somebody holds it beside the processes that read it, so it outlasts them."""
@@ -215,8 +224,16 @@
 class Connector:
     """One dial."""
 
-    def __init__(self, machine: Machine, host: str, port: int, factory: Any, timeout: float | None) -> None:  # noqa: ANN401
-        self.machine, self.host, self.port, self.factory, self.timeout = machine, host, port, factory, timeout
+    def __init__(
+        self, machine: Machine, host: str, port: int, factory: Any, timeout: float | None
+    ) -> None:  # noqa: ANN401
+        self.machine, self.host, self.port, self.factory, self.timeout = (
+            machine,
+            host,
+            port,
+            factory,
+            timeout,
+        )
         self.end: End | None = None
         self.over = False
         self._timer: Call | None = None
@@ -258,7 +275,9 @@
         world.send(self.host, self.machine.address, 60, lambda: self._up(near))
 
     def _refused(self) -> None:
-        self.machine.world.at(self.machine.world.now, self.machine, self.failed, ConnectionRefusedError())
+        self.machine.world.at(
+            self.machine.world.now, self.machine, self.failed, ConnectionRefusedError()
+        )
 
     def _up(self, near: End) -> None:
         if self.over or not self.machine.present:
--- a/hookpitch/lab/relay.py
+++ b/hookpitch/lab/relay.py
@@ -1,11 +1,16 @@
-"""Every link of a run on loopback goes through a relay, a process of its own: delays, loss, cuts, dead dials.
-
-A TCP link has an address at which it is dialled and one to which it is carried; each connection is two
-sides and two flows, and each flow obeys its direction's `Spoil` (`lab/links.py`). What a cut holds back
-stands in a bounded buffer and then in the kernels, as on a network. A dial that never comes up is one that
+"""Every link of a run on loopback goes through a relay, a process of its own: delays, loss, cuts,
+dead dials.
+
+A TCP link has an address at which it is dialled and one to which it is carried; each connection is
+two
+sides and two flows, and each flow obeys its direction's `Spoil` (`lab/links.py`). What a cut holds
+back
+stands in a bounded buffer and then in the kernels, as on a network. A dial that never comes up is
+one that
 the kernel drops: the listening socket's line is kept full. Datagrams go between pairs of sockets.
 
-Invariants: bytes of a direction come in order, whole or not at all; a reset discards what was under way;
+Invariants: bytes of a direction come in order, whole or not at all; a reset discards what was
+under way;
 `closed` is told when a node's end of a connection ends, under the port at which the server sees it.
 
 Sources: tcp(7), listen(2) of Linux (a full line drops SYNs); RFC 9293.
@@ -22,7 +27,13 @@
 import msgspec
 from twisted.internet.error import CannotListenError, ConnectBindError, ConnectionDone
 from twisted.internet.interfaces import IHalfCloseableProtocol
-from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory, Protocol, connectionDone
+from twisted.internet.protocol import (
+    ClientFactory,
+    DatagramProtocol,
+    Factory,
+    Protocol,
+    connectionDone,
+)
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
@@ -32,7 +43,10 @@
 
 HELD = 1 << 18  # bytes of a flow that are under way; what is more waits in the kernels
 BACKLOG = 4096
-FIRST_PORT, LAST_PORT = 10000, 32000  # of what the relay dials from: under those that the kernel deals out
+FIRST_PORT, LAST_PORT = (
+    10000,
+    32000,
+)  # of what the relay dials from: under those that the kernel deals out
 DIAL_S = 10.0
 
 
@@ -50,8 +64,19 @@
     """One direction of one connection, from the side that reads it to the side that writes it."""
 
     __slots__ = (
-        "relay", "way", "source", "sink", "queue", "size", "last", "timer", "torn", "full", "shut", "over",
-    )  # fmt: skip
+        "relay",
+        "way",
+        "source",
+        "sink",
+        "queue",
+        "size",
+        "last",
+        "timer",
+        "torn",
+        "full",
+        "shut",
+        "over",
+    )
 
     def __init__(self, relay: Relay, way: Way, source: Side, sink: Side) -> None:
         self.relay, self.way, self.source, self.sink = relay, way, source, sink
@@ -78,7 +103,9 @@
     def _takes(self, spoil: Spoil, now: float, size: int) -> float:
         """Seconds that it is on its way."""
         chance, way = self.relay.chance, self.way
-        takes = spoil.delay_ms / 1000 + (chance.random() * spoil.jitter_ms / 1000 if spoil.jitter_ms else 0.0)
+        takes = spoil.delay_ms / 1000 + (
+            chance.random() * spoil.jitter_ms / 1000 if spoil.jitter_ms else 0.0
+        )
         if spoil.bandwidth < FAR:
             way.free_at = max(now, way.free_at) + (size + 40) / spoil.bandwidth
             takes += way.free_at - now
@@ -187,7 +214,9 @@
         back = Flow(self.relay, link.back, self.far, self.near)
         self.near.out = self.far.back = there
         self.far.out = self.near.back = back
-        self.port = self.client_port = 0  # at which the listening party sees it; at which the dialling one is
+        self.port = self.client_port = (
+            0  # at which the listening party sees it; at which the dialling one is
+        )
         self.told = self.over = False
         self.reset_from: Side | None = None  # a reset that a cut keeps from the other side
 
@@ -214,7 +243,8 @@
         self.end()
 
     def gone(self, side: Side, reset: bool) -> None:
-        """One socket is closed: a reset discards what is under way, and goes on where the way is open."""
+        """One socket is closed: a reset discards what is under way, and goes on where the way is
+        open."""
         if self.over:
             return
         other = self.far if side is self.near else self.near
@@ -232,7 +262,9 @@
         """A cut of one of its directions has ended."""
         if self.over:
             return
-        torn = any(flow.torn and not flow.way.spoil.silent for flow in (self.near.out, self.far.out))
+        torn = any(
+            flow.torn and not flow.way.spoil.silent for flow in (self.near.out, self.far.out)
+        )
         if torn or (self.reset_from is not None and not self.reset_from.out.way.spoil.silent):
             self.end()
             return
@@ -361,14 +393,20 @@
                 self.pass_on(data)
 
     def pass_on(self, data: bytes) -> None:
-        if not self.way.spoil.silent and self.other is not None and self.other.transport is not None:
+        if (
+            not self.way.spoil.silent
+            and self.other is not None
+            and self.other.transport is not None
+        ):
             self.other.transport.write(data, self.to)
 
 
 class Relay:
     """All links of one relay process."""
 
-    def __init__(self, reactor: Any, history: History, begun: float, nodes: list[str], seed: int) -> None:  # noqa: ANN401
+    def __init__(
+        self, reactor: Any, history: History, begun: float, nodes: list[str], seed: int
+    ) -> None:  # noqa: ANN401
         """`begun`: the run's start on the reactor's clock, in seconds."""
         self.reactor, self.history, self.begun = reactor, history, begun
         self.nodes, self.chance = frozenset(nodes), random.Random(seed)
@@ -392,9 +430,15 @@
         return link
 
     def udp(
-        self, a: str, b: str, at: tuple[str, int], back: tuple[str, int], to: dict[str, tuple[str, int]]
+        self,
+        a: str,
+        b: str,
+        at: tuple[str, int],
+        back: tuple[str, int],
+        to: dict[str, tuple[str, int]],
     ) -> None:
-        """Datagrams between two nodes: a finds b at `at`, b finds a at `back`; `to`: where each is."""
+        """Datagrams between two nodes: a finds b at `at`, b finds a at `back`; `to`: where each
+        is."""
         there, here = Datagrams(self, a, b, to[b]), Datagrams(self, b, a, to[a])
         there.other, here.other = here, there
         self.reactor.listenUDP(at[1], there, interface=at[0])
@@ -407,10 +451,13 @@
         pair.port = port  # what the other party will see, also where this one leaves before that
         host, number = link.to
         factory = _Dial(self, pair)
-        self.reactor.connectTCP(host, number, factory, timeout=DIAL_S, bindAddress=(link.whence, port))
+        self.reactor.connectTCP(
+            host, number, factory, timeout=DIAL_S, bindAddress=(link.whence, port)
+        )
 
     def order(self, what: str, *args: Any) -> None:  # noqa: ANN401
-        """`spoil` A B STATE: what that direction is like from now on; `sever` A B: its connections end;
+        """`spoil` A B STATE: what that direction is like from now on; `sever` A B: its connections
+        end;
         `tcp`: a new link."""
         if what == "spoil":
             a, b, state = args
--- a/hookpitch/lab/report.py
+++ b/hookpitch/lab/report.py
@@ -32,11 +32,15 @@
     seconds = summary["seconds"]
     figure, axes = pyplot.subplots(len(LINES), 1, sharex=True, figsize=(9, 1.6 * len(LINES)))
     for axis, (name, title) in zip(axes, LINES, strict=True):
-        axis.plot(range(len(seconds)), [s[name] for s in seconds], drawstyle="steps-post", linewidth=1.4)
+        axis.plot(
+            range(len(seconds)), [s[name] for s in seconds], drawstyle="steps-post", linewidth=1.4
+        )
         axis.set_ylabel(title, fontsize=8, rotation=0, ha="right", va="center")
         axis.margins(x=0)
         for fault in summary["faults"]:
-            axis.axvspan(fault["at"], max(fault["end"], fault["at"] + 0.1), color="#d55", alpha=0.15)
+            axis.axvspan(
+                fault["at"], max(fault["end"], fault["at"] + 0.1), color="#d55", alpha=0.15
+            )
     axes[-1].set_xlabel("seconds")
     out = io.StringIO()
     figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
@@ -47,19 +51,19 @@
 def page(summary: dict[str, Any]) -> str:
     rows = "".join(f"<tr><td>{k}</td><td>{v:g}</td></tr>" for k, v in summary["whole"].items())
     expected = "".join(
-        f'<tr class="{"" if e["holds"] else "no"}"><td>{html.escape(e["text"])}</td><td>{e["figure"]:g}</td>'
+        f'<tr class="{"" if e["holds"] else "no"}"><td>{html.escape(e["text"])}</td><td>{e["figure"]:g}</td>'  # noqa: E501
         f"<td>{'holds' if e['holds'] else 'does not hold'}</td></tr>"
         for e in summary["expected"]
     )
     faults = "".join(
-        f"<li>{f['at']:g} s to {f['end']:g} s: {html.escape(f['what'])} {html.escape(f['whom'])}</li>"
+        f"<li>{f['at']:g} s to {f['end']:g} s: {html.escape(f['what'])} {html.escape(f['whom'])}</li>"  # noqa: E501
         for f in summary["faults"]
     )
     broken = "\n\n".join(summary["broken"]) or "none"
     title = f"{summary['name']}, seed {summary['seed']}"
     return (
-        f"<!doctype html><meta charset=utf-8><title>{html.escape(title)}</title><style>{STYLE}</style>"
+        f"<!doctype html><meta charset=utf-8><title>{html.escape(title)}</title><style>{STYLE}</style>"  # noqa: E501
         f"<h1>{html.escape(title)}</h1><p>{summary['rpcs']} RPCs, digest {summary['digest']}</p>"
-        f"<h2>Rules broken</h2><pre>{html.escape(broken)}</pre><h2>Expected</h2><table>{expected}</table>"
+        f"<h2>Rules broken</h2><pre>{html.escape(broken)}</pre><h2>Expected</h2><table>{expected}</table>"  # noqa: E501
         f"<h2>Time lines</h2>{drawn(summary)}<ul>{faults}</ul><h2>Figures</h2><table>{rows}</table>"
     )
--- a/hookpitch/lab/run.py
+++ b/hookpitch/lab/run.py
@@ -1,7 +1,9 @@
-"""Runs an experiment: stand-ins and real nodes in a world in virtual time, faults on their time line.
+"""Runs an experiment: stand-ins and real nodes in a world in virtual time, faults on their time
+line.
 
 The nodes are `SocketNode` as it is; what they are given in place of a reactor, a clock and CPU time
-comes from the world. Nothing of what a node says is used for the judgement; its counters go into the
+comes from the world. Nothing of what a node says is used for the judgement; its counters go into
+the
 figures apart, as its word. `Common` is what a run on loopback (`lab/wall.py`) shares.
 """
 
@@ -36,7 +38,9 @@
 
 CACHE_PORT, ORIGIN_PORT = 6379, 8080
 SETTLE_S = 2.0  # after the last RPC was asked, before the run ends
-SOCKETS_FOR_ALL = 256  # a node with fewer descriptors turns newcomers back unheard where all are in work
+SOCKETS_FOR_ALL = (
+    256  # a node with fewer descriptors turns newcomers back unheard where all are in work
+)
 
 
 @dataclass(slots=True)
@@ -54,8 +58,12 @@
     real_s: float
     rude_kept_ms: list[float] = field(default_factory=list)
     no_room: int = 0
-    void: list[str] = field(default_factory=list)  # why the run could not be judged: the rig fell behind
-    rig: dict[str, float] = field(default_factory=dict)  # how late each of the rig's processes was, in ms
+    void: list[str] = field(
+        default_factory=list
+    )  # why the run could not be judged: the rig fell behind
+    rig: dict[str, float] = field(
+        default_factory=dict
+    )  # how late each of the rig's processes was, in ms
 
 
 class Common:
@@ -91,7 +99,8 @@
         raise NotImplementedError
 
     def begin(self, name: str) -> None:
-        """One that is dead starts under its name and address: a server cold, discovery with versions anew."""
+        """One that is dead starts under its name and address: a server cold, discovery with
+        versions anew."""
         raise NotImplementedError
 
     def stall(self, name: str, seconds: float) -> None:
@@ -112,7 +121,8 @@
         raise NotImplementedError
 
     def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
-        """An operator's call at a node's door; where the node says yes, `kind` goes into the history."""
+        """An operator's call at a node's door; where the node says yes, `kind` goes into the
+        history."""
         raise NotImplementedError
 
     def called(self, node: str, line: str, yes: bool, kind: str, what: str) -> None:
@@ -133,10 +143,16 @@
 
     def clients(self, reactor: Any, begun: float) -> Crowd:  # noqa: ANN401
         t = self.x.traffic
-        kinds = [Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size) for m in self.x.method]
-        manner = Manner(t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving)
+        kinds = [
+            Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size) for m in self.x.method
+        ]
+        manner = Manner(
+            t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving
+        )
         dials = {name: self.client_dial(node) for name, node in self.nodes.items()}
-        return Crowd(reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun)
+        return Crowd(
+            reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun
+        )
 
     def client_dial(self, node: Any) -> tuple[str, int]:  # noqa: ANN401
         return node.address, NODE_PORT
@@ -174,17 +190,23 @@
         born = (self.world.epoch * 1000 + self.now()) if cold else 0.0
         kind = self.x.fleet.kinds[n % len(self.x.fleet.kinds)]
         self.history.add(self.now(), "place", name, what=f"{kind} z{zone}")
-        self.order("discovery", "put", name, self.dial(name), kind, f"z{zone}", n, "in_service", 1.0, born)
+        self.order(
+            "discovery", "put", name, self.dial(name), kind, f"z{zone}", n, "in_service", 1.0, born
+        )
 
     def told(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:  # noqa: ANN401
-        """What a node is told at its start, as the platform's JSON; `net` as discovery has it for this
+        """What a node is told at its start, as the platform's JSON; `net` as discovery has it for
+        this
         node."""
         x, seq_hosts = self.x, self.directory.whole()
         kinds = list(dict.fromkeys(x.fleet.kinds))
         hosts = [h.wire(net) for h in seq_hosts[1]] if x.nodes.known != "none" else []
         if x.nodes.known == "yesterday":  # other processes, at ports where nobody listens now
             old = [h for h in hosts if h["class"] != "origin"]
-            hosts = [h | {"host": f"y{h['host']}", "dial": f"{h['dial'].rpartition(':')[0]}:9"} for h in old]
+            hosts = [
+                h | {"host": f"y{h['host']}", "dial": f"{h['dial'].rpartition(':')[0]}:9"}
+                for h in old
+            ]
         seq = seq_hosts[0] if x.nodes.known == "now" else 0
         methods = [
             {
@@ -228,7 +250,8 @@
         }
 
     def file(self, node: Any, top: dict[str, Any], wrong: int) -> str:  # noqa: ANN401
-        """A node's file as text, with other settings at each second time; `wrong`: in one of the forms that
+        """A node's file as text, with other settings at each second time; `wrong`: in one of the
+        forms that
         no node may take."""
         node.reloads += not wrong
         if node.reloads % 2:
@@ -236,7 +259,12 @@
             top["settings"]["limits"]["dial_timeout_s"] = 0.3
             top["settings"]["methods"][0]["hard_deadline_s"] += 0.1
         whole = json.dumps(top)
-        forms = whole[: len(whole) // 2], "[]", "{}", json.dumps(top | {"settings": {"methods": []}})
+        forms = (
+            whole[: len(whole) // 2],
+            "[]",
+            "{}",
+            json.dumps(top | {"settings": {"methods": []}}),
+        )
         return forms[(wrong - 1) % len(forms)] if wrong else whole
 
     def rules(self) -> Rules:
@@ -321,13 +349,16 @@
 
     def _build(self) -> None:
         x, world = self.x, self.world
-        # What the processes of one node share outside of the world: a descriptor's number and a folder.
+        # What the processes of one node share outside of the world: a descriptor's number and a
+        # folder.
         self.descriptor = os.open(os.devnull, os.O_RDONLY)
         self.folder = tempfile.TemporaryDirectory(prefix="hookpitch-lab-")
         world.closed, world.unheard = self._closed, self._unheard
         world.plain.delay, world.plain.jitter = x.net.delay_ms / 1000, x.net.jitter_ms / 1000
         web = world.machine("10.2.0.2").reactor
-        self.origin_server = OriginServer(self.origin, web, self.history, self.chance, self._whose, 0.0)
+        self.origin_server = OriginServer(
+            self.origin, web, self.history, self.chance, self._whose, 0.0
+        )
         self.origin_server.size_of = self.size_of
         there = world.machine("10.2.0.1").reactor
         self.discovery = DiscoveryServer(self.directory, there, self.history, self._whose, 0.0)
@@ -343,7 +374,9 @@
             address = f"10.0.{n >> 8}.{1 + (n & 255)}"
             self.names[address] = f"n{n}"
             self.nodes[f"n{n}"] = Node(self, f"n{n}", address)
-        for node in self.nodes.values():  # clients sit beside the nodes: a far network is not between them
+        for (
+            node
+        ) in self.nodes.values():  # clients sit beside the nodes: a far network is not between them
             world.connect("10.3.0.1", node.address, x.net.delay_ms / 1000, x.net.jitter_ms / 1000)
         self.crowd = self.clients(world.machine("10.3.0.1").reactor, 0.0)
 
@@ -365,7 +398,9 @@
         n = len(self.addresses)
         address = self.addresses.setdefault(name, f"10.1.{n >> 8}.{1 + (n & 255)}")
         make, reactor = self.make(n), self.world.machine(address).reactor
-        server = CacheServer(name, make, reactor, self.history, self.origin, self.chance, self._whose, 0.0)
+        server = CacheServer(
+            name, make, reactor, self.history, self.origin, self.chance, self._whose, 0.0
+        )
         server.size_of = self.size_of
         self.servers[name] = server
         server.start([address], CACHE_PORT, cold)
--- a/hookpitch/lab/standins.py
+++ b/hookpitch/lab/standins.py
@@ -1,6 +1,7 @@
 """Stand-ins in a process of their own: cache servers, the origin or discovery of a run on loopback.
 
-What one process would tell another goes over the control line: which server missed an RPC, and what the
+What one process would tell another goes over the control line: which server missed an RPC, and
+what the
 origin has stored where.
 """
 
@@ -69,7 +70,14 @@
     def _cache(self, role: dict[str, Any]) -> None:
         make, origin = msgspec.convert(role["make"], Make), FarOrigin(self.line)
         server = CacheServer(
-            role["name"], make, self.reactor, self.history, origin, self.chance, self._whose, self.begun
+            role["name"],
+            make,
+            self.reactor,
+            self.history,
+            origin,
+            self.chance,
+            self._whose,
+            self.begun,
         )
         server.size_of = self._size
         self.there[role["name"]] = server
@@ -81,7 +89,9 @@
         origin = Origin(msgspec.convert(role["make"], OriginMake), 0.0, self.chance)
         for name in role["caches"]:
             origin.caches[name] = FarCache(self.line, name)
-        server = OriginServer(origin, self.reactor, self.history, self.chance, self._whose, self.begun)
+        server = OriginServer(
+            origin, self.reactor, self.history, self.chance, self._whose, self.begun
+        )
         server.size_of = self._size
         self.there["origin"] = server
         self.reactor.listenTCP(role["port"], server, interface=role["address"], backlog=4096)
--- a/hookpitch/lab/wall.py
+++ b/hookpitch/lab/wall.py
@@ -1,9 +1,13 @@
 """An experiment on loopback in real time: every node, stand-in and relay a process of its own.
 
-Each node has a net of its own (127.10.x.x, 127.11.x.x, ...), in which relays stand for all that it meets:
-servers, the origin, discovery, its clients, the other nodes. So each link is in the lab's hands and the
-node's program is unchanged. A machine's nets are dealt out in blocks, so that several small runs, or a large
-one, fit beside one another. This process has the clients and the time line, and puts the histories of all
+Each node has a net of its own (127.10.x.x, 127.11.x.x, ...), in which relays stand for all that it
+meets:
+servers, the origin, discovery, its clients, the other nodes. So each link is in the lab's hands
+and the
+node's program is unchanged. A machine's nets are dealt out in blocks, so that several small runs,
+or a large
+one, fit beside one another. This process has the clients and the time line, and puts the histories
+of all
 together. A run in which the rig fell behind is void. Sources: the platform's protocol; signal(7).
 """
 
@@ -119,7 +123,12 @@
     """The same run on loopback."""
 
     def __init__(
-        self, x: Experiment, seed: int, reactor: Any, folder: Path, tell: Callable[[str], None] | None = None
+        self,
+        x: Experiment,
+        seed: int,
+        reactor: Any,
+        folder: Path,
+        tell: Callable[[str], None] | None = None,
     ) -> None:
         """`tell` is given a line a second of how the run goes."""
         for n, fault in enumerate(x.fault):
@@ -143,7 +152,9 @@
         self._locks: list[Any] = []
         self._spoils = Spoils()
         self._alone = self._on_their_own()
-        self._excused: list[tuple[str, float, float]] = []  # rig processes that were stopped, and when: in ms
+        self._excused: list[
+            tuple[str, float, float]
+        ] = []  # rig processes that were stopped, and when: in ms
 
     # ---- building
 
@@ -182,7 +193,9 @@
         for n in range(0, x.nodes.count, RELAY_NODES):
             some = [f"n{i}" for i in range(n, min(x.nodes.count, n + RELAY_NODES))]
             number = n // RELAY_NODES
-            child = self._child(f"relay{number}", "relay", lambda some=some: self._relay_given(some))
+            child = self._child(
+                f"relay{number}", "relay", lambda some=some: self._relay_given(some)
+            )
             self.relays |= dict.fromkeys(some, child)
         for child in self.children.values():
             child.start()
@@ -225,7 +238,12 @@
 
     def _standins_given(self, roles: list[dict[str, Any]]) -> dict[str, Any]:
         t = self.x.traffic
-        return {"nets": self.names, "roles": roles, "large": t.large, "large_size": int(t.large_kb * 1024)}
+        return {
+            "nets": self.names,
+            "roles": roles,
+            "large": t.large,
+            "large_size": int(t.large_kb * 1024),
+        }
 
     def _standin(self, name: str, servers: list[str], cold: bool) -> Child:
         """A process for some servers; what starts again is cold."""
@@ -236,8 +254,17 @@
             for server in servers:
                 make = msgspec.to_builtins(self.make(list(self.addresses).index(server)))
                 warm = self.x.traffic.keys if self.x.fleet.warm and not again else 0
-                roles.append({"kind": "cache", "name": server, "make": make, "address": self._at(server),
-                              "port": CACHE_PORT, "cold": again, "warm": warm})  # fmt: skip
+                roles.append(
+                    {
+                        "kind": "cache",
+                        "name": server,
+                        "make": make,
+                        "address": self._at(server),
+                        "port": CACHE_PORT,
+                        "cold": again,
+                        "warm": warm,
+                    }
+                )
             return self._standins_given(roles)
 
         child = self._child(name, "standins", given)
@@ -247,16 +274,28 @@
     def _origin_given(self) -> dict[str, Any]:
         make, names = msgspec.to_builtins(self.origin_make()), list(self.addresses)
         host = f"{self.own}.3.2"
-        role = {"kind": "origin", "make": make, "address": host, "port": ORIGIN_PORT, "caches": names}
+        role = {
+            "kind": "origin",
+            "make": make,
+            "address": host,
+            "port": ORIGIN_PORT,
+            "caches": names,
+        }
         return self._standins_given([role])
 
     def _discovery_given(self) -> dict[str, Any]:
         seq, hosts = self.directory.whole()
         fields = [list(msgspec.to_builtins(h).values()) for h in hosts]
         again = self.children["discovery"].starts > 1
-        role = {"kind": "discovery", "address": f"{self.own}.3.1", "port": DISCOVERY_PORT, "hosts": fields,
-                "seq": 1 if again else seq, "lag_ms": self.directory.lag_ms,
-                "calls_per_s": self.x.discovery.calls_per_s}  # fmt: skip
+        role = {
+            "kind": "discovery",
+            "address": f"{self.own}.3.1",
+            "port": DISCOVERY_PORT,
+            "hosts": fields,
+            "seq": 1 if again else seq,
+            "lag_ms": self.directory.lag_ms,
+            "calls_per_s": self.x.discovery.calls_per_s,
+        }
         return self._standins_given([role])
 
     def _relay_given(self, some: list[str]) -> dict[str, Any]:
@@ -266,8 +305,19 @@
         for name in some:
             net, port = self.nets[name], self.x.nodes.peer_port
             whence = f"{net}.9.9"
-            tcp.append(["clients", name, [f"{net}.3.1", NODE_PORT], [f"{net}.0.1", NODE_PORT], f"{net}.3.2"])
-            for at, other, port_there in ((2, "origin", ORIGIN_PORT), (1, "discovery", DISCOVERY_PORT)):
+            tcp.append(
+                [
+                    "clients",
+                    name,
+                    [f"{net}.3.1", NODE_PORT],
+                    [f"{net}.0.1", NODE_PORT],
+                    f"{net}.3.2",
+                ]
+            )
+            for at, other, port_there in (
+                (2, "origin", ORIGIN_PORT),
+                (1, "discovery", DISCOVERY_PORT),
+            ):
                 there = [f"{self.own}.3.{at}", port_there]
                 tcp.append([name, other, [f"{net}.2.{at}", port_there], there, whence])
             for server in self.addresses:
@@ -293,7 +343,10 @@
 
     def dials(self, net: str) -> list[str]:
         """Where a node of that net finds the origin and each server that is there by now."""
-        return [f"{net}.2.2:{ORIGIN_PORT}", *(f"{net}.{at}:{CACHE_PORT}" for at in self.addresses.values())]
+        return [
+            f"{net}.2.2:{ORIGIN_PORT}",
+            *(f"{net}.{at}:{CACHE_PORT}" for at in self.addresses.values()),
+        ]
 
     def dial(self, name: str) -> str:
         return f"{{net}}.{self.addresses[name]}:{CACHE_PORT}"
@@ -378,7 +431,11 @@
 
     def spoil(self, ways: Iterable[tuple[str, str]], by: object, spoil: Spoil | None) -> None:
         for a, b in ways:
-            state = self._spoils.lift((a, b), by) if spoil is None else self._spoils.put((a, b), by, spoil)
+            state = (
+                self._spoils.lift((a, b), by)
+                if spoil is None
+                else self._spoils.put((a, b), by, spoil)
+            )
             for relay in dict.fromkeys(self.relays[name] for name in (a, b) if name in self.relays):
                 relay.order("spoil", a, b, msgspec.to_builtins(state))
 
@@ -392,7 +449,9 @@
         self.reactor.connectTCP(*door, _Asks(line, answered), timeout=CALL_S)
 
     def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
-        self.ask(self.nodes[node].at_door(), line, lambda yes: self.called(node, line, yes, kind, what))
+        self.ask(
+            self.nodes[node].at_door(), line, lambda yes: self.called(node, line, yes, kind, what)
+        )
 
     def when_serving(self, node: NodeProcess) -> None:
         """Its links are open again once a process of it serves."""
@@ -443,9 +502,12 @@
         )
 
     def late(self) -> dict[str, float]:
-        """By process of the rig: how late it was at the worst, in ms; a stop that was asked for is none."""
+        """By process of the rig: how late it was at the worst, in ms; a stop that was asked for is
+        none."""
         worst: dict[str, float] = dict.fromkeys([*self.children, "clients"], 0.0)
-        end = (self.x.seconds + self.span()) * 1000  # from then on nodes leave, and nothing is asked
+        end = (
+            self.x.seconds + self.span()
+        ) * 1000  # from then on nodes leave, and nothing is asked
         for e in self.history.events:
             if e.kind != "rig" or not 0 <= e.at <= end:
                 continue
@@ -459,7 +521,8 @@
         try:
             self.build()
             self._up(self.world.now + READY_S)
-            # Danger: a run that is interrupted closes its lines, and none of its processes has died.
+            # Danger: a run that is interrupted closes its lines, and none of its processes has
+            # died.
             self.reactor.addSystemEventTrigger("before", "shutdown", setattr, self, "closing", True)
             self.reactor.run()
             if self.failed or not self.over:
@@ -531,7 +594,9 @@
 
     def _gone(self, until: float) -> None:
         """Nodes that leave have their time; what they counted is told at their end."""
-        if self.world.now > until or not any(n.process.running for n in self.nodes.values() if n.process):
+        if self.world.now > until or not any(
+            n.process.running for n in self.nodes.values() if n.process
+        ):
             self._stop("")
         else:
             self.reactor.callLater(0.05, self._gone, until)
@@ -552,7 +617,9 @@
         end = self.now() - offset
         judge = Judge(self.rules())
         broken: list[Broken] = judge.judge(self.history, end)
-        killed = {e.who for e in self.history.events if e.kind == "stop"}  # what they counted died with them
+        killed = {
+            e.who for e in self.history.events if e.kind == "stop"
+        }  # what they counted died with them
         told = {name: counts for name, counts in self.counters.items() if name not in killed}
         broken += judge.figures(self.history, told)
         real = time.perf_counter() - begun
@@ -563,9 +630,13 @@
         plain = ("event", "node", "level", "timestamp")
         for line in node.lines():
             event = line.get("event", "")
-            stamp = datetime.fromisoformat(line.get("timestamp", "1970-01-01T00:00:00+00:00")).timestamp()
+            stamp = datetime.fromisoformat(
+                line.get("timestamp", "1970-01-01T00:00:00+00:00")
+            ).timestamp()
             at = 1000 * (stamp - self.world.epoch - self.offset)
-            self.logs.append((at, node.name, f"{event}: {line['what']}" if "what" in line else event))
+            self.logs.append(
+                (at, node.name, f"{event}: {line['what']}" if "what" in line else event)
+            )
             if event == "left":
                 mine = self.counters.setdefault(node.name, {})
                 for name, count in line.items():
@@ -596,7 +667,8 @@
 def run_on_loopback(
     x: Experiment, seed: int, logs: Path | None = None, tell: Callable[[str], None] | None = None
 ) -> Ended:
-    """One run in this process, whose reactor can run only once. `logs`: a folder that keeps all of them."""
+    """One run in this process, whose reactor can run only once. `logs`: a folder that keeps all of
+    them."""
     from twisted.internet import reactor
 
     reactor.seconds = time.monotonic
@@ -613,7 +685,8 @@
 
 
 def serve_fleet(x: Experiment, post: Path | None, tell: Callable[[str], None]) -> None:
-    """Stand-ins on loopback until the process is ended; `post`: where a node's JSON file for them is
+    """Stand-ins on loopback until the process is ended; `post`: where a node's JSON file for them
+    is
     written."""
     from twisted.internet import reactor
 
@@ -643,4 +716,3 @@
                 raise ValueError(run.failed[0])
         finally:
             run.end()
-
