--- a/hookpitch/lab/world.py
+++ b/hookpitch/lab/world.py
@@ -1,11 +1,15 @@
 """Machines and links in virtual time: one order of events for all.
 
-What it is: a `World` holds one heap of events, ordered by time and by the number in which they were asked
-for; nothing else moves time. A `Machine` has an address, listeners, descriptors and, where one is given, a
-CPU that its events use up; what its programs are given in place of Twisted's reactor is in `lab/reactor.py`,
+What it is: a `World` holds one heap of events, ordered by time and by the number in which they
+were asked
+for; nothing else moves time. A `Machine` has an address, listeners, descriptors and, where one is
+given, a
+CPU that its events use up; what its programs are given in place of Twisted's reactor is in
+`lab/reactor.py`,
 connections are in `lab/ends.py`. A `Link` is one direction between two machines.
 
-Invariants: bytes of a direction arrive in order, once, whole, or not at all. One seed is one history: chance
+Invariants: bytes of a direction arrive in order, once, whole, or not at all. One seed is one
+history: chance
 comes from one generator, and nothing asks the wall clock.
 
 Sources: RFC 9293 for what is sent again, RFC 768 for what is not.
@@ -175,7 +179,9 @@
         found = self.links.get((a, b))
         return found if found is not None else self.plain
 
-    def connect(self, a: str, b: str, delay: float, jitter: float = 0.0, bandwidth: float = FAR) -> None:
+    def connect(
+        self, a: str, b: str, delay: float, jitter: float = 0.0, bandwidth: float = FAR
+    ) -> None:
         """Both ways between two machines: seconds, seconds at the most, bytes a second."""
         for pair in ((a, b), (b, a)):
             self.links[pair] = Link(delay, jitter, bandwidth)
@@ -198,7 +204,8 @@
         end: End | None = None,
         once: bool = False,
     ) -> None:
-        """A packet of so many bytes goes from a to b; `arrive` is called where and when it comes. What
+        """A packet of so many bytes goes from a to b; `arrive` is called where and when it comes.
+        What
         is lost on the way is sent again, as TCP does, as long as its end stands; `once`: it is not
         (a reset)."""
         link = self.link(a, b)
@@ -245,7 +252,12 @@
         if width < FAR:
             link.free_at = start = start + size / width
         jitter = link.jitter + spoil.jitter_ms / 1000
-        return start + link.delay + spoil.delay_ms / 1000 + (self.chance.random() * jitter if jitter else 0.0)
+        return (
+            start
+            + link.delay
+            + spoil.delay_ms / 1000
+            + (self.chance.random() * jitter if jitter else 0.0)
+        )
 
     def _hold(self, link: Link, packet: tuple[Any, ...], once: bool) -> None:
         end = packet[4]
@@ -267,7 +279,9 @@
         for _ in range(2 if spoil.repeat and self.chance.random() < spoil.repeat else 1):
             when = self._arrival(link, size)
             if spoil.reorder and self.chance.random() < spoil.reorder:
-                when += 2 * (link.delay + spoil.delay_ms / 1000)  # what is sent meanwhile overtakes it
+                when += 2 * (
+                    link.delay + spoil.delay_ms / 1000
+                )  # what is sent meanwhile overtakes it
             self.at(when, None, self._datagram_arrived, a, b, arrive)
 
     def _datagram_arrived(self, a: str, b: str, arrive: Callable[[], None]) -> None:
@@ -275,11 +289,14 @@
             arrive()
 
     def spoil(self, a: str, b: str, by: object, spoil: Spoil | None) -> None:
-        """What `by` does to the way from a to b from now on; None: nothing any more. At the end of a silence,
+        """What `by` does to the way from a to b from now on; None: nothing any more. At the end of
+        a silence,
         what it held back is sent, in its order, or its connections break."""
         link = self.own(a, b)
         silent = link.spoil.silent
-        link.spoil = self._spoils.lift((a, b), by) if spoil is None else self._spoils.put((a, b), by, spoil)
+        link.spoil = (
+            self._spoils.lift((a, b), by) if spoil is None else self._spoils.put((a, b), by, spoil)
+        )
         if not silent or link.spoil.silent:
             return
         held, torn = link.held, link.torn
@@ -329,8 +346,10 @@
 
 
 class Machine:
-    """One address and one process there: its descriptors and its part of a core. A second process at the same
-    address is a `Machine` of its own, made by `beside`: the kernel's listening sockets are common to both."""
+    """One address and one process there: its descriptors and its part of a core. A second process
+    at the same
+    address is a `Machine` of its own, made by `beside`: the kernel's listening sockets are common
+    to both."""
 
     def __init__(self, world: World, address: str, descriptors: int = 1 << 20) -> None:
         self.world, self.address, self.descriptors = world, address, descriptors
@@ -343,9 +362,14 @@
         self.dials: dict[Connector, None] = {}
         self.present, self.running = True, True
         self.life = 0  # of its process; what an earlier one asked for is not done
-        self.free_at, self.used = 0.0, 0.0  # until when it is at work or stopped; seconds of CPU used
+        self.free_at, self.used = (
+            0.0,
+            0.0,
+        )  # until when it is at work or stopped; seconds of CPU used
         self.event_cost = 0.0  # seconds of CPU that each of its events takes
-        self.waiting: deque[tuple[Call, int]] = deque()  # events that were due while it was not free
+        self.waiting: deque[tuple[Call, int]] = (
+            deque()
+        )  # events that were due while it was not free
         self._waking = False
         self._ports = [40000]
         self.reactor = Reactor(self)
@@ -364,8 +388,11 @@
         return other
 
     def hand_down(self, descriptor: int, port: int, backlog: int) -> None:
-        """A socket listens that no process here owns; each can adopt it, and it outlasts them all."""
-        self.handed[descriptor] = self.listeners[port] = Listening(self.world, port, backlog, kept=True)
+        """A socket listens that no process here owns; each can adopt it, and it outlasts them
+        all."""
+        self.handed[descriptor] = self.listeners[port] = Listening(
+            self.world, port, backlog, kept=True
+        )
 
     def spend(self, seconds: float) -> None:
         """The event that is on takes so much of the CPU: what comes next waits."""
@@ -416,7 +443,8 @@
         self.present = False
 
     def come_back(self) -> None:
-        """It is back as it was; what was sent to it meanwhile is lost, and open connections are reset."""
+        """It is back as it was; what was sent to it meanwhile is lost, and open connections are
+        reset."""
         self.present = True
         for end in list(self.ends):
             end.drop(reset=True, told=True)
--- a/hookpitch/members/__init__.py
+++ b/hookpitch/members/__init__.py
@@ -1,1 +1,2 @@
-"""Membership among nodes, where an installation allows talk among them; off and not imported elsewhere."""
+"""Membership among nodes, where an installation allows talk among them; off and not imported
+elsewhere."""
--- a/hookpitch/members/codec.py
+++ b/hookpitch/members/codec.py
@@ -2,12 +2,17 @@
 
     HKM | format, 1 byte | fleet, 8 bytes | check, 8 bytes | body (msgpack array)
 
-`fleet` is a hash of the fleet's name: another fleet's datagrams are refused unread. `check` is a keyed hash
-of the body; the key is empty now. It finds what was cut or turned on the way, and no forger: the network has
-to be trusted. A sign-in would fill the key, and nothing else would change here. Records and messages are
+`fleet` is a hash of the fleet's name: another fleet's datagrams are refused unread. `check` is a
+keyed hash
+of the body; the key is empty now. It finds what was cut or turned on the way, and no forger: the
+network has
+to be trusted. A sign-in would fill the key, and nothing else would change here. Records and
+messages are
 arrays that later versions may make longer: what is behind the known fields is skipped. Invariants:
-`read(write(x))` is x; at most `BYTES_MOST` bytes, records that do not fit are left out, the last first;
-whatever comes, `read` raises ValueError or gives a message whose fields have the bounds of `state.py`.
+`read(write(x))` is x; at most `BYTES_MOST` bytes, records that do not fit are left out, the last
+first;
+whatever comes, `read` raises ValueError or gives a message whose fields have the bounds of
+`state.py`.
 """
 
 from __future__ import annotations
@@ -33,8 +38,19 @@
         self.fleet, self.key = blake2b(fleet.encode(), digest_size=8).digest(), key
 
     def write(self, m: Message) -> bytes:
-        news = [(r.name, r.address[0], r.address[1], r.incarnation, int(r.state), r.accuser, r.count, r.fact)
-                for r in m.news]  # fmt: skip
+        news = [
+            (
+                r.name,
+                r.address[0],
+                r.address[1],
+                r.incarnation,
+                int(r.state),
+                r.accuser,
+                r.count,
+                r.fact,
+            )
+            for r in m.news
+        ]
         while True:
             fields = [KINDS.index(m.kind), m.sender, m.number, m.of, m.whole, news, m.marks, m.data]
             body = msgspec.msgpack.encode(fields)
@@ -61,7 +77,9 @@
             kind, sender, number, of, whole, news, *more = msgspec.msgpack.decode(body)
             marks, data, *_ = *more, *((), b"")[len(more) :]  # earlier versions tell neither
             marks = tuple(marks)
-            _fits(len(marks) in (0, MARKS) and all(type(m) is int and 0 <= m < 1 << 16 for m in marks))
+            _fits(
+                len(marks) in (0, MARKS) and all(type(m) is int and 0 <= m < 1 << 16 for m in marks)
+            )
             _fits(type(data) is bytes and len(data) <= DATA_MOST)
             name = lambda x: type(x) is str and 0 < len(x) <= NAME_MOST  # noqa: E731
             count = lambda x: type(x) is int and 0 <= x < 1 << 62  # noqa: E731
@@ -69,7 +87,12 @@
                 Record(n, (h, p), i, State(s), a, c, f)
                 for n, h, p, i, s, a, c, f, *_ in news
                 if _fits(name(n) and name(h) and count(p) and p < 65536 and count(i) and count(c))
-                and _fits(type(a) is str and len(a) <= NAME_MOST and type(f) is bytes and len(f) <= FACT_MOST)
+                and _fits(
+                    type(a) is str
+                    and len(a) <= NAME_MOST
+                    and type(f) is bytes
+                    and len(f) <= FACT_MOST
+                )
             )
             _fits(name(sender) and count(number) and type(of) is str and len(of) <= NAME_MOST)
             _fits(type(whole) is bool and type(kind) is int and 0 <= kind < len(KINDS))
--- a/hookpitch/members/lists.py
+++ b/hookpitch/members/lists.py
@@ -1,19 +1,29 @@
-"""A list of cache servers from another member, for a node that discovery has told none. No I/O, no clock.
+"""A list of cache servers from another member, for a node that discovery has told none. No I/O, no
+clock.
 
-A node that starts asks some members before its call to discovery is due, and again while discovery tells it
-nothing; who has lately heard discovery itself answers with what it holds, in parts of one datagram each. Who
-asks, whom and when, and what is taken are decided here; `port.py` carries it and gives the list to the node.
+A node that starts asks some members before its call to discovery is due, and again while discovery
+tells it
+nothing; who has lately heard discovery itself answers with what it holds, in parts of one datagram
+each. Who
+asks, whom and when, and what is taken are decided here; `port.py` carries it and gives the list to
+the node.
 
 Invariants:
 
-- nothing is asked for, and nothing taken, once discovery has told this process a list: its word goes first;
-- a list is told on only by a node whom discovery told it, and that heard discovery in the last `OLDEST_MS`:
-  one member's lie is not another's word. Of two lists the one of the higher version goes, not the younger;
-- a list is taken only if its version is higher than that of the one held, and it is whole: parts of two
+- nothing is asked for, and nothing taken, once discovery has told this process a list: its word
+  goes first;
+- a list is told on only by a node whom discovery told it, and that heard discovery in the last
+  `OLDEST_MS`:
+  one member's lie is not another's word. Of two lists the one of the higher version goes, not the
+  younger;
+- a list is taken only if its version is higher than that of the one held, and it is whole: parts
+  of two
   lists never mix (a digest in each), and what unpacks to more than `PLAIN_MOST` bytes is none;
-- at most `ASKED` wishes each `AGAIN_MS`, and at most `PARTS_A_SECOND` parts told a second, whoever asks.
+- at most `ASKED` wishes each `AGAIN_MS`, and at most `PARTS_A_SECOND` parts told a second, whoever
+  asks.
 
-A part is `[version, age in ms, digest, index, count, bytes]`, a wish `[version held, digest, mask of parts]`,
+A part is `[version, age in ms, digest, index, count, bytes]`, a wish `[version held, digest, mask
+of parts]`,
 in msgpack; later versions may make both longer. The list itself is discovery's own JSON, deflated.
 """
 
@@ -45,7 +55,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """What this node holds, at one look. `told`: by discovery, to this process; `fresh`: it is heard now."""
+    """What this node holds, at one look. `told`: by discovery, to this process; `fresh`: it is
+    heard now."""
 
     version: int
     told: bool
@@ -86,8 +97,9 @@
 class Lists:
     """One node's asking and telling. `out` holds what is to be sent."""
 
-    def __init__(self, now: float, name: str, chance: Callable[[], float],
-                 count: Callable[[str], None]) -> None:  # fmt: skip
+    def __init__(
+        self, now: float, name: str, chance: Callable[[], float], count: Callable[[str], None]
+    ) -> None:
         self.name, self.chance, self.count = name, chance, count
         self.out: list[tuple[Address, Message]] = []
         self._ask_at, self._asked = now, 0
@@ -98,7 +110,8 @@
         self._has = False  # a list was taken
 
     def tick(self, now: float, held: Held, who: Sequence[Address]) -> float:
-        """Ask, where it is time; the next is due at what is returned. `who`: those who may be asked."""
+        """Ask, where it is time; the next is due at what is returned. `who`: those who may be
+        asked."""
         if held.fresh:
             self._heard = now
         if held.told:
@@ -124,9 +137,11 @@
         data = msgspec.msgpack.encode((version, wanted, mask))
         self.out.append((to, Message("wish", self.name, data=data)))
 
-    def wished(self, now: float, source: Address, message: Message, held: Held,
-               text: Callable[[], bytes]) -> None:  # fmt: skip
-        """Another asks; `text` gives the list that is held, as discovery's JSON, and is called seldom."""
+    def wished(
+        self, now: float, source: Address, message: Message, held: Held, text: Callable[[], bytes]
+    ) -> None:
+        """Another asks; `text` gives the list that is held, as discovery's JSON, and is called
+        seldom."""
         try:
             version, wanted, mask, *_ = msgspec.msgpack.decode(message.data)
             _fits(_count(version) and type(wanted) is bytes and _count(mask))
@@ -137,18 +152,25 @@
         age = now - self._heard
         if not held.told or age > OLDEST_MS or held.version <= version:
             return
-        if self._packed is None or self._packed[0] != held.version or now - self._packed[1] > PACKED_MS:
+        if (
+            self._packed is None
+            or self._packed[0] != held.version
+            or now - self._packed[1] > PACKED_MS
+        ):
             self._packed = held.version, now, zlib.compress(text(), 6)
         packed = self._packed[2]
         here, count = digest(packed), -(-len(packed) // PART)
         if count > PARTS_MOST:
             self.count("members.lists_long")
             return
-        mask = FIRST if wanted and wanted != here else mask  # another list by now: from its beginning
+        mask = (
+            FIRST if wanted and wanted != here else mask
+        )  # another list by now: from its beginning
         for n in range(count):
             if not mask >> n & 1:
                 continue
-            # Danger: hundreds that start at once, or a flood of wishes, take the CPU and the link from RPCs.
+            # Danger: hundreds that start at once, or a flood of wishes, take the CPU and the link
+            # from RPCs.
             self._told = self._told + 1 if int(now // 1000) == self._second else 1
             self._second = int(now // 1000)
             if self._told > PARTS_A_SECOND:
@@ -163,7 +185,9 @@
         """A part has come; the list, once it is whole."""
         try:
             version, age, whole, n, count, part, *_ = msgspec.msgpack.decode(message.data)
-            _fits(_count(version) and type(age) in (int, float) and age >= 0 and type(whole) is bytes)
+            _fits(
+                _count(version) and type(age) in (int, float) and age >= 0 and type(whole) is bytes
+            )
             _fits(_count(n) and _count(count) and n < count <= PARTS_MOST)
             _fits(type(part) is bytes and 0 < len(part) <= PART)
         except (msgspec.MsgspecError, ValueError, TypeError):
@@ -173,9 +197,14 @@
             self.count("members.lists_old")
             return None
         coming = self._coming
-        same = coming is not None and (coming.source, coming.digest, coming.count) == (source, whole, count)
+        same = coming is not None and (coming.source, coming.digest, coming.count) == (
+            source,
+            whole,
+            count,
+        )
         if not same:
-            # Another teller's, and no newer: the first one's goes on. The same teller's: its list changed.
+            # Another teller's, and no newer: the first one's goes on. The same teller's: its list
+            # changed.
             if coming is not None and coming.source != source and version <= coming.version:
                 return None
             coming = self._coming = _Coming(source, version, age, whole, count, now)
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -5,13 +5,17 @@
     fleet = "sydney"
     seeds = ["10.0.0.5:7946", "10.0.0.6:7946"]     # some that are usually up
 
-    [members.dial]                                 # where what others tell (a member, a server) is found,
+    [members.dial]                                 # where what others tell (a member, a server) is
+    found,
                                                    # if elsewhere
     "10.9.0.7:7946" = "10.0.0.7:7946"
 
-The state machine decides (`state.py`), the codec reads and writes (`codec.py`); here datagrams become calls
-and calls datagrams. A node that discovery has told nothing gets its list from a member (`lists.py`): it is
-given to the node as a list known at its start, and discovery is then asked for the whole. Invariants: nothing
+The state machine decides (`state.py`), the codec reads and writes (`codec.py`); here datagrams
+become calls
+and calls datagrams. A node that discovery has told nothing gets its list from a member
+(`lists.py`): it is
+given to the node as a list known at its start, and discovery is then asked for the whole.
+Invariants: nothing
 that comes raises; at most `RATE_MOST` datagrams are read a second, more are let go and counted.
 """
 
@@ -82,15 +86,30 @@
 
     noisy = False
 
-    def __init__(self, told: Settings, name: str, seed: int, clock: Clock, log: Callable[..., None],
-                 count: Callable[[str], None], node: Any = None) -> None:  # noqa: ANN401  # fmt: skip
-        """`node`: whose list of cache servers others may ask for, and which asks others for theirs."""
+    def __init__(
+        self,
+        told: Settings,
+        name: str,
+        seed: int,
+        clock: Clock,
+        log: Callable[..., None],
+        count: Callable[[str], None],
+        node: Any = None,  # noqa: ANN401
+    ) -> None:  # noqa: ANN401
+        """`node`: whose list of cache servers others may ask for, and which asks others for
+        theirs."""
         self.told, self.clock, self.count, self.codec = told, clock, count, Codec(told.fleet)
         self.node = node
         self.log = lambda text: log("members", what=text)
         # Danger: processes of one node that draw alike. The moment of the start makes them differ.
-        self.members = Members(clock.now(), name, told.listen, told.seeds,
-                               draws(seed ^ int(clock.now()), "members"), self.log)  # fmt: skip
+        self.members = Members(
+            clock.now(),
+            name,
+            told.listen,
+            told.seeds,
+            draws(seed ^ int(clock.now()), "members"),
+            self.log,
+        )
         self.lists = Lists(clock.now(), name, draws(seed ^ int(clock.now()), "lists"), count)
         self.version = 0  # of the list taken
         self.waiting: tuple[list[Entry], dict[str, str]] | None = None  # taken, and not given yet
@@ -100,7 +119,9 @@
     def start(self, reactor: Any) -> None:  # noqa: ANN401
         """Listen, now or as soon as the process before lets go; from then on it is a member."""
         try:
-            self.listening = reactor.listenUDP(self.told.listen[1], self, interface=self.told.listen[0])
+            self.listening = reactor.listenUDP(
+                self.told.listen[1], self, interface=self.told.listen[0]
+            )
         except CannotListenError:
             self.clock.deadlines.add(self.clock.now() + AGAIN_MS, lambda _: self.start(reactor))
             return
@@ -157,24 +178,39 @@
     def held(self) -> Held:
         discovery, counts = self.node.discovery, self.node.host.counters.counts
         told = "lists.full" in counts or "lists.delta" in counts
-        # Danger: a version that a member told, kept above discovery's own count once that has been heard.
+        # Danger: a version that a member told, kept above discovery's own count once that has been
+        # heard.
         version = discovery.seq if told else max(discovery.seq, self.version)
         return Held(version, told, told and discovery.asking.at == FAR)
 
     def _others(self) -> list[Address]:
         """Who may be asked for a list: all that live, as others tell of them, and the seeds."""
-        known = [m.record.address for m in self.members.members.values() if m.record.state == State.ALIVE]
+        known = [
+            m.record.address for m in self.members.members.values() if m.record.state == State.ALIVE
+        ]
         return [a for a in dict.fromkeys((*self.told.seeds, *known)) if a != self.told.listen]
 
     def _list(self) -> bytes:
         """What this node holds, in discovery's own words."""
-        host, dials, kinds = self.node.host, self.node.pools.dials(), self.node.host.deployment.kinds
+        host, dials, kinds = (
+            self.node.host,
+            self.node.pools.dials(),
+            self.node.host.deployment.kinds,
+        )
         hosts = [
-            {"host": s.id, "dial": dials[s.id], "site": s.zone, "block": s.cell, "share": s.size,
-             "born_ms": max(0.0, s.started), "health": HEALTH[s.listed],
-             "class": kinds[s.kind] if 0 <= s.kind < len(kinds) else ""}
-            for s in host.node.servers.values() if s.id in dials and s.listed != Listed.GONE
-        ]  # fmt: skip
+            {
+                "host": s.id,
+                "dial": dials[s.id],
+                "site": s.zone,
+                "block": s.cell,
+                "share": s.size,
+                "born_ms": max(0.0, s.started),
+                "health": HEALTH[s.listed],
+                "class": kinds[s.kind] if 0 <= s.kind < len(kinds) else "",
+            }
+            for s in host.node.servers.values()
+            if s.id in dials and s.listed != Listed.GONE
+        ]
         return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
 
     def _take(self, taken: Taken) -> None:
@@ -189,9 +225,14 @@
             self.log(f"a list from {taken.source[0]}:{taken.source[1]} is wrong: {why}")
             return
         self.count("members.lists_taken")
-        self.log(f"list {version} from {taken.source[0]}:{taken.source[1]}, {taken.age:.0f} ms old, "
-                 f"servers {len(entries)}")  # fmt: skip
-        self.version, self.waiting = version, (entries, {id: self._found(at) for id, at in dials.items()})
+        self.log(
+            f"list {version} from {taken.source[0]}:{taken.source[1]}, {taken.age:.0f} ms old, "
+            f"servers {len(entries)}"
+        )
+        self.version, self.waiting = (
+            version,
+            (entries, {id: self._found(at) for id, at in dials.items()}),
+        )
         self._give()
 
     def _found(self, told: str) -> str:
@@ -202,8 +243,9 @@
 
     def _give(self) -> None:
         """The node serves by a member's list until discovery tells one."""
-        # Danger: a call that is out asked for changes since the list of before; they would be put on this
-        # one, and what it has wrong would stay. Once it has failed, the next asks for the whole.
+        # Danger: a call that is out asked for changes since the list of before; they would be put
+        # on this one, and what it has wrong would stay. Once it has failed, the next asks for the
+        # whole.
         if self.waiting is None or self.node.discovery.current is not None:
             return
         (entries, dials), self.waiting = self.waiting, None
@@ -221,21 +263,27 @@
     def lines(self) -> list[str]:
         """The view for on-call staff: its version, then a line a member."""
         view, now = self.members.view, self.clock.now()
-        found = [f"view={view.version} members={len(view.members)} part={view.part:.2f} "
-                 f"slow={self.members.slow}"]  # fmt: skip
+        found = [
+            f"view={view.version} members={len(view.members)} part={view.part:.2f} "
+            f"slow={self.members.slow}"
+        ]
         for name in sorted(self.members.members):
             m = self.members.members[name]
             r = m.record
             by = f" by={r.accuser}" if r.accuser else ""
             held = " flapping" if name not in view.members and r.state == 0 else ""
-            found.append(f"{name} {r.state.name.lower()}{held} for={max(0.0, now - m.since) / 1000:.1f}s "
-                         f"incarnation={r.incarnation} at={r.address[0]}:{r.address[1]}{by}")  # fmt: skip
+            found.append(
+                f"{name} {r.state.name.lower()}{held} for={max(0.0, now - m.since) / 1000:.1f}s "
+                f"incarnation={r.incarnation} at={r.address[0]}:{r.address[1]}{by}"
+            )
         return found
 
 
 def attach(told: Settings, node: Any) -> Port:  # noqa: ANN401
     """A node becomes a member as it serves, and says goodbye as it leaves."""
     d = node.post.deployment
-    port = Port(told, node.post.name, d.seed, node.clock, node.logger.info, node.host.counters.add, node)
+    port = Port(
+        told, node.post.name, d.seed, node.clock, node.logger.info, node.host.counters.add, node
+    )
     node.peers = port
     return port
--- a/hookpitch/members/state.py
+++ b/hookpitch/members/state.py
@@ -1,19 +1,28 @@
-"""Who is in the fleet, as one member knows it: probes, suspicion, gossip. No I/O, no clock; times are told.
+"""Who is in the fleet, as one member knows it: probes, suspicion, gossip. No I/O, no clock; times
+are told.
 
-The ground is SWIM (indirect probes, suspicion that its subject refutes, gossip carried by the probes) with
-Lifeguard's three changes (a member that is itself slow trusts itself less; a suspicion ends sooner when
-others confirm it; a suspect is told so by whoever probes it). What was added, and why: docs/members.md.
+The ground is SWIM (indirect probes, suspicion that its subject refutes, gossip carried by the
+probes) with
+Lifeguard's three changes (a member that is itself slow trusts itself less; a suspicion ends sooner
+when
+others confirm it; a suspect is told so by whoever probes it). What was added, and why:
+docs/members.md.
 
 Invariants, asserted where they are cheap and checked by the tests' explorer:
 
 - an incarnation in a record never falls, and only its owner raises one (`_refute`, `_begin`);
-- of two records of one member the one with the higher incarnation goes; of equal ones the worse state
-  (ALIVE < SUSPECTED < DEAD, LEFT): what was told dead at an incarnation does not return at that one;
-- a member is suspected for at least `SUSPECT_MS` of this member's own running time before it is called dead
+- of two records of one member the one with the higher incarnation goes; of equal ones the worse
+  state
+  (ALIVE < SUSPECTED < DEAD, LEFT): what was told dead at an incarnation does not return at that
+  one;
+- a member is suspected for at least `SUSPECT_MS` of this member's own running time before it is
+  called dead
   here; time in which this member was stopped, or its loop stood, is not counted;
-- one probe a period, twice at most, `INDIRECT` wishes a probe, `GOSSIP_MOST` records a datagram, at any size.
+- one probe a period, twice at most, `INDIRECT` wishes a probe, `GOSSIP_MOST` records a datagram,
+  at any size.
 
-A caller tells `tick(now)` at `due` and `heard(now, source, message)`, and sends what `out` holds: addresses
+A caller tells `tick(now)` at `due` and `heard(now, source, message)`, and sends what `out` holds:
+addresses
 with messages. Times are milliseconds.
 """
 
@@ -28,12 +37,17 @@
 
 PERIOD_MS = 500.0  # one probe in each
 DIRECT_MS = 200.0  # for an answer, before others are asked to probe
-TRIES = 2  # probes in a row that are not answered, each with its detours, before a member is accused
+TRIES = (
+    2  # probes in a row that are not answered, each with its detours, before a member is accused
+)
 INDIRECT = 4  # others that are asked
-SUSPECT_MS = 3300.0  # the shortest suspicion: longer than a pause of 2 s and the refutation's way through 400
+# the shortest suspicion: longer than a pause of 2 s and the refutation's way through 400
+SUSPECT_MS = 3300.0
 SUSPECT_LONGEST = 2.0  # times as long, where nobody else confirms it
 CONFIRMED = 2  # others that suspect the same; from here on the shortest
-SLOW_MOST = 4  # the most by which a member trusts itself less: its times are 1 + this many times as long
+SLOW_MOST = (
+    4  # the most by which a member trusts itself less: its times are 1 + this many times as long
+)
 DEAF_MS = 3000.0  # with no datagram from anybody: what others refuted meanwhile has not been heard
 LATE_MS = 250.0  # a tick so much late: this member was stopped, or its loop stands
 REPEAT = 3.0  # times log2 of the fleet that a change is told on
@@ -41,15 +55,28 @@
 GOSSIP_MOST = 10  # records in one datagram
 SYNC_MS = (1000.0, 16000.0)  # between two comparisons of all that is known; less where it differs
 SYNC_MOST = 12  # records in each datagram of one
-MARKS = 32  # parts of all that is known that are compared by themselves, so that only what differs is told
+# parts of all that is known that are compared by themselves, so that only what differs is told
+MARKS = 32
 REACH_MS = 5000.0  # between two tries to reach one that is dead, or a seed, in case a cut has ended
 KEPT_MS = 600000.0  # a dead or left member's record, so that older news of it changes nothing
-FLAPS, FLAP_MS = 3, 60000.0  # so many returns in so long, and a member is left out of views (`flapping`),
+FLAPS, FLAP_MS = (
+    3,
+    60000.0,
+)  # so many returns in so long, and a member is left out of views (`flapping`),
 HELD_MS = 30000.0  # until it has been well for so long
-VAIN, VAIN_MS = 3, 180000.0  # so many refuted accusations of one by one in so long: its way there is cut,
+VAIN, VAIN_MS = (
+    3,
+    180000.0,
+)  # so many refuted accusations of one by one in so long: its way there is cut,
 SPARED_MS = 120000.0  # and it leaves that one to others for so long
-CLASHES, CLASH_MS = 3, 10000.0  # that another claims this member's name in so long: this one falls silent
-QUIET_MS, LONGEST_MS = 1000.0, 5000.0  # a view changes once nothing has for so long, or so long at most
+CLASHES, CLASH_MS = (
+    3,
+    10000.0,
+)  # that another claims this member's name in so long: this one falls silent
+QUIET_MS, LONGEST_MS = (
+    1000.0,
+    5000.0,
+)  # a view changes once nothing has for so long, or so long at most
 MEMBERS_MOST = 2000  # records that are kept
 FACT_MOST = 64  # bytes
 DATA_MOST = 1000  # bytes
@@ -85,16 +112,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram: a probe, an answer, a wish that another be probed, news alone, or a digest. `number` ties
+    """One datagram: a probe, an answer, a wish that another be probed, news alone, or a digest.
+    `number` ties
     an answer to its probe; `of` names who is to be probed, or was."""
 
-    kind: str  # probe, answer, ask, news, digest (the number tells of all that its sender knows), wish, list
+    # probe, answer, ask, news, digest (the number tells of all that its sender knows), wish, list
+    kind: str
     sender: str
     number: int = 0
     of: str = ""
     news: tuple[Record, ...] = ()
     whole: bool = False  # the sender tells all that it knows, and wants to be told
-    marks: tuple[int, ...] = ()  # of each part of what it knows; then only parts that differ are meant
+    marks: tuple[
+        int, ...
+    ] = ()  # of each part of what it knows; then only parts that differ are meant
     data: bytes = b""  # of a wish for a list, or of a part of one (`lists.py`)
 
 
@@ -112,7 +143,8 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """What users act on: a version, who is in the fleet, and which part of the last full fleet that is."""
+    """What users act on: a version, who is in the fleet, and which part of the last full fleet
+    that is."""
 
     version: int
     members: tuple[str, ...]
@@ -131,11 +163,25 @@
 
 
 class Members:
-    def __init__(self, now: float, name: str, address: Address, seeds: tuple[Address, ...],
-                 chance: Callable[[], float], log: Callable[[str], None] = str) -> None:  # fmt: skip
-        self.name, self.address, self.seeds, self.chance, self.log = name, address, seeds, chance, log
+    def __init__(
+        self,
+        now: float,
+        name: str,
+        address: Address,
+        seeds: tuple[Address, ...],
+        chance: Callable[[], float],
+        log: Callable[[str], None] = str,
+    ) -> None:
+        self.name, self.address, self.seeds, self.chance, self.log = (
+            name,
+            address,
+            seeds,
+            chance,
+            log,
+        )
         self.out: list[tuple[Address, Message]] = []
-        # After another process under its name it is new, by this draw or by what it is told, by no clock.
+        # After another process under its name it is new, by this draw or by what it is told, by no
+        # clock.
         first = Record(name, address, 1 + int(chance() * FIRST_MOST), State.ALIVE)
         self.members: dict[str, Member] = {name: Member(first, now)}
         self.counts: dict[str, int] = {}
@@ -145,14 +191,22 @@
         self._watched: dict[str, None] = {}  # who is not simply alive
         self._news: dict[str, int] = {}  # by member: how often its record has been told on
         self._probe: _Probe | None = None
-        self._wishes: dict[int, tuple[float, Address, int]] = {}  # probes for others: until, whom to tell
+        self._wishes: dict[
+            int, tuple[float, Address, int]
+        ] = {}  # probes for others: until, whom to tell
         self._number = int(chance() * 1e6)
-        self._last, self._stopped = now, 0.0  # the last tick; for how long this member has not run, in all
+        self._last, self._stopped = (
+            now,
+            0.0,
+        )  # the last tick; for how long this member has not run, in all
         self.due = now + PERIOD_MS * chance()
         self._sync_at, self._reach_at, self._sync_span = now, now, SYNC_MS[0]
         self._clashes: deque[float] = deque(maxlen=CLASHES)
         self._heard_at = now  # from anybody
-        self._changed_at, self._unsettled = now, FAR  # the last change, and the first that no view has
+        self._changed_at, self._unsettled = (
+            now,
+            FAR,
+        )  # the last change, and the first that no view has
         self._full = 1
         self.view = View(0, (name,), 1.0)
 
@@ -163,13 +217,16 @@
         return m.record.state if m is not None else None
 
     def alive(self) -> list[str]:
-        """All that are in the fleet as far as is known, suspects among them: they are not dead yet."""
+        """All that are in the fleet as far as is known, suspects among them: they are not dead
+        yet."""
         return sorted(n for n, m in self.members.items() if m.record.state <= State.SUSPECTED)
 
     def digest(self) -> int:
         """Of all that is known: equal where two members know the same."""
-        known = sorted((n, m.record.incarnation, int(m.record.state), m.record.count)
-                       for n, m in self.members.items())  # fmt: skip
+        known = sorted(
+            (n, m.record.incarnation, int(m.record.state), m.record.count)
+            for n, m in self.members.items()
+        )
         return crc32(repr(known).encode())
 
     def marks(self) -> tuple[int, ...]:
@@ -199,7 +256,8 @@
     # ---- time
 
     def tick(self, now: float) -> None:
-        """At `due`, or later. Danger: a member that was stopped finds everybody silent: it is the one."""
+        """At `due`, or later. Danger: a member that was stopped finds everybody silent: it is the
+        one."""
         late = now - max(self.due, self._last)
         if late > LATE_MS:
             self._count("late")
@@ -215,7 +273,11 @@
             return
         scale = 1 + self.slow
         probe = self._probe
-        if probe is not None and not (probe.waited or probe.answered) and now >= probe.at + DIRECT_MS * scale:
+        if (
+            probe is not None
+            and not (probe.waited or probe.answered)
+            and now >= probe.at + DIRECT_MS * scale
+        ):
             probe.waited = True
             probe.asked = tuple(self._some(INDIRECT, (probe.of,)))
             target = self.members[probe.of].record
@@ -227,8 +289,9 @@
             if probe is None or probe.answered:
                 self._begin_probe(now)
             elif probe.tries < TRIES and self.state_of(probe.of) == State.ALIVE:
-                # Danger: with a fifth of the datagrams lost, one probe in sixty is not answered by chance,
-                # and each false accusation and its refutation are told round the whole fleet.
+                # Danger: with a fifth of the datagrams lost, one probe in sixty is not answered by
+                # chance, and each false accusation and its refutation are told round the whole
+                # fleet.
                 self._begin_probe(now, probe)
             else:
                 self.slow = min(SLOW_MOST, self.slow + 1)
@@ -267,14 +330,18 @@
             self.due = max(now + 1.0, min(next_, self.due))
 
     def _begin_probe(self, now: float, again: _Probe | None = None) -> None:
-        """The next of a round in drawn order, so that each is met once a round; or the same one `again`."""
+        """The next of a round in drawn order, so that each is met once a round; or the same one
+        `again`."""
         self._probe = None
         if again is not None:
             self._order.append(again.of)
         while True:
             if not self._order:
-                some = [n for n, m in self.members.items()
-                        if n != self.name and m.record.state <= State.SUSPECTED]  # fmt: skip
+                some = [
+                    n
+                    for n, m in self.members.items()
+                    if n != self.name and m.record.state <= State.SUSPECTED
+                ]
                 if not some:
                     return
                 self._order = sorted(some, key=lambda _: self.chance())
@@ -289,14 +356,16 @@
         self._say(name, Message("probe", self.name, self._number, name, told))
 
     def _patience(self, m: Member) -> float:
-        """How long a suspicion lasts: longer while few share it, and for a member that trusts itself less."""
+        """How long a suspicion lasts: longer while few share it, and for a member that trusts
+        itself less."""
         confirmed = min(CONFIRMED, max(0, len(m.accusers) - 1))
         spare = 1 - log(confirmed + 1) / log(CONFIRMED + 1)
         grown = max(1.0, log2(max(2, len(self.members))) / 9)  # SUSPECT_MS is meant for up to 512
         return SUSPECT_MS * grown * (1 + (SUSPECT_LONGEST - 1) * spare) * (1 + self.slow / 2)
 
     def _accuse(self, now: float, name: str, asked: tuple[str, ...] = ()) -> None:
-        """No answer to this member's own probes, nor by the detours through those that were asked."""
+        """No answer to this member's own probes, nor by the detours through those that were
+        asked."""
         m = self.members.get(name)
         if m is None or m.record.state > State.SUSPECTED:
             return
@@ -317,7 +386,8 @@
             return
         sender = self.members.get(message.sender)
         if now - self._heard_at > DEAF_MS:
-            # Danger: those who refuted long since, unheard, are called dead just as they are heard again.
+            # Danger: those who refuted long since, unheard, are called dead just as they are heard
+            # again.
             self._count("deaf")
             for name in self._watched:
                 self.members[name].since = now
@@ -325,21 +395,33 @@
         if sender is not None:
             sender.seen = now
         for record in message.news:
-            self._path = f"told by {message.sender}" if record.accuser not in ("", message.sender) else ""
+            self._path = (
+                f"told by {message.sender}" if record.accuser not in ("", message.sender) else ""
+            )
             self._take(now, record)
             self._path = ""
             known = sender.record.incarnation if sender is not None else 0
             if record.name == message.sender and known > record.incarnation:
-                # A new process under that name, which does not know what the one before it had come to.
+                # A new process under that name, which does not know what the one before it had come
+                # to.
                 self._post(source, Message("news", self.name, news=(sender.record,)))
-        # Danger: one that was stopped suspects what has been refuted meanwhile, and that is told no more.
-        newer = tuple(self.members[r.name].record for r in message.news
-                      if r.state in (State.SUSPECTED, State.DEAD) and r.name in self.members
-                      and r.incarnation < self.members[r.name].record.incarnation)  # fmt: skip
+        # Danger: one that was stopped suspects what has been refuted meanwhile, and that is told no
+        # more.
+        newer = tuple(
+            self.members[r.name].record
+            for r in message.news
+            if r.state in (State.SUSPECTED, State.DEAD)
+            and r.name in self.members
+            and r.incarnation < self.members[r.name].record.incarnation
+        )
         if newer:
             self._count("corrected")
             self._post(source, Message("news", self.name, news=newer[:GOSSIP_MOST]))
-        back = sender.record.address if sender is not None and sender.record.address == source else source
+        back = (
+            sender.record.address
+            if sender is not None and sender.record.address == source
+            else source
+        )
         if message.kind == "probe":
             if message.of != self.name:  # meant for one that was here before
                 self._count("misdirected")
@@ -459,10 +541,15 @@
                 at = f"{r.address[0]}:{r.address[1]}"
                 self.log(f"another member is named {self.name}, at {at}: this one is silent")
                 return
-        same = (r.incarnation, r.state, r.address) == (mine.record.incarnation, State.ALIVE, self.address)
+        same = (r.incarnation, r.state, r.address) == (
+            mine.record.incarnation,
+            State.ALIVE,
+            self.address,
+        )
         if r.incarnation < mine.record.incarnation or same:
             return
-        # What is said of this member at its incarnation or a later one, a former process's among it.
+        # What is said of this member at its incarnation or a later one, a former process's among
+        # it.
         self._count("refuted")
         if r.state == State.SUSPECTED:
             self.slow = min(SLOW_MOST, self.slow + 1)
@@ -497,15 +584,19 @@
     def _post(self, to: Address, message: Message) -> None:
         mine = self.members[self.name].record
         known = {r.name for r in message.news}
-        more = tuple(r for r in self._gossip(GOSSIP_MOST - len(message.news) - 1) if r.name not in known)
+        more = tuple(
+            r for r in self._gossip(GOSSIP_MOST - len(message.news) - 1) if r.name not in known
+        )
         first = () if self.name in known | {r.name for r in more} else (mine,)
         self.out.append((to, replace(message, news=(message.news + first + more)[:GOSSIP_MOST])))
 
     def _all(self, to: Address, whole: bool, marks: tuple[int, ...] = ()) -> None:
-        """All that is known, or of it the parts that differ from `marks`, in datagrams of bounded size."""
+        """All that is known, or of it the parts that differ from `marks`, in datagrams of bounded
+        size."""
         records, mine = [m.record for m in self.members.values()], ()
         if len(marks) == MARKS:
-            # Danger: with datagrams lost, two members never know the same, and all was told each time.
+            # Danger: with datagrams lost, two members never know the same, and all was told each
+            # time.
             mine = self.marks()
             records = [r for r in records if mine[part(r.name)] != marks[part(r.name)]]
         for at in range(0, max(1, len(records)) if whole else len(records), SYNC_MOST):
@@ -514,17 +605,23 @@
             self.out.append((to, Message("news", self.name, news=some, whole=first, marks=told)))
 
     def _reach(self) -> None:
-        """One that is dead, or a seed that is not known: a cut may have ended, a fleet may be met."""
+        """One that is dead, or a seed that is not known: a cut may have ended, a fleet may be
+        met."""
         dead = [m.record.address for m in self.members.values() if m.record.state == State.DEAD]
-        known = {m.record.address for m in self.members.values() if m.record.state <= State.SUSPECTED}
+        known = {
+            m.record.address for m in self.members.values() if m.record.state <= State.SUSPECTED
+        }
         far = [a for a in (*self.seeds, *dead) if a not in known]
         if far:
             to = far[int(self.chance() * len(far)) % len(far)]
             self._post(to, Message("news", self.name, whole=True))
 
     def _some(self, most: int, but: tuple[str, ...]) -> list[str]:
-        some = [n for n, m in self.members.items()
-                if n != self.name and n not in but and m.record.state == State.ALIVE]  # fmt: skip
+        some = [
+            n
+            for n, m in self.members.items()
+            if n != self.name and n not in but and m.record.state == State.ALIVE
+        ]
         return sorted(some, key=lambda _: self.chance())[:most]
 
     # ---- the view
@@ -533,9 +630,13 @@
         self._changed_at, self._unsettled = now, min(self._unsettled, now)
 
     def _settle(self, now: float) -> None:
-        # Danger: a change in the very moment of a settling, or the first after a long calm: the one was
-        # never in a view, and the other in one of its own, before the rest of what fails with it.
-        if now < min(self._changed_at + QUIET_MS, self._unsettled + LONGEST_MS) or self._unsettled == FAR:
+        # Danger: a change in the very moment of a settling, or the first after a long calm: the one
+        # was never in a view, and the other in one of its own, before the rest of what fails with
+        # it.
+        if (
+            now < min(self._changed_at + QUIET_MS, self._unsettled + LONGEST_MS)
+            or self._unsettled == FAR
+        ):
             return
         self._unsettled = FAR
         who = tuple(n for n in self.alive() if self.members[n].held == -FAR)
--- a/hookpitch/net/__init__.py
+++ b/hookpitch/net/__init__.py
@@ -1,1 +1,2 @@
-"""The node's sockets, on Twisted. Each file has one job; what is decided comes from the core's host."""
+"""The node's sockets, on Twisted. Each file has one job; what is decided comes from the core's
+host."""
--- a/hookpitch/net/caches.py
+++ b/hookpitch/net/caches.py
@@ -1,4 +1,5 @@
-"""Connections to the caches and the origin: a pool for each, one RPC at a time on each connection."""
+"""Connections to the caches and the origin: a pool for each, one RPC at a time on each
+connection."""
 
 from __future__ import annotations
 
@@ -77,7 +78,9 @@
         if self.tx is not None:
             self.whole()
 
-    def over(self, outcome: Outcome, value: bytes | None = None, load: str = "", reuse: bool = True) -> None:
+    def over(
+        self, outcome: Outcome, value: bytes | None = None, load: str = "", reuse: bool = True
+    ) -> None:
         """The transmission is over; the connection is free for the next."""
         tx, self.tx = self.tx, None
         pools = self.pool.pools
@@ -85,7 +88,8 @@
         if reuse and not self.waiting:
             self.pool.free(self)
         else:
-            # Danger: an answer without an end is out as long as its connection, beside the next copy.
+            # Danger: an answer without an end is out as long as its connection, beside the next
+            # copy.
             self.abort_now()
         if tx is None:
             return
@@ -99,7 +103,8 @@
         pools.host.tx_over(now, tx, outcome, value, values, age)
 
     def spoilt(self, why: str) -> None:
-        """What came cannot be read: the RPC may have run, and the connection is of no further use."""
+        """What came cannot be read: the RPC may have run, and the connection is of no further
+        use."""
         if self.tx is not None:
             self.pool.pools.host.odd("answers", why)
         self.over(Outcome.SPOILT, reuse=False)
@@ -111,13 +116,16 @@
         pools.host.connections.free(self.number)
         self.pool.gone(self)
         if tx is not None:
-            # Danger: taken for never sent, an RPC that ran would run twice. Only what stands in our own ring
-            # was surely not written whole.
+            # Danger: taken for never sent, an RPC that ran would run twice. Only what stands in our
+            # own ring was surely not written whole.
             whole = not self.waiting
             if whole:
-                # Danger: a machine that was cut off resets all connections from before, RPC after RPC.
+                # Danger: a machine that was cut off resets all connections from before, RPC after
+                # RPC.
                 self.pool.shut_idle()
-            pools.host.tx_over(pools.clock.now(), tx, Outcome.RESET if whole else Outcome.CONNECT_FAILED)
+            pools.host.tx_over(
+                pools.clock.now(), tx, Outcome.RESET if whole else Outcome.CONNECT_FAILED
+            )
 
 
 class CacheConnection(Connection):
@@ -155,7 +163,8 @@
             except Malformed as fault:
                 return self.spoilt(str(fault))
             if found:
-                # Danger: what comes behind an answer would answer the next RPC. The answer itself is good.
+                # Danger: what comes behind an answer would answer the next RPC. The answer itself
+                # is good.
                 self.passing = False
                 return self._reply(reply, self.tx is not None and self.parser.between)
             if not self.parser.passing:
@@ -165,13 +174,24 @@
             self.passing = True
             if self.paused or not len(self.inward):
                 return
-            self.pool.pools.host.piece(self.pool.pools.clock.now(), self.tx, self.parser.part(CHUNK))
+            self.pool.pools.host.piece(
+                self.pool.pools.clock.now(), self.tx, self.parser.part(CHUNK)
+            )
 
     def _reply(self, reply: Value, alone: bool) -> None:
-        if isinstance(reply, list) and len(reply) == 3 and (reply[0] is None or type(reply[0]) is bytes):
+        if (
+            isinstance(reply, list)
+            and len(reply) == 3
+            and (reply[0] is None or type(reply[0]) is bytes)
+        ):
             load = reply[2].decode("latin-1") if isinstance(reply[2], bytes) else ""
-            self.over(Outcome.MISS if reply[0] is None else Outcome.COMPLETED, reply[0], load, alone)
-        elif isinstance(reply, Fault) and (words := reply.decode("latin-1").split(" "))[0] in ("BUSY", "ERR"):
+            self.over(
+                Outcome.MISS if reply[0] is None else Outcome.COMPLETED, reply[0], load, alone
+            )
+        elif isinstance(reply, Fault) and (words := reply.decode("latin-1").split(" "))[0] in (
+            "BUSY",
+            "ERR",
+        ):
             load = words[-1] if "=" in words[-1] else ""
             self.over(Outcome.FULL if words[0] == "BUSY" else Outcome.ERROR, load=load, reuse=alone)
         else:
@@ -193,7 +213,8 @@
         return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401, N802
-        # Danger: no descriptor or port left here, taken for the server's fault, shuts out all in turn.
+        # Danger: no descriptor or port left here, taken for the server's fault, shuts out all in
+        # turn.
         own = reason.check(ConnectBindError) is not None
         self.pool.dial_over(self, False, Outcome.MOOT if own else Outcome.CONNECT_FAILED)
 
@@ -201,14 +222,18 @@
 class Pool:
     """The connections to one server."""
 
-    def __init__(self, pools: Pools, address: tuple[str, int], connect: Callable[[Pool], Connection]) -> None:
+    def __init__(
+        self, pools: Pools, address: tuple[str, int], connect: Callable[[Pool], Connection]
+    ) -> None:
         self.pools, self.address, self.connect = pools, address, connect
         self.idle: list[Connection] = []  # the latest used last
         self.waiting: deque[Tx] = deque()
         self.dials: dict[_Dial, None] = {}
         self.expiry: Deadline | None = None
         self.started = 0.0
-        self.retired = False  # the server lives elsewhere now, drains or has gone: nothing is kept for it
+        self.retired = (
+            False  # the server lives elsewhere now, drains or has gone: nothing is kept for it
+        )
 
     def carry(self, tx: Tx) -> bool:
         while self.idle:
@@ -288,14 +313,17 @@
             tx = self.waiting.popleft()
             if now < tx.begin_by:
                 return connection.begin(tx)
-            # Danger: rule 2. It was within the time in which its servers know repeats when it was decided on.
+            # Danger: rule 2. It was within the time in which its servers know repeats when it was
+            # decided on.
             self.pools.host.counters.add("tx.begun_too_late")
             self.pools.host.tx_over(now, tx, Outcome.MOOT)
         self.free(connection)
 
     def stop(self) -> None:
-        """Nothing new may be sent there: what waits is decided anew, dials and idle connections end."""
-        # Danger: rules 3 and 4. A dial comes up late, when its server drains, has gone or is cold by now.
+        """Nothing new may be sent there: what waits is decided anew, dials and idle connections
+        end."""
+        # Danger: rules 3 and 4. A dial comes up late, when its server drains, has gone or is cold
+        # by now.
         pools, waiting, self.waiting = self.pools, self.waiting, deque()
         for dial in list(self.dials):
             dial.vain = True
@@ -337,9 +365,21 @@
 class Pools:
     """All pools; `held` counts their descriptors, dials included."""
 
-    def __init__(self, reactor: Any, clock: Clock, host: Host, most: int,  # noqa: ANN401
-                 origin: Callable[[Pool], Connection]) -> None:  # fmt: skip
-        self.reactor, self.clock, self.host, self.most, self.origin = reactor, clock, host, most, origin
+    def __init__(
+        self,
+        reactor: Any,  # noqa: ANN401
+        clock: Clock,
+        host: Host,
+        most: int,  # noqa: ANN401
+        origin: Callable[[Pool], Connection],
+    ) -> None:
+        self.reactor, self.clock, self.host, self.most, self.origin = (
+            reactor,
+            clock,
+            host,
+            most,
+            origin,
+        )
         self.reconfigured()
         self.pools: dict[str, Pool] = {}
         self.held = 0
@@ -369,7 +409,11 @@
 
     def dials(self) -> dict[str, str]:
         """Where each server is dialled."""
-        return {id: f"{host}:{port}" for id, pool in self.pools.items() for host, port in (pool.address,)}
+        return {
+            id: f"{host}:{port}"
+            for id, pool in self.pools.items()
+            for host, port in (pool.address,)
+        }
 
     def stop(self, server: str) -> None:
         """Nothing new may be sent to it, by an operator's word."""
@@ -385,7 +429,8 @@
         for pool in self.pools.values() if self.held >= self.most else ():
             for connection in pool.idle:
                 if not connection.reading:
-                    # Danger: closed a turn later, it holds a descriptor beside the one that takes its place.
+                    # Danger: closed a turn later, it holds a descriptor beside the one that takes
+                    # its place.
                     pool.shut(connection, at_once=True)
                     return True
         return self.held < self.most
@@ -410,7 +455,8 @@
                     old.stop()
                 self.pools[e.id] = new
             elif old.started != e.started_ms:
-                old.stop()  # Danger: connections to the process before, silent if its machine vanished.
+                # Danger: connections to the process before, silent if its machine vanished.
+                old.stop()
             self.pools[e.id].started, self.pools[e.id].retired = e.started_ms, False
         if kind != ListKind.DELTA:
             listed = {e.id for e in entries}
@@ -418,7 +464,8 @@
                 self._forget(id)
 
     def _forget(self, id: str) -> None:
-        """Danger: with servers ever new, their pools would pile up. What is out there ends by itself."""
+        """Danger: with servers ever new, their pools would pile up. What is out there ends by
+        itself."""
         pool = self.pools.pop(id)
         pool.retired = True
         pool.stop()
--- a/hookpitch/net/clients.py
+++ b/hookpitch/net/clients.py
@@ -20,16 +20,20 @@
 from hookpitch.net.wire import CHUNK, Wire
 
 WORDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
-# Danger: what stands unread in the kernel is taken all the same, and its time runs. Read late, it would be
-# sent after its deadline. So these bounds lie far beyond what a client has out in earnest.
-UNREAD_MOST = 1 << 23  # bytes of answers that a client may leave unread before its RPCs wait as well
+# Danger: what stands unread in the kernel is taken all the same, and its time runs. Read late, it
+# would be sent after its deadline. So these bounds lie far beyond what a client has out in earnest.
+UNREAD_MOST = (
+    1 << 23
+)  # bytes of answers that a client may leave unread before its RPCs wait as well
 DUE_MOST = 4096  # commands of one client in work
 SILENT_MS = 2500.0  # a first command, or one begun, has to be whole by then
 IDLE_MS = 2000.0  # a connection on which nothing is asked is kept for so long at the least
 DRAINED_MS = 1000.0  # in a drain, one that has not asked yet
 SWEEP_MS = 250.0
 BATCH = 32  # commands taken at a time, before others have their turn
-GUEST_MS = 100.0  # a connection beyond the room is kept for so long, for its first command to be answered
+GUEST_MS = (
+    100.0  # a connection beyond the room is kept for so long, for its first command to be answered
+)
 PROGRESS = 4096  # bytes of a large value, which show that its client is not silent
 LAST_MS = 5000.0  # for the last answers of a connection that ends to be read
 LINGER_MS = 100.0  # between the end of the sending and the close, for the last answer to arrive
@@ -52,10 +56,14 @@
         self.rpcs: dict[int, Rpc] = {}  # open ones, by their place's id
         self.number = -1
         self.ending = self.lost = self.guest = False  # ending: nothing more is read
-        self.finished = self.peer_done = False  # our sending has ended, too; so has the client's, all read
+        self.finished = self.peer_done = (
+            False  # our sending has ended, too; so has the client's, all read
+        )
         self._taking = self.asked = self.parting = False  # asked: a whole command has come
         self.parted = False  # has ended its sending, as seen when what it sent was read
-        self.since = 0.0  # the last answer, or the first byte of a command; at first the connection itself
+        self.since = (
+            0.0  # the last answer, or the first byte of a command; at first the connection itself
+        )
         self.heard = 0.0  # the latest byte
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -122,13 +130,21 @@
 
     def _last(self) -> None:
         """In a drain nothing is read any more, once no command stands in part."""
-        # Danger: a pipeline that never rests is never ended; what is read after the end of sending is lost.
-        if self.clients.draining and self.asked and self.due and not self.ending and self.parser.between:
+        # Danger: a pipeline that never rests is never ended; what is read after the end of sending
+        # is lost.
+        if (
+            self.clients.draining
+            and self.asked
+            and self.due
+            and not self.ending
+            and self.parser.between
+        ):
             self.ending = True
             self.pauseProducing()
 
     def file(self) -> None:
-        """Into the line of those from which one is chosen to give way: the longest silent stands first."""
+        """Into the line of those from which one is chosen to give way: the longest silent stands
+        first."""
         clients = self.clients
         clients.idle.pop(self, None)
         clients.quiet.pop(self, None)
@@ -151,7 +167,8 @@
                 if len(self.due) >= DUE_MOST:
                     self.host.counters.add("clients.paused")
                     self.pauseProducing()
-        # Danger: hundreds of commands that came at once keep all deadlines waiting until each was decided.
+        # Danger: hundreds of commands that came at once keep all deadlines waiting until each was
+        # decided.
         self.clients.clock.deadlines.add(self.clients.clock.now(), lambda _: self.came())
 
     def _say(self, answer: bytes) -> None:
@@ -251,7 +268,8 @@
         if self.head is not stream:
             place[0] = b"-ERR failed\r\n"  # nothing of it has passed
         else:
-            # Danger: a client that cannot tell would take what comes next for the rest of the value.
+            # Danger: a client that cannot tell would take what comes next for the rest of the
+            # value.
             self.head, self.ending = None, True
             self.due.clear()
         if not self.lost:
@@ -261,7 +279,11 @@
         while self.due and self.due[0][0] is not None:
             self.put(self.due.popleft()[0])
             self.clients.touch(self)
-        if self.due and self.head is None and (stream := self.streams.get(id(self.due[0]))) is not None:
+        if (
+            self.due
+            and self.head is None
+            and (stream := self.streams.get(id(self.due[0]))) is not None
+        ):
             self._begin(stream)
         if len(self.outward) > UNREAD_MOST:
             if not self.paused and not self.ending:
@@ -297,7 +319,8 @@
         return not self.due and not len(self.outward) and not self.ending and self.parser.between
 
     def _end(self) -> None:
-        # Danger: a command that has come in part is a client that waits: a node that leaves reads it first.
+        # Danger: a command that has come in part is a client that waits: a node that leaves reads
+        # it first.
         if self.lost:
             return
         if self.ending and not self.due and not len(self.outward):
@@ -307,7 +330,8 @@
             self.clients.clock.deadlines.add(self.clients.clock.now(), self._part)
 
     def part_now(self, now: float) -> None:
-        """The turn of an idle connection has come; one that is in use is closed once it is answered."""
+        """The turn of an idle connection has come; one that is in use is closed once it is
+        answered."""
         self.parting = False
         self.drained()
 
@@ -321,7 +345,8 @@
                 self.finish()
 
     def finish(self) -> None:
-        """All that is owed was written: the sending ends in this very turn, the connection a moment later."""
+        """All that is owed was written: the sending ends in this very turn, the connection a
+        moment later."""
         # Danger: a close over unread bytes resets the connection, and the last answer goes with it.
         self.ending = True
         if self.finished or (self._flowing and self._plain is not None):
@@ -337,7 +362,9 @@
         self.host.client_left(self.clients.clock.now(), list(self.rpcs.values()), reads=True)
         self.peer_done = True
         with suppress(Malformed):
-            while not self.ending and self.parser.next()[0]:  # not begun yet, and nothing is sent any more
+            while (
+                not self.ending and self.parser.next()[0]
+            ):  # not begun yet, and nothing is sent any more
                 self._say(b"-ERR failed\r\n")
         self.ending = True
         self._flush()
@@ -364,17 +391,23 @@
 class Clients(Factory):
     noisy = False
 
-    def __init__(self, host: Host, clock: Clock, most: int, memory: int, room: int, guests: int) -> None:
-        """From `most` connections on idle ones give way; beyond `room` newcomers are guests, so many at once.
+    def __init__(
+        self, host: Host, clock: Clock, most: int, memory: int, room: int, guests: int
+    ) -> None:
+        """From `most` connections on idle ones give way; beyond `room` newcomers are guests, so
+        many at once.
         `memory`: bytes that unread answers may hold."""
         self.host, self.clock, self.most, self.memory, self.room = host, clock, most, memory, room
         self.open: dict[Client, None] = {}  # the one that was answered last stands last
-        # Nothing is in work on these, the longest silent first: between RPCs, and without a whole one yet.
+        # Nothing is in work on these, the longest silent first: between RPCs, and without a whole
+        # one yet.
         self.idle, self.quiet = dict[Client, None](), dict[Client, None]()
         self.guests, self.streams = guests, 0  # streams: answers that pass in pieces now
         clock.deadlines.add(clock.now() + SWEEP_MS, self.sweep)
         self.leaving: Callable[[], None] | None = None
-        self.draining = self.paused = False  # draining: what is idle is closed; paused: `PING` says no
+        self.draining = self.paused = (
+            False  # draining: what is idle is closed; paused: `PING` says no
+        )
         self.over = False  # no time is left to send anything on
 
     def buildProtocol(self, addr: Any) -> Client:  # noqa: ANN401, N802
@@ -399,16 +432,18 @@
                 return self.close(client, "closed_idle")
         if len(self.open) <= self.room:
             return
-        # Danger: hundreds that send half of a request in the place of true ones. A slow but honest client
-        # goes on writing, so the one that has been silent for longest gives way, not the one that came first.
+        # Danger: hundreds that send half of a request in the place of true ones. A slow but honest
+        # client goes on writing, so the one that has been silent for longest gives way, not the one
+        # that
+        # came first.
         for client in islice(self.quiet, LOOKED_AT):
             if client.heard > newcomer.heard - YIELD_MS:
                 break
             if not client.kernel():
                 return self.close(client, "closed_silent")
         if len(self.open) > self.room:
-            # Danger: with no descriptor left, Twisted closes what it accepts, with an RPC on it. A guest is
-            # answered that there is no room, and goes.
+            # Danger: with no descriptor left, Twisted closes what it accepts, with an RPC on it. A
+            # guest is answered that there is no room, and goes.
             newcomer.guest = True
             self.host.counters.add("clients.guests")
             newcomer.transport.doRead()
@@ -419,7 +454,8 @@
                 self.clock.deadlines.add(self.clock.now() + GUEST_MS, lambda _: self.part(newcomer))
 
     def part(self, guest: Client) -> None:
-        """Danger: what has its answer must not wait for another turn with a descriptor that others need."""
+        """Danger: what has its answer must not wait for another turn with a descriptor that others
+        need."""
         if not guest.lost and not guest.due and not len(guest.outward) and guest.parser.between:
             if not guest.ending:
                 self.host.counters.add("clients.closed_silent")
@@ -432,7 +468,8 @@
             self.open[client], client.since = None, self.clock.now()
 
     def sweep(self, now: float) -> None:
-        """Close what never asked or has begun and not gone on, and what is idle where room is short."""
+        """Close what never asked or has begun and not gone on, and what is idle where room is
+        short."""
         self.clock.deadlines.add(now + SWEEP_MS, self.sweep)
         held = len(self.open)
         kept = DRAINED_MS if self.draining else IDLE_MS
@@ -440,7 +477,8 @@
             if client.since > now - kept:
                 break
             if client.ending and not client.due and client.since < now - LAST_MS:
-                client.transport.abortConnection()  # Danger: its end waits for a peer that does not read
+                # Danger: its end waits for a peer that does not read
+                client.transport.abortConnection()
             if client.due or len(client.outward) or client.ending or client.paused:
                 continue
             if self.draining and client.idle and not client.unread():
@@ -448,7 +486,8 @@
                 continue
             silent = not client.asked or not client.parser.between
             if silent and client.since <= now - SILENT_MS and not client.kernel():
-                # Danger: hundreds that connect and say nothing, or half of a command, hold every descriptor.
+                # Danger: hundreds that connect and say nothing, or half of a command, hold every
+                # descriptor.
                 self.close(client, "closed_silent")
             elif not silent and 2 * held > self.most and not client.unread():
                 # Danger: clients that ask once and keep the connection use up what the others need.
@@ -472,16 +511,19 @@
             worst.transport.abortConnection()
 
     def leave(self, done: Callable[[], None], over_ms: float = 0.0) -> None:
-        """Close what is idle, by turns over `over_ms`, the rest once answered; `done` when all are closed."""
+        """Close what is idle, by turns over `over_ms`, the rest once answered; `done` when all are
+        closed."""
         self.leaving = done
         self.drain(silent=True, over_ms=over_ms)
         self.left()
 
     def drain(self, silent: bool = False, over_ms: float = 0.0) -> None:
-        """Close what is idle, by turns over `over_ms`, and what else there is once it is; `silent`: also what
+        """Close what is idle, by turns over `over_ms`, and what else there is once it is;
+        `silent`: also what
         has not asked yet."""
         self.draining, now, held = True, self.clock.now(), list(self.open)
-        # Danger: clients that hear of hundreds of closes at once still write to some of those connections.
+        # Danger: clients that hear of hundreds of closes at once still write to some of those
+        # connections.
         for n, client in enumerate(held):
             client.asked |= silent
             if over_ms and n and client.idle:
--- a/hookpitch/net/clock.py
+++ b/hookpitch/net/clock.py
@@ -1,4 +1,5 @@
-"""The clock: one monotonic clock, its offset to Unix time fixed at the start, and the one wake-up."""
+"""The clock: one monotonic clock, its offset to Unix time fixed at the start, and the one
+wake-up."""
 
 from __future__ import annotations
 
@@ -12,8 +13,12 @@
 class Clock:
     """Tells milliseconds of Unix time that never jump, and runs the deadlines."""
 
-    def __init__(self, reactor: Any, monotonic: Callable[[], float] = time.monotonic,  # noqa: ANN401
-                 unix: Callable[[], float] = time.time) -> None:  # fmt: skip
+    def __init__(
+        self,
+        reactor: Any,  # noqa: ANN401
+        monotonic: Callable[[], float] = time.monotonic,  # noqa: ANN401
+        unix: Callable[[], float] = time.time,
+    ) -> None:
         self._reactor, self._monotonic = reactor, monotonic
         self._offset = unix() - monotonic()
         self._call: Any = None
@@ -36,7 +41,8 @@
         now = self.now()
         by = now - self.deadlines.first
         if by > self.late_ms and self.late is not None:
-            # Danger: after a pause, what came in time stands unread, and its deadline would be seen first.
+            # Danger: after a pause, what came in time stands unread, and its deadline would be seen
+            # first.
             self.late(now, by)
             self._call = self._reactor.callLater(0, self._run_all)
             return
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -1,4 +1,5 @@
-"""Discovery: a watch over HTTP/1.1 that stays open, one JSON object after the other, beats between them."""
+"""Discovery: a watch over HTTP/1.1 that stays open, one JSON object after the other, beats between
+them."""
 
 from __future__ import annotations
 
@@ -23,13 +24,17 @@
 DIALS = 4  # times the time-out of a dial to a server, for one to discovery
 LIST_MOST = 1 << 22  # bytes of one object, where nothing else is said
 PROGRESS = 512  # bytes of an object that comes slowly, which put its watch's silence off
-OLDER_MOST = 3  # times that a discovery which counts lower is heard, beats included, before it is taken
+OLDER_MOST = (
+    3  # times that a discovery which counts lower is heard, beats included, before it is taken
+)
 STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
 
 
-def read(text: bytes | str | Mapping[str, Any], kinds: Sequence[str]
-         ) -> tuple[int, bool, list[Entry], dict[str, str]]:  # fmt: skip
-    """One of discovery's objects: version, whether whole, entries, where to dial them. ValueError if bad."""
+def read(
+    text: bytes | str | Mapping[str, Any], kinds: Sequence[str]
+) -> tuple[int, bool, list[Entry], dict[str, str]]:
+    """One of discovery's objects: version, whether whole, entries, where to dial them. ValueError
+    if bad."""
     try:
         top = text if isinstance(text, Mapping) else json.loads(text)
         entries, dials = [], {}
@@ -44,17 +49,29 @@
                 size=float(1.0 if h.get("share") is None else h["share"]),
             )
             host, _, port = str(h["dial"]).rpartition(":")
-            if not host or not 0 < int(port) < 65536 or not abs(e.started_ms + e.size) < float("inf"):
+            if (
+                not host
+                or not 0 < int(port) < 65536
+                or not abs(e.started_ms + e.size) < float("inf")
+            ):
                 raise ValueError("a bad entry")
             entries.append(e)
             dials[e.id] = h["dial"]
         return int(top["seq"]), bool(top["whole"]), entries, dials
-    except (KeyError, TypeError, ValueError, AttributeError, RecursionError, OverflowError) as fault:
+    except (
+        KeyError,
+        TypeError,
+        ValueError,
+        AttributeError,
+        RecursionError,
+        OverflowError,
+    ) as fault:
         raise ValueError(f"a bad list of servers: {fault!r}") from None
 
 
 def retry_after(headers: Iterable[tuple[bytes, bytes]]) -> float:
-    """The seconds that an HTTP answer asks for before the next call, in ms; 0 where it names none."""
+    """The seconds that an HTTP answer asks for before the next call, in ms; 0 where it names
+    none."""
     words = (value for name, value in headers if name.lower() == b"retry-after")
     value = next(words, b"")
     return min(3600.0, float(value)) * 1000 if value.isdigit() and len(value) < 10 else 0.0
@@ -68,7 +85,9 @@
         self.discovery = discovery
         self.http = h11.Connection(h11.CLIENT)
         self.objects = Documents(discovery.most)
-        self.seen = 0  # bytes of an object that has not come whole, when the silence was last put off
+        self.seen = (
+            0  # bytes of an object that has not come whole, when the silence was last put off
+        )
         self.silence: Deadline | None = None
         self.connector: Any = None
         self.over = False
@@ -115,13 +134,15 @@
                 discovery.told(text)
             else:
                 discovery.beaten()
-        # Danger: half an object, or a byte now and then, tells nothing and would put silence off for good.
+        # Danger: half an object, or a byte now and then, tells nothing and would put silence off
+        # for good.
         if whole or abs(len(self.objects) - self.seen) >= PROGRESS:
             self.seen = len(self.objects)
             self.wait(QUIET_MS)
 
     def end(self, how: Loss | None = Loss.ENDED, after_ms: float = 0.0) -> None:
-        """The watch is lost, or (None) given up for a new one. `after_ms`: not to be asked for sooner."""
+        """The watch is lost, or (None) given up for a new one. `after_ms`: not to be asked for
+        sooner."""
         if self.over:
             return
         self.over = True
@@ -151,10 +172,23 @@
 
 
 class Discovery:
-    def __init__(self, reactor: Any, clock: Clock, host: Host, address: tuple[str, int],  # noqa: ANN401
-                 seq: int, most: int = LIST_MOST) -> None:  # fmt: skip
+    def __init__(
+        self,
+        reactor: Any,  # noqa: ANN401
+        clock: Clock,
+        host: Host,
+        address: tuple[str, int],  # noqa: ANN401
+        seq: int,
+        most: int = LIST_MOST,
+    ) -> None:
         """`most`: bytes of one list or change."""
-        self.reactor, self.clock, self.host, self.address, self.seq = reactor, clock, host, address, seq
+        self.reactor, self.clock, self.host, self.address, self.seq = (
+            reactor,
+            clock,
+            host,
+            address,
+            seq,
+        )
         self.most = most
         self.current: Watch | None = None
         d = host.deployment
@@ -169,7 +203,9 @@
     def begin(self) -> None:
         """From now on it asks when its time has come."""
         self.clock.deadlines.drop(self.due)
-        self.due = self.clock.deadlines.add(self.asking.at, self._due) if self.asking.at < FAR else None
+        self.due = (
+            self.clock.deadlines.add(self.asking.at, self._due) if self.asking.at < FAR else None
+        )
 
     def _due(self, now: float) -> None:
         if self.asking.due(now):
@@ -192,7 +228,8 @@
         watch.wait(DIALS * self.host.deployment.dial_timeout_ms)
 
     def move(self, address: tuple[str, int], anew: bool = False) -> None:
-        """Discovery lives elsewhere now, and may count versions anew; or the list held is to be read anew, as
+        """Discovery lives elsewhere now, and may count versions anew; or the list held is to be
+        read anew, as
         its words mean something else: the whole list is asked for."""
         if address == self.address and self.current is not None and not anew:
             return
@@ -215,10 +252,14 @@
         if self.first is not None:
             self.first()
 
-    def _older(self, seq: int, whole: bool, entries: Sequence[Entry], dials: Mapping[str, str]) -> None:
+    def _older(
+        self, seq: int, whole: bool, entries: Sequence[Entry], dials: Mapping[str, str]
+    ) -> None:
         """Discovery lags, or has begun to count anew."""
-        # Danger: one that lags brings back servers long gone: that waits until it has been heard some times.
-        # Danger: hundreds of nodes that call again each time; the watch stays open, and its beats count.
+        # Danger: one that lags brings back servers long gone: that waits until it has been heard
+        # some times.
+        # Danger: hundreds of nodes that call again each time; the watch stays open, and its beats
+        # count.
         if whole:
             self.anew = {}
         if self.anew is not None:
@@ -227,7 +268,8 @@
                 self.anew.pop(id, None)
         self.lower = seq + 1
         self.host.odd("versions", f"discovery has version {seq}, {self.seq} is held")
-        # It brings none back, but what it takes away is let go at once: rule 3 counts from this telling.
+        # It brings none back, but what it takes away is let go at once: rule 3 counts from this
+        # telling.
         away = [e for e in entries if e.state != State.READY]
         if away:
             self.host.listed(self.clock.now(), ListKind.DELTA, away, dials)
@@ -235,7 +277,8 @@
 
     def beaten(self) -> None:
         """Discovery was heard, and told nothing newer than is held."""
-        # Danger: a watch with beats alone, as nothing has changed, taken for a call that is not answered.
+        # Danger: a watch with beats alone, as nothing has changed, taken for a call that is not
+        # answered.
         self.asking.told()
         self.begin()
         if not self.lower:
@@ -252,7 +295,8 @@
 
     def lost(self, watch: Watch, how: Loss, after_ms: float) -> None:
         if watch is self.current:
-            # What was heard of a discovery that counts lower stays counted; its list may be another's by now.
+            # What was heard of a discovery that counts lower stays counted; its list may be
+            # another's by now.
             self.current, self.anew, self.lower, now = None, None, 0, self.clock.now()
             if not self.asking.failures:
                 self.host.log("discovery lost, asking again")
--- a/hookpitch/net/handover.py
+++ b/hookpitch/net/handover.py
@@ -1,11 +1,15 @@
-"""What the processes of one node must all know, as lines in a file that they share; see docs/design.md.
+"""What the processes of one node must all know, as lines in a file that they share; see
+docs/design.md.
 
-Each call that changes something (a ban, its end, the drain, its end) is a line with its own checksum:
+Each call that changes something (a ban, its end, the drain, its end) is a line with its own
+checksum:
 
     1 SUSPEND s-5be2a07c 6d1f03b2
 
-Lines are appended under a lock, so their order is the same for all readers, and each reader follows from
-where it was. A process holds a lock on a file of its own for as long as it lives, by which the others see it.
+Lines are appended under a lock, so their order is the same for all readers, and each reader
+follows from
+where it was. A process holds a lock on a file of its own for as long as it lives, by which the
+others see it.
 A line that is torn, of another version or wrong is passed over and told once.
 """
 
@@ -65,7 +69,11 @@
             size = os.fstat(self._file).st_size
             if size < self._at:  # written anew by another
                 self._at = 0
-            text = os.pread(self._file, min(size - self._at, READ_MOST), self._at) if size > self._at else b""
+            text = (
+                os.pread(self._file, min(size - self._at, READ_MOST), self._at)
+                if size > self._at
+                else b""
+            )
         except OSError as fault:
             self._odd(str(fault))
             return
@@ -95,7 +103,8 @@
             return False
 
     def shorten(self, calls: list[tuple[str, str]]) -> None:
-        """Where no other process reads it and it has grown, the file holds just these calls from now on."""
+        """Where no other process reads it and it has grown, the file holds just these calls from
+        now on."""
         with contextlib.suppress(OSError), _locked(self._file):
             if os.fstat(self._file).st_size > FILE_MOST and not self.look():
                 data = b"".join(line(*call) for call in calls)
@@ -145,8 +154,8 @@
 
 @contextlib.contextmanager
 def _locked(file: int) -> Iterator[None]:
-    # Danger: a process that was stopped with the lock in hand must not stop this one: the write is one call,
-    # so without the lock only a torn line before it can do harm.
+    # Danger: a process that was stopped with the lock in hand must not stop this one: the write is
+    # one call, so without the lock only a torn line before it can do harm.
     held = False
     with contextlib.suppress(OSError):
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/hookpitch/net/keep.py
+++ b/hookpitch/net/keep.py
@@ -6,9 +6,12 @@
     every_s = 10.0
     oldest_s = 3600.0
 
-A file is written beside the old one, forced to the disk, and put in its place by one rename: a reader sees
-the old or the new one, whole. A thread of its own writes: a disk that stalls must not stop RPCs, and while
-one write is out no other begins. What cannot be read is told in one line, and left where it is until the
+A file is written beside the old one, forced to the disk, and put in its place by one rename: a
+reader sees
+the old or the new one, whole. A thread of its own writes: a disk that stalls must not stop RPCs,
+and while
+one write is out no other begins. What cannot be read is told in one line, and left where it is
+until the
 next write. Invariants: at most one write is out; the file has at most `BYTES_MOST` bytes.
 """
 
@@ -51,13 +54,19 @@
     spans = {}
     for name, least, most in (("every_s", EVERY_LEAST_S, EVERY_MOST_S), ("oldest_s", 1.0, 1e9)):
         value = table.get(name, getattr(Settings(""), name))
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not least <= value <= most
+        ):
             raise ValueError(f"{name}: wants {least:g} to {most:g}")
         spans[name] = float(value)
     try:
         import msgspec  # noqa: F401
     except ImportError:
-        raise ValueError("path: snapshots need msgspec, which comes with hookpitch[snapshot]") from None
+        raise ValueError(
+            "path: snapshots need msgspec, which comes with hookpitch[snapshot]"
+        ) from None
     return Settings(path, fleet, **spans)
 
 
@@ -89,7 +98,9 @@
     beside = f"{path}.new"
     with suppress(FileNotFoundError):  # of a process that died as it wrote
         os.unlink(beside)
-    held = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+    held = os.open(
+        beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600
+    )
     try:
         view = memoryview(data)
         while view:
@@ -129,9 +140,14 @@
 class Keeper:
     """One node's snapshot: recalled at its start, written by turns and as it leaves."""
 
-    def __init__(self, told: Settings, node: SocketNode,
-                 away: Callable[[Callable[[], None], Callable[[str], None]], None]) -> None:  # fmt: skip
-        """`away(work, then)` does the work elsewhere and calls `then` here with why it failed, or nothing."""
+    def __init__(
+        self,
+        told: Settings,
+        node: SocketNode,
+        away: Callable[[Callable[[], None], Callable[[str], None]], None],
+    ) -> None:
+        """`away(work, then)` does the work elsewhere and calls `then` here with why it failed, or
+        nothing."""
         self.told, self.node, self.away = told, node, away
         self.path = told.path.replace("{name}", quote(node.post.name, safe=""))
         self.out, self._failing = False, False
@@ -178,7 +194,9 @@
         if self.out or not node.host.node.servers:
             return
         seq, dials = node.discovery.seq, node.pools.dials()
-        data = write(taken(node.host.node, node.clock.now(), self.told.fleet, node.post.name, seq, dials))
+        data = write(
+            taken(node.host.node, node.clock.now(), self.told.fleet, node.post.name, seq, dials)
+        )
         self.out = True
         self.away(lambda: store(self.path, data), self._over)
 
--- a/hookpitch/net/log.py
+++ b/hookpitch/net/log.py
@@ -16,7 +16,8 @@
 
 
 class _Sink:
-    """Danger: a log that nobody reads or holds any more must not stop the node. Lines are left out."""
+    """Danger: a log that nobody reads or holds any more must not stop the node. Lines are left
+    out."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
--- a/hookpitch/net/management.py
+++ b/hookpitch/net/management.py
@@ -1,6 +1,7 @@
 """The operators' door: one line to a connection, one answer, and the connection ends.
 
-Invariants: at most `CALLERS` connections wait at once, each for `CALL_MS` and with `LINE_MOST` bytes at most;
+Invariants: at most `CALLERS` connections wait at once, each for `CALL_MS` and with `LINE_MOST`
+bytes at most;
 no call's work grows with open RPCs or clients. Words and answers are the operators' page's.
 """
 
@@ -57,7 +58,8 @@
             self.say(NO + b" a line has at most %d bytes" % LINE_MOST)
 
     def say(self, answer: bytes) -> None:
-        """The answer, and the end. What the caller has not read goes with the connection in the end."""
+        """The answer, and the end. What the caller has not read goes with the connection in the
+        end."""
         self.door.open.pop(self, None)
         self.transport.write(answer + b"\n")
         self.transport.loseConnection()
@@ -77,7 +79,10 @@
         self.held = 0  # connections, also those whose answer is still being written
         calls = {b"STATUS": node.ready, b"PAUSE": node.pause, b"RESUME": node.resume}
         self._plain: dict[bytes, Callable[[], str]] = calls
-        self._named: dict[bytes, Callable[[str], str]] = {b"SUSPEND": node.suspend, b"RESTORE": node.restore}
+        self._named: dict[bytes, Callable[[str], str]] = {
+            b"SUSPEND": node.suspend,
+            b"RESTORE": node.restore,
+        }
 
     def buildProtocol(self, addr: Any) -> Caller | None:  # noqa: ANN401, N802
         # Danger: callers that read nothing hold their connection until its time is up.
@@ -99,7 +104,9 @@
         words = line.split()
         name = words[0] if words else b""
         if name == b"METRICS" and len(words) == 1:
-            return b"".join(b"svc.%b=%d\n" % (n.encode(), v) for n, v in self.node.figures()) + b"END"
+            return (
+                b"".join(b"svc.%b=%d\n" % (n.encode(), v) for n, v in self.node.figures()) + b"END"
+            )
         if name == b"MEMBERS" and len(words) == 1:
             lines = self.node.told()
             return "\n".join([*lines, "END"]).encode() if lines else NO + b" no members here"
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -50,13 +50,20 @@
 
 
 class SocketNode:
-    def __init__(self, reactor: Any, clock: Clock, post: Post, counters: Counters,  # noqa: ANN401
-                 logger: Any, cpu: Callable[[], float] = time.process_time) -> None:  # noqa: ANN401  # fmt: skip
+    def __init__(
+        self,
+        reactor: Any,  # noqa: ANN401
+        clock: Clock,
+        post: Post,
+        counters: Counters,  # noqa: ANN401
+        logger: Any,  # noqa: ANN401
+        cpu: Callable[[], float] = time.process_time,
+    ) -> None:  # noqa: ANN401
         """`cpu` tells the CPU time used so far, in seconds."""
         self.reactor, self.clock, self.post, self.logger = reactor, clock, post, logger
         self.host = Host(clock.now(), post.deployment, clock.deadlines, counters, logger)
-        # Half of the descriptors for servers, the rest for clients; some for the log, discovery and the like,
-        # and some for clients that are only told that there is no room.
+        # Half of the descriptors for servers, the rest for clients; some for the log, discovery and
+        # the like, and some for clients that are only told that there is no room.
         own = OWN + (DOOR if post.management is not None else 0)
         third, guests = post.sockets // 3, max(4, post.sockets // 32)
         servers = min(post.sockets // 2, post.sockets - third - guests - own)
@@ -65,7 +72,9 @@
         self.clients = Clients(self.host, clock, third, post.memory_mb << 19, room, guests)
         self.host.held.most = post.memory_mb << 18  # a quarter of the memory
         self.pulse = Pulse(clock, self.host, cpu)
-        self.discovery = Discovery(reactor, clock, self.host, post.discovery, post.seq, post.memory_mb << 15)
+        self.discovery = Discovery(
+            reactor, clock, self.host, post.discovery, post.seq, post.memory_mb << 15
+        )
         self.host.carrier = self.pools
         self.leaving = self.paused = self.up = self.parted = False
         self.pauses = 0  # so far; a drain's later steps are its own
@@ -74,7 +83,9 @@
         self.door = Door(clock, self, counters.add)
         self.shared: Handover | None = None
         self.phases = Start(clock.now())
-        self.peers: Peers | None = None  # its place among the members, where the operator's file has one
+        self.peers: Peers | None = (
+            None  # its place among the members, where the operator's file has one
+        )
         self.keeper: Keeper | None = None  # of a snapshot, where the operator's file has one
         self.processes, self._look = 1, False  # of this node, as last seen; whether to look again
         self.whole = servers, room, self.host.held.most  # what one process alone may hold
@@ -85,9 +96,13 @@
         if self.post.management is not None and self.entry is None:
             # Danger: an operator's call that waits behind hundreds of clients.
             listen = getattr(self.reactor, "listenFirst", self.reactor.listenTCP)
-            self.entry = listen(self.post.management[1], self.door, CALLERS, self.post.management[0])
+            self.entry = listen(
+                self.post.management[1], self.door, CALLERS, self.post.management[0]
+            )
         if self.post.inherited is None:
-            self.port = self.reactor.listenTCP(port, self.clients, backlog=BACKLOG, interface=address)
+            self.port = self.reactor.listenTCP(
+                port, self.clients, backlog=BACKLOG, interface=address
+            )
         self.known(self.post.seq, list(self.post.known), self.post.dials)
         if self.keeper is not None:
             self.keeper.recall()
@@ -100,8 +115,8 @@
             self.discovery.begin()
             self._serve()
             return
-        # Danger: the list that is known may be old, and clients come at once. But a discovery that is down
-        # must not keep the node from serving what it knows.
+        # Danger: the list that is known may be old, and clients come at once. But a discovery that
+        # is down must not keep the node from serving what it knows.
         self.discovery.first = self._serve
         self.discovery.watch(self.clock.now())
         self.clock.deadlines.add(self.clock.now() + FIRST_LIST_MS, lambda _: self._serve())
@@ -118,7 +133,8 @@
             return
         self.up = True
         if self.post.inherited is not None:
-            # Danger: the socket is shared with other processes. It is adopted as it is, and only closed here.
+            # Danger: the socket is shared with other processes. It is adopted as it is, and only
+            # closed here.
             os.set_blocking(self.post.inherited, False)
             family = socket.AF_INET6 if ":" in self.post.listen[0] else socket.AF_INET
             self.port = self.reactor.adoptStreamPort(self.post.inherited, family, self.clients)
@@ -140,7 +156,11 @@
             lacked = phases.lacked or "nothing"
             self.logger.info("start", phase=phases.phase.name.lower(), ms=took, lacked=lacked)
         # Danger: a list of yesterday, in which every server is gone, served by for seconds.
-        vain = not caches or sum(s.failures for s in caches) >= VAIN and not any(s.heard for s in caches)
+        vain = (
+            not caches
+            or sum(s.failures for s in caches) >= VAIN
+            and not any(s.heard for s in caches)
+        )
         if phases.phase == Phase.KNOWN and vain and self.discovery.asking.hurried(now):
             self.discovery.begin()
         if phases.phase != Phase.ORDINARY:
@@ -157,16 +177,22 @@
 
     def figures(self) -> list[tuple[str, int]]:
         counts = self.host.counters.counts
-        by_method = [(f"{name}.{m.name}", counts.get(f"{name}.{m.name}", 0))
-                     for name in ("completed", "rejected", "failed")
-                     for m in self.host.deployment.methods]  # fmt: skip
+        by_method = [
+            (f"{name}.{m.name}", counts.get(f"{name}.{m.name}", 0))
+            for name in ("completed", "rejected", "failed")
+            for m in self.host.deployment.methods
+        ]
         members, out = self.host.members()
-        more = [("upstream_requests", counts.get("upstream_requests", 0)), ("pending", self.host.open),
-                ("members", members), ("members_unavailable", out),
-                ("config_reloads", counts.get("config_reloads", 0)),
-                ("config_reload_errors", counts.get("config_reload_errors", 0)),
-                ("config_changes", counts.get("config_changes", 0)),
-                ("start_phase", int(self.phases.phase))]  # fmt: skip
+        more = [
+            ("upstream_requests", counts.get("upstream_requests", 0)),
+            ("pending", self.host.open),
+            ("members", members),
+            ("members_unavailable", out),
+            ("config_reloads", counts.get("config_reloads", 0)),
+            ("config_reload_errors", counts.get("config_reload_errors", 0)),
+            ("config_changes", counts.get("config_changes", 0)),
+            ("start_phase", int(self.phases.phase)),
+        ]
         return by_method + more
 
     def told(self) -> list[str]:
@@ -197,7 +223,8 @@
         return ""
 
     def _do(self, verb: str, what: str) -> None:
-        """A call, here and in the node's other process, in the order of the file that they share."""
+        """A call, here and in the node's other process, in the order of the file that they
+        share."""
         if self.shared is None or not self.shared.tell(verb, what):
             self._carry_out(verb, what)
         else:
@@ -227,9 +254,12 @@
 
     def _share(self) -> None:
         try:
-            self.shared = Handover(self.post.shared, self.post.name, self.logger.info, self.post.process)
+            self.shared = Handover(
+                self.post.shared, self.post.name, self.logger.info, self.post.process
+            )
         except OSError as fault:
-            # Danger: without the file a ban does not outlast this process. That is told, and the node serves.
+            # Danger: without the file a ban does not outlast this process. That is told, and the
+            # node serves.
             self.logger.info(f"nothing is shared with another process of this node: {fault}")
             return
         if not self.shared.others:
@@ -244,7 +274,8 @@
         self.processes, (servers, room, held) = processes, self.whole
         self.logger.info("processes of this node", count=processes)
         self.host.node.shared_by(self.clock.now(), processes)
-        # Danger: what is open already stays, or clients would be turned back unheard; it only grows no more.
+        # Danger: what is open already stays, or clients would be turned back unheard; it only grows
+        # no more.
         self.pools.most = max(servers // processes, min(servers, self.pools.held))
         self.clients.room = max(room // processes, min(room, len(self.clients.open)))
         self.host.held.most = held // processes
@@ -260,12 +291,15 @@
         if self._look:
             self._among(1 + len(self.shared.look()))
             self._look = self.processes > 1
-        calls = [("SUSPEND", id) for id in self.host.node.bans] + ([("PAUSE", "")] if self.paused else [])
+        calls = [("SUSPEND", id) for id in self.host.node.bans] + (
+            [("PAUSE", "")] if self.paused else []
+        )
         self.shared.shorten(calls)
         self.clock.deadlines.add(now + FOLLOW_MS, self._follow)
 
     def reload(self, read: Callable[[], Anew]) -> None:
-        """The file of the configuration was replaced: discovery's address and the settings may change."""
+        """The file of the configuration was replaced: discovery's address and the settings may
+        change."""
         try:
             told = read()
         except ValueError as fault:
@@ -278,10 +312,18 @@
             if value != self.post.fixed.get(name):
                 self.logger.info("stays until a restart", what=name)
         before, d = self.host.deployment, told.deployment
-        changed = [f.name for f in fields(d) if getattr(d, f.name) != getattr(before, f.name)
-                   and f.name != "seed"] if d is not None else []  # fmt: skip
+        changed = (
+            [
+                f.name
+                for f in fields(d)
+                if getattr(d, f.name) != getattr(before, f.name) and f.name != "seed"
+            ]
+            if d is not None
+            else []
+        )
         if d is not None and changed:
-            # The seed stays: with another, each node's draws and with them its keys' caches would move.
+            # The seed stays: with another, each node's draws and with them its keys' caches would
+            # move.
             self.host.reconfigured(self.clock.now(), replace(d, seed=before.seed))
             self.pools.reconfigured()
             self.pulse.reconfigured()
@@ -289,7 +331,9 @@
             self.host.counters.add("config_changes")
         address = f"{told.discovery[0]}:{told.discovery[1]}"
         self.logger.info("reloaded", discovery=address, changed=",".join(changed) or "nothing")
-        self.discovery.move(told.discovery, bool({"kinds", "origin_kind", "live_sizes"} & set(changed)))
+        self.discovery.move(
+            told.discovery, bool({"kinds", "origin_kind", "live_sizes"} & set(changed))
+        )
 
     def leave(self) -> None:
         """Serve on for a while, then listen no more, answer what was taken, and end."""
@@ -300,11 +344,13 @@
         if self.peers is not None:
             self.peers.leave()
         longest = self.host.patience  # also of RPCs that came under settings of before
-        # An inherited socket is heard by another process, or kept until there is one: nothing is refused.
+        # An inherited socket is heard by another process, or kept until there is one: nothing is
+        # refused.
         serve_on = SERVE_ON_MS if self.post.inherited is None else 0.0
         until, deadlines = self.clock.now() + serve_on, self.clock.deadlines
         deadlines.add(until, lambda _: self._close())
-        # Danger: what parts by turns may still ask just before its turn, and is owed its whole time.
+        # Danger: what parts by turns may still ask just before its turn, and is owed its whole
+        # time.
         last = until + self._parting() + longest + REPLY_MS
         deadlines.add(last - ARRIVE_MS, lambda _: self._give_up())
         deadlines.add(last, lambda _: self._end())
@@ -316,7 +362,8 @@
 
     def _close(self) -> None:
         if self.post.inherited is None:
-            # Danger: the kernel has taken connections that a busy loop has not; they would be reset.
+            # Danger: the kernel has taken connections that a busy loop has not; they would be
+            # reset.
             sessions = -1
             while sessions != getattr(self.port, "sessionno", -1):
                 sessions = self.port.sessionno
@@ -330,7 +377,8 @@
 
     def _end(self) -> None:
         if self.keeper is not None and not self.parted:
-            # Danger: what was learned since the last turn is lost; a disk that stalls holds the end up.
+            # Danger: what was learned since the last turn is lost; a disk that stalls holds the end
+            # up.
             self.parted = True
             self.keeper.write()
             wait = LAST_MS if self.keeper.out else 0.0
--- a/hookpitch/net/operator.py
+++ b/hookpitch/net/operator.py
@@ -1,7 +1,10 @@
-"""The operator's own settings: `deploy/node.toml`, one section a subsystem, all optional, all off by default.
+"""The operator's own settings: `deploy/node.toml`, one section a subsystem, all optional, all off
+by default.
 
-Read by `--config` or `HOOKPITCH_CONFIG`; where neither names a file, nothing is read. Checked whole at the
-start: an unknown section or name is refused with its place. A subsystem adds its section to `SECTIONS`.
+Read by `--config` or `HOOKPITCH_CONFIG`; where neither names a file, nothing is read. Checked
+whole at the
+start: an unknown section or name is refused with its place. A subsystem adds its section to
+`SECTIONS`.
 """
 
 from __future__ import annotations
@@ -13,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-# By name: what reads and checks a section, `module:function`, imported where a file has it. ValueError says
-# what is wrong.
+# By name: what reads and checks a section, `module:function`, imported where a file has it.
+# ValueError says what is wrong.
 SECTIONS = {"snapshot": "hookpitch.net.keep:settings", "members": "hookpitch.members.port:settings"}
 
 
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -32,15 +32,20 @@
         headers = [("Host", f"{host}:{port}"), ("X-Request-Id", rpc.id), ("X-Extras", extras)]
         if write:
             headers.append(("Content-Length", str(len(rpc.value))))
-        request = h11.Request(method="PUT" if write else "GET", target="/" + quote(rpc.key, safe=""),
-                              headers=headers)  # fmt: skip
+        request = h11.Request(
+            method="PUT" if write else "GET", target="/" + quote(rpc.key, safe=""), headers=headers
+        )
         parts = [self.http.send(request)]
         large = rpc.value.parts if isinstance(rpc.value, Pieces) else ()
         for part in large or ((rpc.value,) if write else ()):
             parts.append(self.http.send(h11.Data(data=part)))
         parts.append(self.http.send(h11.EndOfMessage()))
         self.status, self.headers, self.body, self.passing = 0, {}, bytearray(), False
-        return [part for part in parts if part] if large else (b"".join(part for part in parts if part),)
+        return (
+            [part for part in parts if part]
+            if large
+            else (b"".join(part for part in parts if part),)
+        )
 
     def came(self) -> None:
         if self.tx is None:
@@ -102,7 +107,9 @@
         else:
             outcome = Outcome.FULL if self.status in (503, 504) and never else Outcome.ERROR
         reuse = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
-        reuse = reuse and not self.http.trailing_data[0]  # what comes behind would answer the next RPC
+        reuse = (
+            reuse and not self.http.trailing_data[0]
+        )  # what comes behind would answer the next RPC
         if reuse:
             self.http.start_next_cycle()
         value = bytes(self.body) if outcome == Outcome.COMPLETED else None
--- a/hookpitch/net/start.py
+++ b/hookpitch/net/start.py
@@ -31,11 +31,17 @@
     seq: int
     known: tuple[Entry, ...]
     dials: Mapping[str, str]
-    management: tuple[str, int] | None = None  # the operators' door; None where neither place names one
+    management: tuple[str, int] | None = (
+        None  # the operators' door; None where neither place names one
+    )
     inherited: int | None = None  # the descriptor of the clients' listening socket, if inherited
     shared: str = ""  # a folder that this node's processes share
-    process: str = ""  # what tells this process from the node's others; its number, where nothing is said
-    fixed: Mapping[str, Any] = field(default_factory=dict)  # as the file had what only a restart changes
+    process: str = (
+        ""  # what tells this process from the node's others; its number, where nothing is said
+    )
+    fixed: Mapping[str, Any] = field(
+        default_factory=dict
+    )  # as the file had what only a restart changes
 
 
 def post(environment: Mapping[str, str]) -> Post:
@@ -57,7 +63,9 @@
         raise ValueError("limits is no JSON object")
     d = _deployment(number, top.get("settings"))
     known = top.get("known")
-    seq, _, entries, dials = read({"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds)
+    seq, _, entries, dials = read(
+        {"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds
+    )
     return Post(
         name=told("name"),
         listen=_address(told("listen"), "listen"),
@@ -69,7 +77,9 @@
         known=tuple(entries),
         dials=dials,
         management=_door(environment.get("PROXY_MANAGEMENT") or top.get("management")),
-        inherited=_inherited(environment.get("PROXY_INHERITED_FD"), _address(told("listen"), "listen")),
+        inherited=_inherited(
+            environment.get("PROXY_INHERITED_FD"), _address(told("listen"), "listen")
+        ),
         shared=environment.get("TMPDIR", ""),
         fixed={name: top[name] for name in FIXED if name in top},
     )
@@ -85,7 +95,8 @@
 
 
 def anew(environment: Mapping[str, str]) -> Anew:
-    """The file, read and checked whole. ValueError says in one line what is wrong; the environment is as old
+    """The file, read and checked whole. ValueError says in one line what is wrong; the environment
+    is as old
     as the process, so here the file alone counts."""
     top = _file(environment)
     value = top.get("discovery")
@@ -145,7 +156,9 @@
         raise ValueError(f"inherited_fd '{text}' is no descriptor's number")
     number = int(text)
     try:
-        with socket.socket(fileno=os.dup(number)) as held:  # closing the duplicate leaves the socket as it is
+        with socket.socket(
+            fileno=os.dup(number)
+        ) as held:  # closing the duplicate leaves the socket as it is
             listens = held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
             tcp, address = held.type == socket.SOCK_STREAM, held.getsockname()
     except (OSError, ValueError) as fault:
@@ -153,7 +166,9 @@
     if not listens or not tcp:
         raise ValueError(f"inherited_fd {number} is no listening socket")
     if not isinstance(address, tuple) or address[:2] != listen:
-        raise ValueError(f"inherited_fd {number} listens at {address}, not at {listen[0]}:{listen[1]}")
+        raise ValueError(
+            f"inherited_fd {number} listens at {address}, not at {listen[0]}:{listen[1]}"
+        )
     return number
 
 
--- a/hookpitch/net/turns.py
+++ b/hookpitch/net/turns.py
@@ -1,4 +1,5 @@
-"""The node's reactor: Twisted's on epoll, with short turns in which servers' answers go before new work.
+"""The node's reactor: Twisted's on epoll, with short turns in which servers' answers go before new
+work.
 
 Source: `EPollReactor.doPoll` of Twisted; only the order and the number of the events taken differ.
 """
@@ -15,7 +16,9 @@
 from twisted.internet.tcp import Port, Server
 from twisted.python import log
 
-TURN_EVENTS = 48  # looked at between two looks at the deadlines; the kernel gives those left over next time
+TURN_EVENTS = (
+    48  # looked at between two looks at the deadlines; the kernel gives those left over next time
+)
 ACCEPTS = 16  # new connections taken in one turn
 LATER = (Server, Port)  # clients and their door
 
@@ -36,7 +39,8 @@
         return door
 
     def doPoll(self, timeout: float | None) -> None:  # noqa: N802
-        """One turn. Danger: hundreds of ready clients in one turn hold up every deadline and every answer."""
+        """One turn. Danger: hundreds of ready clients in one turn hold up every deadline and every
+        answer."""
         try:
             found = self._poller.poll(-1 if timeout is None else timeout, TURN_EVENTS)
         except OSError as fault:
--- a/hookpitch/net/wire.py
+++ b/hookpitch/net/wire.py
@@ -16,8 +16,17 @@
 from hookpitch.core.ring import Ring
 
 CHUNK = 65536  # bytes handed to the transport at a time, once it has written those before
-ENDED = (6, 7, 8, 9, 11)  # its first byte, of a peer that has ended its sending: CLOSE, CLOSE_WAIT and so on
-INFO_BYTES, LAST_RECEIVED = 56, 52  # of Linux' struct tcp_info (linux/tcp.h): tcpi_last_data_recv, in ms
+ENDED = (
+    6,
+    7,
+    8,
+    9,
+    11,
+)  # its first byte, of a peer that has ended its sending: CLOSE, CLOSE_WAIT and so on
+INFO_BYTES, LAST_RECEIVED = (
+    56,
+    52,
+)  # of Linux' struct tcp_info (linux/tcp.h): tcpi_last_data_recv, in ms
 
 
 class _Outflow:
@@ -39,7 +48,9 @@
     def __init__(self) -> None:
         self.inward, self.outward = Ring(), Ring()
         self._flowing = False
-        self._behind = deque[bytes]()  # large pieces that are written from where they are, after the ring
+        self._behind = deque[
+            bytes
+        ]()  # large pieces that are written from where they are, after the ring
         self._plain: Any = None  # the transport, where bytes can go straight to its socket
         self.reading = False  # what came is being read in this very turn
 
@@ -74,7 +85,8 @@
             return 0.0
 
     def peer_ended(self) -> bool:
-        """Whether the peer has ended its sending, or is gone: also behind bytes that stand unread."""
+        """Whether the peer has ended its sending, or is gone: also behind bytes that stand
+        unread."""
         socket = getattr(self.transport, "socket", None)
         if socket is None:
             return False
@@ -111,7 +123,8 @@
         if not self._flowing:
             plain = self._plain
             if plain is not None and plain.connected and not plain.disconnecting:
-                # What the kernel takes at once costs no turn of the loop and no call for room to write.
+                # What the kernel takes at once costs no turn of the loop and no call for room to
+                # write.
                 try:
                     sent = plain.socket.send(data)
                 except OSError:  # the transport finds out why
@@ -148,14 +161,16 @@
 
     def end_now(self) -> None:
         """Close in this very turn; not to be called while the transport is being read."""
-        # Danger: Twisted closes in a later turn, and what comes in between is lost with the connection.
+        # Danger: Twisted closes in a later turn, and what comes in between is lost with the
+        # connection.
         if self._plain is not None and self._plain.connected and not self._flowing:
             self._plain.connectionLost(Failure(ConnectionDone()))
         else:
             self.transport.loseConnection()
 
     def end_sending(self) -> bool:
-        """Tell the peer in this very turn that no more comes, and read no more; False where it can't be."""
+        """Tell the peer in this very turn that no more comes, and read no more; False where it
+        can't be."""
         if self._plain is None or not self._plain.connected or self._flowing:
             return False
         try:
@@ -166,8 +181,10 @@
         return True
 
     def abort_now(self) -> None:
-        """Reset in this very turn. The transport may be in the middle of a read: it sees that it is over."""
-        # Danger: Twisted resets in a later turn, and until then what is sent elsewhere is a second copy.
+        """Reset in this very turn. The transport may be in the middle of a read: it sees that it
+        is over."""
+        # Danger: Twisted resets in a later turn, and until then what is sent elsewhere is a second
+        # copy.
         self.transport.abortConnection()
         lost = getattr(self.transport, "connectionLost", None)
         if lost is not None:
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -141,14 +141,18 @@
         if word == "SETTLED":
             _, ticket, took, _, code, last, _, copy, load = _values(rest, 9)
             touched[name] = seat
-            node.tx_ended(now, ticket, int(copy), outcome(code), flag(last), ms(took), report(load, ":"))
+            node.tx_ended(
+                now, ticket, int(copy), outcome(code), flag(last), ms(took), report(load, ":")
+            )
         elif word == "REQUEST":
             _, ticket, key, bits, grace, _, customer, hint, method = _values(rest, 9)
             touched[name] = seat
             flags = int(bits) if bits != "-" else 0
             key, customer = ("" if text == "-" else text for text in (key, customer))
             work = ms(hint) if flags & HINT else 0.0
-            node.rpc_arrived(now, ticket, key, method, customer, bool(flags & WRITE), ms(grace), 0.0, work)
+            node.rpc_arrived(
+                now, ticket, key, method, customer, bool(flags & WRITE), ms(grace), 0.0, work
+            )
         elif word == "TIMEOUT_FIRED":
             touched[name] = seat
             node.woken(now)
@@ -175,7 +179,9 @@
         else:
             raise WireError(f"unknown message '{word}'")
 
-    def _entries(self, rest: str, lines: Iterator[str], seat: Seat | None) -> tuple[list[Entry], str]:
+    def _entries(
+        self, rest: str, lines: Iterator[str], seat: Seat | None
+    ) -> tuple[list[Entry], str]:
         """The ENTRY lines that follow; all are taken off the wire even where one is at fault."""
         parts = rest.split(" ")
         if len(parts) != 4:
@@ -187,7 +193,9 @@
             try:
                 e = codec.entry(line.split(" "))
                 if isinstance(e.kind, str):
-                    e = replace(e, kind=seat.kinds.index(e.kind) if seat and e.kind in seat.kinds else -2)
+                    e = replace(
+                        e, kind=seat.kinds.index(e.kind) if seat and e.kind in seat.kinds else -2
+                    )
                 entries.append(e)
             except ValueError as problem:
                 fault = f"{problem} in {line[:120]!r}"
--- a/hookpitch/simwire/codec.py
+++ b/hookpitch/simwire/codec.py
@@ -5,10 +5,16 @@
 from hookpitch.balancer.interface import Entry, Outcome, State
 
 OUTCOMES = {
-    "0": Outcome.COMPLETED, "1": Outcome.MISS, "249": Outcome.MOOT, "250": Outcome.CANCELLED,
-    "251": Outcome.RESET, "252": Outcome.CONNECT_FAILED, "253": Outcome.TIMEOUT, "254": Outcome.FULL,
+    "0": Outcome.COMPLETED,
+    "1": Outcome.MISS,
+    "249": Outcome.MOOT,
+    "250": Outcome.CANCELLED,
+    "251": Outcome.RESET,
+    "252": Outcome.CONNECT_FAILED,
+    "253": Outcome.TIMEOUT,
+    "254": Outcome.FULL,
     "255": Outcome.ERROR,
-}  # fmt: skip
+}
 
 
 class WireError(ValueError):
--- a/hookpitch/standin/cache.py
+++ b/hookpitch/standin/cache.py
@@ -1,12 +1,18 @@
-"""A cache server's model: cores and a bounded line, keys, a cold start, a table of connections, load
+"""A cache server's model: cores and a bounded line, keys, a cold start, a table of connections,
+load
 reports.
 
-Work is told in milliseconds of a core at full speed. A server that has just started is slow: its speed
-rises from `cold_from` to 1 over `cold_ms`. Pushed (asked for more than `fall_multiple` times what it can
-do, over `tip_ms` on end, while cold) it falls over: it dies, and starts again cold by whoever runs it.
-
-Invariants: a job begun ends once; at most `cores` are in work and `line` wait; a value names the RPC it
-was made for. Source of the figures' meaning: the platform's protocol (hits, misses, reports, tables of
+Work is told in milliseconds of a core at full speed. A server that has just started is slow: its
+speed
+rises from `cold_from` to 1 over `cold_ms`. Pushed (asked for more than `fall_multiple` times what
+it can
+do, over `tip_ms` on end, while cold) it falls over: it dies, and starts again cold by whoever runs
+it.
+
+Invariants: a job begun ends once; at most `cores` are in work and `line` wait; a value names the
+RPC it
+was made for. Source of the figures' meaning: the platform's protocol (hits, misses, reports,
+tables of
 connections).
 """
 
--- a/hookpitch/standin/cache_server.py
+++ b/hookpitch/standin/cache_server.py
@@ -1,6 +1,8 @@
-"""A cache server on Twisted: RESP2 as the platform's protocol has it, around the model of one process.
+"""A cache server on Twisted: RESP2 as the platform's protocol has it, around the model of one
+process.
 
-Faults are its `mood`: "well"; "mute" (takes work, answers nothing); "garbled" (spoils a part of its answers);
+Faults are its `mood`: "well"; "mute" (takes work, answers nothing); "garbled" (spoils a part of
+its answers);
 "resets" (breaks a part of its connections under an RPC). `part` is the part of RPCs that meet it.
 """
 
@@ -70,7 +72,10 @@
         name = words[0].upper()
         if COMMANDS.get(name) != len(words):
             self.due.append(
-                [None, b"+OK\r\n" if name in (b"CLIENT", b"SELECT") else b"-ERR unknown command\r\n"]
+                [
+                    None,
+                    b"+OK\r\n" if name in (b"CLIENT", b"SELECT") else b"-ERR unknown command\r\n",
+                ]
             )
             return
         server = self.server
@@ -140,9 +145,16 @@
         whose: Callable[[Any], str],
         begun: float,
     ) -> None:
-        """`whose` names the node behind a transport; `begun`: the run's start on the reactor's clock, in
+        """`whose` names the node behind a transport; `begun`: the run's start on the reactor's
+        clock, in
         seconds."""
-        self.name, self.make, self.reactor, self.history, self.origin = name, make, reactor, history, origin
+        self.name, self.make, self.reactor, self.history, self.origin = (
+            name,
+            make,
+            reactor,
+            history,
+            origin,
+        )
         self.chance, self.whose, self.begun = chance, whose, begun
         self.process: Cache | None = None
         self.connections: dict[Connection, None] = {}
@@ -162,11 +174,14 @@
         self.process = Cache(self.name, self.make, self.now(), cold, self.chance)
         self.origin.caches[self.name] = self.process
         self.draining = False
-        self.ports = [self.reactor.listenTCP(port, self, backlog=4096, interface=a) for a in addresses]
+        self.ports = [
+            self.reactor.listenTCP(port, self, backlog=4096, interface=a) for a in addresses
+        ]
         self.history.add(self.now(), "up", self.name, value=self.process.speed(self.now()))
 
     def die(self) -> None:
-        """The process is gone at once, with its keys; whoever runs the machine ends its connections."""
+        """The process is gone at once, with its keys; whoever runs the machine ends its
+        connections."""
         self.history.add(self.now(), "down", self.name)
         for job in list(self.places):
             self.dropped(job)
@@ -216,8 +231,12 @@
                 self.origin.miss(job.rpc, process)
             if self.mood == "mute" and self.chance.random() < self.part:
                 continue
-            made = bulk(value(job.rpc, job.key, self.name, self.size_of(job.key)) if how == "hit" else None)
-            self.answer(job, b"*3\r\n" + made + bulk(how.encode()) + bulk(process.report(now).encode()), how)
+            made = bulk(
+                value(job.rpc, job.key, self.name, self.size_of(job.key)) if how == "hit" else None
+            )
+            self.answer(
+                job, b"*3\r\n" + made + bulk(how.encode()) + bulk(process.report(now).encode()), how
+            )
         self.arm()
 
     def answer(self, job: Job, answer: bytes, how: str) -> None:
--- a/hookpitch/standin/calls.py
+++ b/hookpitch/standin/calls.py
@@ -47,7 +47,9 @@
         self.over = True
         whole = self.got.endswith(b"END\n" if self.due == b"svc." else b"\n")
         well = whole and self.got.startswith(self.due)
-        self.calls.told("well" if well else f"wrong: {self.said[:20]!r} was answered {self.got[:40]!r}")
+        self.calls.told(
+            "well" if well else f"wrong: {self.said[:20]!r} was answered {self.got[:40]!r}"
+        )
 
 
 class Calls(ClientFactory):
--- a/hookpitch/standin/crowd.py
+++ b/hookpitch/standin/crowd.py
@@ -1,7 +1,9 @@
-"""Clients on Twisted: open-loop arrivals, patience, tries again, and some that leave, never read or send
+"""Clients on Twisted: open-loop arrivals, patience, tries again, and some that leave, never read
+or send
 rubbish.
 
-An RPC is asked when it is due, however late the answers are. What a client saw goes into the history:
+An RPC is asked when it is due, however late the answers are. What a client saw goes into the
+history:
 `asked` when its last byte was written, and then exactly one of `answered`, `lost` or `left`; an RPC
 that has none of them by its deadline is for the judge.
 """
@@ -38,7 +40,9 @@
 )
 GRACE_MS = 300.0  # past its patience, a client closes the connection
 READ_PAUSE_S = 0.004  # of a slow reader, after each piece
-HEAD_PARTS = 12  # in which it is written, so that no pause reaches the 250 ms after which it may have to go
+HEAD_PARTS = (
+    12  # in which it is written, so that no pause reaches the 250 ms after which it may have to go
+)
 HEAD_MS = 1800.0  # the longest that an honest client takes for its request: the node owes it 2 s
 
 
@@ -63,7 +67,9 @@
     fresh: float = 0.0  # the part that opens a connection of its own and closes it after
     most: int = 200  # connections to a node
     slow: float = 0.0  # the part of connections that pause after each piece they read
-    halving: float = 0.0  # of those that close after one RPC, the part that closes its own way at once
+    halving: float = (
+        0.0  # of those that close after one RPC, the part that closes its own way at once
+    )
 
 
 class Keys:
@@ -85,7 +91,14 @@
     __slots__ = ("rpc", "kind", "key", "at", "again", "open")
 
     def __init__(self, rpc: str, kind: Kind, key: str, at: float, again: int) -> None:
-        self.rpc, self.kind, self.key, self.at, self.again, self.open = rpc, kind, key, at, again, True
+        self.rpc, self.kind, self.key, self.at, self.again, self.open = (
+            rpc,
+            kind,
+            key,
+            at,
+            again,
+            True,
+        )
 
 
 class Caller(Protocol):
@@ -138,14 +151,17 @@
                 if not found:
                     return
                 if not self.due:
-                    self.crowd.history.add(self.crowd.now(), "answered", self.node, "", "nobody asked")
+                    self.crowd.history.add(
+                        self.crowd.now(), "answered", self.node, "", "nobody asked"
+                    )
                     continue
                 self.answered(self.due.popleft(), answer)
         except Malformed:
             self.transport.loseConnection()
 
     def large(self) -> tuple[bool, bytes | None] | None:
-        """A value too large for the parser, once it is whole; None where something else comes next."""
+        """A value too large for the parser, once it is whole; None where something else comes
+        next."""
         head = self.ring.peek(16)
         end = head.find(b"\r\n")
         if head[:1] != b"$" or not head[1:end].isdigit() or int(head[1:end]) <= VALUE_MOST:
@@ -230,7 +246,13 @@
     ) -> None:
         """`nodes`: by name, where to dial; `rate`: RPCs a second over all; `begun`: seconds on the
         reactor's clock."""
-        self.reactor, self.history, self.nodes, self.kinds, self.keys = reactor, history, nodes, kinds, keys
+        self.reactor, self.history, self.nodes, self.kinds, self.keys = (
+            reactor,
+            history,
+            nodes,
+            kinds,
+            keys,
+        )
         self.chance, self.rate, self.manner, self.begun = random.Random(seed), rate, manner, begun
         self.idle: dict[str, deque[Caller]] = {name: deque() for name in nodes}
         self.held = dict.fromkeys(nodes, 0)
@@ -330,7 +352,9 @@
 
     def _next(self) -> None:
         if self.crowd.now() < self.until:
-            host, port = self.crowd.nodes[self.chance.choice(self.crowd.in_use or list(self.crowd.nodes))]
+            host, port = self.crowd.nodes[
+                self.chance.choice(self.crowd.in_use or list(self.crowd.nodes))
+            ]
             self.crowd.reactor.connectTCP(host, port, self, timeout=3.0)
             self.crowd.reactor.callLater(self.chance.expovariate(self.per_s), self._next)
 
@@ -345,7 +369,8 @@
 
 
 class SlowHead(Caller):
-    """An honest client that writes on without a stop, a few bytes at a time: its RPC counts as asked with the
+    """An honest client that writes on without a stop, a few bytes at a time: its RPC counts as
+    asked with the
     last of them."""
 
     def ask(self, asked: Asked) -> None:
@@ -354,7 +379,9 @@
         span, parts = self.crowd.chance.random() * HEAD_MS / 1000, HEAD_PARTS
         for n in range(parts):
             piece = text[len(text) * n // parts : len(text) * (n + 1) // parts]
-            self.crowd.reactor.callLater(span * n / (parts - 1), self.rest, asked, piece, n == parts - 1)
+            self.crowd.reactor.callLater(
+                span * n / (parts - 1), self.rest, asked, piece, n == parts - 1
+            )
 
     def rest(self, asked: Asked, piece: bytes, last: bool) -> None:
         crowd, left = self.crowd, asked.kind.wait_ms
@@ -366,7 +393,9 @@
         if last:
             self.due.append(asked)
             asked.at = crowd.now()
-            crowd.history.add(asked.at, "asked", self.node, asked.rpc, asked.kind.name, left, self.port)
+            crowd.history.add(
+                asked.at, "asked", self.node, asked.rpc, asked.kind.name, left, self.port
+            )
             crowd.reactor.callLater((left + GRACE_MS) / 1000, self.give_up, asked)
 
 
@@ -388,7 +417,9 @@
         crowd.count += 1
         kind = next(kind for kind in crowd.kinds if not kind.write)
         node = self.chance.choice(crowd.in_use or list(crowd.nodes))
-        asked = Asked(f"q{crowd.count}", kind, crowd.keys.draw(self.chance), crowd.now(), crowd.manner.tries)
+        asked = Asked(
+            f"q{crowd.count}", kind, crowd.keys.draw(self.chance), crowd.now(), crowd.manner.tries
+        )
         crowd.held[node] += 1
         host, port = crowd.nodes[node]
         crowd.reactor.connectTCP(host, port, _SlowDial(crowd, node, asked, True), timeout=3.0)
--- a/hookpitch/standin/discovery.py
+++ b/hookpitch/standin/discovery.py
@@ -70,7 +70,8 @@
         return self.seq, list(self.hosts.values())
 
     def since(self, seq: int) -> tuple[int, bool, list[Listed]]:
-        """Version, whether whole, and what changed after `seq`; the whole list where that is not known."""
+        """Version, whether whole, and what changed after `seq`; the whole list where that is not
+        known."""
         if seq <= 0 or seq > self.seq:
             return self.seq, True, list(self.hosts.values())
         both = [*self.hosts.values(), *self._gone.values()]
--- a/hookpitch/standin/orders.py
+++ b/hookpitch/standin/orders.py
@@ -1,4 +1,5 @@
-"""What whoever runs stand-ins may order of them, by name: the same in one process and over a control line.
+"""What whoever runs stand-ins may order of them, by name: the same in one process and over a
+control line.
 
 An order is a name and plain values, so it can be written as JSON.
 """
@@ -79,12 +80,17 @@
 
 ORDERS: dict[type, dict[str, Callable[..., None]]] = {
     CacheServer: {
-        "slow": _slow, "mood": _mood, "piece": _piece, "flush": _flush, "store": _store, "drop": _drop,
+        "slow": _slow,
+        "mood": _mood,
+        "piece": _piece,
+        "flush": _flush,
+        "store": _store,
+        "drop": _drop,
         "warm": _warm,
     },
     OriginServer: {"slow": _origin_slow, "failing": _failing},
     DiscoveryServer: {"put": _put, "health": _health, "down": _down, "up": _up, "lag": _lag},
-}  # fmt: skip
+}
 
 
 def carry_out(standin: CacheServer | OriginServer | DiscoveryServer, what: str, *args: Any) -> None:  # noqa: ANN401
--- a/hookpitch/standin/origin.py
+++ b/hookpitch/standin/origin.py
@@ -1,4 +1,5 @@
-"""The origin's model: a bounded line before a few cores, and the place where what it answers is stored."""
+"""The origin's model: a bounded line before a few cores, and the place where what it answers is
+stored."""
 
 from __future__ import annotations
 
@@ -9,7 +10,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OriginMake:
-    """`work_ms` a fetch at full speed; a fetch beyond `line` waiting ones never runs (503, X-Not-Run)."""
+    """`work_ms` a fetch at full speed; a fetch beyond `line` waiting ones never runs (503,
+    X-Not-Run)."""
 
     cores: int = 4
     line: int = 40
@@ -20,7 +22,9 @@
     """Fetches and writes; knows at which caches an RPC missed, and stores its value there."""
 
     def __init__(self, make: OriginMake, now: float, chance: object) -> None:
-        self.work = Make(cores=make.cores, line=make.line, plain_ms=make.work_ms, keys=0, connections=1 << 30)
+        self.work = Make(
+            cores=make.cores, line=make.line, plain_ms=make.work_ms, keys=0, connections=1 << 30
+        )
         self.queue = Cache("origin", self.work, now, cold=False, chance=chance)
         self.missed: dict[str, list[Cache]] = {}  # by RPC
         self.caches: dict[str, Cache] = {}
--- a/hookpitch/standin/web.py
+++ b/hookpitch/standin/web.py
@@ -50,7 +50,9 @@
     def request(self, asked: h11.Request, body: bytes) -> None:
         raise NotImplementedError
 
-    def answer(self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None) -> None:
+    def answer(
+        self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None
+    ) -> None:
         if self.lost:
             return
         headers = [("Content-Length", str(len(body))), *(headers or [])]
@@ -83,7 +85,9 @@
         pairs = dict(p.split("=", 1) for p in headers.get("x-extras", "").split(",") if "=" in p)
         self.write = asked.method == b"PUT"
         node = self.server.whose(self.transport)
-        self.job = Job(headers.get("x-request-id", ""), key, pairs.get("c", ""), node, self.server.now())
+        self.job = Job(
+            headers.get("x-request-id", ""), key, pairs.get("c", ""), node, self.server.now()
+        )
         self.server.came(self.job, self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
@@ -93,7 +97,8 @@
 
 
 class OriginServer(Factory):
-    """The one origin. `slow`: a fault, so many times as slow; `failing`: the part of fetches that end
+    """The one origin. `slow`: a fault, so many times as slow; `failing`: the part of fetches that
+    end
     with 500."""
 
     noisy = False
@@ -155,7 +160,12 @@
         self.arm()
 
     def end(
-        self, job: Job, status: int, body: bytes, how: str, headers: list[tuple[str, str]] | None = None
+        self,
+        job: Job,
+        status: int,
+        body: bytes,
+        how: str,
+        headers: list[tuple[str, str]] | None = None,
     ) -> None:
         connection = self.open.pop(job, None)
         if connection is not None:
@@ -169,7 +179,8 @@
             self.origin.queue.dropped(self.now(), job)
 
     def die(self) -> None:
-        """The process is gone at once, with all its work; whoever runs the machine ends its connections."""
+        """The process is gone at once, with all its work; whoever runs the machine ends its
+        connections."""
         for job in list(self.open):
             self.dropped(job)
         if self._timer is not None and self._timer.active():
@@ -199,7 +210,9 @@
             seq, hosts = self.server.directory.whole()
             return self.answer(200, line(seq, True, hosts, self.server.nets.get(self.node, "")))
         self.transport.write(
-            self.http.send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
+            self.http.send(
+                h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
+            )
         )
         self.seq = int(words.get("since", ["0"])[0])
         self.server.watchers[self] = None
@@ -215,7 +228,8 @@
 
 
 class DiscoveryServer(Factory):
-    """Discovery. `up` False: it ends watches and answers 503; `lag_ms` of its directory: how late it
+    """Discovery. `up` False: it ends watches and answers 503; `lag_ms` of its directory: how late
+    it
     tells; `calls_per_s`: what it takes, with as many at once after a rest (0: no bound)."""
 
     noisy = False
@@ -285,7 +299,9 @@
             return
         watcher.seq = seq
         for listed in hosts:
-            self.history.add(self.now(), "told", watcher.node, what=f"{listed.host} {listed.health}")
+            self.history.add(
+                self.now(), "told", watcher.node, what=f"{listed.host} {listed.health}"
+            )
         if whole or not hosts:
             self.history.add(self.now(), "told", watcher.node, what="whole" if whole else "nothing")
         watcher.say(line(seq, whole, hosts, self.nets.get(watcher.node, "")))
--- a/hookpitch/startup/asking.py
+++ b/hookpitch/startup/asking.py
@@ -1,29 +1,43 @@
-"""When a node asks discovery for the list: its own draws, over spans that grow with the fleet and refusals.
-
-What is harmless in one node is harmful in all: nodes that lose their watches together, or start together,
-must not ask together. They cannot talk, so each draws a time over a span wide enough for all of them. The
-span follows from two things that a node knows: how many nodes there are (told), and how often in a row
+"""When a node asks discovery for the list: its own draws, over spans that grow with the fleet and
+refusals.
+
+What is harmless in one node is harmful in all: nodes that lose their watches together, or start
+together,
+must not ask together. They cannot talk, so each draws a time over a span wide enough for all of
+them. The
+span follows from two things that a node knows: how many nodes there are (told), and how often in a
+row
 discovery has failed it (seen). A list of before serves meanwhile.
 
-What goes before all else: a change counts as told `TOLD_MS` after discovery had it and could be reached,
-and what a silent watch misses so long after it fell silent. So from call to call no more than `NEXT_MS`
+What goes before all else: a change counts as told `TOLD_MS` after discovery had it and could be
+reached,
+and what a silent watch misses so long after it fell silent. So from call to call no more than
+`NEXT_MS`
 pass, and what is left of `TOLD_MS` is for the answer.
 
-Bounds, for N nodes and W = the time within which a node has to ask (told), with S = min(W/2, N x EACH, NEXT):
+Bounds, for N nodes and W = the time within which a node has to ask (told), with S = min(W/2, N x
+EACH, NEXT):
 
-- first calls are spread over min(W/2, NEXT) x (1 - 1/N); over S where nobody in the list of before serves;
-- a call after a failed one comes a third to the whole of 1.5 x max(W/20, S) later, twice that after each
-  further failure, never more than 1.5 x max(W/4, 2 S); and never later than NEXT after the one before began,
+- first calls are spread over min(W/2, NEXT) x (1 - 1/N); over S where nobody in the list of before
+  serves;
+- a call after a failed one comes a third to the whole of 1.5 x max(W/20, S) later, twice that
+  after each
+  further failure, never more than 1.5 x max(W/4, 2 S); and never later than NEXT after the one
+  before began,
   but for SPREAD after one that was long in failing;
-- a watch that was lost after it had served is asked for anew over S, one that fell silent over SPREAD at the
+- a watch that was lost after it had served is asked for anew over S, one that fell silent over
+  SPREAD at the
   most, as QUIET has gone by already;
 - a call that is not answered within min(W/2, PATIENCE) has failed.
 
-Where lists are pushed (told), what the agent has counts as told at once, be a watch open or not: there
+Where lists are pushed (told), what the agent has counts as told at once, be a watch open or not:
+there
 the first call is made at once, and any other within AGENT_MS of a loss.
 
-What this gives up: N nodes that are refused call N / (2/3 NEXT) times a second in the mean, where the span
-would grow without NEXT. A refusal that says when to come back is heeded, up to NEXT. Source of the rules: the
+What this gives up: N nodes that are refused call N / (2/3 NEXT) times a second in the mean, where
+the span
+would grow without NEXT. A refusal that says when to come back is heeded, up to NEXT. Source of the
+rules: the
 platform's protocol pages.
 """
 
@@ -35,9 +49,15 @@
 EACH_MS = 50.0  # of a span, for each node: twenty calls a second over the fleet
 TOLD_MS = 6000.0  # after discovery had a change and could be reached, it counts as told
 NEXT_MS = 4500.0  # from the beginning of one call to that of the next, where nothing has served
-PATIENCE_MS = 3200.0  # with a call that is not answered; a service that is asked too much answers by 3 s
-QUIET_MS = 3000.0  # half as long again as between two beats: a watch that says nothing for longer is lost
-SPREAD_MS = 1000.0  # the widest span after a watch that fell silent, or a call that was long in failing
+PATIENCE_MS = (
+    3200.0  # with a call that is not answered; a service that is asked too much answers by 3 s
+)
+QUIET_MS = (
+    3000.0  # half as long again as between two beats: a watch that says nothing for longer is lost
+)
+SPREAD_MS = (
+    1000.0  # the widest span after a watch that fell silent, or a call that was long in failing
+)
 AGAIN_MS = 1500.0  # the widest span of nodes that go on after they were stopped
 AGENT_MS = 60.0, 180.0  # after a loss, where lists are pushed: by an agent of the node's own
 LATE_MS = 500.0  # a node so late with its call was stopped, or is very busy
@@ -53,13 +73,31 @@
 
 
 class Asking:
-    """One node's calls. `at`: when the next is due, in ms of the host's clock; FAR while a watch is open."""
-
-    __slots__ = ("at", "failures", "_within", "_nodes", "_chance", "_served", "_hurried", "_began", "_pushed")
-
-    def __init__(self, now: float, nodes: int, within_ms: float, chance: Callable[[], float],
-                 pushed: bool = False) -> None:  # fmt: skip
-        """`nodes`: over the fleet, as told. `within_ms`: a node has to ask so often. `chance`: a draw.
+    """One node's calls. `at`: when the next is due, in ms of the host's clock; FAR while a watch
+    is open."""
+
+    __slots__ = (
+        "at",
+        "failures",
+        "_within",
+        "_nodes",
+        "_chance",
+        "_served",
+        "_hurried",
+        "_began",
+        "_pushed",
+    )
+
+    def __init__(
+        self,
+        now: float,
+        nodes: int,
+        within_ms: float,
+        chance: Callable[[], float],
+        pushed: bool = False,
+    ) -> None:
+        """`nodes`: over the fleet, as told. `within_ms`: a node has to ask so often. `chance`: a
+        draw.
         `pushed`: what discovery has counts as told whether it was asked or not."""
         self._chance = chance
         self.retimed(nodes, within_ms, pushed)
@@ -83,7 +121,8 @@
         return min(self._within / 2, PATIENCE_MS)
 
     def due(self, now: float) -> bool:
-        """Whether to ask now. Danger: nodes that were all stopped find their times past, and ask together as
+        """Whether to ask now. Danger: nodes that were all stopped find their times past, and ask
+        together as
         they go on: those draw anew, once."""
         if now < self.at + LATE_MS:
             return now >= self.at
@@ -91,8 +130,10 @@
         return False
 
     def hurried(self, now: float) -> bool:
-        """The list of before has nobody who serves: the first call is drawn over the span that the whole
-        fleet needs, not over the time that the rules give; once a start. True where that is sooner."""
+        """The list of before has nobody who serves: the first call is drawn over the span that the
+        whole
+        fleet needs, not over the time that the rules give; once a start. True where that is
+        sooner."""
         if self._hurried or self._served or self.failures:
             return False
         self._hurried = True
@@ -111,25 +152,31 @@
         self.failures, self._served, self.at = 0, True, FAR
 
     def lost(self, now: float, how: Loss, after_ms: float = 0.0) -> float:
-        """The watch or the call has ended; when the next call is due. `after_ms`: as discovery said."""
+        """The watch or the call has ended; when the next call is due. `after_ms`: as discovery
+        said."""
         if how == Loss.REFUSED or not self._served:
             first = max(self._within / 20, self.span)
             most = max(self._within / 4, 2 * self.span)
-            widest = 1.5 * min(most, first * 2**min(self.failures, 16))
+            widest = 1.5 * min(most, first * 2 ** min(self.failures, 16))
             self.failures += 1
             if after_ms > 0:
                 widest = max(widest, 2 * min(after_ms, self._within))
             # Danger: a call that hung, and then a wait as after one that was refused at once.
             widest = max(min(widest, self._began + NEXT_MS - now), min(widest, SPREAD_MS))
-            least = max(widest / 3, min(after_ms, widest * 2 / 3))  # all at once at its end is no better
+            least = max(
+                widest / 3, min(after_ms, widest * 2 / 3)
+            )  # all at once at its end is no better
             if self._pushed and after_ms <= 0:
                 least, widest = AGENT_MS
         elif self._pushed:
             least, widest = AGENT_MS
         else:
-            # Danger: all watches end at once, and the one who asks first is no better off than the last.
+            # Danger: all watches end at once, and the one who asks first is no better off than the
+            # last.
             least = self._within / 40
-            widest = least + max(least, min(self.span, SPREAD_MS if how == Loss.SILENT else NEXT_MS - least))
+            widest = least + max(
+                least, min(self.span, SPREAD_MS if how == Loss.SILENT else NEXT_MS - least)
+            )
         self._served = False
         self.at = now + least + (widest - least) * self._chance()
         return self.at
--- a/hookpitch/startup/memory.py
+++ b/hookpitch/startup/memory.py
@@ -1,19 +1,27 @@
-"""What is taken from a running node for its snapshot, and what of one a node that starts may believe.
+"""What is taken from a running node for its snapshot, and what of one a node that starts may
+believe.
 
-Each thing learned fades with its age a: it counts by 0.5 ** (a / HALF_MS), between what a node that knows
-nothing begins with and what was learned. So a snapshot of an hour ago shuns nobody and trusts nobody:
+Each thing learned fades with its age a: it counts by 0.5 ** (a / HALF_MS), between what a node
+that knows
+nothing begins with and what was learned. So a snapshot of an hour ago shuns nobody and trusts
+nobody:
 
-- a server's limit and the origin's lie between the start's and the one learned. Nodes that were all stopped
+- a server's limit and the origin's lie between the start's and the one learned. Nodes that were
+  all stopped
   and start together begin at the sum at which they had stopped, which the origin bore;
-- a server off the path stays off until its pause would have ended, cut by the age; a server that has started
-  since (the list tells) is cold, and nothing else of it counts; where all servers would be off, none is;
+- a server off the path stays off until its pause would have ended, cut by the age; a server that
+  has started
+  since (the list tells) is cold, and nothing else of it counts; where all servers would be off,
+  none is;
 - a cold time that is not over goes on, never for longer than a cold start;
 - moved buckets stay moved for as long as what they were moved by is young (a weight of a quarter);
 - heavy buckets keep their sightings, faded: their keys are spread from the first RPC on;
 - bans by an operator hold as long as the snapshot is taken at all: they are orders, no findings;
-- the list goes before the one told at the start where its version is higher; discovery's goes before both.
+- the list goes before the one told at the start where its version is higher; discovery's goes
+  before both.
 
-The functions know the decisions' own state (`balancer/decisions.py`) and change it through this one place.
+The functions know the decisions' own state (`balancer/decisions.py`) and change it through this
+one place.
 """
 
 from __future__ import annotations
@@ -28,8 +36,11 @@
 MOVED_LEAST = 0.25  # the weight from which on a moved bucket stays where it was moved
 
 
-def taken(node: Node, now: float, fleet: str, name: str, seq: int, dials: Mapping[str, str]) -> Learned:
-    """What is known at `now`; `seq` and `dials` as discovery has them. At most a few thousand short steps."""
+def taken(
+    node: Node, now: float, fleet: str, name: str, seq: int, dials: Mapping[str, str]
+) -> Learned:
+    """What is known at `now`; `seq` and `dials` as discovery has them. At most a few thousand
+    short steps."""
     past = lambda at: at if 0 < at < float("inf") else 0.0  # noqa: E731
     servers = sorted(node.servers.values(), key=lambda s: (s is not node.origin, -s.heard, s.id))
     moved, heavy = [], []
@@ -40,25 +51,55 @@
             heavy.append((-b.seen, Heavy(number, kinds, zones, b.seen)))
     first = lambda pair: pair[0]  # noqa: E731
     return Learned(
-        fleet, name, node.kinds, now, seq,
-        tuple(Listed(s.id, s.zone, s.cell, past(s.started), int(s.listed), s.kind, s.size, dials[s.id])
-              for s in servers if s.id in dials and s.listed != State.GONE),
-        tuple(Known(s.id, past(s.started), s.limit, s.latency, s.usual, s.failures, s.backoff,
-                    past(s.off_until) if s.off else 0.0, past(s.cold_until)) for s in servers),
-        tuple(m for _, m in sorted(moved, key=first)), tuple(h for _, h in sorted(heavy, key=first)),
-        node.seen, node.work, node.warm_rate, min(node.idle, 1e9), tuple(node.bans),
-    )  # fmt: skip
+        fleet,
+        name,
+        node.kinds,
+        now,
+        seq,
+        tuple(
+            Listed(
+                s.id, s.zone, s.cell, past(s.started), int(s.listed), s.kind, s.size, dials[s.id]
+            )
+            for s in servers
+            if s.id in dials and s.listed != State.GONE
+        ),
+        tuple(
+            Known(
+                s.id,
+                past(s.started),
+                s.limit,
+                s.latency,
+                s.usual,
+                s.failures,
+                s.backoff,
+                past(s.off_until) if s.off else 0.0,
+                past(s.cold_until),
+            )
+            for s in servers
+        ),
+        tuple(m for _, m in sorted(moved, key=first)),
+        tuple(h for _, h in sorted(heavy, key=first)),
+        node.seen,
+        node.work,
+        node.warm_rate,
+        min(node.idle, 1e9),
+        tuple(node.bans),
+    )
 
 
 def entries(x: Learned) -> tuple[list[Entry], dict[str, str]]:
     """The list that it holds, and where its servers are dialled."""
-    some = [Entry(e.id, e.zone, e.cell, e.started, State(e.state), e.kind, e.size) for e in x.listed
-            if e.state in (State.READY, State.DRAINING)]  # fmt: skip
+    some = [
+        Entry(e.id, e.zone, e.cell, e.started, State(e.state), e.kind, e.size)
+        for e in x.listed
+        if e.state in (State.READY, State.DRAINING)
+    ]
     return some, {e.id: e.dial for e in x.listed}
 
 
 def recalled(node: Node, now: float, x: Learned) -> str:
-    """Told to a node that has its first list and no RPC yet; says in a few words what was believed."""
+    """Told to a node that has its first list and no RPC yet; says in a few words what was
+    believed."""
     age = max(0.0, now - x.written)
     weight = 0.5 ** (age / HALF_MS)
 
@@ -82,14 +123,19 @@
     caches = [(s, k) for s, k in believed if s is not node.origin]
     off = [(s, k) for s, k in caches if now < k.off_until]
     ready = sum(s.state == State.READY for s in node.caches)
-    if len(off) < ready:  # Danger: all shunned for what one snapshot says; then no one answers at all.
+    if (
+        len(off) < ready
+    ):  # Danger: all shunned for what one snapshot says; then no one answers at all.
         for s, k in off:
             s.off, s.ok, s.limit, s.failures = True, False, min(s.limit, START_LIMIT), k.failures
             s.backoff = min(8 * node.pause, between(node.pause, k.backoff))
             s.off_until = now + min(k.off_until - now, s.backoff) * weight
     else:
         off = []
-    node.work, node.warm_rate = x.work * (weight > MOVED_LEAST), between(node.warm_rate, x.warm_rate)
+    node.work, node.warm_rate = (
+        x.work * (weight > MOVED_LEAST),
+        between(node.warm_rate, x.warm_rate),
+    )
     if x.idle > 0:
         node.idle = min(node.held, max(x.idle, node.idle * (1 - weight)))
     places = {(m.kinds, m.zones) for m in node.methods.values()}
@@ -114,5 +160,7 @@
             b.at, b.chain, moved = to, None, moved + 1
     for id in x.bans:
         node.server_banned(now, id, True)
-    return (f"{len(believed)} servers known, {len(off)} off the path, {moved} buckets moved, {heavy} heavy, "
-            f"{len(x.bans)} banned, {age / 1000:.0f} s old")  # fmt: skip
+    return (
+        f"{len(believed)} servers known, {len(off)} off the path, {moved} buckets moved, {heavy} heavy, "  # noqa: E501
+        f"{len(x.bans)} banned, {age / 1000:.0f} s old"
+    )
--- a/hookpitch/startup/phases.py
+++ b/hookpitch/startup/phases.py
@@ -1,4 +1,5 @@
-"""A node's start in stated phases: what it has, what ends each phase, and by when it goes on all the same.
+"""A node's start in stated phases: what it has, what ends each phase, and by when it goes on all
+the same.
 
 | phase | what it has | ends when | goes on after |
 | --- | --- | --- | --- |
@@ -7,10 +8,13 @@
 | WARMING | connections | half of the servers that it sent to are known: `enough` answers each | KNOWN_MS |
 | ORDINARY | all that a node learns | | |
 
-It serves in every phase: a list of before is better than none. What a phase lacked when its time was over
-is counted (`start.unlisted`, `start.unanswered`, `start.unknown`) and told; where nothing was sent, nothing
-is lacking. A process that was stopped has its time over, and goes on. Invariant: phases only rise. No I/O.
-"""
+It serves in every phase: a list of before is better than none. What a phase lacked when its time
+was over
+is counted (`start.unlisted`, `start.unanswered`, `start.unknown`) and told; where nothing was
+sent, nothing
+is lacking. A process that was stopped has its time over, and goes on. Invariant: phases only rise.
+No I/O.
+"""  # noqa: E501
 
 from __future__ import annotations
 
@@ -30,7 +34,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """What is so far: whether discovery has told a list; cache servers that something was sent to, of these
+    """What is so far: whether discovery has told a list; cache servers that something was sent to,
+    of these
     those that have answered, and those with enough answers to be known."""
 
     listed: bool
@@ -60,7 +65,9 @@
         late = now - self.since >= bound
         if not over and not late:
             return False
-        idle = self.phase != Phase.KNOWN and not seen.asked  # nobody asked anything: nothing is lacking
+        idle = (
+            self.phase != Phase.KNOWN and not seen.asked
+        )  # nobody asked anything: nothing is lacking
         self.lacked = "" if over or idle else LACKS[self.phase]
         self.phase, self.since = Phase(self.phase + 1), now
         return True
--- a/hookpitch/startup/snapshot.py
+++ b/hookpitch/startup/snapshot.py
@@ -1,12 +1,16 @@
-"""What a node has learned, as bytes: a head that says what it is, a checksum, and a body by msgspec.
+"""What a node has learned, as bytes: a head that says what it is, a checksum, and a body by
+msgspec.
 
     HKPS | format, 2 bytes | length of the body, 4 bytes | blake2b of the body, 16 bytes | body (msgpack)
 
-Invariants: `read(write(x)) == x`; a body that was cut, turned or added to is never taken (`read` raises); a
-snapshot is at most `BYTES_MOST` long, and what does not fit is left out, the least used first. Unknown fields
-are skipped, so a later version may add some without another format number. No I/O, no clock: times are Unix
+Invariants: `read(write(x)) == x`; a body that was cut, turned or added to is never taken (`read`
+raises); a
+snapshot is at most `BYTES_MOST` long, and what does not fit is left out, the least used first.
+Unknown fields
+are skipped, so a later version may add some without another format number. No I/O, no clock: times
+are Unix
 milliseconds, told. msgspec is an extra (`hookpitch[snapshot]`), imported with this module alone.
-"""
+"""  # noqa: E501
 
 from __future__ import annotations
 
@@ -20,6 +24,7 @@
 BYTES_MOST = 1 << 18
 SERVERS_MOST, MOVED_MOST, HEAVY_MOST = 1000, 2000, 500
 
+
 class Known(msgspec.Struct, array_like=True, frozen=True):
     """One cache server, or the origin. Spans in ms; times in Unix ms, 0 for never."""
 
@@ -68,7 +73,9 @@
 class Learned(msgspec.Struct, frozen=True):
     """What one node had learned when it was written."""
 
-    fleet: str  # of whom: a snapshot of another fleet, node or set of machine kinds says nothing here
+    fleet: (
+        str  # of whom: a snapshot of another fleet, node or set of machine kinds says nothing here
+    )
     node: str
     kinds: tuple[str, ...]
     written: float  # Unix ms
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,7 @@
-"""KNOWN-RED.txt: tests that fail for a real fault, known and not mended yet. They are expected to fail,
-strictly, and are printed; one that passes, one that names no test, and a fourth fail the run. Void runs are
+"""KNOWN-RED.txt: tests that fail for a real fault, known and not mended yet. They are expected to
+fail,
+strictly, and are printed; one that passes, one that names no test, and a fourth fail the run. Void
+runs are
 counted and printed, too."""
 
 from __future__ import annotations
@@ -13,7 +15,8 @@
 
 
 def known(path: Path = RED) -> dict[str, str]:
-    """Test (as `tests/file.py::name`), and the rest of its line: cause, issue. UsageError for a fourth line,
+    """Test (as `tests/file.py::name`), and the rest of its line: cause, issue. UsageError for a
+    fourth line,
     or a bad one."""
     lines = path.read_text().splitlines() if path.exists() else []
     lines = [line for line in lines if line.strip() and not line.startswith("#")]
@@ -49,4 +52,6 @@
         terminalreporter.write_line(f"known red: {test}, {why}")
     void = [r for r in terminalreporter.stats.get("skipped", []) if "void" in str(r.longrepr)]
     if void:
-        terminalreporter.write_line(f"void: {len(void)} runs on processes tell nothing, their rigs were late")
+        terminalreporter.write_line(
+            f"void: {len(void)} runs on processes tell nothing, their rigs were late"
+        )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,5 @@
-"""The tests' one helper: a host that draws troubles from a seed and checks the four rules at every step, and
+"""The tests' one helper: a host that draws troubles from a seed and checks the four rules at every
+step, and
 a network in memory for the node on sockets."""
 
 from __future__ import annotations
@@ -66,8 +67,9 @@
     return Deployment(**(base | changes))  # type: ignore[arg-type]
 
 
-def entry(id: str, state: State = State.READY, started: float = 0.0, size: float = 1.0, kind: int = 0
-          ) -> Entry:  # fmt: skip
+def entry(
+    id: str, state: State = State.READY, started: float = 0.0, size: float = 1.0, kind: int = 0
+) -> Entry:
     return Entry(id, "zone" + id[-1], int(id[-1]), started, state, kind, size)
 
 
@@ -94,7 +96,9 @@
         hold_cost=rng.choice([0.0, 0.03]),
         dial_cost=rng.choice([0.0, 0.03]),
         methods=tuple(methods),
-        customers=tuple(Customer(f"c{i}", rng.choice([0.0, 5.0, 40.0])) for i in range(rng.randint(0, 3))),
+        customers=tuple(
+            Customer(f"c{i}", rng.choice([0.0, 5.0, 40.0])) for i in range(rng.randint(0, 3))
+        ),
         must_ask=rng.random() < 0.7,
         origin_kind=rng.choice([ORIGIN, -1]),
         max_transmissions=rng.randint(1, 6),
@@ -104,8 +108,14 @@
         cold_share=rng.choice([0.1, 0.3]),
         cold_ms=rng.choice([0.0, 5000.0, 20000.0]),
     )
-    bound = [replace(m, kinds=rng.choice([(), (), ("std",), ("none",)]),
-                     zones=rng.choice([(), (), ("zone0", "zone2")])) for m in methods]  # fmt: skip
+    bound = [
+        replace(
+            m,
+            kinds=rng.choice([(), (), ("std",), ("none",)]),
+            zones=rng.choice([(), (), ("zone0", "zone2")]),
+        )
+        for m in methods
+    ]
     return replace(
         plain,
         methods=tuple(bound),
@@ -151,23 +161,34 @@
         if e.kind != self.d.origin_kind:
             name = self.d.kinds[e.kind] if 0 <= e.kind < len(self.d.kinds) else ""
             assert not method.kinds or name in method.kinds, "placement: a kind that is not open"
-            assert not method.zones or e.zone in method.zones, "placement: a location that is not open"
+            assert not method.zones or e.zone in method.zones, (
+                "placement: a location that is not open"
+            )
         ran = [t for t in earlier if t["ran"]]
         if ran and method.idempotency == Idempotency.NON_RETRIABLE:
             raise AssertionError("rule 2: a non-retriable RPC that may have run was sent again")
         if ran and method.idempotency == Idempotency.DEDUPED:
             a, b = self.told[ran[0]["server"]], self.told[server_id]
             same = {"all": True, "zone": a.zone == b.zone, "cell": a.cell == b.cell}[method.group]
-            assert same and self.now < ran[0]["at"] + method.window_ms, "rule 2: outside group or window"
+            assert same and self.now < ran[0]["at"] + method.window_ms, (
+                "rule 2: outside group or window"
+            )
         self.sends.append((self.now, server_id, rpc_id))
         self._check_cold(server_id)
         earlier.append(
-            {"server": server_id, "at": self.now, "until": self.now + limit_ms, "done": False, "ran": True}
+            {
+                "server": server_id,
+                "at": self.now,
+                "until": self.now + limit_ms,
+                "done": False,
+                "ran": True,
+            }
         )
         self.out.append((rpc_id, len(earlier) - 1))
 
     def _check_cold(self, server_id: str) -> None:
-        """Rule 4: in any window no more than the multiple of a warm server's load, cut by the warm-up."""
+        """Rule 4: in any window no more than the multiple of a warm server's load, cut by the
+        warm-up."""
         e, d = self.told[server_id], self.d
         age = self.now - e.started_ms
         if e.started_ms <= 0 or age >= d.cold_ms or e.kind == d.origin_kind:
@@ -179,11 +200,17 @@
                 counts[to] = counts.get(to, 0) + 1
         warm = float(max(counts.values(), default=0))  # over four windows: at least one window's
         caches = [e for e in self.told.values() if e.kind != d.origin_kind]
-        if all(0 < e.started_ms > self.now - d.cold_ms for e in caches):  # none warm: its part of what came
+        if all(
+            0 < e.started_ms > self.now - d.cold_ms for e in caches
+        ):  # none warm: its part of what came
             warm = sum(at > self.now - 2 * d.tip_after_ms for at in self.arrivals) / len(caches)
-        known = self.sends[self.told_from.get(server_id, 0) :]  # since the node could know of the start
+        known = self.sends[
+            self.told_from.get(server_id, 0) :
+        ]  # since the node could know of the start
         mine = sum(1 for at, to, _ in known if to == server_id and at > self.now - d.tip_after_ms)
-        assert mine <= max(1.0, d.overload_factor * share * warm), "rule 4: a cold server pushed over"
+        assert mine <= max(1.0, d.overload_factor * share * warm), (
+            "rule 4: a cold server pushed over"
+        )
 
     def cancel(self, rpc_id: str, tx: int) -> None:
         assert self.d.cancelling
@@ -211,7 +238,9 @@
         self._final(rpc_id, "errored")
 
     def close(self, server_id: str) -> None:
-        assert server_id in self.told and all(self.txs[r][n]["server"] != server_id for r, n in self.out)
+        assert server_id in self.told and all(
+            self.txs[r][n]["server"] != server_id for r, n in self.out
+        )
         self.closed.append(server_id)
 
     def wake(self, at_ms: float) -> None:
@@ -247,8 +276,14 @@
             self.node.servers_listed(self.now, kind, entries)
         self.settle()
 
-    def arrive(self, key: str = "k", method: str = "", customer: str = "", write: bool = False,
-               grace: float = 0.0) -> str:  # fmt: skip
+    def arrive(
+        self,
+        key: str = "k",
+        method: str = "",
+        customer: str = "",
+        write: bool = False,
+        grace: float = 0.0,
+    ) -> str:
         self.count += 1
         rpc_id, m = f"rpc{self.count}", self.methods[method or self.d.methods[0].name]
         grace = grace or m.hard_ms
@@ -285,7 +320,9 @@
                 break
             self.now = max(self.now, min(at, wake))
             if at <= wake:
-                self.end(r, Outcome.CANCELLED if "called_off" in self.txs[r][n] else Outcome.TIMEOUT, n)
+                self.end(
+                    r, Outcome.CANCELLED if "called_off" in self.txs[r][n] else Outcome.TIMEOUT, n
+                )
             else:
                 self.wakes.remove(wake)
                 self.node.woken(self.now)
@@ -307,9 +344,19 @@
             for r, n in rng.sample(self.out, min(len(self.out), 8)):
                 mood = self.moods.get(self.txs[r][n]["server"], "well")
                 if (r, n) in self.out and mood != "silent":
-                    odds = {"well": [8, 2, 1], "full": [1, 0, 8], "dead": [0, 0, 1], "aside": [1, 8, 1]}[mood]
-                    bad = {"full": Outcome.FULL, "dead": rng.choice([Outcome.RESET, Outcome.CONNECT_FAILED])}
-                    last = bad.get(mood, rng.choice([Outcome.ERROR, Outcome.CANCELLED, Outcome.FULL]))
+                    odds = {
+                        "well": [8, 2, 1],
+                        "full": [1, 0, 8],
+                        "dead": [0, 0, 1],
+                        "aside": [1, 8, 1],
+                    }[mood]
+                    bad = {
+                        "full": Outcome.FULL,
+                        "dead": rng.choice([Outcome.RESET, Outcome.CONNECT_FAILED]),
+                    }
+                    last = bad.get(
+                        mood, rng.choice([Outcome.ERROR, Outcome.CANCELLED, Outcome.FULL])
+                    )
                     self.end(r, rng.choices([Outcome.COMPLETED, Outcome.MISS, last], odds)[0], n)
         elif act < 0.84 and self.told:
             server = rng.choice(sorted(self.told))
@@ -318,7 +365,11 @@
             e = self.told[rng.choice(sorted(self.told))]
             state = rng.choice([State.READY, State.READY, State.DRAINING, State.GONE])
             started = self.now - 1 if e.state == State.GONE else e.started_ms
-            kind = e.kind if rng.random() < 0.7 or e.kind == self.d.origin_kind else rng.choice([0, 1, -2])
+            kind = (
+                e.kind
+                if rng.random() < 0.7 or e.kind == self.d.origin_kind
+                else rng.choice([0, 1, -2])
+            )
             changed = Entry(e.id, e.zone, e.cell, started, state, kind, e.size)
             self.listed([changed], ListKind.DELTA)
         elif act < 0.88:
@@ -342,13 +393,23 @@
 SETTINGS = {
     "balancers": 1,
     "methods": [
-        {"name": "read", "soft_deadline_s": 0.4, "hard_deadline_s": 1.0, "idempotency": "retryable"},
+        {
+            "name": "read",
+            "soft_deadline_s": 0.4,
+            "hard_deadline_s": 1.0,
+            "idempotency": "retryable",
+        },
         {"name": "once", "soft_deadline_s": 0.4, "hard_deadline_s": 1.0, "idempotency": "fragile"},
     ],
     "customers": [{"name": "small", "quota_per_s": 1.0}],
     "host_types": ["std", "origin"],
     "family_info": {"mode": "aside", "origin_kind": 1},
-    "limits": {"most_transmissions": 3, "cancelling": True, "dial_timeout_s": 0.25, "conn_idle_s": 60.0},
+    "limits": {
+        "most_transmissions": 3,
+        "cancelling": True,
+        "dial_timeout_s": 0.25,
+        "conn_idle_s": 60.0,
+    },
     "rules": {"cold_from": 0.2, "cold_s": 20.0, "tip_after_s": 1.5, "ask_within_s": 10.0},
     "tick_s": 0.001,
 }
@@ -356,18 +417,32 @@
 
 def listed_host(id: str, port: int, **changes: object) -> dict[str, object]:
     """A server as discovery tells it."""
-    plain = {"host": id, "dial": f"127.0.0.1:{port}", "site": "a", "class": "std", "block": 0,
-             "health": "in_service", "share": 1.0, "born_ms": 0}  # fmt: skip
+    plain = {
+        "host": id,
+        "dial": f"127.0.0.1:{port}",
+        "site": "a",
+        "class": "std",
+        "block": 0,
+        "health": "in_service",
+        "share": 1.0,
+        "born_ms": 0,
+    }
     return plain | changes
 
 
 class Line(FakeTransport):
     """One connection: what the node writes is kept in `got`; losing it is told a moment later."""
 
-    def __init__(self, network: Network, protocol: Protocol, port: int, pending: bytes = b"") -> None:
+    def __init__(
+        self, network: Network, protocol: Protocol, port: int, pending: bytes = b""
+    ) -> None:
         super().__init__(protocol, True)
         self.network, self.port, self.got, self.reads, self.ended = network, port, b"", True, False
-        self.paused, self.pending, self.socket = False, pending, self  # pending: in the kernel, unread
+        self.paused, self.pending, self.socket = (
+            False,
+            pending,
+            self,
+        )  # pending: in the kernel, unread
         self.aged = 0.0  # for how long what is said next has stood in the kernel
         protocol.makeConnection(self)
 
@@ -379,7 +454,8 @@
             self.network.watcher(self, data)
 
     def getsockopt(self, level: int, option: int, size: int) -> bytes:
-        """TCP_INFO, of which only the last word is told: milliseconds since the newest byte came."""
+        """TCP_INFO, of which only the last word is told: milliseconds since the newest byte
+        came."""
         return struct.pack("14I", *[0] * 13, int(self.aged))
 
     def recv(self, count: int, flags: int) -> bytes:
@@ -452,13 +528,21 @@
         self.lines: list[Line] = []
         self.watcher: Callable[[Line, bytes], None] | None = None
 
-    def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float | None = None,  # noqa: N802
-                   bindAddress: object = None) -> Connector:  # noqa: N803  # fmt: skip
+    def connectTCP(
+        self,
+        host: str,
+        port: int,
+        factory: ClientFactory,
+        timeout: float | None = None,  # noqa: N802
+        bindAddress: object = None,
+    ) -> Connector:  # noqa: N803
         connector = Connector(self, port, factory)
         self.dials.append(connector)
         way = self.ways.get(port, "up")
         if way != "silent":
-            end = {"up": connector.up, "descriptor": connector.no_descriptor}.get(way, connector.disconnect)
+            end = {"up": connector.up, "descriptor": connector.no_descriptor}.get(
+                way, connector.disconnect
+            )
             self.callLater(0, lambda: connector.over or end())
         return connector
 
@@ -476,13 +560,28 @@
         self.network = Network()
         self.hosts = [listed_host(f"s{i}", 7000 + i) for i in range(caches)]
         self.hosts.append(listed_host("o1", ORIGIN_PORT, **{"class": "origin"}))
-        seq, _, entries, dials = read({"seq": 5, "whole": True, "hosts": self.hosts}, ("std", "origin"))
+        seq, _, entries, dials = read(
+            {"seq": 5, "whole": True, "hosts": self.hosts}, ("std", "origin")
+        )
         self.clock = Clock(self.network, self.network.seconds, lambda: 1e9)
-        self.post = Post("n0", ("127.0.0.1", 6379), ("127.0.0.1", DISCOVERY), limits.get("sockets", 256),
-                         limits.get("memory_mb", 64), replace(told(SETTINGS), must_ask=True), seq,
-                         tuple(entries), dials, ("127.0.0.1", 15000), None, shared)  # fmt: skip
+        self.post = Post(
+            "n0",
+            ("127.0.0.1", 6379),
+            ("127.0.0.1", DISCOVERY),
+            limits.get("sockets", 256),
+            limits.get("memory_mb", 64),
+            replace(told(SETTINGS), must_ask=True),
+            seq,
+            tuple(entries),
+            dials,
+            ("127.0.0.1", 15000),
+            None,
+            shared,
+        )
         self.counters, self.logs, self.cpu = Counters(), list[str](), 0.0
-        self.node = SocketNode(self.network, self.clock, self.post, self.counters, self, lambda: self.cpu)
+        self.node = SocketNode(
+            self.network, self.clock, self.post, self.counters, self, lambda: self.cpu
+        )
         self.node.start()
         self.pass_time(0)
 
@@ -498,7 +597,8 @@
             self.network.advance(0)
 
     def pause(self, ms: float, *lines: Line) -> None:
-        """The process does nothing for so long; what came to the lines meanwhile stands in the kernel."""
+        """The process does nothing for so long; what came to the lines meanwhile stands in the
+        kernel."""
         for line in lines:
             line.aged = ms
         self.network.advance(ms / 1000)
@@ -508,7 +608,8 @@
         self.network.advance(0)
 
     def request(self, port: int) -> list[bytes] | None:
-        """The words of the newest command that a cache has been written, taken off its connection."""
+        """The words of the newest command that a cache has been written, taken off its
+        connection."""
         for line in self.network.to(port):
             data = line.take()
             if data:
@@ -527,9 +628,11 @@
 
 
 class Storm:
-    """Draws what clients, caches, origin, discovery and the network do to a node, several troubles at once.
+    """Draws what clients, caches, origin, discovery and the network do to a node, several troubles
+    at once.
 
-    Fails the test where the node breaks a rule. Values are made for one RPC alone, so a wrong one is seen.
+    Fails the test where the node breaks a rule. Values are made for one RPC alone, so a wrong one
+    is seen.
     """
 
     def __init__(self, seed: int) -> None:
@@ -664,11 +767,20 @@
         if line.ended or line.disconnecting:
             return
         value, never = f"{rpc}:".encode() + rng.randbytes(rng.choice([3, 3, 65000])), False
-        kind = rng.choice(["value"] * 12 + ["miss", "miss", "busy", "error", "rubbish", "break", "silence"])
+        kind = rng.choice(
+            ["value"] * 12 + ["miss", "miss", "busy", "error", "rubbish", "break", "silence"]
+        )
         if line.port == ORIGIN_PORT:
-            status, extra = {"busy": (503, b"X-Not-Run: 1\r\n"), "error": (500, b"")}.get(kind, (200, b""))
+            status, extra = {"busy": (503, b"X-Not-Run: 1\r\n"), "error": (500, b"")}.get(
+                kind, (200, b"")
+            )
             never = kind == "busy"
-            data = b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, extra, len(value), value)
+            data = b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (
+                status,
+                extra,
+                len(value),
+                value,
+            )
         elif kind == "miss":
             never, data = True, b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
         elif kind == "busy":
@@ -697,7 +809,11 @@
             line.got = b"called"
             port = rng.choice([7000, 7001, 7002])
             health = rng.choice(["in_service"] * 8 + ["terminating", "terminated"])
-            told = {"seq": 6, "whole": False, "hosts": [listed_host(f"s{port - 7000}", port, health=health)]}
+            told = {
+                "seq": 6,
+                "whole": False,
+                "hosts": [listed_host(f"s{port - 7000}", port, health=health)],
+            }
             text = rng.choice([json.dumps(told).encode()] * 4 + [b"", b"{"]) + b"\n"
             line.say(b"%x\r\n%b\r\n" % (len(text), text))
             if len(text) > 5 and not line.disconnecting:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,8 +1,11 @@
 """A node's process on real sockets, and peers that do what a test says, when it says so.
 
-Nothing here acts by itself: a peer accepts, reads, writes, closes or resets as it is told, so that the
-crossing of two events is made, not hoped for. Where the node has to be held still between two of them, its
-process is stopped and goes on by signal; where a dial has to come up late, the backlog of its server is full
+Nothing here acts by itself: a peer accepts, reads, writes, closes or resets as it is told, so that
+the
+crossing of two events is made, not hoped for. Where the node has to be held still between two of
+them, its
+process is stopped and goes on by signal; where a dial has to come up late, the backlog of its
+server is full
 until it is emptied.
 """
 
@@ -46,7 +49,8 @@
         self.sock.sendall(data)
 
     def value(self) -> Value:
-        """The next value or command. EOFError at the connection's end, ConnectionResetError at its reset."""
+        """The next value or command. EOFError at the connection's end, ConnectionResetError at its
+        reset."""
         while True:
             found, value = self.parser.next()
             if found:
@@ -119,7 +123,9 @@
     def syn_sent(self) -> bool:
         """Whether a dial is under way that has not come up."""
         lines = Path("/proc/net/tcp").read_text().splitlines()[1:]
-        return any(w[2].endswith(f":{self.port:04X}") and w[3] == "02" for w in map(str.split, lines))
+        return any(
+            w[2].endswith(f":{self.port:04X}") and w[3] == "02" for w in map(str.split, lines)
+        )
 
     def empty(self) -> None:
         """Dials come up again, when their next SYN is sent."""
@@ -139,8 +145,14 @@
 class Real:
     """One node's process, with caches, the origin and discovery as peers; used as a context."""
 
-    def __init__(self, folder: Path, caches: int = 2, backlog: int = 64, limits: Settings | None = None,
-                 **settings: Any) -> None:  # noqa: ANN401  # fmt: skip
+    def __init__(
+        self,
+        folder: Path,
+        caches: int = 2,
+        backlog: int = 64,
+        limits: Settings | None = None,
+        **settings: Any,  # noqa: ANN401
+    ) -> None:  # noqa: ANN401
         self.path, self.logs = folder / "node.json", list[dict[str, Any]]()
         self.caches = [Peer(backlog) for _ in range(caches)]
         self.origin, self.discovery = Peer(), Peer()
@@ -150,11 +162,14 @@
         self.hosts.append(listed_host("o1", self.origin.port, **{"class": "origin"}))
         self.settings = deepcopy(SETTINGS) | settings
         self.told: Settings = {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": 7,
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": 7,
             "discovery": f"127.0.0.1:{self.discovery.port}",
-            "limits": limits or {}, "known": {"seq": 5, "whole": True, "hosts": self.hosts},
+            "limits": limits or {},
+            "known": {"seq": 5, "whole": True, "hosts": self.hosts},
             "settings": self.settings,
-        }  # fmt: skip
+        }
         self.write()
         self.environment = {"PROXY_CONFIG": str(self.path)}
         self.clients: list[Line] = []
@@ -166,9 +181,13 @@
         os.replace(beside, self.path)
 
     def __enter__(self) -> Real:
-        self.popen = subprocess.Popen([sys.executable, "-O", "-m", "hookpitch"], cwd=ROOT, text=True,
-                                      env=self.environment,
-                                      stderr=subprocess.PIPE)  # fmt: skip
+        self.popen = subprocess.Popen(
+            [sys.executable, "-O", "-m", "hookpitch"],
+            cwd=ROOT,
+            text=True,
+            env=self.environment,
+            stderr=subprocess.PIPE,
+        )
         threading.Thread(target=self._read, daemon=True).start()
         self.log("serving")
         return self
@@ -181,6 +200,7 @@
 
     def log(self, event: str, count: int = 1) -> dict[str, Any]:
         """The `count`-th line of the log with this event, as soon as it stands there."""
+
         def found() -> list[dict[str, Any]]:
             return [line for line in self.logs if line["event"].startswith(event)]
 
@@ -188,8 +208,12 @@
             assert self._came.wait_for(lambda: len(found()) >= count, WAIT_S), (event, self.logs)
             return found()[count - 1]
 
-    def __exit__(self, kind: type[BaseException] | None, fault: BaseException | None,
-                 trace: TracebackType | None) -> None:  # fmt: skip
+    def __exit__(
+        self,
+        kind: type[BaseException] | None,
+        fault: BaseException | None,
+        trace: TracebackType | None,
+    ) -> None:
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.kill()
@@ -225,7 +249,9 @@
     def memory_kb(self) -> int:
         """The most that the process has held."""
         status = Path(f"/proc/{self.popen.pid}/status").read_text()
-        return int(next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1])
+        return int(
+            next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1]
+        )
 
     # ---- clients
 
@@ -239,7 +265,9 @@
         line.say(b"*1\r\n$4\r\nINFO\r\n")
         text = line.value()
         line.close()
-        return {name: int(n) for name, _, n in (pair.partition(":") for pair in text.decode().split())}
+        return {
+            name: int(n) for name, _, n in (pair.partition(":") for pair in text.decode().split())
+        }
 
     def count(self, name: str) -> int:
         return self.info().get(name, 0)
@@ -270,9 +298,13 @@
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 
 
-def method(name: str, idempotency: str = "retryable", soft_s: float = 5.0,
-           **more: Any) -> Settings:  # noqa: ANN401  # fmt: skip
-    plain = {"name": name, "soft_deadline_s": soft_s, "hard_deadline_s": 6.0, "idempotency": idempotency}
+def method(name: str, idempotency: str = "retryable", soft_s: float = 5.0, **more: Any) -> Settings:  # noqa: ANN401
+    plain = {
+        "name": name,
+        "soft_deadline_s": soft_s,
+        "hard_deadline_s": 6.0,
+        "idempotency": idempotency,
+    }
     return plain | more
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -88,7 +88,11 @@
 def test_a_pause_is_no_burden() -> None:
     a = Admission(0.0, SOFT)
     a.beat(50.0, 0.0, 20.0)
-    assert a.paused(300.0, used=10.0) and not a.paused(300.0, used=250.0) and not a.paused(20.0, used=0.0)
+    assert (
+        a.paused(300.0, used=10.0)
+        and not a.paused(300.0, used=250.0)
+        and not a.paused(20.0, used=0.0)
+    )
     for n in range(100):
         a.read(3.0 * n)
     a.beat(350.0, 300.0, 30.0)
@@ -99,7 +103,9 @@
 
 
 def test_the_least_gain_and_what_is_over_a_share_go_first() -> None:
-    f = Fleet(deployment(methods=METHODS, customers=(Customer("small", 1e-6),), max_retry_after_ms=300.0))
+    f = Fleet(
+        deployment(methods=METHODS, customers=(Customer("small", 1e-6),), max_retry_after_ms=300.0)
+    )
     f.listed([entry("s0")])
     counts = {"low": 0, "high": 0, "small": 0}
     for n in range(4000):
@@ -110,9 +116,15 @@
             counts[name] += sum(f.node.turned_away(f.now, name, "", 0.0) >= 0 for _ in range(count))
         f.node.shares["small"].tokens = 0.0
         counts["small"] += f.node.turned_away(f.now, "high", "small", 0.0) >= 0
-    assert counts["high"] == 0 and 0.5 < counts["low"] / 12000 < 0.95, "half of all, each of low gain"
+    assert counts["high"] == 0 and 0.5 < counts["low"] / 12000 < 0.95, (
+        "half of all, each of low gain"
+    )
     assert counts["small"] > 3900 and 0 < f.node.turned_away(f.now, "low", "small", 0.0) <= 300
-    assert f.node.turned_away(f.now, "high", "", 0.0) < 0 <= f.node.turned_away(f.now, "high", "", 399.0)
+    assert (
+        f.node.turned_away(f.now, "high", "", 0.0)
+        < 0
+        <= f.node.turned_away(f.now, "high", "", 399.0)
+    )
 
 
 def test_after_a_pause_nobody_is_struck_and_silence_counts_anew() -> None:
@@ -141,7 +153,9 @@
     s.pause(600, *lines)  # past the wait for each of them, before their hard deadlines
     s.pass_time(1)
     assert s.counters.counts["rpcs.completed"] == 4 and s.counters.counts["node.away"] == 1
-    assert s.counters.counts["tx.sent"] == sent and not any("off the path" in text for text in s.logs)
+    assert s.counters.counts["tx.sent"] == sent and not any(
+        "off the path" in text for text in s.logs
+    )
 
 
 def test_an_rpc_that_stood_unread_has_that_much_less_time() -> None:
@@ -151,12 +165,16 @@
     c.say(get("r1", wait=900))
     s.pass_time(1)
     (words,) = filter(None, (s.request(port) for port in (7000, 7001)))
-    assert 240 < int(words[3].partition(b"d=")[2]) <= 250, "of the 400 ms in which it is of use, 250 are left"
+    assert 240 < int(words[3].partition(b"d=")[2]) <= 250, (
+        "of the 400 ms in which it is of use, 250 are left"
+    )
     s.pass_time(251)
     assert c.take() in (b"-BUSY\r\n", b"-ERR failed\r\n")
     c.aged, sent = 950.0, s.counters.counts["tx.sent"]
     c.say(get("r2", wait=900))
-    assert c.take() == b"-BUSY\r\n" and s.counters.counts["tx.sent"] == sent, "over when it was read"
+    assert c.take() == b"-BUSY\r\n" and s.counters.counts["tx.sent"] == sent, (
+        "over when it was read"
+    )
 
 
 def test_what_is_turned_away_at_the_door_leaves_nothing_behind() -> None:
@@ -178,7 +196,9 @@
     for n in range(12):
         c.say(get(f"r{n}", f"key{n}"))
         s.pass_time(2)
-    assert s.counters.counts["dials.no_descriptor"] > 5 and s.counters.counts["rpcs.exhausted"] == 12
+    assert (
+        s.counters.counts["dials.no_descriptor"] > 5 and s.counters.counts["rpcs.exhausted"] == 12
+    )
     assert not any("off the path" in text for text in s.logs)
     s.network.ways.clear()
     s.pass_time(500)
@@ -253,7 +273,9 @@
 
 def test_turns_are_short_and_servers_go_first() -> None:
     reactor, order = Turns(), list[str]()
-    made = [FromClient(order, "client") for _ in range(3 * TURN_EVENTS)] + [Selectable(order, "server")]
+    made = [FromClient(order, "client") for _ in range(3 * TURN_EVENTS)] + [
+        Selectable(order, "server")
+    ]
     for one in made:
         reactor.addReader(one)
     reactor.doPoll(0)
@@ -274,10 +296,19 @@
     path = tmp_path / "node.json"
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    told = TOLD | {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "limits": {"sockets": 64}}
+    told = TOLD | {
+        "listen": f"127.0.0.1:{port}",
+        "discovery": "127.0.0.1:1",
+        "limits": {"sockets": 64},
+    }
     path.write_text(json.dumps(told))
-    node = subprocess.Popen([sys.executable, "-m", "hookpitch"], env={"PROXY_CONFIG": str(path)},
-                            stderr=subprocess.PIPE, text=True, cwd=Path(__file__).parent.parent)  # fmt: skip
+    node = subprocess.Popen(
+        [sys.executable, "-m", "hookpitch"],
+        env={"PROXY_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
+        text=True,
+        cwd=Path(__file__).parent.parent,
+    )
     lines = []
     try:
         assert any('"serving"' in line for line in node.stderr)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -1,4 +1,5 @@
-"""Hundreds of nodes and one discovery: calls stay under a stated bound, the last list comes in time."""
+"""Hundreds of nodes and one discovery: calls stay under a stated bound, the last list comes in
+time."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -18,9 +19,11 @@
     return [Asking(0.0, count, WITHIN, draws(seed * 1000 + n, "ask")) for n in range(count)]
 
 
-def played(nodes: list[Asking], takes: float, until: float, events: dict[float, Callable[[], None]]
-           ) -> tuple[Counter[int], list[float]]:  # fmt: skip
-    """Calls in each second, and when each node's list came last, with a discovery that takes so many calls
+def played(
+    nodes: list[Asking], takes: float, until: float, events: dict[float, Callable[[], None]]
+) -> tuple[Counter[int], list[float]]:
+    """Calls in each second, and when each node's list came last, with a discovery that takes so
+    many calls
     a second; `events` happen at their ms. Steps of 10 ms."""
     calls, listed, room = Counter[int](), [FAR] * len(nodes), 0.0
     for now in range(0, int(until), 10):
@@ -68,7 +71,9 @@
     assert max(calls.values()) <= 90 and max(listed) <= 1000 + WITHIN / 2 + 300
     calls, listed = played(nodes, 1e9, 20000, {1000.0: lose(Loss.SILENT)})
     # Danger: what a silent watch misses counts from the silence, so there is little time for draws.
-    assert max(listed) <= 1000 + (TOLD_MS - 1000 - QUIET_MS)  # a second at least is left for the answer
+    assert max(listed) <= 1000 + (
+        TOLD_MS - 1000 - QUIET_MS
+    )  # a second at least is left for the answer
 
 
 def test_nodes_that_were_all_stopped_draw_anew_as_they_go_on() -> None:
@@ -82,7 +87,9 @@
     assert len(late) > 60 and max(at) - min(at) > 1000.0
 
 
-def test_where_the_list_of_before_serves_nobody_the_first_call_comes_sooner_and_not_together() -> None:
+def test_where_the_list_of_before_serves_nobody_the_first_call_comes_sooner_and_not_together() -> (
+    None
+):
     few, many = fleet(12), fleet(300)
     assert sum(a.hurried(300.0) for a in few) > 6 and max(a.at for a in few) <= 300 + 12 * 50
     for a in many:
@@ -113,7 +120,9 @@
         a.asked(now)
         a.told()
         a.lost(now, Loss.ENDED)
-        assert a.at - now <= WITHIN / 2 + 300  # what was learnt of discovery's trouble does not stay
+        assert (
+            a.at - now <= WITHIN / 2 + 300
+        )  # what was learnt of discovery's trouble does not stay
 
 
 def test_a_call_that_is_not_answered_has_failed_in_time() -> None:
@@ -124,9 +133,11 @@
 
 @pytest.mark.parametrize("count", [1, 6, 60, 300, 5000])
 @pytest.mark.parametrize("within", [4000.0, 10000.0, 60000.0])
-def test_a_call_that_hung_is_followed_by_another_while_the_change_is_not_told_yet(count: int, within: float
-                                                                                  ) -> None:  # fmt: skip
-    # Danger: half of the time for asking in vain, and one and a half times that as if refused at once.
+def test_a_call_that_hung_is_followed_by_another_while_the_change_is_not_told_yet(
+    count: int, within: float
+) -> None:
+    # Danger: half of the time for asking in vain, and one and a half times that as if refused at
+    # once.
     for seed in range(40):
         (a, *_) = fleet(1, seed)
         a.retimed(count, within)
@@ -140,7 +151,8 @@
 
 
 def test_where_lists_are_pushed_a_node_asks_at_once_and_again_at_once() -> None:
-    # Danger: what the agent has counts as told; a drain that it had at the start was heeded seconds later.
+    # Danger: what the agent has counts as told; a drain that it had at the start was heeded seconds
+    # later.
     for n in range(40):
         a = Asking(700.0, 300, WITHIN, draws(n, "ask"), pushed=True)
         assert a.at == 700.0
@@ -150,7 +162,9 @@
                 a.told()
             assert 800.0 + 60 <= a.lost(800.0, how) <= 800.0 + 180
         a.asked(800.0)
-        assert a.lost(800.0, Loss.REFUSED, 2000.0) >= 800.0 + 1500  # but discovery's own word is heeded
+        assert (
+            a.lost(800.0, Loss.REFUSED, 2000.0) >= 800.0 + 1500
+        )  # but discovery's own word is heeded
 
 
 def test_a_fleet_that_is_refused_spreads_its_calls_over_most_of_what_the_bound_leaves() -> None:
@@ -160,18 +174,23 @@
             a.asked(0.0)
             a.lost(0.0, Loss.REFUSED)
         at.append(a.at)
-    assert max(Counter(int(t / 1000) for t in at).values()) <= 130 and max(at) - min(at) > NEXT_MS / 2
+    assert (
+        max(Counter(int(t / 1000) for t in at).values()) <= 130 and max(at) - min(at) > NEXT_MS / 2
+    )
 
 
 def test_when_discovery_says_when_to_come_back_it_is_heeded_within_bounds() -> None:
-    # What it asks for gives way to the time by which a change counts as told; all come no sooner than most.
+    # What it asks for gives way to the time by which a change counts as told; all come no sooner
+    # than most.
     late = NEXT_MS * 2 / 3
     for seconds, least, most in ((1, 1000.0, NEXT_MS), (4, late, NEXT_MS), (999999, late, NEXT_MS)):
         a = fleet(60)[7]
         a.asked(0.0)
         after = retry_after([(b"server", b"x"), (b"Retry-After", b"%d" % seconds)])
         assert least <= a.lost(0.0, Loss.REFUSED, after) <= most
-    assert retry_after([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")]) == retry_after([]) == 0.0
+    assert (
+        retry_after([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")]) == retry_after([]) == 0.0
+    )
 
 
 def test_an_instance_in_the_simulator_asks_by_the_same_module() -> None:
