--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -1,4 +1,5 @@
-"""No server is blamed for what would fail anywhere; what falls by turns; what is told and is not so."""
+"""No server is blamed for what would fail anywhere; what falls by turns; what is told and is not
+so."""
 
 import pytest
 from fleet import ORIGIN, Fleet, deployment, entry
@@ -31,7 +32,9 @@
         if i % 3:
             assert fail(f, f.arrive(key or f"bad{i}")) <= 2
     assert not any(s.off or s.failures for s in f.node.servers.values())
-    assert not any(to == "o1" for _, to, _ in f.sends), "the origin is not asked for what failed twice"
+    assert not any(to == "o1" for _, to, _ in f.sends), (
+        "the origin is not asked for what failed twice"
+    )
 
 
 def test_second_opinions_are_a_part_of_the_good_answers() -> None:
@@ -85,7 +88,9 @@
     assert len(f.sends) == 1
 
 
-def test_what_answered_lately_stays_on_the_path_though_listed_as_gone_and_elsewhere_gone_binds() -> None:
+def test_what_answered_lately_stays_on_the_path_though_listed_as_gone_and_elsewhere_gone_binds() -> (  # noqa: E501
+    None
+):
     for advice in (True, False):
         f = fleet(1, gone_is_advice=advice)
         f.end(f.arrive("k"), Outcome.COMPLETED)
@@ -113,7 +118,9 @@
     assert not s.off
 
 
-def test_a_cache_slower_than_a_fifth_of_the_soft_deadline_gets_less_and_the_origin_does_not() -> None:
+def test_a_cache_slower_than_a_fifth_of_the_soft_deadline_gets_less_and_the_origin_does_not() -> (
+    None
+):
     f = fleet(1)
     s, o = f.node.servers["s0"], f.node.origin
     before, at_origin = s.limit, o.limit
@@ -139,7 +146,9 @@
 
 
 @pytest.mark.parametrize("errors", [False, True])
-def test_load_measured_goes_before_load_told_and_true_reports_are_heeded_again(errors: bool) -> None:
+def test_load_measured_goes_before_load_told_and_true_reports_are_heeded_again(
+    errors: bool,
+) -> None:
     f = fleet(3, nodes=2)
     for i in range(400):  # the slow one says that it idles; RPCs that fail anywhere may come on top
         if errors and i % 2 == 0:
@@ -148,14 +157,18 @@
     by = {s.id: s.c for s in f.node.caches}
     assert by["s1"] == max(by.values())
     assert not any(s.off or s.failures for s in f.node.caches)
-    for i in range(600):  # now all tell the truth, and another one is busy with what other nodes send
+    for i in range(
+        600
+    ):  # now all tell the truth, and another one is busy with what other nodes send
         ended(f, f"k{i % 60}", {"s2": 1.0}, {"s2": 9.0})  # its answers alone would not tell
     by = {s.id: s.c for s in f.node.caches}
     assert by["s2"] == max(by.values()) > by["s1"]
 
 
 def test_a_district_whose_rpcs_all_fail_strikes_no_server_and_costs_the_others_nothing() -> None:
-    f = fleet(customers=(Customer("bad", 1000.0), Customer("good", 1000.0)), max_retry_after_ms=400.0)
+    f = fleet(
+        customers=(Customer("bad", 1000.0), Customer("good", 1000.0)), max_retry_after_ms=400.0
+    )
     for i in range(200):
         assert fail(f, f.arrive(f"b{i}", customer="bad")) <= 2
         rpc = f.arrive(f"g{i}", customer="good")
@@ -186,7 +199,8 @@
             f.end(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
             f.pass_time(10.0)
         back = [to for _, to, _ in f.sends[sent:]]
-        # Less than half of a warm one's part, at each return: each is the beginning of another cold time.
+        # Less than half of a warm one's part, at each return: each is the beginning of another cold
+        # time.
         assert all(back.count(s) < 0.5 * len(back) / 6 for s in rack), turn
     assert max(wasted[1:]) <= wasted[0] // 2  # one RPC a server and turn, three at first
     for i in range(4000):  # the turns are over: nobody is marked for good
@@ -227,7 +241,9 @@
     home.limit = 1.0
     other = next(s for s in f.node.caches if s is not home)
     other.limit = 1.0
-    blocker = next(r for r in (f.arrive(f"x{i}") for i in range(40)) if f.txs[r] and last(f, r) == other.id)
+    blocker = next(
+        r for r in (f.arrive(f"x{i}") for i in range(40)) if f.txs[r] and last(f, r) == other.id
+    )
     waits = f.arrive("k")
     assert not f.txs[waits]
     f.end(blocker, Outcome.COMPLETED)
@@ -236,7 +252,10 @@
 
 
 def test_bound_methods_leave_the_rest_fewer_points_of_their_servers() -> None:
-    method = (Method("page", 400.0, 1000.0, 1.0), Method("status", 400.0, 1000.0, 1.0, kinds=("std",)))
+    method = (
+        Method("page", 400.0, 1000.0, 1.0),
+        Method("status", 400.0, 1000.0, 1.0, kinds=("std",)),
+    )
     f = Fleet(deployment(methods=method, kinds=("fast", "std")))
     f.listed([entry(f"s{i}", kind=i % 2) for i in range(6)])
     free = {s.kind: s.free for s in f.node.caches}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -50,7 +50,9 @@
 def test_values_come_whole_however_they_are_split(seed: int) -> None:
     rng = random.Random(seed)
     big = rng.randbytes(65536)
-    sent = b"*3\r\n" + bulk(big) + bulk(None) + bulk(b"") + b"+OK\r\n-BUSY 5\r\n:-7\r\n*-1\r\n*0\r\n"
+    sent = (
+        b"*3\r\n" + bulk(big) + bulk(None) + bulk(b"") + b"+OK\r\n-BUSY 5\r\n:-7\r\n*-1\r\n*0\r\n"
+    )
     sent += b"*1\r\n*1\r\n" + bulk(b"\r\n")
     assert parse(sent, rng) == [[big, None, b""], b"OK", b"BUSY 5", -7, None, [], [[b"\r\n"]]]
     sent = command(b"PING") + command(b"OBJ.SET", b"k", big)
@@ -62,10 +64,23 @@
     assert [type(v) for v in values] == [Plain, Fault]
 
 
-@pytest.mark.parametrize("data", [
-    b"PING\r\n", b"+PING\r\n", b"*1\r\n:1\r\n", b"*1\r\n$-1\r\n", b"*99999\r\n", b"*1\r\n$65537\r\n",
-    b"*x\r\n", b"*1\n", b"*1\r\n$1\r\nabc", b"*" + b"1" * 5000, b"*1\r\n*1\r\n$1\r\na\r\n", b"\x16\x03\x01",
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"PING\r\n",
+        b"+PING\r\n",
+        b"*1\r\n:1\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*99999\r\n",
+        b"*1\r\n$65537\r\n",
+        b"*x\r\n",
+        b"*1\n",
+        b"*1\r\n$1\r\nabc",
+        b"*" + b"1" * 5000,
+        b"*1\r\n*1\r\n$1\r\na\r\n",
+        b"\x16\x03\x01",
+    ],
+)
 def test_what_is_no_command_is_malformed(data: bytes) -> None:
     with pytest.raises(Malformed):
         parse(data, random.Random(1), True)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -11,7 +11,11 @@
 
 from hookpitch.core.resp import Fault, Plain, command
 
-METHODS = [method("read"), method("once", "fragile"), method("short", soft_s=0.8) | {"hard_deadline_s": 1.0}]
+METHODS = [
+    method("read"),
+    method("once", "fragile"),
+    method("short", soft_s=0.8) | {"hard_deadline_s": 1.0},
+]
 QUIT, PING = b"*1\r\n$4\r\nQUIT\r\n", b"*1\r\n$4\r\nPING\r\n"
 GONE_S = 0.12  # a client that closed its connection longer ago than 0.1 s has gone
 
@@ -55,7 +59,9 @@
 
 
 @pytest.mark.parametrize("how", ["fin", "close", "reset"])
-def test_a_request_that_is_read_after_its_client_has_gone_is_not_sent_on(tmp_path: Path, how: str) -> None:
+def test_a_request_that_is_read_after_its_client_has_gone_is_not_sent_on(
+    tmp_path: Path, how: str
+) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
         knows(r, client)
@@ -69,7 +75,9 @@
         asks_next(r, line, "r2")
 
 
-def test_a_client_that_ends_its_sending_with_its_request_and_reads_is_answered(tmp_path: Path) -> None:
+def test_a_client_that_ends_its_sending_with_its_request_and_reads_is_answered(
+    tmp_path: Path,
+) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
         knows(r, client)
@@ -101,12 +109,16 @@
         assert b"X-Request-Id: w1\r\n" in r.origin.accept().head(), "sent on for nobody"
 
 
-def test_a_client_with_thousands_out_that_is_not_read_any_more_is_seen_to_go(tmp_path: Path) -> None:
+def test_a_client_with_thousands_out_that_is_not_read_any_more_is_seen_to_go(
+    tmp_path: Path,
+) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
         client.say(get("r1", wait=5000))
         assert line.value()[2] == b"r1"
-        client.say(PING * 4200)  # answered behind the first; from 4096 on the node reads no more of it
+        client.say(
+            PING * 4200
+        )  # answered behind the first; from 4096 on the node reads no more of it
         r.until(lambda: r.count("clients.paused") == 1)
         client.say(PING * 100)  # so the end of the sending stands behind unread bytes
         client.fin()
@@ -135,7 +147,9 @@
 
 
 @pytest.mark.parametrize("sent", ["before", "after"])
-def test_a_pipeline_that_goes_on_at_a_shutdown_ends_between_two_commands(tmp_path: Path, sent: str) -> None:
+def test_a_pipeline_that_goes_on_at_a_shutdown_ends_between_two_commands(
+    tmp_path: Path, sent: str
+) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
         client.say(get("r1", wait=5000))
@@ -181,14 +195,18 @@
         began = time.monotonic()
         r.signal(signal.SIGTERM)
         r.until(lambda: not listens(r))
-        r.until(lambda: time.monotonic() > began + 1.1)  # its time ends after the node's, 0.5 + 1.0 + 0.15 s
+        r.until(
+            lambda: time.monotonic() > began + 1.1
+        )  # its time ends after the node's, 0.5 + 1.0 + 0.15 s
         client.say(text[30:])
         r.caches[0].accept().value()  # and no answer comes
         assert isinstance(client.value(), Fault) and client.ended() == "fin"
         assert r.left() == 0 and time.monotonic() < began + 2.2
 
 
-def test_an_idle_client_that_asks_as_the_node_leaves_is_answered_or_may_ask_again(tmp_path: Path) -> None:
+def test_an_idle_client_that_asks_as_the_node_leaves_is_answered_or_may_ask_again(
+    tmp_path: Path,
+) -> None:
     for before in (True, False):  # the last look at its connection
         with real(tmp_path) as r:
             line, client = warm(r), r.client()
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -18,9 +18,13 @@
     return time.monotonic() - began
 
 
-def test_a_call_that_is_accepted_and_never_answered_is_followed_by_another_in_time(tmp_path: Path) -> None:
+def test_a_call_that_is_accepted_and_never_answered_is_followed_by_another_in_time(
+    tmp_path: Path,
+) -> None:
     with Real(tmp_path, rules=RULES) as r:
-        for _ in range(2):  # the second as the first: what hung before is no reason to wait for longer
+        for _ in range(
+            2
+        ):  # the second as the first: what hung before is no reason to wait for longer
             silent = r.discovery.accept()
             silent.head()
             began = time.monotonic()
@@ -32,14 +36,18 @@
 
 
 @pytest.mark.parametrize("what", [b"", b'{"seq":6,', b" "])
-def test_a_watch_that_says_nothing_whole_is_opened_anew_in_time(tmp_path: Path, what: bytes) -> None:
+def test_a_watch_that_says_nothing_whole_is_opened_anew_in_time(
+    tmp_path: Path, what: bytes
+) -> None:
     with Real(tmp_path, rules=RULES) as r:
         watch = r.watch(r.change(6, 0))
         r.until(lambda: r.count("lists.delta") == 1)
         tell(watch, b"\n")
         began = time.monotonic()
         while not r.discovery.dialled(0.2):  # half of what it would tell, or a blank, now and then
-            assert since(began) < (QUIET_MS + SPREAD_MS) / 1000 + 1 + EASE_S, "the silence was put off"
+            assert since(began) < (QUIET_MS + SPREAD_MS) / 1000 + 1 + EASE_S, (
+                "the silence was put off"
+            )
             with suppress(OSError):  # it has given the watch up, and asks in a moment
                 if what:
                     tell(watch, what)
@@ -63,10 +71,12 @@
 
 @pytest.mark.parametrize("indent", [None, 1, "\t"])
 @pytest.mark.parametrize("piece", [1, 7, 1 << 20])
-def test_lists_may_come_indented_and_in_pieces(tmp_path: Path, indent: str | int | None, piece: int) -> None:
+def test_lists_may_come_indented_and_in_pieces(
+    tmp_path: Path, indent: str | int | None, piece: int
+) -> None:
     with Real(tmp_path) as r:
         watch = r.watch()
-        whole, odd = {"seq": 6, "whole": True, "hosts": r.hosts}, r.change(8, 1, site="{[\"\\")
+        whole, odd = {"seq": 6, "whole": True, "hosts": r.hosts}, r.change(8, 1, site='{["\\')
         for seq, told in ((6, whole), (7, r.change(7, 0, health="terminating")), (8, odd)):
             text = chunk(json.dumps(told, indent=indent).encode() + b"\n") + chunk(b"\n")
             for at in range(0, len(text), piece):
@@ -124,7 +134,7 @@
 
 
 def test_where_lists_are_pushed_the_first_list_and_each_after_a_loss_is_asked_for_at_once(
-    tmp_path: Path
+    tmp_path: Path,
 ) -> None:
     with Real(tmp_path, rules=RULES, discovery="pushed", balancers=200) as r:
         call = r.discovery.accept(0.5)  # of 200 nodes, and a time for asking of 30 s
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -12,7 +12,11 @@
 
 from hookpitch.core.resp import Fault
 
-METHODS = [method("read"), method("once", "fragile"), method("known", "dedup", window_s=4.0, group="all")]
+METHODS = [
+    method("read"),
+    method("once", "fragile"),
+    method("known", "dedup", window_s=4.0, group="all"),
+]
 
 
 def real(folder: Path, caches: int = 1) -> Real:
@@ -52,10 +56,14 @@
         assert client.value() == b"v"
 
 
-@pytest.mark.parametrize("new", [
-    method("known", "dedup", window_s=0.001, group="all"), method("known", "fragile"),
-    method("known", "dedup", window_s=4.0, group="cell"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "new",
+    [
+        method("known", "dedup", window_s=0.001, group="all"),
+        method("known", "fragile"),
+        method("known", "dedup", window_s=4.0, group="cell"),
+    ],
+)
 def test_what_may_have_run_is_sent_again_only_as_both_settings_allow(
     tmp_path: Path, new: dict[str, Any]
 ) -> None:
@@ -64,7 +72,10 @@
         client.say(get("r1", method="known", wait=5000))
         n, line = r.asked()
         assert line.value()[2] == b"r1"
-        r.hosts[1 - n]["block"], r.hosts[2]["block"] = 5, 9  # each of another cell: it knows no repeats
+        r.hosts[1 - n]["block"], r.hosts[2]["block"] = (
+            5,
+            9,
+        )  # each of another cell: it knows no repeats
         r.watch({"seq": 6, "whole": True, "hosts": r.hosts})
         r.until(lambda: r.count("lists.full") == 1)
         reload(r, methods=[METHODS[0], new])
@@ -83,7 +94,9 @@
         assert isinstance(client.value(), Fault) and r.count("upstream_requests") == 1
 
 
-@pytest.mark.parametrize("order", [[signal.SIGHUP, signal.SIGTERM], [signal.SIGTERM, signal.SIGHUP]])
+@pytest.mark.parametrize(
+    "order", [[signal.SIGHUP, signal.SIGTERM], [signal.SIGTERM, signal.SIGHUP]]
+)
 def test_a_reload_beside_the_end_loses_nothing(tmp_path: Path, order: list[signal.Signals]) -> None:
     with real(tmp_path) as r:
         client, line = asked(r, "read")
@@ -100,7 +113,9 @@
         assert r.left() == 0
 
 
-@pytest.mark.parametrize("text", ["", "{", '{"discovery": "127.0.0.1:1", "settings": {"methods": []}}', "[]"])
+@pytest.mark.parametrize(
+    "text", ["", "{", '{"discovery": "127.0.0.1:1", "settings": {"methods": []}}', "[]"]
+)
 def test_a_file_that_is_half_written_or_takes_all_classes_away_changes_nothing(
     tmp_path: Path, text: str
 ) -> None:
@@ -113,7 +128,9 @@
         assert client.value() == b"v" and r.count("config_reload_errors") == 1
 
 
-def test_a_reload_that_moves_discovery_asks_there_at_once_whatever_the_old_one_says(tmp_path: Path) -> None:
+def test_a_reload_that_moves_discovery_asks_there_at_once_whatever_the_old_one_says(
+    tmp_path: Path,
+) -> None:
     with real(tmp_path) as r:
         old = r.watch(r.change(6, 0))
         r.until(lambda: r.count("lists.delta") == 1)
@@ -145,8 +162,13 @@
         counted = r.count("completed.read")
         shares = [{"name": "new", "quota_per_s": 5.0}, {"name": "small", "quota_per_s": 1.0}]
         aside = {"mode": "aside", "origin_kind": 2}
-        reload(r, methods=[method("first"), *reversed(METHODS)], customers=shares,
-               host_types=["box", "std", "origin"], family_info=aside)  # fmt: skip
+        reload(
+            r,
+            methods=[method("first"), *reversed(METHODS)],
+            customers=shares,
+            host_types=["box", "std", "origin"],
+            family_info=aside,
+        )
         assert r.count("completed.read") == counted == 3 and r.count("completed.first") == 0
         client = r.client()
         client.say(get("b1", method="first", wait=5000))
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -1,4 +1,5 @@
-"""Connections to caches and the origin on real sockets, where two events cross; see docs/crossings.md."""
+"""Connections to caches and the origin on real sockets, where two events cross; see
+docs/crossings.md."""
 
 import fcntl
 import socket
@@ -15,7 +16,11 @@
 
 # The next SYN of a dial that found no room comes a second later.
 LIMITS = {"most_transmissions": 3, "cancelling": True, "dial_timeout_s": 4.0, "conn_idle_s": 60.0}
-METHODS = [method("read"), method("once", "fragile"), method("known", "dedup", window_s=0.6, group="all")]
+METHODS = [
+    method("read"),
+    method("once", "fragile"),
+    method("known", "dedup", window_s=0.6, group="all"),
+]
 
 
 def outstanding(line: Line) -> int:
@@ -50,7 +55,9 @@
 @pytest.mark.parametrize(
     "what", [{"health": "terminating"}, {"health": "terminated"}, {"dial": "127.0.0.1:1"}]
 )
-def test_what_waits_for_a_dial_is_not_begun_once_its_server_is_none(tmp_path: Path, what: Settings) -> None:
+def test_what_waits_for_a_dial_is_not_begun_once_its_server_is_none(
+    tmp_path: Path, what: Settings
+) -> None:
     with late(tmp_path) as r:
         client = ask(r, "r1")
         r.until(lambda: any(cache.syn_sent() for cache in r.caches))
@@ -67,7 +74,9 @@
         assert line.value()[2] == b"r2"  # the first that is ever written to it
 
 
-def test_what_waits_for_a_dial_is_decided_anew_once_its_server_was_started_anew(tmp_path: Path) -> None:
+def test_what_waits_for_a_dial_is_decided_anew_once_its_server_was_started_anew(
+    tmp_path: Path,
+) -> None:
     with late(tmp_path, 2) as r:
         ask(r, "r1")
         r.until(lambda: any(cache.syn_sent() for cache in r.caches))
@@ -89,7 +98,9 @@
         r.caches[0].accept().say(b"+hello\r\n")
         began = time.monotonic()
         r.go_on()
-        assert isinstance(client.value(), Fault) and time.monotonic() - began < 2.5, "it waited to its end"
+        assert isinstance(client.value(), Fault) and time.monotonic() - began < 2.5, (
+            "it waited to its end"
+        )
         assert r.count("connections.unclean") == r.count("tx.connect_failed") == 1
 
 
@@ -107,7 +118,9 @@
         line.say(MISS)
         origin = r.origin.accept()
         told = int(origin.head().partition(b"d=")[2].partition(b"\r\n")[0])
-        assert told <= 5000 - 1000 * (time.monotonic() - began) + 150, "the origin is told as the caches are"
+        assert told <= 5000 - 1000 * (time.monotonic() - began) + 150, (
+            "the origin is told as the caches are"
+        )
         origin.say(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
         assert client.value() == b"v"
 
@@ -218,11 +231,21 @@
         assert client.value() == (b"val" if how == "fin" else Fault(b"ERR failed"))
 
 
-@pytest.mark.parametrize("bad", [
-    b"+what\r\n", b"*3\r\n$1\r\nvv\r\n", b"?", b"*99\r\n", b"-" + b"x" * 9000, b"$999999999999999\r\n",
-    b"*3\r\n$4194305\r\n",
-])  # fmt: skip
-def test_what_cannot_be_read_is_reset_before_the_next_transmission(tmp_path: Path, bad: bytes) -> None:
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"+what\r\n",
+        b"*3\r\n$1\r\nvv\r\n",
+        b"?",
+        b"*99\r\n",
+        b"-" + b"x" * 9000,
+        b"$999999999999999\r\n",
+        b"*3\r\n$4194305\r\n",
+    ],
+)
+def test_what_cannot_be_read_is_reset_before_the_next_transmission(
+    tmp_path: Path, bad: bytes
+) -> None:
     with Real(tmp_path, 2, methods=METHODS) as r:
         client = ask(r, "r1")
         _, line = r.asked()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,7 +6,15 @@
 
 from fleet import ORIGIN, Fleet, deployment, entry
 
-from hookpitch.balancer.decisions import BUCKETS, Bucket, Server, migrate, nearest, target_point, weights
+from hookpitch.balancer.decisions import (
+    BUCKETS,
+    Bucket,
+    Server,
+    migrate,
+    nearest,
+    target_point,
+    weights,
+)
 from hookpitch.balancer.interface import Customer, ListKind, Method, Outcome, State
 
 
@@ -104,7 +112,9 @@
 
 
 def test_over_its_share_a_customer_is_exhausted_first() -> None:
-    f = fleet(1, customers=(Customer("small", 1.0), Customer("big", 1000.0)), max_retry_after_ms=400.0)
+    f = fleet(
+        1, customers=(Customer("small", 1.0), Customer("big", 1000.0)), max_retry_after_ms=400.0
+    )
     mine = [f.arrive(f"a{i}", customer="small") for i in range(30)]
     theirs = [f.arrive(f"b{i}", customer="big") for i in range(2)]
     assert any(f.answers.get(r) == "exhausted" for r in mine)
@@ -113,7 +123,10 @@
 
 def test_odd_ends_of_the_settings_still_answer() -> None:
     bare = Method("read", 400.0, 1000.0, 1.0)
-    for changes in ({"methods": (bare,), "cold_ms": 0.0, "tip_after_ms": 0.0}, {"max_transmissions": 0}):
+    for changes in (
+        {"methods": (bare,), "cold_ms": 0.0, "tip_after_ms": 0.0},
+        {"max_transmissions": 0},
+    ):
         f = Fleet(deployment(ask_within_ms=0.0, **changes))
         assert f.answers[f.arrive("k")] == "exhausted"  # no list yet
         f.listed([])
@@ -134,7 +147,9 @@
         f.end(f"rpc{f.count}", Outcome.RESET)
     assert f.node.servers[victim].failures == 2 and f.node.servers[victim].cold_until < f.now
     f.end(f"rpc{f.count}", Outcome.COMPLETED)
-    f.end(f.arrive("k"), Outcome.CONNECT_FAILED)  # refused as the third failure in a row: its process died
+    f.end(
+        f.arrive("k"), Outcome.CONNECT_FAILED
+    )  # refused as the third failure in a row: its process died
     assert f.node.servers[victim].cold_until > f.now
 
 
@@ -211,7 +226,9 @@
 
 
 @pytest.mark.parametrize("eased", [True, False])
-def test_what_one_slow_homes_line_gives_up_sheds_nothing_while_others_are_at_ease(eased: bool) -> None:
+def test_what_one_slow_homes_line_gives_up_sheds_nothing_while_others_are_at_ease(
+    eased: bool,
+) -> None:
     fleet = Fleet(deployment(second_copies=False))
     fleet.listed([entry("s1"), entry("s2"), entry("s3"), entry("o1", kind=ORIGIN)])
     fleet.pass_time(10)
@@ -226,7 +243,9 @@
     assert (node.turned == 0) is eased and list(fleet.answers.values()).count("exhausted") > 10
 
 
-def test_cold_servers_that_answer_at_once_get_more_than_their_part_and_one_that_is_full_its_part() -> None:
+def test_cold_servers_that_answer_at_once_get_more_than_their_part_and_one_that_is_full_its_part() -> (  # noqa: E501
+    None
+):
     f = fleet(4)
     for i in range(200):  # until warm ones have a rate
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
@@ -239,7 +258,9 @@
     assert s.boost * f.node.boost == f.node.boost_most == 2.0
     assert any(to == "s1" for _, to, _ in f.sends[sent:])
     f.listed([entry("s2", started=f.now)], ListKind.DELTA)
-    assert f.node.servers["s2"].boost * f.node.boost == 2.0  # what one tells holds for all that are cold
+    assert (
+        f.node.servers["s2"].boost * f.node.boost == 2.0
+    )  # what one tells holds for all that are cold
     for i in range(600):
         rpc = f.arrive(f"n{i}")
         if f.txs[rpc][-1]["server"] == "s1":
@@ -291,7 +312,8 @@
 
 
 def test_a_few_sightings_of_a_key_spread_nothing() -> None:
-    # Danger: after a release each node has seen few RPCs; chance spreads cold keys, and every copy misses.
+    # Danger: after a release each node has seen few RPCs; chance spreads cold keys, and every copy
+    # misses.
     f = fleet(16)
     for i in range(120):
         f.end(f.arrive(f"k{i % 40}"), Outcome.COMPLETED)  # each key three times
@@ -314,7 +336,9 @@
     for i in range(60):
         rpc = f.arrive(f"k{i}")
         f.end(rpc, Outcome.MISS)
-        f.pass_time(220.0 if i % 4 == 3 else 20.0)  # one in four over half of the soft deadline of 400
+        f.pass_time(
+            220.0 if i % 4 == 3 else 20.0
+        )  # one in four over half of the soft deadline of 400
         f.node.pressure = 1.0
         f.end(rpc, Outcome.COMPLETED)
         assert f.node.servers["o1"].limit >= 2.0
@@ -353,7 +377,8 @@
 
 @pytest.mark.parametrize(("nodes", "limit"), [(2, 12.0), (8, 8.0), (64, 1.0), (256, 0.25)])
 def test_the_origins_limit_at_the_start_is_64_over_all_nodes(nodes: int, limit: float) -> None:
-    # Danger: with half of that, nodes exhausted 3% of a quiet start; with far more, a crowd stops the origin.
+    # Danger: with half of that, nodes exhausted 3% of a quiet start; with far more, a crowd stops
+    # the origin.
     f = fleet(4, nodes=nodes)
     assert f.node.origin.limit == limit
     rpc = f.arrive("w", write=True)
@@ -363,11 +388,14 @@
     assert 25.0 <= rest < 75.0 if nodes == 256 else rest <= 0.0
 
 
-@pytest.mark.parametrize(("nodes", "rest_ms"), [(1, 1100.0), (4, 1100.0), (24, 1100.0), (300, 16000.0)])
-def test_an_origin_that_is_not_reached_is_tried_by_the_fleet_and_not_by_each_node_some_times_a_second(
+@pytest.mark.parametrize(
+    ("nodes", "rest_ms"), [(1, 1100.0), (4, 1100.0), (24, 1100.0), (300, 16000.0)]
+)
+def test_an_origin_that_is_not_reached_is_tried_by_the_fleet_and_not_by_each_node_some_times_a_second(  # noqa: E501
     nodes: int, rest_ms: float
 ) -> None:
-    # Danger: the few nodes of a small fleet rest as hundreds have to: 9 s, after a cut of 2 s had ended.
+    # Danger: the few nodes of a small fleet rest as hundreds have to: 9 s, after a cut of 2 s had
+    # ended.
     f, tried = fleet(2, nodes=nodes), list[float]()
     for i in range(2400):
         f.arrive(f"k{i}")
@@ -382,8 +410,13 @@
 
 
 def test_what_is_given_up_has_its_answer_in_the_same_turn_and_a_time_to_come_back() -> None:
-    # Danger: an answer held back so that its client does not ask again; it helps no one, and is not allowed.
-    f, came, told = fleet(1, max_retry_after_ms=400.0), dict[str, float](), dict[str, tuple[float, float]]()
+    # Danger: an answer held back so that its client does not ask again; it helps no one, and is not
+    # allowed.
+    f, came, told = (
+        fleet(1, max_retry_after_ms=400.0),
+        dict[str, float](),
+        dict[str, tuple[float, float]](),
+    )
     exhaust = f.exhaust
     f.exhaust = lambda rpc, ms: (told.setdefault(rpc, (f.now, ms)), exhaust(rpc, ms))[1]
     for s in f.node.servers.values():
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -30,9 +30,13 @@
     assert rows > 30
 
 
-@pytest.mark.parametrize("page", ["README.md", "docs/ROADMAP.md", "docs/on-call.md", "docs/crossings.md"])
+@pytest.mark.parametrize(
+    "page", ["README.md", "docs/ROADMAP.md", "docs/on-call.md", "docs/crossings.md"]
+)
 def test_the_files_that_a_page_points_to_are_there(page: str) -> None:
     text = (ROOT / page).read_text()
-    paths = set(re.findall(r"\b((?:docs|tests|deploy|hookpitch|benchmarks|examples)/[\w./-]*\w)", text))
+    paths = set(
+        re.findall(r"\b((?:docs|tests|deploy|hookpitch|benchmarks|examples)/[\w./-]*\w)", text)
+    )
     missing = [p for p in paths if not (ROOT / p).exists() and not list(ROOT.glob(f"{p}*"))]
     assert not missing
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,5 @@
-"""Experiments hold in virtual time, drawn ones break no rule, and one that does is shrunk to a small file."""
+"""Experiments hold in virtual time, drawn ones break no rule, and one that does is shrunk to a
+small file."""
 
 from pathlib import Path
 
@@ -21,16 +22,22 @@
     assert not [(e.text, value) for e, value, holds in expected(ended) if not holds]
 
 
-@pytest.mark.parametrize(("seed", "kinds"), [
-    *((5000 + n, fuzz.OLDER) for n in range(8)), *((100 + n, fuzz.FAULTY) for n in (3, 26, 28, 46, 1, 2)),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("seed", "kinds"),
+    [
+        *((5000 + n, fuzz.OLDER) for n in range(8)),
+        *((100 + n, fuzz.FAULTY) for n in (3, 26, 28, 46, 1, 2)),
+    ],
+)
 def test_drawn_experiments_break_no_rule(seed: int, kinds: tuple[str, ...]) -> None:
     ended = fuzz.attempt(fuzz.whole(fuzz.draw(seed, kinds)))
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
 
 
-def test_a_failing_experiment_is_shrunk_to_a_file_that_plays_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failing_experiment_is_shrunk_to_a_file_that_plays_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     x = fuzz.draw(7)
     broken = fuzz.rules_broken
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,5 @@
-"""The lab: one seed is one history, the judge can fail, files are checked, virtual time is what it says."""
+"""The lab: one seed is one history, the judge can fail, files are checked, virtual time is what it
+says."""
 
 import os
 import subprocess
@@ -36,13 +37,17 @@
 
 
 def test_one_seed_is_one_history_whatever_the_order_of_hashes() -> None:
-    code = ("from hookpitch.lab.experiment import read; from hookpitch.lab.run import Run; import sys; "
-            "print(Run(read(sys.argv[1]), int(sys.argv[2])).run().history.digest())")  # fmt: skip
+    code = (
+        "from hookpitch.lab.experiment import read; from hookpitch.lab.run import Run; import sys; "
+        "print(Run(read(sys.argv[1]), int(sys.argv[2])).run().history.digest())"
+    )
     digests = []
     for hashes, seed in (("1", "5"), ("2", "5"), ("1", "6")):
         words = [sys.executable, "-c", code, SMALL, seed]
         environment = os.environ | {"PYTHONHASHSEED": hashes}
-        done = subprocess.run(words, env=environment, cwd=ROOT, capture_output=True, text=True, check=True)
+        done = subprocess.run(
+            words, env=environment, cwd=ROOT, capture_output=True, text=True, check=True
+        )
         digests.append(done.stdout)
     assert digests[0] == digests[1] != digests[2]
 
@@ -66,32 +71,78 @@
 DONE = (1011.0, "answered", NODE, "q1", "completed")
 
 
-@pytest.mark.parametrize(("rules", "events"), [
-    ([], [CAME, SENT, DONE]),
-    (["rule 1"], [CAME]),  # withheld
-    (["rule 1"], [CAME, SENT, (1560.0, *DONE[1:])]),  # late
-    (["rule 1"], [CAME, SENT, DONE, (1012.0, "answered", NODE, "q1", "exhausted")]),  # twice
-    (["rule 1"], [CAME, SENT, (1011.0, "answered", NODE, "q1", "wrong")]),  # another's value
-    (["rule 1"], [CAME, SENT, (1011.0, "lost", NODE, "q1", "", 0.0, 7)]),
-    ([], [(1001.0, "unread", NODE, "", "", 0.0, 7), (1002.0, "lost", NODE, "q1", "", 0.0, 7)]),  # never read
-    (["rule 1"], [CAME, (1002.0, "sent", SERVER, "q1", "miss"), (1003.0, "answered", NODE, "q1", "exhausted"),
-                  (1100.0, "came", "s1", "q1", NODE, 0.0, 2), (1101.0, "sent", "s1", "q1", "miss")]),
-    (["second copy"], [CAME, (1005.0, "came", "s1", "q1", NODE, 0.0, 2), (1006.0, "sent", "s1", "q1", "miss"),
-                       SENT, DONE]),  # fmt: skip
-    ([], [CAME, (1004.0, "closed", NODE, "", "", 0.0, 1), (1011.0, "answered", NODE, "q1", "errored")]),
-    (["rule 2"], [CAME, (1004.0, "sent", SERVER, "q1", "error"), (1005.0, "came", "s1", "q1", NODE, 0.0, 2),
-                  (1006.0, "sent", "s1", "q1", "hit"), DONE]),  # fmt: skip
-    (["rule 2"], [CAME, (1002.0, "effect", SERVER, "q1"), (1003.0, "effect", SERVER, "q1"), SENT, DONE]),
-    (["rule 4"], [CAME, SENT, DONE, (1100.0, "fell", SERVER, "", "", 3.5)]),
-    (["unknown"], [CAME, SENT, DONE, (1100.0, "came", SERVER, "q9", NODE, 0.0, 2)]),
-])  # fmt: skip
-def test_the_judge_names_what_is_broken_and_nothing_else(rules: list[str], events: list[tuple]) -> None:
+@pytest.mark.parametrize(
+    ("rules", "events"),
+    [
+        ([], [CAME, SENT, DONE]),
+        (["rule 1"], [CAME]),  # withheld
+        (["rule 1"], [CAME, SENT, (1560.0, *DONE[1:])]),  # late
+        (["rule 1"], [CAME, SENT, DONE, (1012.0, "answered", NODE, "q1", "exhausted")]),  # twice
+        (["rule 1"], [CAME, SENT, (1011.0, "answered", NODE, "q1", "wrong")]),  # another's value
+        (["rule 1"], [CAME, SENT, (1011.0, "lost", NODE, "q1", "", 0.0, 7)]),
+        (
+            [],
+            [(1001.0, "unread", NODE, "", "", 0.0, 7), (1002.0, "lost", NODE, "q1", "", 0.0, 7)],
+        ),  # never read
+        (
+            ["rule 1"],
+            [
+                CAME,
+                (1002.0, "sent", SERVER, "q1", "miss"),
+                (1003.0, "answered", NODE, "q1", "exhausted"),
+                (1100.0, "came", "s1", "q1", NODE, 0.0, 2),
+                (1101.0, "sent", "s1", "q1", "miss"),
+            ],
+        ),
+        (
+            ["second copy"],
+            [
+                CAME,
+                (1005.0, "came", "s1", "q1", NODE, 0.0, 2),
+                (1006.0, "sent", "s1", "q1", "miss"),
+                SENT,
+                DONE,
+            ],
+        ),
+        (
+            [],
+            [
+                CAME,
+                (1004.0, "closed", NODE, "", "", 0.0, 1),
+                (1011.0, "answered", NODE, "q1", "errored"),
+            ],
+        ),
+        (
+            ["rule 2"],
+            [
+                CAME,
+                (1004.0, "sent", SERVER, "q1", "error"),
+                (1005.0, "came", "s1", "q1", NODE, 0.0, 2),
+                (1006.0, "sent", "s1", "q1", "hit"),
+                DONE,
+            ],
+        ),
+        (
+            ["rule 2"],
+            [CAME, (1002.0, "effect", SERVER, "q1"), (1003.0, "effect", SERVER, "q1"), SENT, DONE],
+        ),
+        (["rule 4"], [CAME, SENT, DONE, (1100.0, "fell", SERVER, "", "", 3.5)]),
+        (["unknown"], [CAME, SENT, DONE, (1100.0, "came", SERVER, "q9", NODE, 0.0, 2)]),
+    ],
+)
+def test_the_judge_names_what_is_broken_and_nothing_else(
+    rules: list[str], events: list[tuple]
+) -> None:
     assert story(*events) == rules
 
 
 def test_the_judge_counts_a_drain_from_the_telling_or_six_seconds_after_the_change() -> None:
-    for at, told, rules in ((4040.0, 1000.0, []), (4060.0, 1000.0, ["rule 3"]), (9900.0, None, []),
-                            (10100.0, None, ["rule 3"])):  # fmt: skip
+    for at, told, rules in (
+        (4040.0, 1000.0, []),
+        (4060.0, 1000.0, ["rule 3"]),
+        (9900.0, None, []),
+        (10100.0, None, ["rule 3"]),
+    ):
         history = History()
         history.add(1000.0, "listed", SERVER, what="terminating")
         if told is not None:
@@ -124,7 +175,9 @@
     assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == rules
 
 
-def test_the_judge_names_a_server_left_unused_a_drain_that_holds_clients_and_a_door_that_fails() -> None:
+def test_the_judge_names_a_server_left_unused_a_drain_that_holds_clients_and_a_door_that_fails() -> (  # noqa: E501
+    None
+):
     history = History()
     history.add(1000.0, "back", NODE, what=SERVER)
     for n in range(300):
@@ -138,15 +191,27 @@
     assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == ["unused", "drain"]
 
 
-def test_the_judge_holds_a_nodes_figures_against_what_others_saw_and_owes_a_slow_head_its_time() -> None:
+def test_the_judge_holds_a_nodes_figures_against_what_others_saw_and_owes_a_slow_head_its_time() -> (  # noqa: E501
+    None
+):
     history = History()
     for n in range(10):
         asked_at(history, 1000.0 + 20 * n, f"q{n}")
     history.add(2000.0, "asked", NODE, "q99", "read", 500.0, 7)
     history.add(2100.0, "left", NODE, "q99")  # it may be counted or not
-    for done, sent, broken in ((10, 10, 0), (13, 10, 0), (15, 10, 1), (6, 10, 1), (11, 14, 1), (10, 6, 1)):
+    for done, sent, broken in (
+        (10, 10, 0),
+        (13, 10, 0),
+        (15, 10, 1),
+        (6, 10, 1),
+        (11, 14, 1),
+        (10, 6, 1),
+    ):
         told = {NODE: {"completed.read": done, "upstream_requests": sent}}
-        assert [b.rule for b in Judge(Rules()).figures(history, told)] == ["figures"] * broken, (done, sent)
+        assert [b.rule for b in Judge(Rules()).figures(history, told)] == ["figures"] * broken, (
+            done,
+            sent,
+        )
     history.add(3000.0, "cut", NODE)
     assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == ["head"]
     assert not Judge(Rules(heads=False)).judge(history, 60000.0)
@@ -168,12 +233,17 @@
     assert not Judge(Rules()).judge(history, 60000.0)
 
 
-def test_a_node_owes_no_use_of_a_server_where_keys_are_few_nor_a_place_where_descriptors_are() -> None:
+def test_a_node_owes_no_use_of_a_server_where_keys_are_few_nor_a_place_where_descriptors_are() -> (
+    None
+):
     def rules(lines: str) -> Rules:
         return Run(read("name = 'a-b'\n" + lines), 1).rules()
 
     assert rules("").unused_ms == 5000.0 and rules("").heads
-    assert rules("[traffic]\nkeys = 1").unused_ms == float("inf") and not rules("[nodes]\nsockets = 64").heads
+    assert (
+        rules("[traffic]\nkeys = 1").unused_ms == float("inf")
+        and not rules("[nodes]\nsockets = 64").heads
+    )
 
 
 UPGRADE = """
@@ -199,12 +269,25 @@
         client.transport.abortConnection()
 
 
-@pytest.mark.parametrize(("whose", "what", "fault", "rules"), [
-    (Handover, "news", lambda self: iter(()), {"rule 3"}),  # the new process knows nothing of the ban
-    (Clients, "leave", leaves_its_clients, {"rule 1"}),  # the old one ends its clients' connections
-    (Counters, "add", lambda self, name, by=1: None, {"figures"}),
-    (None, "", None, set()),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("whose", "what", "fault", "rules"),
+    [
+        (
+            Handover,
+            "news",
+            lambda self: iter(()),
+            {"rule 3"},
+        ),  # the new process knows nothing of the ban
+        (
+            Clients,
+            "leave",
+            leaves_its_clients,
+            {"rule 1"},
+        ),  # the old one ends its clients' connections
+        (Counters, "add", lambda self, name, by=1: None, {"figures"}),
+        (None, "", None, set()),
+    ],
+)
 def test_an_upgrade_done_wrong_is_named_and_one_done_right_is_not(
     whose: type | None, what: str, fault: object, rules: set[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -216,7 +299,9 @@
     assert run.nodes["n0"].starts == 2 and run.nodes["n0"].elder is None  # the old one has gone
 
 
-def test_only_a_process_that_another_follows_takes_its_time_to_part(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_a_process_that_another_follows_takes_its_time_to_part(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     spans, leave = list[float](), Clients.leave
 
     def seen(self: Clients, done: object, over_ms: float = 0.0) -> None:
@@ -233,21 +318,36 @@
 # ---- files
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("name = 'x'", "name: wants subsystem-words"),
-    ("name = 'a-b'\nsecond = 3", "second"),
-    ("name = 'a-b'\n[[fault]]\nat = 1.0\nwhat = 'boom'", r"fault\[0\].what: 'boom' is none of"),
-    ("name = 'a-b'\n[[fault]]\nat = 'x'\nwhat = 'crash'", r"fault\[0\].at: Expected `float`"),
-    ("name = 'a-b'\n[[fault]]\nat = 99.0\nwhat = 'crash'\nwhom = 's0'", r"fault\[0\].at: wants 0 to"),
-    ("name = 'a-b'\n[[fault]]\nat = 1.0\nwhat = 'crash'\nwhom = 's77'", r"fault\[0\].whom: no server"),
-    ("name = 'a-b'\n[[method]]\nname = 'r'\nhard_ms = 1.0", r"method\[0\].hard_ms"),
-    ("name = 'a-b'\n[[fault]]\nat = 1.0\nwhat = 'node_kill'\nwhom = 'n0'\n[[fault]]\nat = 2.0\n"
-     "what = 'node_upgrade'\nwhom = 'n0'", r"fault\[0\].whom: 'n0' is replaced"),
-    ("name = 'a-b'\nexpect = ['served > 1']", r"expect\[0\]: 'served > 1' is not"),
-    ("name = 'a-b'\nexpect = ['joy >= 1']", r"expect\[0\]: 'joy' is none of"),
-    ("name = 'a-b'\nexpect = ['served >= 1 within 2 s of the end of fault 0']", r"expect\[0\]: there is no"),
-    ("name = ", "Invalid"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("name = 'x'", "name: wants subsystem-words"),
+        ("name = 'a-b'\nsecond = 3", "second"),
+        ("name = 'a-b'\n[[fault]]\nat = 1.0\nwhat = 'boom'", r"fault\[0\].what: 'boom' is none of"),
+        ("name = 'a-b'\n[[fault]]\nat = 'x'\nwhat = 'crash'", r"fault\[0\].at: Expected `float`"),
+        (
+            "name = 'a-b'\n[[fault]]\nat = 99.0\nwhat = 'crash'\nwhom = 's0'",
+            r"fault\[0\].at: wants 0 to",
+        ),
+        (
+            "name = 'a-b'\n[[fault]]\nat = 1.0\nwhat = 'crash'\nwhom = 's77'",
+            r"fault\[0\].whom: no server",
+        ),
+        ("name = 'a-b'\n[[method]]\nname = 'r'\nhard_ms = 1.0", r"method\[0\].hard_ms"),
+        (
+            "name = 'a-b'\n[[fault]]\nat = 1.0\nwhat = 'node_kill'\nwhom = 'n0'\n[[fault]]\nat = 2.0\n"  # noqa: E501
+            "what = 'node_upgrade'\nwhom = 'n0'",
+            r"fault\[0\].whom: 'n0' is replaced",
+        ),
+        ("name = 'a-b'\nexpect = ['served > 1']", r"expect\[0\]: 'served > 1' is not"),
+        ("name = 'a-b'\nexpect = ['joy >= 1']", r"expect\[0\]: 'joy' is none of"),
+        (
+            "name = 'a-b'\nexpect = ['served >= 1 within 2 s of the end of fault 0']",
+            r"expect\[0\]: there is no",
+        ),
+        ("name = ", "Invalid"),
+    ],
+)
 def test_a_slip_is_told_with_its_place(text: str, said: str) -> None:
     with pytest.raises(ValueError, match=said) as fault:
         read(text)
@@ -283,7 +383,9 @@
         self.b.reactor.listenTCP(80, factory)
         dial = ClientFactory()
         dial.buildProtocol = lambda _: self.client
-        dial.clientConnectionFailed = lambda _, reason: self.here.append((round(self.world.now, 4), "failed"))
+        dial.clientConnectionFailed = lambda _, reason: self.here.append(
+            (round(self.world.now, 4), "failed")
+        )
         self.dial = dial
         self.connector = self.a.reactor.connectTCP("2.2.2.2", 80, dial, timeout=None)
 
@@ -294,7 +396,9 @@
     p.client.transport.write(b"x" * 10)
     p.client.transport.loseConnection()
     p.world.run(1.0)
-    assert p.there == [(0.35, 10), (0.35, "ConnectionDone")] and p.here == [(0.25, "ConnectionDone")]
+    assert p.there == [(0.35, 10), (0.35, "ConnectionDone")] and p.here == [
+        (0.25, "ConnectionDone")
+    ]
 
 
 def test_a_reader_that_stops_holds_the_writer_back() -> None:
@@ -362,4 +466,6 @@
 
 def test_figures_are_plain_data() -> None:
     figures = summary(Run(read(SMALL), 1).run())
-    assert figures["whole"]["served"] > 0.9 and len(figures["seconds"]) == 3 and not figures["broken"]
+    assert (
+        figures["whole"]["served"] > 0.9 and len(figures["seconds"]) == 3 and not figures["broken"]
+    )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,5 @@
-"""What a link's fault does, in virtual time: cuts that overlap, what they hold or swallow, datagrams."""
+"""What a link's fault does, in virtual time: cuts that overlap, what they hold or swallow,
+datagrams."""
 
 import pytest
 from test_lab import Pair
@@ -40,7 +41,9 @@
     p.world.spoil(A, B, 1, None)
     p.client.transport.write(b"well")
     p.world.run(2.0)
-    assert p.there == [(1.1, 4)] and not p.here  # nothing was sent in the cut: the connection stands
+    assert (
+        p.there == [(1.1, 4)] and not p.here
+    )  # nothing was sent in the cut: the connection stands
     p.world.spoil(A, B, 1, Spoil(silent=True, kept=False))
     p.client.transport.write(b"gone")
     p.world.run(3.0)
@@ -64,11 +67,14 @@
     assert all(not isinstance(n, int) for _, n in p.there[before:])
 
 
-@pytest.mark.parametrize(("spoil", "seen"), [
-    (Spoil(refusing=True), [(1.2, "failed")]),
-    (Spoil(deaf=True), []),
-    (Spoil(delay_ms=100.0), []),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("spoil", "seen"),
+    [
+        (Spoil(refusing=True), [(1.2, "failed")]),
+        (Spoil(deaf=True), []),
+        (Spoil(delay_ms=100.0), []),
+    ],
+)
 def test_a_dial_is_refused_or_gets_no_answer(spoil: Spoil, seen: list) -> None:
     p = pair()
     p.world.run(1.0)
@@ -159,24 +165,40 @@
         with pytest.raises(ValueError):
             group(text)
     assert directions(["s0", "origin"], ["s1", "n0"], nodes, True) == [
-        ("s0", "n0"), ("n0", "s0"), ("origin", "n0"), ("n0", "origin")]  # fmt: skip
+        ("s0", "n0"),
+        ("n0", "s0"),
+        ("origin", "n0"),
+        ("n0", "origin"),
+    ]
     assert directions(["n0"], ["n0", "n1"], nodes, False) == [("n0", "n1")]
 
 
 def test_spoils_add_up() -> None:
-    two = Spoil(delay_ms=5, loss=0.5, bandwidth=10), Spoil(delay_ms=3, loss=0.5, silent=True, kept=False)
+    two = (
+        Spoil(delay_ms=5, loss=0.5, bandwidth=10),
+        Spoil(delay_ms=3, loss=0.5, silent=True, kept=False),
+    )
     both = together(two)
-    assert (both.delay_ms, both.loss, both.bandwidth, both.silent, both.kept) == (8, 0.75, 10, True, False)
-
-
-@pytest.mark.parametrize(("fault", "said"), [
-    ("what = 'cut'\nwhom = 'n0'\nto = 'n7'", r"fault\[0\].whom: 'n7' is no node"),
-    ("what = 'cut'\nwhom = 's0'\nto = 'servers'", r"fault\[0\].to: no link goes"),
-    ("what = 'stall'\nwhom = '9 of nodes'", r"fault\[0\].whom: '9 of nodes': there are 1"),
-    ("what = 'stall'\nwhom = 'clients'", "clients are no process"),
-    ("what = 'lossy'\nwhom = 'n0'\nto = 's0'\nby = 2.0", r"fault\[0\].by: wants a part"),
-    ("what = 'crash'\nwhom = 's0'\nto = 'n0'", "crash has no `to`"),
-])  # fmt: skip
+    assert (both.delay_ms, both.loss, both.bandwidth, both.silent, both.kept) == (
+        8,
+        0.75,
+        10,
+        True,
+        False,
+    )
+
+
+@pytest.mark.parametrize(
+    ("fault", "said"),
+    [
+        ("what = 'cut'\nwhom = 'n0'\nto = 'n7'", r"fault\[0\].whom: 'n7' is no node"),
+        ("what = 'cut'\nwhom = 's0'\nto = 'servers'", r"fault\[0\].to: no link goes"),
+        ("what = 'stall'\nwhom = '9 of nodes'", r"fault\[0\].whom: '9 of nodes': there are 1"),
+        ("what = 'stall'\nwhom = 'clients'", "clients are no process"),
+        ("what = 'lossy'\nwhom = 'n0'\nto = 's0'\nby = 2.0", r"fault\[0\].by: wants a part"),
+        ("what = 'crash'\nwhom = 's0'\nto = 'n0'", "crash has no `to`"),
+    ],
+)
 def test_a_slip_in_a_groups_fault_is_told_with_its_place(fault: str, said: str) -> None:
     with pytest.raises(ValueError, match=said):
         read(f"name = 'a-b'\n[[fault]]\nat = 1.0\n{fault}")
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -1,4 +1,5 @@
-"""Lists of cache servers from another member: what is asked, told, taken; a node that lives by one."""
+"""Lists of cache servers from another member: what is asked, told, taken; a node that lives by
+one."""
 
 import json
 import random
@@ -16,7 +17,15 @@
 
 from hookpitch.core.resp import Fault
 from hookpitch.members.codec import BYTES_MOST, Codec
-from hookpitch.members.lists import OLDEST_MS, PARTS_A_SECOND, PLAIN_MOST, Held, Lists, Taken, digest
+from hookpitch.members.lists import (
+    OLDEST_MS,
+    PARTS_A_SECOND,
+    PLAIN_MOST,
+    Held,
+    Lists,
+    Taken,
+    digest,
+)
 from hookpitch.members.state import Message
 
 A, B, C = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
@@ -128,10 +137,14 @@
     assert [(t.version, t.text) for t in p.taken] == [(11, TEXT[::-1])]
 
 
-@pytest.mark.parametrize(("there", "here"), [
-    (Held(9, False, False), NOTHING),  # it was told by no discovery
-    (FRESH, Held(9, False, False)), (FRESH, Held(10, False, False)),  # what is held is as new
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("there", "here"),
+    [
+        (Held(9, False, False), NOTHING),  # it was told by no discovery
+        (FRESH, Held(9, False, False)),
+        (FRESH, Held(10, False, False)),  # what is held is as new
+    ],
+)
 def test_what_is_hearsay_or_no_newer_is_not_told(there: Held, here: Held) -> None:
     p = Pair(a=(there, TEXT))
     p.held = here
@@ -182,22 +195,43 @@
     wish = Message("wish", "n9", data=msgspec.msgpack.encode((0, b"", (1 << 62) - 1)))
     for _ in range(3000):
         p.tellers[A].wished(5000.0, B, wish, FRESH, text)
-    assert len(p.tellers[A].out) == PARTS_A_SECOND and packs[0] == 1 and p.counts["members.lists_busy"] > 2000
-
-
-def made(version: object = 9, age: object = 0.0, whole: object = None, n: object = 0, count: object = 1,
-         part: object = b"x") -> Message:  # fmt: skip
+    assert (
+        len(p.tellers[A].out) == PARTS_A_SECOND
+        and packs[0] == 1
+        and p.counts["members.lists_busy"] > 2000
+    )
+
+
+def made(
+    version: object = 9,
+    age: object = 0.0,
+    whole: object = None,
+    n: object = 0,
+    count: object = 1,
+    part: object = b"x",
+) -> Message:
     whole = digest(part) if whole is None else whole
     return Message("list", "n1", data=msgspec.msgpack.encode((version, age, whole, n, count, part)))
 
 
 def test_what_is_torn_spoilt_or_unpacks_to_too_much_is_none() -> None:
     bomb = zlib.compress(b"\0" * (PLAIN_MOST + 1), 9)
-    for message in (made(part=bomb[:900], whole=digest(bomb)), made(part=zlib.compress(b"[]")[:-2]), made(),
-                    made(whole=b"12345678"), made(version=-1), made(version="9"), made(age=-1.0), made(n=1),
-                    made(count=65), made(part=b""), made(part=b"x" * 901, whole=b"12345678"),
-                    made(age=float("nan")), Message("list", "n1", data=b"\xff"),
-                    Message("list", "n1")):  # fmt: skip
+    for message in (
+        made(part=bomb[:900], whole=digest(bomb)),
+        made(part=zlib.compress(b"[]")[:-2]),
+        made(),
+        made(whole=b"12345678"),
+        made(version=-1),
+        made(version="9"),
+        made(age=-1.0),
+        made(n=1),
+        made(count=65),
+        made(part=b""),
+        made(part=b"x" * 901, whole=b"12345678"),
+        made(age=float("nan")),
+        Message("list", "n1", data=b"\xff"),
+        Message("list", "n1"),
+    ):
         p = Pair()
         assert p.asker.came(0.0, A, message, NOTHING) is None, message
     p = Pair()
@@ -208,9 +242,14 @@
     assert p.counts["members.lists_wrong"] == 1
 
 
-@pytest.mark.parametrize("data", [
-    b"", b"\xff", *(msgspec.msgpack.encode(x) for x in ((1, 2), (-1, b"", 1), (0, "", 1), (0, b"", 1 << 63))),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\xff",
+        *(msgspec.msgpack.encode(x) for x in ((1, 2), (-1, b"", 1), (0, "", 1), (0, b"", 1 << 63))),
+    ],
+)
 def test_a_wish_that_is_none_is_counted(data: bytes) -> None:
     p = Pair()
     p.tellers[A].wished(0.0, B, Message("wish", "n9", data=data), FRESH, lambda: TEXT)
@@ -218,8 +257,12 @@
 
 
 @SAME
-@given(st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 30)), max_size=60), st.integers(0, 99))
-def test_whatever_comes_versions_rise_and_lists_are_whole(steps: list[tuple[str, int]], seed: int) -> None:
+@given(
+    st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 30)), max_size=60), st.integers(0, 99)
+)
+def test_whatever_comes_versions_rise_and_lists_are_whole(
+    steps: list[tuple[str, int]], seed: int
+) -> None:
     texts = {9: TEXT, 10: TEXT[::-1]}
     p = Pair(seed, a=(FRESH, TEXT), b=(Held(10, True, True), TEXT[::-1]))
     for what, n in steps:
@@ -283,20 +326,30 @@
         packed = zlib.compress(json.dumps(text).encode())
         parts = [packed[n : n + 900] for n in range(0, len(packed), 900)]
         for n, part in enumerate(parts):
-            whole = text["seq"] if version is None else version, age, digest(packed), n, len(parts), part
+            whole = (
+                text["seq"] if version is None else version,
+                age,
+                digest(packed),
+                n,
+                len(parts),
+                part,
+            )
             message = Message("list", "n9", data=msgspec.msgpack.encode(whole))
             self.sock.sendto(self.codec.write(message), self.node)
 
 
 def real(folder: Path, caches: int = 2, first: str = "list") -> tuple[Real, Member]:
-    """`first`: a member's list before the call to discovery is due (4 s after the start), or the call."""
+    """`first`: a member's list before the call to discovery is due (4 s after the start), or the
+    call."""
     nodes = 400 if first == "list" else 1
     r, member = Real(folder, caches, methods=[method("read")], balancers=nodes), Member()
     r.told["seed"] = SEED
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
         own = f"127.0.0.1:{free.getsockname()[1]}"
-    (folder / "own.toml").write_text(f'[members]\nlisten = "{own}"\nfleet = "f"\nseeds = ["{member.at}"]\n')
+    (folder / "own.toml").write_text(
+        f'[members]\nlisten = "{own}"\nfleet = "f"\nseeds = ["{member.at}"]\n'
+    )
     r.environment["HOOKPITCH_CONFIG"] = str(folder / "own.toml")
     r.told["known"] = {"seq": 5, "whole": True, "hosts": []}
     r.write()
@@ -325,7 +378,9 @@
     return {"seq": seq, "whole": True, "hosts": hosts}
 
 
-def test_a_node_serves_by_a_members_list_and_then_asks_discovery_for_the_whole(tmp_path: Path) -> None:
+def test_a_node_serves_by_a_members_list_and_then_asks_discovery_for_the_whole(
+    tmp_path: Path,
+) -> None:
     r, member = real(tmp_path)
     with r:
         assert member.wish()[0] == 5
@@ -333,7 +388,9 @@
         r.log("members")
         r.until(lambda: r.count("lists.cached") == 2)
         assert served(r, "r1") == 0  # discovery has said nothing yet; the list has one cache alone
-        watch = r.watch(told(r, 7, 0))  # an older version, of which it is told by discovery: that goes first
+        watch = r.watch(
+            told(r, 7, 0)
+        )  # an older version, of which it is told by discovery: that goes first
         assert since(r) == b"0"
         r.until(lambda: r.count("lists.full") == 1)
         assert served(r, "r2") == 1
@@ -344,7 +401,9 @@
         member.ask(3)
         version, _, whole, n, count, part = member.part()
         text = zlib.decompress(part)
-        assert (version, n, count, whole) == (8, 0, 1, digest(part)), "it tells what discovery told it"
+        assert (version, n, count, whole) == (8, 0, 1, digest(part)), (
+            "it tells what discovery told it"
+        )
         assert {h["host"] for h in json.loads(text)["hosts"]} == {"s1", "o1"}
 
 
@@ -352,7 +411,9 @@
 def test_a_list_from_a_member_and_a_call_that_is_out_cross(tmp_path: Path, first: str) -> None:
     r, member = real(tmp_path, first=first)
     with r:
-        if first == "call":  # its changes are since what was held before: they may not be put on this list
+        if (
+            first == "call"
+        ):  # its changes are since what was held before: they may not be put on this list
             line = r.discovery.accept()
             assert b"since=5" in line.head()
             member.wish()
@@ -374,7 +435,9 @@
     r, member = real(tmp_path)
     with r:
         member.wish()
-        member.tell(told(r, (1 << 61), 0, s1="terminating"))  # nobody is ready in it: no list to begin with
+        member.tell(
+            told(r, (1 << 61), 0, s1="terminating")
+        )  # nobody is ready in it: no list to begin with
         r.until(lambda: r.count("members.lists_wrong") == 1)
         member.wish()
         member.tell(told(r, (1 << 61), 1))
@@ -392,7 +455,9 @@
         member.wish()
         member.tell(told(r, 9, s0="terminating"))
         r.until(lambda: r.count("lists.cached") == 2)
-        assert {served(r, f"r{n}") for n in range(6)} == {1}  # its grace is for what is sent already
+        assert {served(r, f"r{n}") for n in range(6)} == {
+            1
+        }  # its grace is for what is sent already
 
 
 def test_without_a_list_from_anybody_it_is_told_so_and_asks_on(tmp_path: Path) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,6 +1,8 @@
-"""Membership: detection that bears pauses, lost datagrams and one-sided cuts; the state machine explored.
+"""Membership: detection that bears pauses, lost datagrams and one-sided cuts; the state machine
+explored.
 
-`Net` (hookpitch/lab/gossip.py) runs the program's state machine and codec over datagrams in virtual time.
+`Net` (hookpitch/lab/gossip.py) runs the program's state machine and codec over datagrams in
+virtual time.
 """
 
 import copy
@@ -50,7 +52,9 @@
 def test_who_dies_is_found_and_agreed_on(count: int) -> None:
     net = up(count)
     net.kill(["m1"])
-    first = net.until(lambda: net.think("m1", State.SUSPECTED) or net.think("m1", State.DEAD), 20, 0.1)
+    first = net.until(
+        lambda: net.think("m1", State.SUSPECTED) or net.think("m1", State.DEAD), 20, 0.1
+    )
     agreed = first + net.until(lambda: len(net.think("m1", State.DEAD)) == count - 1, 30, 0.1)
     assert first < 3.5 and agreed < 9.0 and deaths(net) == {"m1"}
 
@@ -95,7 +99,9 @@
     assert net.until(net.agreed, 60, 0.5) < 30 and not deaths(net)
 
 
-def test_a_member_that_knew_a_fleet_which_has_wholly_changed_meets_the_new_one_by_its_seeds() -> None:
+def test_a_member_that_knew_a_fleet_which_has_wholly_changed_meets_the_new_one_by_its_seeds() -> (
+    None
+):
     net = up(8)
     net.kill([f"m{n}" for n in range(8) if n != 5])
     net.go(1)
@@ -186,7 +192,8 @@
     net.go(10)
     before = sum(net.bytes.values())
     net.go(40)
-    # Danger: each accusation and its refutation are told round the fleet, some twenty times by each member.
+    # Danger: each accusation and its refutation are told round the fleet, some twenty times by each
+    # member.
     assert sum(m.counts.get("accusations", 0) for m in net.members.values()) <= 6
     assert (sum(net.bytes.values()) - before) / 60 / 40 < 1800
 
@@ -228,7 +235,8 @@
 
 
 def test_a_cut_one_way_accuses_some_times_and_then_no_more() -> None:
-    # m3 hears nobody but by way of m4, which hears it: all that it accuses refute, and the news comes round.
+    # m3 hears nobody but by way of m4, which hears it: all that it accuses refute, and the news
+    # comes round.
     net = up(8)
     others = [f"m{n}" for n in range(8) if n != 3]
     net.cuts([o for o in others if o != "m4"], ["m3"], both=False)
@@ -266,8 +274,13 @@
     rack, rest = [f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 18)]
     net.cuts(rack, rest)
     net.go(60)
-    assert net.members["m0"].view.members == tuple(sorted(rack)) and net.members["m0"].view.part < 0.4
-    assert net.members["m9"].view.members == tuple(sorted(rest)) and 0.6 < net.members["m9"].view.part < 0.7
+    assert (
+        net.members["m0"].view.members == tuple(sorted(rack)) and net.members["m0"].view.part < 0.4
+    )
+    assert (
+        net.members["m9"].view.members == tuple(sorted(rest))
+        and 0.6 < net.members["m9"].view.part < 0.7
+    )
     net.cut.clear()
     assert net.until(net.agreed, 60) < 40
 
@@ -285,8 +298,14 @@
 
 def test_two_members_of_one_name_are_told_and_one_falls_silent() -> None:
     net = up(6)
-    net.members["m9"] = Members(net.now, "m2", net.address("m9"), net.seeds, net.rng.random,
-                                lambda text: net.logs.append((net.now, "m9", text)))  # fmt: skip
+    net.members["m9"] = Members(
+        net.now,
+        "m2",
+        net.address("m9"),
+        net.seeds,
+        net.rng.random,
+        lambda text: net.logs.append((net.now, "m9", text)),
+    )
     net.run("m9", net.members["m9"])
     net.go(30)
     silent = [n for n in ("m2", "m9") if net.members[n].silent]
@@ -354,7 +373,11 @@
     m.counts.clear()
     before = dict(m.members)
     for state in State:
-        m.heard(net.now, net.address("m2"), Message("news", "m2", news=(Record("m1", ("x", 1), 4, state),)))
+        m.heard(
+            net.now,
+            net.address("m2"),
+            Message("news", "m2", news=(Record("m1", ("x", 1), 4, state),)),
+        )
     assert m.members["m1"].record.incarnation == 5 and m.counts["stale"] == 4
     assert set(m.members) == set(before)
 
@@ -364,9 +387,15 @@
     m = net.members["m0"]
     for n in range(3 * MEMBERS_MOST):
         state = State(n % 4)
-        m.heard(net.now, ("10.9.0.1", 7), Message("news", "m1", news=(Record(f"x{n}", ("x", 1), 1, state),)))
+        m.heard(
+            net.now,
+            ("10.9.0.1", 7),
+            Message("news", "m1", news=(Record(f"x{n}", ("x", 1), 1, state),)),
+        )
     m.out.clear()
-    assert len(m.members) == MEMBERS_MOST and len(m._news) <= MEMBERS_MOST and m.counts["crowded"] > 0
+    assert (
+        len(m.members) == MEMBERS_MOST and len(m._news) <= MEMBERS_MOST and m.counts["crowded"] > 0
+    )
     assert all(m.state_of(f"m{n}") == State.ALIVE for n in range(6))
 
 
@@ -391,14 +420,20 @@
         self.now = 0.0
         at = {f"m{n}": (f"10.0.0.{n}", 7) for n in range(count)}
         self.at, self.flying = at, list[tuple[str, str, Message]]()
-        self.members = {n: Members(0.0, n, a, (at["m0"],), Chance(ord(n[1]))) for n, a in at.items()}
+        self.members = {
+            n: Members(0.0, n, a, (at["m0"],), Chance(ord(n[1]))) for n, a in at.items()
+        }
         for n, m in self.members.items():
             for other, address in at.items():
                 if other != n:
                     m.members[other] = Member(Record(other, address, 1, State.ALIVE), 0.0)
             m._change(0.0)  # its view has them from the first quiet second on
-        self.highest = {n: m.members[n].record.incarnation for n, m in self.members.items()}  # of each owner
-        self.dead: dict[tuple[str, str], int] = {}  # by member and subject: the incarnation called dead
+        self.highest = {
+            n: m.members[n].record.incarnation for n, m in self.members.items()
+        }  # of each owner
+        self.dead: dict[
+            tuple[str, str], int
+        ] = {}  # by member and subject: the incarnation called dead
         self.seen: dict[tuple[str, str], int] = {}
 
     def steps(self) -> list[tuple]:
@@ -410,10 +445,14 @@
     def step(self, what: tuple) -> None:
         if what[0] == "tick":
             self.now += what[2]
-            self.members[what[1]].due = self.now  # it was due just now; the others stood still or not
+            self.members[
+                what[1]
+            ].due = self.now  # it was due just now; the others stood still or not
             self.members[what[1]].tick(self.now)
         elif what[0] == "restart":
-            self.members[what[1]] = Members(self.now, what[1], self.at[what[1]], (self.at["m0"],), Chance(99))
+            self.members[what[1]] = Members(
+                self.now, what[1], self.at[what[1]], (self.at["m0"],), Chance(99)
+            )
             self.seen = {k: v for k, v in self.seen.items() if k[0] != what[1]}
             self.dead = {k: v for k, v in self.dead.items() if k[0] != what[1]}
         else:
@@ -424,13 +463,16 @@
                 self.members[to].heard(self.now, self.at[source], message)
         for n, m in self.members.items():
             names = {a: o for o, a in self.at.items()}
-            self.flying += [(n, names[to], message) for to, message in m.out if names.get(to, n) != n]
+            self.flying += [
+                (n, names[to], message) for to, message in m.out if names.get(to, n) != n
+            ]
             m.out = []
         del self.flying[:-8]  # the oldest are lost
         self.check()
 
     def settle(self) -> None:
-        """All faults end: members tick when they are due, datagrams come. Stated times: nobody that runs is
+        """All faults end: members tick when they are due, datagrams come. Stated times: nobody
+        that runs is
         held dead after `HEALED_MS`, and all views are one after `SAME_MS`."""
         begun = self.now
         for m in self.members.values():
@@ -466,14 +508,20 @@
                 assert r.state >= State.DEAD or r.incarnation > dead, "the dead returned"
 
     def key(self) -> str:
-        known = [(n, sorted((o, x.record.incarnation, x.record.state) for o, x in m.members.items()),
-                  m._probe and (m._probe.of, m._probe.waited, m._probe.answered))
-                 for n, m in self.members.items()]  # fmt: skip
+        known = [
+            (
+                n,
+                sorted((o, x.record.incarnation, x.record.state) for o, x in m.members.items()),
+                m._probe and (m._probe.of, m._probe.waited, m._probe.answered),
+            )
+            for n, m in self.members.items()
+        ]
         return repr((known, [(a, b, m.kind, m.news) for a, b, m in self.flying], self.now // 2000))
 
 
 def explored(depth: int, most: int, count: int = 3) -> int:
-    """All states to that depth, at most so many: their number. Some of the last are left to settle, too."""
+    """All states to that depth, at most so many: their number. Some of the last are left to
+    settle, too."""
     seen, edge = set[str](), [World(count)]
     for _ in range(depth):
         after = []
@@ -502,7 +550,9 @@
 
 
 @pytest.mark.parametrize(("count", "depth", "states"), [(3, 4, 3000), (4, 4, 3000)])
-def test_no_state_of_three_or_four_members_breaks_an_invariant(count: int, depth: int, states: int) -> None:
+def test_no_state_of_three_or_four_members_breaks_an_invariant(
+    count: int, depth: int, states: int
+) -> None:
     assert explored(depth, states, count) >= states
     for seed in range(40):
         walked(seed, 150, count)
@@ -530,11 +580,17 @@
     return wrong
 
 
-@pytest.mark.parametrize(("wrong", "said"), [
-    ({"_of_me": _never}, "for dead"),  # nobody refutes what is said of it
-    ({"_all": _never, "_gossip": _nothing, "_reach": _never}, "for dead"),  # who missed news is never told
-    ({"_settle": _once}, "views differ"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("wrong", "said"),
+    [
+        ({"_of_me": _never}, "for dead"),  # nobody refutes what is said of it
+        (
+            {"_all": _never, "_gossip": _nothing, "_reach": _never},
+            "for dead",
+        ),  # who missed news is never told
+        ({"_settle": _once}, "views differ"),
+    ],
+)
 def test_with_a_fault_on_purpose_the_dead_do_not_come_back_or_views_stay_apart(
     wrong: dict[str, Callable], said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -565,9 +621,13 @@
     return wrong
 
 
-@pytest.mark.parametrize(("method", "wrong", "said"), [
-    ("_accuse", _raise_another, "raised by another"), ("_take", _take_all, "went back|returned"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("method", "wrong", "said"),
+    [
+        ("_accuse", _raise_another, "raised by another"),
+        ("_take", _take_all, "went back|returned"),
+    ],
+)
 def test_a_fault_put_in_on_purpose_breaks_an_invariant(
     method: str, wrong: Callable, said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -582,7 +642,9 @@
 
 def test_a_datagram_is_read_as_it_was_written_and_nothing_else_is() -> None:
     codec, rng = Codec("f"), random.Random(3)
-    news = tuple(Record(f"m{n}", ("10.0.0.1", 7946), n, State(n % 4), "m2", n, b"\x00" * n) for n in range(8))
+    news = tuple(
+        Record(f"m{n}", ("10.0.0.1", 7946), n, State(n % 4), "m2", n, b"\x00" * n) for n in range(8)
+    )
     m = Message("ask", "m1", 77, "m2", news, True)
     data = codec.write(m)
     assert codec.read(data) == m and len(data) <= BYTES_MOST
@@ -610,7 +672,9 @@
 
     record = ["m1", "10.0.0.1", 7946, 1, 0, "", 0, b""]
     good = [3, "m1", 0, "", False, [[*record, "more", 2]], [7] * MARKS, b"data", {"later": 1}]
-    assert codec.read(made(good)).news[0].name == "m1" and codec.read(made(good)).marks == (7,) * MARKS
+    assert (
+        codec.read(made(good)).news[0].name == "m1" and codec.read(made(good)).marks == (7,) * MARKS
+    )
     assert codec.read(made(good)).data == b"data"
     assert codec.read(made(good[:6])).marks == ()  # an earlier version tells none
     assert codec.read(made(good[:7])).data == b""  # nor of this
@@ -626,11 +690,17 @@
             codec.read(made([3, "m1", 0, "", False, [wrong]]))
 
 
-@pytest.mark.parametrize(("table", "said"), [
-    ({}, "listen"), ({"listen": "x"}, "listen"), ({"listen": "h:1", "seeds": "h:1"}, "seeds"),
-    ({"listen": "h:1", "seeds": ["h"]}, "seeds"), ({"listen": "h:1", "dial": {"h:1": "h"}}, "dial"),
-    ({"listen": "h:1", "fleat": ""}, "fleat"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("table", "said"),
+    [
+        ({}, "listen"),
+        ({"listen": "x"}, "listen"),
+        ({"listen": "h:1", "seeds": "h:1"}, "seeds"),
+        ({"listen": "h:1", "seeds": ["h"]}, "seeds"),
+        ({"listen": "h:1", "dial": {"h:1": "h"}}, "dial"),
+        ({"listen": "h:1", "fleat": ""}, "fleat"),
+    ],
+)
 def test_a_slip_in_the_section_is_told_with_its_name(table: dict, said: str) -> None:
     with pytest.raises(ValueError, match=said):
         settings(table)
@@ -650,9 +720,13 @@
 
 
 def test_a_node_without_the_section_imports_none_of_it() -> None:
-    code = ("import sys, hookpitch.__main__, hookpitch.net.node; "  # fmt: skip
-            "print([m for m in sys.modules if 'members' in m or 'msgspec' in m or m.endswith('net.keep')])")
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, timeout=30)
+    code = (
+        "import sys, hookpitch.__main__, hookpitch.net.node; "
+        "print([m for m in sys.modules if 'members' in m or 'msgspec' in m or m.endswith('net.keep')])"  # noqa: E501
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, timeout=30
+    )
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
 
@@ -670,7 +744,8 @@
 
 
 def verdict(logs: list[tuple[float, str, str]]) -> tuple[set[str], set[str], set[str]]:
-    """Who said that n11 (killed) is dead; who was called dead before the rack was cut off; who after it."""
+    """Who said that n11 (killed) is dead; who was called dead before the rack was cut off; who
+    after it."""
     said = [(at, who, text.split()) for at, who, text in logs if " dead" in text]
     found = {who for _, who, words in said if words[0] == "n11"}
     early = {words[0] for at, _, words in said if at < 19000.0}
@@ -681,7 +756,11 @@
     run = Run(load(FAULTS), 1)
     ended = run.run()
     assert not ended.broken and not ended.faults
-    logs = [(at, who, text.removeprefix("members: ")) for at, who, text in ended.logs if "members: " in text]
+    logs = [
+        (at, who, text.removeprefix("members: "))
+        for at, who, text in ended.logs
+        if "members: " in text
+    ]
     found, early, later = verdict(logs)
     assert len(found) == 11 and early == {"n11"} and {"n0", "n1", "n2"} <= later
     views = {n.node.peers.members.view.members for n in run.nodes.values() if n.node is not None}
@@ -691,8 +770,9 @@
 def test_nodes_find_who_died_and_nobody_else_on_processes(tmp_path: Path) -> None:
     words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(FAULTS), "--clock", "wall"]
     for _ in range(2):
-        done = subprocess.run([*words, "--logs", str(tmp_path)], cwd=ROOT, text=True, capture_output=True,
-                              timeout=120)  # fmt: skip
+        done = subprocess.run(
+            [*words, "--logs", str(tmp_path)], cwd=ROOT, text=True, capture_output=True, timeout=120
+        )
         if done.returncode != 3:
             break
     if done.returncode == 3:
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -1,4 +1,5 @@
-"""Members under whatever comes: the codec cut and turned anywhere, the state machine in any order."""
+"""Members under whatever comes: the codec cut and turned anywhere, the state machine in any
+order."""
 
 from dataclasses import replace
 
@@ -18,18 +19,33 @@
 from hookpitch.members.state import FACT_MOST, GOSSIP_MOST, MARKS, Members, Message, Record, State
 
 # The same examples each time: a run that finds something finds it again.
-SAME = settings(derandomize=True, database=None, deadline=None, suppress_health_check=list(HealthCheck))
+SAME = settings(
+    derandomize=True, database=None, deadline=None, suppress_health_check=list(HealthCheck)
+)
 NAMES = st.text(min_size=1, max_size=NAME_MOST)
 COUNTS = st.integers(0, (1 << 62) - 1)
 RECORDS = st.builds(
-    Record, NAMES, st.tuples(NAMES, st.integers(0, 65535)), COUNTS, st.sampled_from(State),
-    st.text(max_size=NAME_MOST), COUNTS, st.binary(max_size=FACT_MOST),
-)  # fmt: skip
+    Record,
+    NAMES,
+    st.tuples(NAMES, st.integers(0, 65535)),
+    COUNTS,
+    st.sampled_from(State),
+    st.text(max_size=NAME_MOST),
+    COUNTS,
+    st.binary(max_size=FACT_MOST),
+)
 MARKED = st.one_of(st.just(()), st.tuples(*[st.integers(0, 65535)] * MARKS))
 MESSAGES = st.builds(
-    Message, st.sampled_from(KINDS), NAMES, COUNTS, st.text(max_size=NAME_MOST),
-    st.lists(RECORDS, max_size=GOSSIP_MOST).map(tuple), st.booleans(), MARKED, st.binary(max_size=300),
-)  # fmt: skip
+    Message,
+    st.sampled_from(KINDS),
+    NAMES,
+    COUNTS,
+    st.text(max_size=NAME_MOST),
+    st.lists(RECORDS, max_size=GOSSIP_MOST).map(tuple),
+    st.booleans(),
+    MARKED,
+    st.binary(max_size=300),
+)
 
 
 @settings(SAME, max_examples=150)
@@ -38,7 +54,9 @@
     data = Codec("f").write(message)
     back = Codec("f").read(data)
     assert len(data) <= BYTES_MOST
-    assert back.news == message.news[: len(back.news)] and replace(back, news=message.news) == message
+    assert (
+        back.news == message.news[: len(back.news)] and replace(back, news=message.news) == message
+    )
     if len(back.news) < len(message.news):  # left out: the next would not have fitted
         one_more = replace(message, news=message.news[: len(back.news) + 1])
         assert len(Codec("f").write(one_more)) == len(data)
@@ -46,7 +64,9 @@
 
 @settings(SAME, max_examples=150)
 @given(MESSAGES, st.data())
-def test_a_datagram_cut_or_turned_at_any_byte_is_none(message: Message, data: st.DataObject) -> None:
+def test_a_datagram_cut_or_turned_at_any_byte_is_none(
+    message: Message, data: st.DataObject
+) -> None:
     codec = Codec("f")
     whole = codec.write(message)
     at = data.draw(st.integers(0, len(whole) - 1))
@@ -59,7 +79,9 @@
 
 @settings(SAME, max_examples=200)
 @given(st.binary(max_size=200), st.data())
-def test_whatever_body_comes_is_refused_in_a_word_or_within_bounds(body: bytes, data: st.DataObject) -> None:
+def test_whatever_body_comes_is_refused_in_a_word_or_within_bounds(
+    body: bytes, data: st.DataObject
+) -> None:
     codec = Codec("f")
     if data.draw(st.booleans()):  # near to a true one
         true = bytearray(codec.write(data.draw(MESSAGES))[HEAD.size :])
@@ -76,8 +98,10 @@
 
 
 class Any(RuleBasedStateMachine):
-    """Three members: time, loss, repetition, any order, restarts. `World` checks its invariants at every
-    step: an incarnation never goes back, only its owner raises one, the dead do not return at theirs."""
+    """Three members: time, loss, repetition, any order, restarts. `World` checks its invariants at
+    every
+    step: an incarnation never goes back, only its owner raises one, the dead do not return at
+    theirs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -110,11 +134,15 @@
 
 
 def test_after_any_order_of_events_views_become_one() -> None:
-    run_state_machine_as_test(Settles, settings=settings(SAME, max_examples=20, stateful_step_count=40))
+    run_state_machine_as_test(
+        Settles, settings=settings(SAME, max_examples=20, stateful_step_count=40)
+    )
 
 
 def test_no_order_of_events_breaks_an_invariant() -> None:
-    run_state_machine_as_test(Any, settings=settings(SAME, max_examples=150, stateful_step_count=50))
+    run_state_machine_as_test(
+        Any, settings=settings(SAME, max_examples=150, stateful_step_count=50)
+    )
 
 
 def test_a_fault_put_in_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -128,6 +156,12 @@
     monkeypatch.setattr(Members, "_take", wrong)
     with pytest.raises(AssertionError, match="an incarnation went back|the dead returned"):
         # Found is enough: it need not be the shortest history, nor the only fault.
-        found = settings(SAME, max_examples=100, stateful_step_count=40, phases=[Phase.generate],
-                         report_multiple_bugs=False, print_blob=False)  # fmt: skip
+        found = settings(
+            SAME,
+            max_examples=100,
+            stateful_step_count=40,
+            phases=[Phase.generate],
+            report_multiple_bugs=False,
+            print_blob=False,
+        )
         run_state_machine_as_test(Any, settings=found)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,5 @@
-"""Figures of membership from logs and history, by hand; a run in which discovery is down, in both clocks."""
+"""Figures of membership from logs and history, by hand; a run in which discovery is down, in both
+clocks."""
 
 import json
 import subprocess
@@ -25,16 +26,20 @@
 EVENTS = [event(0, "start", n) for n in ("n0", "n1", "n2")]
 EVENTS += [event(1000, "stop", "n2"), event(9000, "start", "n2")]
 LOGS = [
-    (100.0, "n0", "members: n1 alive, incarnation 3"), (110.0, "n0", "members: n2 alive, incarnation 3"),
-    (120.0, "n1", "members: n0 alive, incarnation 3"), (130.0, "n1", "members: n2 alive, incarnation 3"),
+    (100.0, "n0", "members: n1 alive, incarnation 3"),
+    (110.0, "n0", "members: n2 alive, incarnation 3"),
+    (120.0, "n1", "members: n0 alive, incarnation 3"),
+    (130.0, "n1", "members: n2 alive, incarnation 3"),
     (2500.0, "n0", "members: n2 suspected by n0, no answer here nor to n1, incarnation 3"),
     (2600.0, "n1", "members: n2 suspected by n0, told by n0, incarnation 3"),
     (6000.0, "n0", "members: n2 dead by n0, incarnation 3"),
     (6500.0, "n1", "members: n2 dead by n0, incarnation 3"),
-    (9500.0, "n0", "members: n2 alive, incarnation 9"), (9600.0, "n2", "members: n0 alive, incarnation 3"),
-    (9700.0, "n2", "members: n1 alive, incarnation 3"), (50.0, "n0", "serving"),
+    (9500.0, "n0", "members: n2 alive, incarnation 9"),
+    (9600.0, "n2", "members: n0 alive, incarnation 3"),
+    (9700.0, "n2", "members: n1 alive, incarnation 3"),
+    (50.0, "n0", "serving"),
     (60.0, "n0", "members: list 9 from 127.0.0.1:7, 0 ms old, servers 3"),
-]  # fmt: skip
+]
 
 
 def test_figures_tell_who_was_called_dead_when_and_whether_views_are_right() -> None:
@@ -43,7 +48,10 @@
     value = lambda name, a=0.0, b=20000.0: figure(name, changes, EVENTS, a, b)  # noqa: E731
     assert value("called_dead") == 1 and value("called_dead", 7000.0) == 0
     assert value("found_s") == 1.5 and value("agreed_s") == 5.5
-    died = [*EVENTS, event(1005, "stop", "n1")]  # some ms later, and it was to say of n2 that it is dead
+    died = [
+        *EVENTS,
+        event(1005, "stop", "n1"),
+    ]  # some ms later, and it was to say of n2 that it is dead
     mine = [*(c for c in changes if c.who == "n0"), Said(7000.0, "n0", "n1", "dead")]
     assert figure("agreed_s", mine, sorted(died), 0.0, 20000.0) == 6.0
     assert value("found_s", 2000.0) == 0.0  # nobody was killed in that span
@@ -59,7 +67,10 @@
     text = 'name = "x-y"\nexpect = ["called_dead <= 0"]\n'
     with pytest.raises(ValueError, match="'called_dead' wants nodes.members"):
         read(text)
-    assert read(text + "[nodes]\npeer_port = 7946\nmembers = true\n").expected[0].figure == "called_dead"
+    assert (
+        read(text + "[nodes]\npeer_port = 7946\nmembers = true\n").expected[0].figure
+        == "called_dead"
+    )
 
 
 def test_without_members_the_same_start_serves_nothing_while_discovery_is_down() -> None:
@@ -72,7 +83,9 @@
     assert second(there) > 0.97 and second(here) < 0.85
 
 
-def test_nodes_that_start_while_discovery_is_down_live_by_members_lists_on_processes(tmp_path: Path) -> None:
+def test_nodes_that_start_while_discovery_is_down_live_by_members_lists_on_processes(
+    tmp_path: Path,
+) -> None:
     at = tmp_path / "figures.json"
     words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(LISTS), "--clock", "wall"]
     words += ["--json", str(at)]
@@ -80,7 +93,9 @@
         done = subprocess.run(words, cwd=ROOT, text=True, capture_output=True, timeout=120)
         if done.returncode != 3:
             break
-    assert done.returncode == 0, done.stdout + done.stderr  # void each time has shown nothing: no pass
+    assert done.returncode == 0, (
+        done.stdout + done.stderr
+    )  # void each time has shown nothing: no pass
     figures = json.loads(at.read_text())
     assert all(e["holds"] for e in figures["expected"]) and len(figures["expected"]) >= 3
     virtual = Run(load(LISTS), 1).run()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -31,20 +31,32 @@
 # ---- the door
 
 
-@pytest.mark.parametrize(("said", "answer"), [
-    (b"STATUS\n", b"YES\n"), (b"STATUS\r\n", b"YES\n"), (b"SUSPEND s0\n", b"YES\n"),
-    (b"RESTORE s0\n", b"YES\n"),
-    (b"PAUSE\n", b"YES\n"), (b"RESUME\n", b"YES\n"), (b"STATUS now\n", b"NO STATUS takes nothing\n"),
-    (b"SUSPEND\n", b"NO SUSPEND takes one id\n"), (b"SUSPEND a b\n", b"NO SUSPEND takes one id\n"),
-    (b"SUSPEND nobody\n", b"NO no such cache server\n"), (b"SUSPEND o1\n", b"NO no such cache server\n"),
-    (b"SUSPEND \xff\n", b"NO the id cannot be read\n"), (b"RESTORE nobody\n", b"NO no such cache server\n"),
-    (b"PAUSE\nRESUME\nSTATUS\n", b"YES\n"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("said", "answer"),
+    [
+        (b"STATUS\n", b"YES\n"),
+        (b"STATUS\r\n", b"YES\n"),
+        (b"SUSPEND s0\n", b"YES\n"),
+        (b"RESTORE s0\n", b"YES\n"),
+        (b"PAUSE\n", b"YES\n"),
+        (b"RESUME\n", b"YES\n"),
+        (b"STATUS now\n", b"NO STATUS takes nothing\n"),
+        (b"SUSPEND\n", b"NO SUSPEND takes one id\n"),
+        (b"SUSPEND a b\n", b"NO SUSPEND takes one id\n"),
+        (b"SUSPEND nobody\n", b"NO no such cache server\n"),
+        (b"SUSPEND o1\n", b"NO no such cache server\n"),
+        (b"SUSPEND \xff\n", b"NO the id cannot be read\n"),
+        (b"RESTORE nobody\n", b"NO no such cache server\n"),
+        (b"PAUSE\nRESUME\nSTATUS\n", b"YES\n"),
+    ],
+)
 def test_each_call_has_one_answer_and_the_connection_ends(said: bytes, answer: bytes) -> None:
     assert call(Sockets(), said) == answer
 
 
-@pytest.mark.parametrize("said", [b"\n", b"status\n", b"\x00\xff\n", b"GET / HTTP/1.1\r\n", b"x" * 100_000])
+@pytest.mark.parametrize(
+    "said", [b"\n", b"status\n", b"\x00\xff\n", b"GET / HTTP/1.1\r\n", b"x" * 100_000]
+)
 def test_what_is_no_call_is_told_so(said: bytes) -> None:
     assert call(Sockets(), said).startswith(b"NO ")
 
@@ -53,7 +65,9 @@
     s = Sockets()
     mute = [Line(s.network, s.node.door.buildProtocol(None), 0) for _ in range(CALLERS)]
     mute[0].say(b"STAT")
-    assert call(s, b"STATUS\n") == b"YES\n" and s.node.door.held == CALLERS - 1  # the oldest gave way
+    assert (
+        call(s, b"STATUS\n") == b"YES\n" and s.node.door.held == CALLERS - 1
+    )  # the oldest gave way
     while (protocol := s.node.door.buildProtocol(None)) is not None:
         Line(s.network, protocol, 0)
     assert s.node.door.held == CALLERS + SPARE
@@ -88,8 +102,10 @@
     s = Sockets(3)
     call(s, b"SUSPEND s1\n")
     assert (figures(s)["members"], figures(s)["members_unavailable"]) == (3, 1)
-    s.node.discovery.told(b'{"seq":6,"whole":false,"hosts":[%s]}' % (
-        str(listed_host("s2", 7002, health="terminating")).replace("'", '"').encode()))  # fmt: skip
+    s.node.discovery.told(
+        b'{"seq":6,"whole":false,"hosts":[%s]}'
+        % (str(listed_host("s2", 7002, health="terminating")).replace("'", '"').encode())
+    )
     assert figures(s)["members_unavailable"] == 2
 
 
@@ -128,7 +144,9 @@
     assert "s2" not in asked(fleet) and fleet.node.servers["s2"].state != State.READY
 
 
-def test_two_bans_are_undone_by_one_call_and_the_server_comes_back_cold_and_without_strikes() -> None:
+def test_two_bans_are_undone_by_one_call_and_the_server_comes_back_cold_and_without_strikes() -> (
+    None
+):
     fleet = banned_fleet()
     fleet.node.server_banned(fleet.now, "s2", True)
     b = fleet.node.servers["s2"]
@@ -258,7 +276,11 @@
     other = Handover(str(tmp_path), "n0", s.logs.append, "2")
     other.tell("SUSPEND", "s1")
     s.pass_time(250)
-    assert s.node.processes == 2 and s.node.pools.most == servers // 2 and s.node.clients.room == room // 2
+    assert (
+        s.node.processes == 2
+        and s.node.pools.most == servers // 2
+        and s.node.clients.room == room // 2
+    )
     assert s.node.host.node.part == 0.5 and figures(s)["members_unavailable"] == 1
     call(s, b"PAUSE\n")
     call(s, b"RESTORE s1\n")
@@ -276,7 +298,10 @@
     other.tell("SUSPEND", "s1")
     other.tell("PAUSE")
     beside = Sockets(shared=str(tmp_path))
-    assert call(beside, b"STATUS\n") == b"NO draining\n" and figures(beside)["members_unavailable"] == 1
+    assert (
+        call(beside, b"STATUS\n") == b"NO draining\n"
+        and figures(beside)["members_unavailable"] == 1
+    )
     beside.node.shared.close()
     beside.node.shared = None
     other.close()
@@ -289,7 +314,11 @@
 
 
 def test_a_wrong_descriptor_is_refused_in_one_line() -> None:
-    with socket.socket() as held, socket.socket() as plain, socket.socket(type=socket.SOCK_DGRAM) as other:
+    with (
+        socket.socket() as held,
+        socket.socket() as plain,
+        socket.socket(type=socket.SOCK_DGRAM) as other,
+    ):
         held.bind(("127.0.0.1", 0))
         held.listen()
         address = held.getsockname()
@@ -335,8 +364,11 @@
     assert call(s, b"STATUS\n") == b"YES\n" and figures(s)["pending"] == 0
 
 
-def test_a_process_that_another_follows_closes_what_is_idle_by_turns_and_serves_what_comes() -> None:
-    # Danger: clients that hear of hundreds of closes at once still write to some of those connections.
+def test_a_process_that_another_follows_closes_what_is_idle_by_turns_and_serves_what_comes() -> (
+    None
+):
+    # Danger: clients that hear of hundreds of closes at once still write to some of those
+    # connections.
     s, done = Sockets(), []
     idle = [s.client() for _ in range(20)]
     for client in idle:
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -1,4 +1,5 @@
-"""A start in phases: each with its condition and its bound, and a node that serves in all of them."""
+"""A start in phases: each with its condition and its bound, and a node that serves in all of
+them."""
 
 import pytest
 from fleet import DISCOVERY, Sockets, get
@@ -20,9 +21,13 @@
     assert not s.lacked and not s.look(1e9, NOTHING)
 
 
-@pytest.mark.parametrize(("seen", "lacks"), [
-    (NOTHING, ["unlisted", "", ""]), (Seen(False, 9, 1, 1), ["unlisted", "unanswered", "unknown"]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("seen", "lacks"),
+    [
+        (NOTHING, ["unlisted", "", ""]),
+        (Seen(False, 9, 1, 1), ["unlisted", "unanswered", "unknown"]),
+    ],
+)
 def test_each_phase_has_a_bound_and_says_what_it_lacked(seen: Seen, lacks: list[str]) -> None:
     s, now, lacked = Start(0.0), 0.0, []
     for bound in (LISTED_MS, ANSWERED_MS, KNOWN_MS):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,6 +1,8 @@
-"""Experiments on real processes: nodes, stand-ins and relays, with faults between them, judged from outside.
+"""Experiments on real processes: nodes, stand-ins and relays, with faults between them, judged
+from outside.
 
-They play five at a time, once; a run whose rig fell behind is void, plays once more, and is then left out.
+They play five at a time, once; a run whose rig fell behind is void, plays once more, and is then
+left out.
 """
 
 import json
@@ -53,7 +55,7 @@
     from hookpitch.balancer.interface import State
     right = Node._state
     Node._state = lambda self, s, state: right(self, s, State.READY if state == State.DRAINING else state)
-"""
+"""  # noqa: E501
 
 
 class Play:
@@ -62,9 +64,14 @@
     def __init__(self, path: Path, folder: Path, **environment: str) -> None:
         self.json = folder / f"{path.stem}.json"
         words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(path), "--clock", "wall"]
-        self.popen = subprocess.Popen([*words, "--json", str(self.json)], cwd=ROOT, text=True,
-                                      env=os.environ | environment, stdout=subprocess.PIPE,
-                                      stderr=subprocess.STDOUT)  # fmt: skip
+        self.popen = subprocess.Popen(
+            [*words, "--json", str(self.json)],
+            cwd=ROOT,
+            text=True,
+            env=os.environ | environment,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+        )
 
     def end(self, wait: float = 90.0) -> tuple[int, str]:
         try:
@@ -172,7 +179,9 @@
     assert code == 1 and "rule 3" in said and "to drain" in said
 
 
-def test_a_relay_that_dies_makes_the_run_void_at_once_and_no_process_is_left(tmp_path: Path) -> None:
+def test_a_relay_that_dies_makes_the_run_void_at_once_and_no_process_is_left(
+    tmp_path: Path,
+) -> None:
     play = Play(ROOT / "experiments" / "processes-half-cut.toml", tmp_path)
     children = play.when_up(3)
     (relay,) = [pid for pid, words in children.items() if "lab.relay" in words]
@@ -184,7 +193,9 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGKILL])
-def test_no_process_is_left_where_a_run_is_interrupted_or_killed(number: int, tmp_path: Path) -> None:
+def test_no_process_is_left_where_a_run_is_interrupted_or_killed(
+    number: int, tmp_path: Path
+) -> None:
     play = Play(ROOT / "experiments" / "processes-half-cut.toml", tmp_path)
     children = play.when_up(3)
     play.popen.send_signal(number)
@@ -198,11 +209,17 @@
         return 0.0
 
 
-@pytest.mark.parametrize("path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda p: p.stem)
-def test_every_experiment_plays_in_both_clocks_or_its_reader_says_why_not(path: Path, tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    "path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda p: p.stem
+)
+def test_every_experiment_plays_in_both_clocks_or_its_reader_says_why_not(
+    path: Path, tmp_path: Path
+) -> None:
     x = load(path)
     if any(f.what == "node_slow" for f in x.fault):
-        with pytest.raises(ValueError, match="virtual time alone: a process's events cannot be charged"):
+        with pytest.raises(
+            ValueError, match="virtual time alone: a process's events cannot be charged"
+        ):
             WallRun(x, 1, Clock(), tmp_path)
     else:
         WallRun(x, 1, Clock(), tmp_path)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -17,7 +17,10 @@
 NET = "127.9"  # no run's
 AT, TO, WHENCE = (f"{NET}.1.1", 29100), (f"{NET}.2.1", 29101), f"{NET}.9.9"
 PEERS = {"n0": (f"{NET}.0.1", 29102), "n1": (f"{NET}.0.2", 29102)}
-SEEN = {"n0": (f"{NET}.200.1", 29102), "n1": (f"{NET}.200.2", 29102)}  # n0 as n1 finds it, n1 as n0 does
+SEEN = {
+    "n0": (f"{NET}.200.1", 29102),
+    "n1": (f"{NET}.200.2", 29102),
+}  # n0 as n1 finds it, n1 as n0 does
 MORE_S = 2.0  # that a loaded machine may take
 
 
@@ -29,10 +32,15 @@
         control.bind(str(folder / "control"))
         control.listen()
         given = {
-            "name": "relay0", "control": str(folder / "control"), "begun": time.monotonic(), "seed": 1,
-            "history": str(folder / "history"), "nodes": ["n0"], "tcp": [["n0", "s0", AT, TO, WHENCE]],
+            "name": "relay0",
+            "control": str(folder / "control"),
+            "begun": time.monotonic(),
+            "seed": 1,
+            "history": str(folder / "history"),
+            "nodes": ["n0"],
+            "tcp": [["n0", "s0", AT, TO, WHENCE]],
             "udp": [["n0", "n1", SEEN["n1"], SEEN["n0"], PEERS["n1"], PEERS["n0"]]],
-        }  # fmt: skip
+        }
         (folder / "given").write_text(json.dumps(given))
         words = [sys.executable, "-m", "hookpitch.lab.relay", str(folder / "given")]
         self.process = subprocess.Popen(words)
@@ -107,7 +115,9 @@
     with pytest.raises(ConnectionResetError):
         far.recv(10)
     rig.say("sever", "n0", "s0")
-    assert port in [e.port for e in witnessed(rig.folder / "history") if (e.kind, e.who) == ("closed", "n0")]
+    assert port in [
+        e.port for e in witnessed(rig.folder / "history") if (e.kind, e.who) == ("closed", "n0")
+    ]
 
 
 def test_a_cut_holds_what_is_sent_and_passes_it_on_in_order_when_it_ends(rig: Rig) -> None:
@@ -150,7 +160,9 @@
 
 
 @pytest.mark.parametrize("spoil", [Spoil(deaf=True), Spoil(silent=True)])
-def test_a_dial_through_a_dead_link_never_comes_up_and_does_when_it_is_well(rig: Rig, spoil: Spoil) -> None:
+def test_a_dial_through_a_dead_link_never_comes_up_and_does_when_it_is_well(
+    rig: Rig, spoil: Spoil
+) -> None:
     rig.spoil(spoil, back=spoil.silent)  # a cut of the way back is enough
     with pytest.raises(TimeoutError):
         socket.create_connection(AT, 0.4)
@@ -181,11 +193,14 @@
         socket.create_connection(AT, 3).recv(10)
 
 
-@pytest.mark.parametrize(("spoil", "least_s", "size"), [
-    (Spoil(delay_ms=120.0), 0.12, 10),
-    (Spoil(bandwidth=20000.0), 0.2, 4000),
-    (Spoil(loss=0.95), 0.2, 10),  # a stream's bytes come late
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("spoil", "least_s", "size"),
+    [
+        (Spoil(delay_ms=120.0), 0.12, 10),
+        (Spoil(bandwidth=20000.0), 0.2, 4000),
+        (Spoil(loss=0.95), 0.2, 10),  # a stream's bytes come late
+    ],
+)
 def test_a_slow_narrow_or_lossy_link_takes_its_time(
     rig: Rig, spoil: Spoil, least_s: float, size: int
 ) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
-"""Seeded random runs: several troubles at once under drawn settings, the four rules checked at every step."""
+"""Seeded random runs: several troubles at once under drawn settings, the four rules checked at
+every step."""
 
 import random
 
@@ -47,6 +48,12 @@
     assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
     host, counts = storm.s.node.host, storm.s.counters.counts
     assert not len(host.rpcs), "records outlive their RPCs"
-    assert not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
-    held = [x for x in storm.network.lines if not x.ended] + [d for d in storm.network.dials if not d.over]
-    assert storm.s.node.pools.held == sum(x.port != DISCOVERY for x in held), "descriptors are counted wrong"
+    assert (
+        not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
+    )
+    held = [x for x in storm.network.lines if not x.ended] + [
+        d for d in storm.network.dials if not d.over
+    ]
+    assert storm.s.node.pools.held == sum(x.port != DISCOVERY for x in held), (
+        "descriptors are counted wrong"
+    )
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -7,7 +7,9 @@
 
 SETTINGS = {
     "balancers": 1,
-    "methods": [{"name": "read", "soft_deadline_s": 0.4, "hard_deadline_s": 1.0, "idempotency": "retryable"}],
+    "methods": [
+        {"name": "read", "soft_deadline_s": 0.4, "hard_deadline_s": 1.0, "idempotency": "retryable"}
+    ],
     "discovery": "on_request",
     "host_types": ["std", "origin"],
     "family_info": {"mode": "aside", "origin_kind": 1},
@@ -25,8 +27,13 @@
     text = "".join(f"BEGIN_BATCH {5 + i / 100}\n{b}\nEOB\n" for i, b in enumerate(batches))
     done = subprocess.run(
         [sys.executable, "-m", "hookpitch.simwire"],
-        input=text, capture_output=True, text=True, check=True, cwd=Path(__file__).parent.parent, timeout=60,
-    )  # fmt: skip
+        input=text,
+        capture_output=True,
+        text=True,
+        check=True,
+        cwd=Path(__file__).parent.parent,
+        timeout=60,
+    )
     replies = [r.split("\n") for r in done.stdout.split("ACK\n")[:-1]]
     assert done.stdout.count("ACK\n") == len(batches)
     return [[x for x in r if x and not x.startswith("TIMER")] for r in replies], done.stderr
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,5 @@
-"""Rules and shares that hang on the sum over hundreds of nodes, of which each sees a few RPCs a second."""
+"""Rules and shares that hang on the sum over hundreds of nodes, of which each sees a few RPCs a
+second."""
 
 import random
 
@@ -39,7 +40,9 @@
     for i in range(40):
         f.pass_time(5000.0)
         f.node.pressure = 1.0  # nothing over a share is let in
-        f.end(f.arrive(f"k{i}", customer="small"), Outcome.COMPLETED)  # fails where it was exhausted
+        f.end(
+            f.arrive(f"k{i}", customer="small"), Outcome.COMPLETED
+        )  # fails where it was exhausted
 
 
 def test_failures_do_not_let_more_in_than_the_quota() -> None:
@@ -149,7 +152,9 @@
     assert struck == sorted(struck, reverse=True) and struck[-1] < 0.3
 
 
-def test_a_process_beside_another_asks_the_origin_for_its_part_and_the_old_one_keeps_its_own() -> None:
+def test_a_process_beside_another_asks_the_origin_for_its_part_and_the_old_one_keeps_its_own() -> (
+    None
+):
     old, new = node(4), node(4)
     begun = new.node.origin.limit
     old.end(old.arrive("k"), Outcome.MISS)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,5 @@
-"""A restart that is not a cold one: what was learned outlasts the process, whole or not at all, and fades."""
+"""A restart that is not a cold one: what was learned outlasts the process, whole or not at all,
+and fades."""
 
 import os
 import random
@@ -17,7 +18,17 @@
 from hookpitch.net import keep
 from hookpitch.net.operator import load as load_operator
 from hookpitch.startup.memory import entries, recalled, taken
-from hookpitch.startup.snapshot import BYTES_MOST, FORMAT, HEAD, Heavy, Known, Learned, Moved, read, write
+from hookpitch.startup.snapshot import (
+    BYTES_MOST,
+    FORMAT,
+    HEAD,
+    Heavy,
+    Known,
+    Learned,
+    Moved,
+    read,
+    write,
+)
 
 SERVERS = [entry(f"s{i}") for i in range(6)] + [entry("o1", kind=ORIGIN)]
 DIALS = {e.id: f"127.0.0.1:{7000 + n}" for n, e in enumerate(SERVERS)}
@@ -78,9 +89,13 @@
     assert not any(b.wide for b in begun(learned(f), 3600000.0).node.buckets.values())
 
 
-def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> None:
+def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> (  # noqa: E501
+    None
+):
     f = fleet()
-    known = tuple(Known(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0) for e in SERVERS)
+    known = tuple(
+        Known(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0) for e in SERVERS
+    )
     new = begun(learned(f, servers=known), 100.0)
     assert not any(s.off for s in new.node.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
@@ -97,7 +112,9 @@
     s = new.node.servers["s1"]
     assert s.cold_until > new.now and s.limit <= 2.0 and not s.ok
     # And one that was cold as it was written is so for the rest of its time, no longer.
-    cold = tuple(replace_known(k, cold_until=x.written + 9e9) if k.id == "s1" else k for k in x.servers)
+    cold = tuple(
+        replace_known(k, cold_until=x.written + 9e9) if k.id == "s1" else k for k in x.servers
+    )
     new = begun(msgspec.structs.replace(x, servers=cold), 1000.0)
     assert new.now < new.node.servers["s1"].cold_until <= new.now + 20000.0
 
@@ -110,7 +127,9 @@
     f = fleet()
     b = f.node._bucket(77)
     to = next(s.id for s in f.node.caches if s is not b.home)
-    x = learned(f, moved=(Moved(77, (), (), to), Moved(78, ("other",), (), to), Moved(10**9, (), (), to)))
+    x = learned(
+        f, moved=(Moved(77, (), (), to), Moved(78, ("other",), (), to), Moved(10**9, (), (), to))
+    )
     assert begun(x, 1000.0).node.buckets[77, (), ()].at.id == to
     assert (77, (), ()) not in begun(x, 600000.0).node.buckets
     gone = [replace(e, state=State.DRAINING) if e.id == to else e for e in SERVERS]
@@ -154,11 +173,15 @@
     for field, value in (("written", float("nan")), ("sighted", -1.0), ("seq", "x")):
         body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {field: value})
         with pytest.raises(ValueError):
-            read(HEAD.pack(b"HKPS", FORMAT, len(body), blake2b(body, digest_size=16).digest()) + body)
+            read(
+                HEAD.pack(b"HKPS", FORMAT, len(body), blake2b(body, digest_size=16).digest()) + body
+            )
 
 
 def test_it_is_bounded_however_much_was_learned() -> None:
-    many = tuple(Known(f"server-{'x' * 200}-{n}", 1e12, 9.0, 9.0, 9.0, 0, 0.0, 0.0, 0.0) for n in range(5000))
+    many = tuple(
+        Known(f"server-{'x' * 200}-{n}", 1e12, 9.0, 9.0, 9.0, 0, 0.0, 0.0, 0.0) for n in range(5000)
+    )
     moved = tuple(Moved(n % 4096, ("kind" * 20,), ("zone" * 20,), "s" * 200) for n in range(9000))
     heavy = tuple(Heavy(n, (), (), 9.0) for n in range(4096))
     data = write(learned(fleet(), servers=many, moved=moved, heavy=heavy))
@@ -187,7 +210,9 @@
 
     def some(held: int, data: bytes) -> int:
         if left[0] <= 0:
-            raise OSError(28, "No space left on device")  # a process that is killed goes no further, either
+            raise OSError(
+                28, "No space left on device"
+            )  # a process that is killed goes no further, either
         took = real(held, bytes(data)[: left[0]])
         left[0] -= took
         return took
@@ -218,9 +243,15 @@
     assert again.counters.counts["tx.sent"] == 1
 
 
-@pytest.mark.parametrize(("told", "said"), [
-    ({"fleet": "other"}, "of fleet"), ({"oldest_s": 1.0}, "s old"), (None, "torn"), ("", "file"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("told", "said"),
+    [
+        ({"fleet": "other"}, "of fleet"),
+        ({"oldest_s": 1.0}, "s old"),
+        (None, "torn"),
+        ("", "file"),
+    ],
+)
 def test_what_is_foreign_old_torn_or_not_there_is_told_and_left_alone(
     tmp_path: Path, told: dict | str | None, said: str
 ) -> None:
@@ -234,7 +265,9 @@
         path.write_bytes(before)
     s = Sockets(1)
     lines: list[str] = []
-    s.node.logger = type("Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")})()
+    s.node.logger = type(
+        "Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")}
+    )()
     kept = keep.Settings(str(path), **{"fleet": "f", **(told or {})})
     s.node.keeper = keep.Keeper(kept, s.node, lambda *_: None)
     if isinstance(told, dict) and "oldest_s" in told:
@@ -269,11 +302,18 @@
         keep.load("/dev/zero")
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("[snapshot]\nfleet = 'x'", "path"), ("[snapshot]\npath = 'x'\nevery_s = 0", "every_s"),
-    ("[snapshot]\npath = 'x'\nevry_s = 1", "evry_s"), ("[snapshot]\npath = 'x'\noldest_s = true", "oldest_s"),
-])  # fmt: skip
-def test_a_slip_in_the_operators_section_is_told_with_its_place(tmp_path: Path, text: str, said: str) -> None:
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("[snapshot]\nfleet = 'x'", "path"),
+        ("[snapshot]\npath = 'x'\nevery_s = 0", "every_s"),
+        ("[snapshot]\npath = 'x'\nevry_s = 1", "evry_s"),
+        ("[snapshot]\npath = 'x'\noldest_s = true", "oldest_s"),
+    ],
+)
+def test_a_slip_in_the_operators_section_is_told_with_its_place(
+    tmp_path: Path, text: str, said: str
+) -> None:
     file = tmp_path / "node.toml"
     file.write_text(text)
     with pytest.raises(ValueError, match=f"snapshot.{said}"):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -76,7 +76,9 @@
     serve(s, MISS)
     s.pass_time(1)
     asked = origin(s, http(200, b"from origin", b"X-Load: outstanding=3\r\n"))
-    assert asked.startswith(b"GET /91f03b7c55d20a64 HTTP/1.1") and b"\r\nX-Request-Id: r1\r\n" in asked
+    assert (
+        asked.startswith(b"GET /91f03b7c55d20a64 HTTP/1.1") and b"\r\nX-Request-Id: r1\r\n" in asked
+    )
     # The origin is told what is left, as caches are; before, it was the client's own figure.
     told = asked.partition(b"X-Extras: c=read,d=")[2].partition(b"\r\n")[0]
     assert 390 <= int(told) <= 398 and c.take() == bulk(b"from origin")
@@ -89,8 +91,13 @@
 
 def test_what_the_origin_answers() -> None:
     never = b"X-Not-Run: 1\r\n"
-    cases = [(http(500), b"-ERR"), (http(503, extra=never), b"-BUSY"), (http(504), b"-ERR"),
-             (b"rubbish\r\n\r\n", b"-ERR"), (http(200, b"x" * (MOST + 1)), b"-ERR")]  # fmt: skip
+    cases = [
+        (http(500), b"-ERR"),
+        (http(503, extra=never), b"-BUSY"),
+        (http(504), b"-ERR"),
+        (b"rubbish\r\n\r\n", b"-ERR"),
+        (http(200, b"x" * (MOST + 1)), b"-ERR"),
+    ]
     for answer, said in cases:
         s = Sockets()
         c = s.client()
@@ -143,7 +150,9 @@
         s.network.ways[port] = "refused"
     c = s.client()
     s.network.ways.clear()
-    s.node.host.node.origin_kind = -1  # a write goes to a cache, large enough to leave in two pieces
+    s.node.host.node.origin_kind = (
+        -1
+    )  # a write goes to a cache, large enough to leave in two pieces
     c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v" * CHUNK))
     s.pass_time(1)
     (line,) = [line for port in PORTS for line in s.network.to(port)]
@@ -167,7 +176,9 @@
     c.say(get("r2"))
     (line,) = s.network.to(7000)
     line.say(VALUE)
-    assert b"r2" in line.take()[len(command(b"OBJ.GET")) :]  # written behind r1's answer, the dial still out
+    assert (
+        b"r2" in line.take()[len(command(b"OBJ.GET")) :]
+    )  # written behind r1's answer, the dial still out
     line.say(VALUE)
     assert c.take() == bulk(b"v") * 2
 
@@ -213,16 +224,23 @@
 
 def test_a_good_answer_with_more_behind_it_counts_and_its_connection_ends() -> None:
     report = b"*3\r\n" + bulk(b"v") + bulk(b"hit")
-    for answer, ended in ((VALUE + VALUE, True), (VALUE + b"\xff\r", True), (report + bulk(b"a=?,;"), False),
-                          (report + b":5\r\n", False), (report + bulk(b"outstanding=nan"), False),
-                          (report + bulk(b"outstanding=1e300"), False)):  # fmt: skip
+    for answer, ended in (
+        (VALUE + VALUE, True),
+        (VALUE + b"\xff\r", True),
+        (report + bulk(b"a=?,;"), False),
+        (report + b":5\r\n", False),
+        (report + bulk(b"outstanding=nan"), False),
+        (report + bulk(b"outstanding=1e300"), False),
+    ):
         s = Sockets(1)
         c = s.client()
         c.say(get("r1"))
         serve(s, answer)
         s.pass_time(1)
         assert c.take() == bulk(b"v") and (s.network.to(7000) == []) == ended, answer
-        assert 0 <= s.node.host.node.servers["s0"].load + 1 < 3  # figures that cannot be spoil no belief
+        assert (
+            0 <= s.node.host.node.servers["s0"].load + 1 < 3
+        )  # figures that cannot be spoil no belief
     for behind, said in ((b"more", bulk(b"one")), (b"", bulk(b"one"))):
         s = Sockets()
         c = s.client()
@@ -252,7 +270,9 @@
     s = Sockets(1)
     c = s.client()
     origin_limit = s.node.host.node.servers["o1"].limit
-    for i in range(12):  # every second answer is noise: the RPC goes to its home again, and to no origin
+    for i in range(
+        12
+    ):  # every second answer is noise: the RPC goes to its home again, and to no origin
         c.say(get(f"r{i}"))
         serve(s, b"\xab\r\n" if i % 2 else VALUE)
         serve(s)
@@ -283,14 +303,25 @@
 def test_wrong_commands_are_told_so_and_the_connection_goes_on() -> None:
     s = Sockets()
     c = s.client()
-    for words in ([b"FLUSHALL"], [b"OBJ.GET", b"k"], [b"OBJ.GET", b"k", b"r", b"c=unheard,d=9"],
-                  [b"OBJ.GET", b"k", b"r", b"c=read,d=nan"], [b"OBJ.GET", b"k", b"r", b"c=read,d=-1"],
-                  [b"OBJ.SET", b"k", b"r", b"c=read,d=9"], [b"OBJ.GET", b"", b"", b"\xff=,"],
-                  [b"OBJ.GET", b"", b"r", b"c=read,d=9"], [b"OBJ.GET", b"k", b"", b"c=read,d=9"],
-                  [b"OBJ.GET", b"k", b"r s", b"c=read,d=9"], [b"OBJ.GET", b"k\r\n", b"r", b"c=read,d=9"],
-                  [b"OBJ.GET", b"k", b"r", b"c=read,d=9,d=9"], [b"OBJ.GET", b"k", b"r", b"c=read,d=9,"],
-                  [b"OBJ.GET", b"k", b"r", b"c=read,d=" + b"9" * 20], [b"OBJ.GET", b"k", b"r", b"c=read,x"],
-                  [b"OBJ.GET", b"k", b"r", b"c=read,size=-1"], [b"OBJ.GET", b"k", b"r", b"c=read,x=\0"]):
+    for words in (
+        [b"FLUSHALL"],
+        [b"OBJ.GET", b"k"],
+        [b"OBJ.GET", b"k", b"r", b"c=unheard,d=9"],
+        [b"OBJ.GET", b"k", b"r", b"c=read,d=nan"],
+        [b"OBJ.GET", b"k", b"r", b"c=read,d=-1"],
+        [b"OBJ.SET", b"k", b"r", b"c=read,d=9"],
+        [b"OBJ.GET", b"", b"", b"\xff=,"],
+        [b"OBJ.GET", b"", b"r", b"c=read,d=9"],
+        [b"OBJ.GET", b"k", b"", b"c=read,d=9"],
+        [b"OBJ.GET", b"k", b"r s", b"c=read,d=9"],
+        [b"OBJ.GET", b"k\r\n", b"r", b"c=read,d=9"],
+        [b"OBJ.GET", b"k", b"r", b"c=read,d=9,d=9"],
+        [b"OBJ.GET", b"k", b"r", b"c=read,d=9,"],
+        [b"OBJ.GET", b"k", b"r", b"c=read,d=" + b"9" * 20],
+        [b"OBJ.GET", b"k", b"r", b"c=read,x"],
+        [b"OBJ.GET", b"k", b"r", b"c=read,size=-1"],
+        [b"OBJ.GET", b"k", b"r", b"c=read,x=\0"],
+    ):
         wrong = command(*words)
         c.say(wrong)
         assert c.take().startswith(b"-ERR "), wrong
@@ -339,7 +370,10 @@
     s.pass_time(1000)
     assert [i for i, line in enumerate(lines) if not line.ended] == [0, 1, *range(6, 14)]
     s.pass_time(5000)
-    assert sum(not line.ended for line in lines) == 10 and s.counters.counts["clients.closed_idle"] == 4
+    assert (
+        sum(not line.ended for line in lines) == 10
+        and s.counters.counts["clients.closed_idle"] == 4
+    )
 
 
 def test_pools_of_servers_that_are_gone_are_forgotten_and_an_id_that_returns_is_new() -> None:
@@ -365,7 +399,9 @@
     full = s.node.host.node.shares["small"].tokens
     c.say(get("r2").replace(b"c=read,d=900", b"c=read,t=small").replace(b"$12", b"$14"))
     (words,) = serve(s)
-    assert words[3].startswith(b"c=read,t=small,d=") and s.node.host.node.shares["small"].tokens < full
+    assert (
+        words[3].startswith(b"c=read,t=small,d=") and s.node.host.node.shares["small"].tokens < full
+    )
 
 
 def test_a_client_that_left_is_sent_nothing_and_what_it_asked_is_called_off() -> None:
@@ -403,7 +439,9 @@
         assert c.ended and s.counters.counts["tx.sent"] == 1 and not s.node.host.rpcs
 
 
-def test_a_client_that_does_not_read_waits_and_then_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_does_not_read_waits_and_then_is_cut_off(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(clients, "UNREAD_MOST", 1 << 20)
     s = Sockets(memory_mb=64)
     c, other = s.client(), s.client()
@@ -426,7 +464,9 @@
     assert c.ended and not other.ended
 
 
-def test_a_burst_of_commands_leaves_others_their_turn_and_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_burst_of_commands_leaves_others_their_turn_and_is_bounded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(clients, "DUE_MOST", 1024)
     s = Sockets()
     c, other = s.client(), s.client()
@@ -493,8 +533,14 @@
 
 def test_discovery_is_followed_and_a_dial_may_change() -> None:
     s = Sockets()
-    assert s.network.to(DISCOVERY)[0].got.startswith(b"GET /v1/servers?follow=1&since=5 HTTP/1.1\r\nHost: ")
-    watch(s, {"seq": 6, "whole": False, "hosts": [listed_host("s0", 7001), listed_host("s1", 7000)]}, b"")
+    assert s.network.to(DISCOVERY)[0].got.startswith(
+        b"GET /v1/servers?follow=1&since=5 HTTP/1.1\r\nHost: "
+    )
+    watch(
+        s,
+        {"seq": 6, "whole": False, "hosts": [listed_host("s0", 7001), listed_host("s1", 7000)]},
+        b"",
+    )
     c = s.client()
     c.say(get("r1"))
     s.pass_time(1)
@@ -518,7 +564,10 @@
     s.pass_time(3000)
     for told in (old, b"", old):
         watch(s, told)
-        assert s.node.host.node.servers["s0"].state == State.READY and "lists.full" not in s.counters.counts
+        assert (
+            s.node.host.node.servers["s0"].state == State.READY
+            and "lists.full" not in s.counters.counts
+        )
         s.pass_time(1000)
     asked = s.counters.counts["lists.asked"]
     watch(s, b"")  # it insists: discovery counts anew
@@ -533,12 +582,19 @@
     assert "lists.failed" not in s.counters.counts
     watch(s, b"")
     s.pass_time(1000)
-    assert s.counters.counts["lists.failed"] == 1 and b"since=0" in s.network.to(DISCOVERY)[-1].take()
+    assert (
+        s.counters.counts["lists.failed"] == 1 and b"since=0" in s.network.to(DISCOVERY)[-1].take()
+    )
 
 
 def test_a_discovery_that_lags_and_catches_up_changes_nothing() -> None:
     s = Sockets()
-    watch(s, {"seq": 3, "whole": True, "hosts": s.hosts[1:]}, b"", {"seq": 5, "whole": False, "hosts": []})
+    watch(
+        s,
+        {"seq": 3, "whole": True, "hosts": s.hosts[1:]},
+        b"",
+        {"seq": 5, "whole": False, "hosts": []},
+    )
     watch(s, b"", b"", b"", b"")
     assert s.node.host.node.servers["s0"].state == State.READY and s.node.discovery.seq == 5
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,11 +18,18 @@
 
 
 TOLD = {
-    "name": "n3", "listen": "127.0.0.1:6379", "discovery": "127.0.0.2:8500", "seed": "8c1f30d27a5be964",
+    "name": "n3",
+    "listen": "127.0.0.1:6379",
+    "discovery": "127.0.0.2:8500",
+    "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": {"seq": 41, "whole": True, "hosts": [listed_host("s0", 7000, born_ms=1.7e12, block=3)]},
+    "known": {
+        "seq": 41,
+        "whole": True,
+        "hosts": [listed_host("s0", 7000, born_ms=1.7e12, block=3)],
+    },
     "settings": SETTINGS,
-}  # fmt: skip
+}
 
 
 def start(folder: Path, told: object, **environment: str) -> Post:
@@ -34,22 +41,50 @@
 def test_all_that_is_told_is_read(tmp_path: Path) -> None:
     p = start(tmp_path, TOLD, PROXY_LISTEN="[::1]:7777")
     assert (p.name, p.listen, p.discovery, p.sockets, p.memory_mb, p.seq) == (
-        "n3", ("::1", 7777), ("127.0.0.2", 8500), 1024, 192, 41)  # fmt: skip
-    assert p.deployment.seed == 0x8C1F30D27A5BE964 and p.deployment.must_ask and p.deployment.origin_kind == 1
+        "n3",
+        ("::1", 7777),
+        ("127.0.0.2", 8500),
+        1024,
+        192,
+        41,
+    )
+    assert (
+        p.deployment.seed == 0x8C1F30D27A5BE964
+        and p.deployment.must_ask
+        and p.deployment.origin_kind == 1
+    )
     assert p.deployment.dial_timeout_ms == 250.0 and p.deployment.conn_idle_ms == 60000.0
     (e,) = p.known
-    assert (e.id, e.kind, e.cell, e.started_ms, p.dials) == ("s0", 0, 3, 1.7e12, {"s0": "127.0.0.1:7000"})
-
-
-@pytest.mark.parametrize(("path", "value", "said"), [
-    (["listen"], "6379", "listen"), (["listen"], None, "listen"), (["discovery"], "host:99999", "discovery"),
-    (["name"], "", "name"), (["seed"], "xyz", "seed"), (["limits"], [1], "limits"),
-    (["limits", "sockets"], 3, "sockets"), (["limits", "memory_mb"], "much", "memory_mb"),
-    (["settings"], None, "settings"), (["settings", "methods"], [1], "setting"),
-    (["settings", "methods"], None, "setting"), (["settings", "rules"], 7, "setting"),
-    (["known"], [], "list of servers"), (["known", "hosts"], [{"host": "s0"}], "list of servers"),
-    ([], "{", "node.json"), ([], "[1]", "node.json"),
-])  # fmt: skip
+    assert (e.id, e.kind, e.cell, e.started_ms, p.dials) == (
+        "s0",
+        0,
+        3,
+        1.7e12,
+        {"s0": "127.0.0.1:7000"},
+    )
+
+
+@pytest.mark.parametrize(
+    ("path", "value", "said"),
+    [
+        (["listen"], "6379", "listen"),
+        (["listen"], None, "listen"),
+        (["discovery"], "host:99999", "discovery"),
+        (["name"], "", "name"),
+        (["seed"], "xyz", "seed"),
+        (["limits"], [1], "limits"),
+        (["limits", "sockets"], 3, "sockets"),
+        (["limits", "memory_mb"], "much", "memory_mb"),
+        (["settings"], None, "settings"),
+        (["settings", "methods"], [1], "setting"),
+        (["settings", "methods"], None, "setting"),
+        (["settings", "rules"], 7, "setting"),
+        (["known"], [], "list of servers"),
+        (["known", "hosts"], [{"host": "s0"}], "list of servers"),
+        ([], "{", "node.json"),
+        ([], "[1]", "node.json"),
+    ],
+)
 def test_what_is_wrong_is_named(tmp_path: Path, path: list[str], value: object, said: str) -> None:
     told: object = deepcopy(TOLD)
     if path:
@@ -85,16 +120,26 @@
     path = tmp_path / "node.json"
     path.write_text(json.dumps(TOLD | {"settings": {}}))
     done = subprocess.run(
-        [sys.executable, "-m", "hookpitch"], env={"PROXY_CONFIG": str(path)}, capture_output=True, text=True,
-        cwd=Path(__file__).parent.parent, timeout=60, check=False,
-    )  # fmt: skip
-    assert done.returncode == 2 and done.stderr == "hookpitch: cannot start: setting methods is missing\n"
+        [sys.executable, "-m", "hookpitch"],
+        env={"PROXY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        cwd=Path(__file__).parent.parent,
+        timeout=60,
+        check=False,
+    )
+    assert (
+        done.returncode == 2
+        and done.stderr == "hookpitch: cannot start: setting methods is missing\n"
+    )
 
 
 def test_a_new_file_moves_discovery_whose_versions_may_count_anew(tmp_path: Path) -> None:
     s, path, said = Sockets(), tmp_path / "node.json", []
     s.info = lambda event, **values: said.append(event)
-    reload = partial(s.node.reload, partial(anew, {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "h:1"}))
+    reload = partial(
+        s.node.reload, partial(anew, {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "h:1"})
+    )
     for bad in ("{", "[1]", "{}", '{"discovery": "nowhere"}', '{"discovery": 5}'):
         path.write_text(bad)
         reload()
@@ -104,7 +149,9 @@
     s.pass_time(1)
     assert not s.network.to(DISCOVERY) and b"since=0 " in (line := s.network.to(8600)[0]).take()
     told = json.dumps({"seq": 2, "whole": True, "hosts": s.hosts[1:]}).encode() + b"\n"  # held: 5
-    line.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(told), told))
+    line.say(
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(told), told)
+    )
     assert s.node.discovery.seq == 2 and s.node.host.node.servers["s0"].state == State.GONE
     reload()  # the same again: the watch goes on
     s.pass_time(1)
@@ -114,14 +161,20 @@
     assert b"since=2 " in s.network.to(8600)[0].take()
 
 
-def test_an_operator_is_told_what_acts_what_stays_and_that_a_file_is_not_there(tmp_path: Path) -> None:
+def test_an_operator_is_told_what_acts_what_stays_and_that_a_file_is_not_there(
+    tmp_path: Path,
+) -> None:
     s, path, said = Sockets(), tmp_path / "node.json", list[tuple[str, str]]()
-    s.info = lambda event, **values: said.append((event, str(values.get("changed") or values.get("what"))))
+    s.info = lambda event, **values: said.append(
+        (event, str(values.get("changed") or values.get("what")))
+    )
     reload = partial(s.node.reload, partial(anew, {"PROXY_CONFIG": str(path)}))
     told = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": deepcopy(SETTINGS)}
     reload()
     assert [event for event, _ in said] == ["not reloaded"]
-    assert s.counters.counts["config_reload_errors"] == 1 and "config_changes" not in s.counters.counts
+    assert (
+        s.counters.counts["config_reload_errors"] == 1 and "config_changes" not in s.counters.counts
+    )
     told["settings"]["limits"]["second_copies"] = True
     path.write_text(json.dumps(told | {"seed": 9, "listen": "127.0.0.1:1", "name": "other"}))
     said.clear()
@@ -138,10 +191,19 @@
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
     path.write_text(json.dumps(TOLD | {"listen": listen, "discovery": "127.0.0.1:1"}))
-    node = subprocess.Popen([sys.executable, "-m", "hookpitch"], env={"PROXY_CONFIG": str(path)},
-                            stderr=subprocess.PIPE, text=True, cwd=Path(__file__).parent.parent)  # fmt: skip
+    node = subprocess.Popen(
+        [sys.executable, "-m", "hookpitch"],
+        env={"PROXY_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
+        text=True,
+        cwd=Path(__file__).parent.parent,
+    )
     try:
-        for event, number in (("serving", signal.SIGHUP), ("reloaded", signal.SIGTERM), ("left", 0)):
+        for event, number in (
+            ("serving", signal.SIGHUP),
+            ("reloaded", signal.SIGTERM),
+            ("left", 0),
+        ):
             assert any(f'"{event}"' in line for line in node.stderr), event
             node.send_signal(number)
         assert node.wait(60) == 0
@@ -155,13 +217,24 @@
     path.write_text(json.dumps(TOLD))
     own.write_text("[gatewya]\n")
     done = subprocess.run(
-        [sys.executable, "-m", "hookpitch"], env={"PROXY_CONFIG": str(path), "HOOKPITCH_CONFIG": str(own)},
-        capture_output=True, text=True, cwd=Path(__file__).parent.parent, timeout=60, check=False,
-    )  # fmt: skip
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "gatewya: no such section" in done.stderr
+        [sys.executable, "-m", "hookpitch"],
+        env={"PROXY_CONFIG": str(path), "HOOKPITCH_CONFIG": str(own)},
+        capture_output=True,
+        text=True,
+        cwd=Path(__file__).parent.parent,
+        timeout=60,
+        check=False,
+    )
+    assert (
+        done.returncode == 2
+        and done.stderr.count("\n") == 1
+        and "gatewya: no such section" in done.stderr
+    )
 
 
-def test_settings_are_switched_there_and_back_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_settings_are_switched_there_and_back_and_a_bad_file_changes_nothing(
+    tmp_path: Path,
+) -> None:
     s, path = Sockets(), tmp_path / "node.json"
     reload = partial(s.node.reload, partial(anew, {"PROXY_CONFIG": str(path)}))
     old = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": SETTINGS}
@@ -177,7 +250,12 @@
         c.say(get(f"r{step}"))
         s.pass_time(1)
         if told == "{":
-            wrong = ({"weights": "x"}, {"overage_gain": -1}, {"overage_gain": float("nan")}, {"methods": []})
+            wrong = (
+                {"weights": "x"},
+                {"overage_gain": -1},
+                {"overage_gain": float("nan")},
+                {"methods": []},
+            )
             for value in ({}, 7, *(SETTINGS | change for change in wrong)):
                 path.write_text(json.dumps(old | {"settings": value}))
                 reload()
@@ -193,4 +271,6 @@
             line.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\noutstanding=1\r\n")
         s.pass_time(1)
         assert c.take() == b"$1\r\nv\r\n"
-    assert s.counters.counts["config_changes"] == 3 and s.counters.counts["config_reload_errors"] == 6
+    assert (
+        s.counters.counts["config_changes"] == 3 and s.counters.counts["config_reload_errors"] == 6
+    )
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,4 +1,5 @@
-"""Many nodes that start at once: experiments hold in virtual time, and what a start costs is counted."""
+"""Many nodes that start at once: experiments hold in virtual time, and what a start costs is
+counted."""
 
 from collections import Counter
 from pathlib import Path
@@ -43,10 +44,24 @@
     history.add(1600.0, "stop", "n1")  # of one that was killed before, nothing is asked
     history.add(4700.0, "told", "n2", what="nothing")
     ended = Ended(read("name = 'a-b'\nseconds = 20.0"), 1, history, [], [], {}, [], 0, 0.0)
-    assert figure("list_calls", ended, [], 0, 20) == 3 and figure("dials_at_one", ended, [], 0, 20) == 2
+    assert (
+        figure("list_calls", ended, [], 0, 20) == 3
+        and figure("dials_at_one", ended, [], 0, 20) == 2
+    )
     assert figure("listed_s", ended, [], 0, 20) == 3.5
-    rpcs = [Seen(f"q{n}", "read", "n0", 100.0 * n, 300.0, 1.0, "completed" if n > 62 else "exhausted", 5.0)
-            for n in range(200)]  # fmt: skip
+    rpcs = [
+        Seen(
+            f"q{n}",
+            "read",
+            "n0",
+            100.0 * n,
+            300.0,
+            1.0,
+            "completed" if n > 62 else "exhausted",
+            5.0,
+        )
+        for n in range(200)
+    ]
     assert figure("steady_s", ended, rpcs, 0, 20) == 7.0
 
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -23,7 +23,9 @@
     client = s.client()
     client.say(get(id))
     s.pass_time(1)
-    server = next(line for line in s.network.to(7000) + s.network.to(7001) if id.encode() in line.take())
+    server = next(
+        line for line in s.network.to(7000) + s.network.to(7001) if id.encode() in line.take()
+    )
     return s, client, server
 
 
@@ -120,8 +122,11 @@
     client = s.client()
     client.say(get("a") + get("b", "other"))
     s.pass_time(1)
-    lines = {(b"b" if b"other" in data else b"a"): line for line in s.network.to(7000) + s.network.to(7001)
-             if (data := line.take())}  # fmt: skip
+    lines = {
+        (b"b" if b"other" in data else b"a"): line
+        for line in s.network.to(7000) + s.network.to(7001)
+        if (data := line.take())
+    }
     heads(lines[b"b"])
     assert lines[b"b"].paused and not client.take()
     lines[b"a"].say(b"*3\r\n$1\r\nv\r\n" + REST)
@@ -209,10 +214,16 @@
     assert client.ended and s.node.host.held.now == 0
 
 
-@pytest.mark.parametrize("said", [
-    b"*5\r\n$7\r\nOBJ.SET\r\n$%d\r\n" % LARGE, b"*2\r\n$%d\r\n" % LARGE, b"*5\r\n$4194305\r\n",
-    command(b"OBJ.SET", b"k", b"r", b"c=read,d=900")[:-2].replace(b"*4", b"*5") + b"\r\n$4194305\r\n",
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"*5\r\n$7\r\nOBJ.SET\r\n$%d\r\n" % LARGE,
+        b"*2\r\n$%d\r\n" % LARGE,
+        b"*5\r\n$4194305\r\n",
+        command(b"OBJ.SET", b"k", b"r", b"c=read,d=900")[:-2].replace(b"*4", b"*5")
+        + b"\r\n$4194305\r\n",
+    ],
+)
 def test_only_a_value_may_be_large(said: bytes) -> None:
     s = Sockets()
     client = s.client()
@@ -241,7 +252,9 @@
     got = b""
     while parser.passing:
         got += parser.part(65536)
-    assert got == VALUE and parser.next() == (True, [b"", b"hit", None]) and parser.next()[1] == b"OK"
+    assert (
+        got == VALUE and parser.next() == (True, [b"", b"hit", None]) and parser.next()[1] == b"OK"
+    )
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
@@ -254,8 +267,14 @@
     s.pass_time(300)  # silent for the patience: a copy goes to the origin
     (origin,) = s.network.to(ORIGIN_PORT)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE
-    parts = {"cache": (cache, b"*3\r\n$%d\r\n" % LARGE, b"\r\n" + REST), "origin": (origin, head, b"")}
-    (one, begin, end), (other, late, _) = parts[first], parts["origin" if first == "cache" else "cache"]
+    parts = {
+        "cache": (cache, b"*3\r\n$%d\r\n" % LARGE, b"\r\n" + REST),
+        "origin": (origin, head, b""),
+    }
+    (one, begin, end), (other, late, _) = (
+        parts[first],
+        parts["origin" if first == "cache" else "cache"],
+    )
     one.say(begin + VALUE[:1000])
     s.pass_time(1)
     assert (other.ended or other.disconnecting) == cancelling
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -49,12 +49,16 @@
     assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
     host, counts = storm.s.node.host, storm.s.counters.counts
     assert not len(host.rpcs) and not host.node.rpcs, "records outlive their RPCs"
-    assert not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
+    assert (
+        not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
+    )
 
 
 def test_what_is_known_is_carried_over_there_and_back() -> None:
-    methods = (Method("read", 400.0, 1000.0, 1.0),
-               Method("once", 400.0, 1000.0, 1.0, 0.0, Idempotency.NON_RETRIABLE))  # fmt: skip
+    methods = (
+        Method("read", 400.0, 1000.0, 1.0),
+        Method("once", 400.0, 1000.0, 1.0, 0.0, Idempotency.NON_RETRIABLE),
+    )
     small, kinds = (Customer("small", 1.0),), ("std", "origin")
     d = deployment(methods=methods, customers=small, kinds=kinds, origin_kind=1)
     f = Fleet(d)
@@ -72,7 +76,9 @@
     homes = {number: b.home.id for number, b in node.buckets.items()}
     out = f.arrive("k5", method="once")
     other = Method("once", 50.0, 100.0, 1.0, 0.0, Idempotency.RETRIABLE)
-    new = replace(d, methods=(methods[0], other), live_sizes=True, kinds=("box", *kinds), origin_kind=2)
+    new = replace(
+        d, methods=(methods[0], other), live_sizes=True, kinds=("box", *kinds), origin_kind=2
+    )
     for settings, kind in ((new, 1), (d, 0)):
         node.reconfigured(f.now, settings)
         assert node.bans == {"s0": None} and sick.off and sick.failures == 3 and sick.limit == 1.5
@@ -85,7 +91,9 @@
     node.reconfigured(f.now, new)
     # Sizes that move with load: the same list, cut by load, moves nothing either.
     node.servers_listed(f.now, ListKind.DELTA, [entry("s3", size=0.25, kind=1)])
-    assert node.servers["s3"].load == 3.0 and {n: b.home.id for n, b in node.buckets.items()} == homes
+    assert (
+        node.servers["s3"].load == 3.0 and {n: b.home.id for n, b in node.buckets.items()} == homes
+    )
     node.reconfigured(f.now, d)
     assert node.servers["s3"].load == -1.0
 
