--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -18,8 +18,8 @@
 
 import click
 
-from hookpitch.lab.gossip import Net
 from hookpitch.members.state import State
+from hookpitch.testbed.membership_simulation import Net
 
 
 def up(count: int, seed: int) -> Net:
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -69,13 +69,13 @@
 def measured(at: tuple[str, int], connections: int, processes: int) -> tuple[float, float, float]:
     """Round trips a second, median and 99th percentile in ms."""
     out: multiprocessing.Queue = multiprocessing.Queue()
-    asking = [
+    poll_schedule = [
         multiprocessing.Process(target=ask, args=(at, connections, out)) for _ in range(processes)
     ]
-    for one in asking:
+    for one in poll_schedule:
         one.start()
-    took = [ms for _ in asking for ms in out.get(timeout=60)]
-    for one in asking:
+    took = [ms for _ in poll_schedule for ms in out.get(timeout=60)]
+    for one in poll_schedule:
         one.join()
     took.sort()
     return len(took) / SECONDS, statistics.median(took), took[int(0.99 * len(took))]
@@ -101,7 +101,9 @@
             "tcp": [["n0", "s0", THROUGH, STRAIGHT, f"{NET}.9.9"]],
         }
         Path(f"{folder}/given").write_text(json.dumps(given))
-        relay = subprocess.Popen([sys.executable, "-m", "hookpitch.lab.relay", f"{folder}/given"])
+        relay = subprocess.Popen(
+            [sys.executable, "-m", "hookpitch.testbed.relay", f"{folder}/given"]
+        )
         line = control.accept()[0].makefile()
         assert [json.loads(line.readline())[0] for _ in range(2)] == ["hello", "ready"]
         try:
--- a/benchmarks/start_size.py
+++ b/benchmarks/start_size.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from hookpitch.lab.experiment import Experiment, load
-from hookpitch.lab.figures import figure, seen
-from hookpitch.lab.run import Run
+from hookpitch.testbed.experiment import Experiment, load
+from hookpitch.testbed.metrics import figure, seen
+from hookpitch.testbed.run import Run
 
 ROOT = Path(__file__).parent.parent
 SERVERS, RPCS = 50, 5.0  # at full size: cache servers; RPCs a second for each node
--- a/hookpitch/__main__.py
+++ b/hookpitch/__main__.py
@@ -14,10 +14,10 @@
 from twisted.internet.error import CannotListenError
 
 from hookpitch.core.counters import Counters
-from hookpitch.net import log, turns
+from hookpitch.net import log, prioritized_reactor
 from hookpitch.net.clock import Clock
 from hookpitch.net.node import SocketNode
-from hookpitch.net.start import anew, post
+from hookpitch.net.node_config import load_node_config, load_reloaded_config
 
 LISTEN_TRIES, LISTEN_PAUSE_S = 30, 0.1
 
@@ -25,9 +25,9 @@
 def main() -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
     try:
-        told, sections = post(os.environ), {}
+        told, sections = load_node_config(os.environ), {}
         if os.environ.get("HOOKPITCH_CONFIG"):  # what is off is not even imported
-            from hookpitch.net.operator import house
+            from hookpitch.net.operator_settings import house
 
             sections = house(os.environ).sections
     except ValueError as fault:
@@ -38,20 +38,20 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
     # Danger: Twisted's timers go by the wall clock, and one set back would hold up every deadline.
     counters = Counters()
-    reactor = turns.install()
+    reactor = prioritized_reactor.install()
     reactor.seconds = time.monotonic
     logger = log.start(told.name, counters)
     node = SocketNode(reactor, Clock(reactor), told, counters, logger)
     if "snapshot" in sections:
-        from hookpitch.net.keep import Keeper, in_thread
+        from hookpitch.net.snapshot_store import SnapshotStore, in_thread
 
-        node.keeper = Keeper(sections["snapshot"], node, partial(in_thread, reactor))
+        node.snapshot_store = SnapshotStore(sections["snapshot"], node, partial(in_thread, reactor))
     if "members" in sections:
         from hookpitch.members.port import attach
 
         attach(sections["members"], node)
     # Danger: a signal that comes as soon as the log says "serving" would be lost, or end the node.
-    reload = partial(node.reload, partial(anew, os.environ))
+    reload = partial(node.reload, partial(load_reloaded_config, os.environ))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload))
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: reactor.callFromThread(node.leave))
--- a/hookpitch/balancer/decisions.py
+++ b/hookpitch/balancer/decisions.py
@@ -15,8 +15,18 @@
 from itertools import count
 from zlib import crc32
 
-from hookpitch.balancer.interface import NEVER_RAN, Deployment, Entry, Host, Idempotency, ListKind
-from hookpitch.balancer.interface import Method, Outcome, Report, State
+from hookpitch.balancer.interface import (
+    NOT_EXECUTED,
+    Deployment,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    Idempotency,
+    Method,
+    Outcome,
+    Report,
+    RouterHost,
+)
 
 BUCKETS = 4096  # the unit moved; a hundred for each cache of a fleet of forty
 RING_POINTS = 150  # of a cache of mean size
@@ -43,7 +53,7 @@
 ORIGIN_LEAST = 6.0, 1 / 4  # the lowest limit there: over all nodes; at one
 SHED_FROM = 0.2  # of what is within shares turned away or late: from here on less is let in
 ONE_OFF = (
-    Outcome.SPOILT,
+    Outcome.MALFORMED,
     Outcome.RESET,
 )  # tells of one connection: the same server may be asked again
 STRIKES = 3  # failures in a row that take a server off the path
@@ -65,14 +75,14 @@
     def __init__(self, id: str) -> None:
         self.id, self.state, self.zone, self.cell, self.size, self.kind = (
             id,
-            State.GONE,
+            EndpointState.REMOVED,
             "",
             0,
             1.0,
             0,
         )
         self.listed, self.advised = (
-            State.GONE,
+            EndpointState.REMOVED,
             False,
         )  # advised: listed as gone, which binds nothing; READY
         self.live: dict[Tx, None] = {}  # transmissions out, oldest first
@@ -230,7 +240,7 @@
     return moves
 
 
-class Node:  # one instance: it shares nothing with any other
+class Router:  # one instance: it shares nothing with any other
     def __init__(self, now: float, d: Deployment) -> None:
         self.now, self.seed, self.draws, self.part = (
             now,
@@ -297,13 +307,17 @@
         """New settings. RPCs in flight keep their deadlines; what is known of servers and shares
         stays."""
         self.now, self.methods, self.nodes = now, {m.name: m for m in d.methods}, max(1, d.nodes)
-        self.max_txs = d.max_transmissions
-        self.cancelling, self.copies, self.customers = d.cancelling, d.second_copies, d.customers
-        self.shared_by(now, 1 / self.part)
+        self.max_txs = d.max_attempts
+        self.cancellation_enabled, self.copies, self.tenants = (
+            d.cancellation_enabled,
+            d.hedging_allowed,
+            d.tenants,
+        )
+        self.set_process_count(now, 1 / self.part)
         for rpc in self.rpcs.values():  # Danger: servers may know repeats for less long by now.
             rpc.method = rpc.method.under(self.methods.get(rpc.method.name))
         for rpc in (
-            self.rpcs.values() if not d.second_copies else ()
+            self.rpcs.values() if not d.hedging_allowed else ()
         ):  # where they were allowed until now
             self.retract.extend(tx for tx in rpc.txs if tx.slow and not tx.done)
         self.tick, self.margin, self.retry_after = (
@@ -314,15 +328,22 @@
         self.pause = 2 * min(
             (m.soft_ms for m in d.methods), default=1000.0
         )  # the first time off the path
-        self.advice = d.gone_is_advice
-        self.boost_most, self.overage_gain = max(1.0, d.overload_factor / 1.5), d.overage_gain
-        self.cold_share, self.cold_ms, self.window = (
-            d.cold_share,
-            d.cold_ms,
-            d.tip_after_ms or 1000.0,
+        self.advice = d.removal_is_advisory
+        self.boost_most, self.over_quota_gain_factor = (
+            max(1.0, d.overload_factor / 1.5),
+            d.over_quota_gain_factor,
+        )
+        self.slow_start_fraction, self.slow_start_ms, self.window = (
+            d.slow_start_fraction,
+            d.slow_start_ms,
+            d.overload_window_ms or 1000.0,
+        )
+        self.held = (
+            self.pause * d.connection_open_cost / d.connection_hold_cost
+            if d.connection_hold_cost > 0
+            else d.connection_idle_timeout_ms
         )
-        self.held = self.pause * d.dial_cost / d.hold_cost if d.hold_cost > 0 else d.conn_idle_ms
-        self.brief = self.held if d.hold_cost > 0 else min(self.held, self.pause)
+        self.brief = self.held if d.connection_hold_cost > 0 else min(self.held, self.pause)
         self.idle = min(
             max(self.idle, self.brief), self.held
         )  # Danger: who came first keeps tables full
@@ -333,23 +354,23 @@
         self.flow = {name: self.flow.get(name, 0.0) for name in self.methods}
         before, self.kinds, self.origin_kind = self.kinds, d.kinds, d.origin_kind
         self.nominal = (
-            dict[int, float]() if d.live_sizes else None
+            dict[int, float]() if d.weights_reflect_load else None
         )  # sizes move with load: a kind's largest
         for s in self.servers.values():
             name = before[s.kind] if 0 <= s.kind < len(before) else ""
             s.kind, s.load = d.kinds.index(name) if name in d.kinds else -2, -1.0
-            if d.live_sizes:
+            if d.weights_reflect_load:
                 self.nominal[s.kind] = max(s.size, self.nominal.get(s.kind, 0.0))
 
     # ---- inputs: they update what is known, nothing else
 
-    def servers_listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
+    def update_endpoints(self, now: float, kind: EndpointUpdate, entries: list[Endpoint]) -> None:
         self.now = now
         listed, changed, resized = {e.id for e in entries}, False, list[Server]()
         for e in entries:
             s = self.servers.get(e.id) or self.servers.setdefault(e.id, Server(e.id))
             started = e.started_ms if e.started_ms > 0 else -FAR
-            if (e.state == State.READY or self.advice) and started > s.started:
+            if (e.state == EndpointState.READY or self.advice) and started > s.started:
                 self._leave(s, True)
                 s.started, s.failures, s.off = started, 0, False
                 s.answered_at, s.limit = -FAR, min(s.limit, START_LIMIT)
@@ -361,7 +382,7 @@
             ):  # Danger: sizes that move with load move the ring at every list.
                 full = self.nominal[e.kind] = max(size, self.nominal.get(e.kind, 0.0))
                 s.load, size = (full / size - 1) * full, full
-            if e.state == State.READY and (not s.points or s.size != size):
+            if e.state == EndpointState.READY and (not s.points or s.size != size):
                 resized.append(s)
             s.zone, s.cell, s.size, s.kind = e.zone, e.cell, size, e.kind
             if e.kind == self.origin_kind and s.least == 1.0:
@@ -369,14 +390,14 @@
                     min(one, n / self.nodes) for n, one in (ORIGIN_LEAST, ORIGIN_START)
                 )
             self._state(s, e.state)
-        for s in self.servers.values() if kind != ListKind.DELTA else ():
-            if s.id not in listed and s.listed != State.GONE:
+        for s in self.servers.values() if kind != EndpointUpdate.DELTA else ():
+            if s.id not in listed and s.listed != EndpointState.REMOVED:
                 changed = True
-                self._state(s, State.GONE)
+                self._state(s, EndpointState.REMOVED)
         if changed or resized:
             self._rebuild(resized)
 
-    def server_banned(self, now: float, id: str, banned: bool) -> None:
+    def set_banned(self, now: float, id: str, banned: bool) -> None:
         """An operator leaves a server out, or takes it back; whatever any list says until then."""
         self.now, s, before = now, self.servers.get(id), id in self.bans
         self.bans = {b: None for b in self.bans if b != id} | ({id: None} if banned else {})
@@ -388,9 +409,9 @@
             s.failures, s.off, s.backoff, s.limit = 0, False, 0.0, min(s.limit, START_LIMIT)
             self._cool(s, now)
         self._state(s, s.listed)
-        self._rebuild([] if s.points or s.state != State.READY else [s])
+        self._rebuild([] if s.points or s.state != EndpointState.READY else [s])
 
-    def shared_by(self, now: float, processes: float) -> None:
+    def set_process_count(self, now: float, processes: float) -> None:
         """So many processes are this one node for now: budgets of cold servers and quotas are the
         node's."""
         self.now, was, self.part, before = now, self.part, 1 / processes, self.shares
@@ -402,7 +423,7 @@
             self.part / 1000 / self.nodes
         )  # of a quota a second over all nodes, to this one's a ms
         self.shares = {
-            c.name: Share(c.quota_per_s * rate, now) for c in self.customers if c.quota_per_s > 0
+            c.name: Share(c.quota_per_s * rate, now) for c in self.tenants if c.quota_per_s > 0
         }
         for name, share in self.shares.items():
             if name in before:
@@ -415,7 +436,7 @@
         id: str,
         key: str,
         method: str,
-        customer: str,
+        tenant: str,
         write: bool,
         grace: float,
         age: float = 0.0,
@@ -425,7 +446,7 @@
         if id in self.rpcs:
             return
         m = self.methods.get(method) or Method(
-            method, grace, grace, 0.0, 0.0, Idempotency.NON_RETRIABLE
+            method, grace, grace, 0.0, 0.0, Idempotency.NON_IDEMPOTENT
         )
         # A keyless RPC still needs a bucket: any will do.
         number = crc32(key.encode() or b"%d/%d" % (self.seed, next(self.draws))) % BUCKETS
@@ -444,19 +465,22 @@
         # Danger: what stood unread here has that much less time; `grace` counts from when it came.
         rpc.until, rpc.aim = now + useful - age - self.margin, now + m.soft_ms - age - self.margin
         share = self.shares.get(
-            customer
+            tenant
         )  # Danger: those over it in others' way, or lost to an idle fleet
         rpc.over = share is not None and share.spent(now)
         if share and not rpc.over:
             share.tokens, rpc.share = share.tokens - 1, share
-        rpc.lost = rpc.over and self._chance() >= self.overage_gain + 1 - self.pressure / SHED_FROM
+        rpc.lost = (
+            rpc.over
+            and self._chance() >= self.over_quota_gain_factor + 1 - self.pressure / SHED_FROM
+        )
         low, width = self.bands.get(method, (0.0, 1.0))  # among the methods, by gain
         if self.shed > 0 and share is None and low + width * self._chance() < self.shed:
             rpc.lost = rpc.over = True
         self.asked, self.rpcs[id] = self.asked + (not rpc.over), rpc
         self.todo.append(rpc)
 
-    def tx_ended(
+    def attempt_ended(
         self, now: float, id: str, n: int, outcome: Outcome, last: bool, took: float, report: Report
     ) -> None:
         self.now = now
@@ -464,7 +488,7 @@
         tx = rpc.txs[n] if rpc and 0 <= n < len(rpc.txs) else None
         if rpc is None or tx is None or tx.done:
             return
-        tx.done, tx.ran, s = True, outcome not in NEVER_RAN, tx.server
+        tx.done, tx.ran, s = True, outcome not in NOT_EXECUTED, tx.server
         tx.spoilt = outcome in ONE_OFF or (outcome == Outcome.CANCELLED and s.answered_at > tx.sent)
         rpc.live, rpc.slow = rpc.live - 1, rpc.slow - tx.slow
         s.live.pop(tx, None)
@@ -484,7 +508,7 @@
             ):  # another can do what it could not
                 self._strike(rpc.accused)
                 rpc.accused = None
-        elif outcome == Outcome.FULL:
+        elif outcome == Outcome.OVERLOADED:
             # Danger: what warm servers refuse, taken for what they can do, pushes the cold ones
             # over.
             s.answered_at, s.boost, s.heard, s.sent = (
@@ -501,7 +525,7 @@
             # the rest.
             rpc.vain = rpc.accused is not None or self.trials < 1
             rpc.accused = s
-        elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.SPOILT):
+        elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED):
             # Danger: a server that refuses after failures died and comes back cold, maybe
             # unannounced. What fails by turns is off at one failure: from its second fall on, one
             # refusal says
@@ -513,7 +537,7 @@
             # Danger: a limit cut for what befalls any server, or each slip of the one origin,
             # starves all.
             if now - s.answered_at > self.pause or not (
-                s is self.origin or outcome == Outcome.SPOILT
+                s is self.origin or outcome == Outcome.MALFORMED
             ):
                 self._strike(s)
         elif outcome == Outcome.TIMEOUT and max(s.answered_at, s.struck_at) < tx.sent:
@@ -530,7 +554,7 @@
         else:
             self.todo.append(rpc)
 
-    def stream_begun(self, now: float, id: str, n: int) -> None:
+    def stream_started(self, now: float, id: str, n: int) -> None:
         self.now = now
         rpc = self.rpcs.get(id)
         if rpc is not None and 0 <= n < len(rpc.txs) and not rpc.txs[n].done:
@@ -545,16 +569,16 @@
             self.retract.extend(copy for copy in rpc.txs if not copy.done and copy is not tx)
             self._answered(tx, now - tx.sent, False)
 
-    def client_left(self, now: float, id: str) -> None:
+    def client_disconnected(self, now: float, id: str) -> None:
         self.now = now
         rpc = self.rpcs.get(id)
         if rpc is not None and not rpc.closed:
             self._close(rpc)
 
-    def woken(self, now: float) -> None:
+    def timer_fired(self, now: float) -> None:
         self.now = now  # the time asked for by `wake` has come
 
-    def burdened(self, now: float, burden: float, lag: float = 0.0) -> None:
+    def overload_measured(self, now: float, burden: float, lag: float = 0.0) -> None:
         """Of a window: the part of what came in that the node cannot do; how many ms it stood
         unread."""
         self.now, self.burden, self.lag = now, burden, lag
@@ -577,12 +601,12 @@
             bands, at = bands | dict.fromkeys(alike, (at, width)), at + width
         return bands
 
-    def was_away(self, now: float) -> None:
+    def event_loop_stalled(self, now: float) -> None:
         """The node itself did nothing for a while: what was out then tells nothing of its
         servers."""
         self.now = self.away_at = now
 
-    def turned_away(self, now: float, method: str, customer: str, age: float) -> float:
+    def shed_delay(self, now: float, method: str, tenant: str, age: float) -> float:
         """At the door, before an RPC costs anything: when to come back, in ms; under 0 where it is
         let in."""
         self.now, m = now, self.methods.get(method)
@@ -591,7 +615,7 @@
         self.mix[method] += 1
         if self.burden <= 0:
             return -1.0
-        share, (low, width) = self.shares.get(customer), self.parts[method]
+        share, (low, width) = self.shares.get(tenant), self.parts[method]
         # Danger: what is over a share, gains least or is too late already, in the place of the
         # rest.
         spent = (share and share.spent(now)) or (m.late_gain <= 0 and age > (1 - WAIT) * m.soft_ms)
@@ -605,16 +629,16 @@
 
     # ---- decisions, one a call
 
-    def decide(self, now: float, host: Host) -> bool:
+    def decide(self, now: float, host: RouterHost) -> bool:
         self.now = now
         self._due()
         while self.retract:
             tx = self.retract.popleft()
-            if not tx.done and self.cancelling:
+            if not tx.done and self.cancellation_enabled:
                 host.cancel(tx.rpc.id, tx.n)
                 return True
         if self.closing:  # by the latest beat; nothing was sent since
-            host.close(self.closing.popleft().id)
+            host.close_idle(self.closing.popleft().id)
             return True
         while self.todo:
             rpc = self.todo.popleft()
@@ -637,7 +661,7 @@
         # Danger: a wake late, or rounded to just before its time, must cost no RPC its answer.
         if asks := due < self.armed - self.tick / 4 or self.armed <= now + self.tick / 4:
             self.armed = due
-            host.wake(due)
+            host.schedule_wakeup(due)
         return asks
 
     def _due(self) -> None:
@@ -683,7 +707,7 @@
             self.next_round = now + ROUND_MS
             self._round()
 
-    def _route(self, rpc: Rpc, host: Host) -> bool:  # True where the host was told something
+    def _route(self, rpc: Rpc, host: RouterHost) -> bool:  # True where the host was told something
         now, tries = self.now, len(rpc.txs)
         if rpc.lost or rpc.vain or tries >= self.max_txs or rpc.until - now <= self.margin:
             return self._give_up(rpc, host)
@@ -699,11 +723,11 @@
         return self._offer(rpc, s, host)
 
     def _offer(
-        self, rpc: Rpc, s: Server | None, host: Host
+        self, rpc: Rpc, s: Server | None, host: RouterHost
     ) -> bool:  # send, stand in line or give up
         # Danger: what is over a share crowds the others out.
         crowds = s is not None and rpc.over and (len(s.live) >= s.limit or s.limit < 1)
-        if s is None or s.state != State.READY or crowds or not self._may_send(rpc, s):
+        if s is None or s.state != EndpointState.READY or crowds or not self._may_send(rpc, s):
             return self._give_up(rpc, host)
         if not s.first and not s.again and self._room(s):
             self._send(rpc, s, host)
@@ -731,17 +755,17 @@
             rpc = heapq.heappop(s.first or s.again)[3]
             if rpc.line and not rpc.closed:
                 rpc.line = 0.0
-                if self._may_send(rpc, s) and s.state == State.READY:
+                if self._may_send(rpc, s) and s.state == EndpointState.READY:
                     return rpc
                 self.todo.append(rpc)
         return None
 
-    def _send(self, rpc: Rpc, s: Server, host: Host) -> None:
+    def _send(self, rpc: Rpc, s: Server, host: RouterHost) -> None:
         now, tx, again = self.now, Tx(rpc, s, len(rpc.txs), self.now), self._again_until(rpc)
         if (
             s.open and not s.live and now - s.last > self.idle < 0.9 * self.held
         ):  # Danger: dropped unseen
-            host.close(s.id)
+            host.close_idle(s.id)
         self.trials, rpc.live = self.trials - (rpc.accused is not None), rpc.live + 1
         rpc.txs.append(tx)
         s.live[tx] = None
@@ -770,8 +794,8 @@
         kind = rpc.method.idempotency  # none of these is zero but RETRIABLE
         ran = next((tx.sent for tx in rpc.txs if tx.ran and kind), FAR)
         return (
-            ran + rpc.method.window_ms - self.margin
-            if kind <= Idempotency.DEDUPED or ran == FAR
+            ran + rpc.method.dedup_window_ms - self.margin
+            if kind <= Idempotency.IDEMPOTENT_WITH_KEY or ran == FAR
             else -FAR
         )
 
@@ -786,12 +810,12 @@
         )
         alike = (
             s is a
-            or m.group == "all"
-            or (s.zone == a.zone if m.group == "zone" else s.cell == a.cell)
+            or m.dedup_scope == "all"
+            or (s.zone == a.zone if m.dedup_scope == "zone" else s.cell == a.cell)
         )
         return alike and self._open(m, s) and self.now < self._again_until(rpc)
 
-    def _give_up(self, rpc: Rpc, host: Host) -> bool:
+    def _give_up(self, rpc: Rpc, host: RouterHost) -> bool:
         if rpc.live:  # what is still out may answer
             rpc.lost = False
             return False
@@ -805,11 +829,13 @@
             rpc.vain and rpc.share
         ):  # Danger: a customer's good RPCs pay for those that are worth nothing.
             rpc.share.tokens += 1
-        harmless = m.idempotency == Idempotency.RETRIABLE or not any(tx.ran for tx in rpc.txs)
-        if harmless or (m.idempotency == Idempotency.DEDUPED and m.group == "all"):
-            host.exhaust(rpc.id, min(self.retry_after, m.soft_ms) * (0.5 + self._chance() / 2))
+        harmless = m.idempotency == Idempotency.IDEMPOTENT or not any(tx.ran for tx in rpc.txs)
+        if harmless or (
+            m.idempotency == Idempotency.IDEMPOTENT_WITH_KEY and m.dedup_scope == "all"
+        ):
+            host.reject(rpc.id, min(self.retry_after, m.soft_ms) * (0.5 + self._chance() / 2))
         else:
-            host.error(rpc.id)
+            host.fail(rpc.id)
         self._close(rpc)
         return True
 
@@ -829,7 +855,11 @@
             tried = any(tx.server is s and not tx.spoilt for tx in rpc.txs) or not self._may_send(
                 rpc, s
             )
-            if s.state != State.READY or tried or (now < s.cold_until and not self._cold_room(s)):
+            if (
+                s.state != EndpointState.READY
+                or tried
+                or (now < s.cold_until and not self._cold_room(s))
+            ):
                 continue
             if (
                 s.off
@@ -868,8 +898,12 @@
     def _cold_room(self, s: Server) -> bool:
         # Danger: rule 4, by the sum of nodes. It gets, as tokens, a warm one's part, cut by its
         # warm-up.
-        grown = max(0.0, 1 - (s.cold_until - self.now) / self.cold_ms) if self.cold_ms else 1.0
-        share = self.cold_share + (1 - self.cold_share) * grown
+        grown = (
+            max(0.0, 1 - (s.cold_until - self.now) / self.slow_start_ms)
+            if self.slow_start_ms
+            else 1.0
+        )
+        share = self.slow_start_fraction + (1 - self.slow_start_fraction) * grown
         share *= max(1.0, s.boost * self.boost) * self.part
         gain = (self.now - s.refilled) * share * self.warm_rate * s.size / 1000
         s.tokens, s.refilled = min(max(1.0, s.tokens), s.tokens + gain), self.now
@@ -898,7 +932,7 @@
         if s.off:
             s.off, s.back_at, s.limit = False, self.now, min(s.limit, START_LIMIT)
             self.news.append(f"{s.id} back on the path")
-        s.ok = s.state == State.READY and self.now >= s.cold_until
+        s.ok = s.state == EndpointState.READY and self.now >= s.cold_until
         if full_work:
             s.latency += (took - s.latency) * (0.1 if s.latency else 1.0)
             s.usual = min(s.usual * 1.001 or s.latency, s.latency)
@@ -954,7 +988,7 @@
         self.boost = (
             self.boost if first and any(self.now < c.cold_until for c in self.caches) else 1.0
         )
-        s.cold_until = since + self.cold_ms
+        s.cold_until = since + self.slow_start_ms
 
     def _abandon(self, tx: Tx) -> None:  # call it off where another server may still answer in time
         rpc = tx.rpc  # Danger: it may not go out again.
@@ -982,20 +1016,29 @@
 
     # ---- the list and the ring
 
-    def _state(self, s: Server, state: State) -> None:
+    def _state(self, s: Server, state: EndpointState) -> None:
         # Danger: a list that lags what goes and comes by turns. Gone alone: off the path, to be
         # tried.
-        s.advised = state == State.GONE and self.advice and (s.listed == State.READY or s.advised)
-        s.listed, state = state, State.READY if s.advised else state
+        s.advised = (
+            state == EndpointState.REMOVED
+            and self.advice
+            and (s.listed == EndpointState.READY or s.advised)
+        )
+        s.listed, state = state, EndpointState.READY if s.advised else state
         if s.advised and not s.off and self.now - s.answered_at > self.pause:
             self._off(s)
-        state = State.DRAINING if s.id in self.bans and state == State.READY else state
-        if state != State.READY and s.state == State.READY:
-            self._leave(s, state == State.GONE)
-        s.state, s.ok = state, state == State.READY and not s.off and self.now >= s.cold_until
+        state = (
+            EndpointState.DRAINING if s.id in self.bans and state == EndpointState.READY else state
+        )
+        if state != EndpointState.READY and s.state == EndpointState.READY:
+            self._leave(s, state == EndpointState.REMOVED)
+        s.state, s.ok = (
+            state,
+            state == EndpointState.READY and not s.off and self.now >= s.cold_until,
+        )
 
     def _rebuild(self, resized: list[Server]) -> None:  # the ring; points go by listed size alone
-        ready = [s for s in self.servers.values() if s.state == State.READY]
+        ready = [s for s in self.servers.values() if s.state == EndpointState.READY]
         if self.origin not in ready:
             self.origin = next((s for s in ready if s.kind == self.origin_kind), self.origin)
         resized = [s for s in resized if s.kind != self.origin_kind]
@@ -1003,12 +1046,12 @@
             self.points_per_size = RING_POINTS * len(resized) / sum(s.size for s in resized)
         # Danger: a large ring made anew at each change of the list. Caches not ready stay till most
         # are gone.
-        gone = sum(s.state == State.GONE for s in self.caches)
+        gone = sum(s.state == EndpointState.REMOVED for s in self.caches)
         if 2 * gone > len(self.caches) or any(s.points for s in resized):
             for s in self.caches:
                 s.points = 0
             self.servers = {
-                s.id: s for s in self.servers.values() if s.state != State.GONE or s.live
+                s.id: s for s in self.servers.values() if s.state != EndpointState.REMOVED or s.live
             }
             self.caches, self.ring, resized = (
                 [],
@@ -1025,12 +1068,12 @@
             ring += [p << 16 | n for p in array("I", shake_128(s.id.encode()).digest(4 * s.points))]
         if resized:
             self.ring = array("Q", sorted(ring))
-        self.size = sum(s.size for s in self.caches if s.state != State.GONE)
+        self.size = sum(s.size for s in self.caches if s.state != EndpointState.REMOVED)
         # Danger: the whole ring gone through for each bucket at each list, where few are left for a
         # method.
         self.able = {
             (m.kinds, m.zones): sum(
-                s.state == State.READY and self._open(m, s) for s in self.caches
+                s.state == EndpointState.READY and self._open(m, s) for s in self.caches
             )
             for m in self.methods.values()
         }
@@ -1047,7 +1090,12 @@
 
     def _home(self, b: Bucket) -> None:
         moved, b.chain, b.home = b.at is not b.home, None, next(iter(self._taking(b)), None)
-        if not moved or b.at is None or b.at.state != State.READY or not self._open(b, b.at):
+        if (
+            not moved
+            or b.at is None
+            or b.at.state != EndpointState.READY
+            or not self._open(b, b.at)
+        ):
             b.at = b.home
 
     def _taking(self, b: Bucket) -> list[Server]:  # its caches, as this node prefers them
@@ -1072,7 +1120,7 @@
         for i in range(start, start + n * (self.able.get((b.kinds, b.zones), 1) > 0)):
             point = self.ring[i % n]
             s = self.caches[point & 0xFFFF]
-            if s.state == State.READY and (
+            if s.state == EndpointState.READY and (
                 self._open(b, s) if bound else point >> 16 & 0xFF < s.free * 256
             ):
                 yield s
@@ -1082,7 +1130,7 @@
     ) -> bool:  # True where a server keeps more or less of its points for what is not bound
         # Danger: what is bound to a few servers finds them full of what any could do.
         bound = [m for m in self.methods.values() if m.kinds or m.zones]
-        ready, changed = [s for s in self.caches if s.state == State.READY], False
+        ready, changed = [s for s in self.caches if s.state == EndpointState.READY], False
         if not bound or not ready:
             return False
         rooms = [(m, sum(s.size for s in ready if self._open(m, s))) for m in bound]
@@ -1119,7 +1167,7 @@
             ):  # Danger: full tables of connections
                 s.open = False
                 self.closing.append(s)
-            s.ok = s.state == State.READY and not s.off and now >= s.cold_until
+            s.ok = s.state == EndpointState.READY and not s.off and now >= s.cold_until
         warm = [s for s in self.servers.values() if s.ok and s is not self.origin]
         # Danger: a node that starts among cold caches alone would send them nothing until they are
         # warm.
--- a/hookpitch/balancer/deployment.py
+++ b/hookpitch/balancer/deployment.py
@@ -6,12 +6,12 @@
 from math import isfinite
 from typing import Any
 
-from hookpitch.balancer.interface import Customer, Deployment, Idempotency, Method, Report
+from hookpitch.balancer.interface import Deployment, Idempotency, Method, Report, Tenant
 
 IDEMPOTENCY = {
-    "retryable": Idempotency.RETRIABLE,
-    "dedup": Idempotency.DEDUPED,
-    "fragile": Idempotency.NON_RETRIABLE,
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
+    "fragile": Idempotency.NON_IDEMPOTENT,
 }
 FIELDS = {
     "utilization": "utilisation",
@@ -24,7 +24,7 @@
     "x1": "x1",
 }
 WEIGHTS = ("silent", "nominal", "rough", "live")  # what the sizes in a list tell
-GROUPS = ("all", "zone", "cell")
+DEDUP_SCOPES = ("all", "zone", "cell")
 NO_REPORT: Report = {}
 FIGURE_MOST = 1e7  # nothing that a server reports is larger: an hour has fewer milliseconds
 
@@ -101,42 +101,42 @@
                 gain=figure(m, "gain") if "gain" in m else 1.0,
                 late_gain=figure(m, "overdue_gain"),
                 idempotency=IDEMPOTENCY[word(m, "idempotency", IDEMPOTENCY, "fragile")],
-                group=word(m, "group", GROUPS, "all"),
-                window_ms=span(m, "window_s"),
+                dedup_scope=word(m, "group", DEDUP_SCOPES, "all"),
+                dedup_window_ms=span(m, "window_s"),
                 streamed=bool(m.get("streamed", False)),
                 kinds=names(m, "allowed_on"),
                 zones=names(m, "runs_in"),
             )
         )
-    customers = tuple(
-        Customer(str(need(c, "name", "customers[].")), figure(c, "quota_per_s"))
+    tenants = tuple(
+        Tenant(str(need(c, "name", "customers[].")), figure(c, "quota_per_s"))
         for c in top.get("customers") or []
     )
     return Deployment(
         seed=seed,
         nodes=int(top.get("balancers") or 1),
         methods=tuple(methods),
-        customers=customers,
-        must_ask=top.get("discovery", "pushed") == "on_request",
+        tenants=tenants,
+        polling_required=top.get("discovery", "pushed") == "on_request",
         origin_kind=int(family.get("origin_kind", -1)) if family.get("mode") == "aside" else -1,
         tick_ms=span(top, "tick_s", 1.0),
-        max_transmissions=int(limits.get("most_transmissions") or 1),
-        second_copies=bool(limits.get("second_copies", False)),
-        cancelling=bool(limits.get("cancelling", False)),
+        max_attempts=int(limits.get("most_transmissions") or 1),
+        hedging_allowed=bool(limits.get("second_copies", False)),
+        cancellation_enabled=bool(limits.get("cancelling", False)),
         max_retry_after_ms=span(limits, "max_retry_after_s") if limits.get("retry_after") else 0.0,
-        ask_within_ms=span(rules, "ask_within_s"),
-        cold_share=figure(rules, "cold_from"),
-        cold_ms=span(rules, "cold_s"),
+        poll_interval_ms=span(rules, "ask_within_s"),
+        slow_start_fraction=figure(rules, "cold_from"),
+        slow_start_ms=span(rules, "cold_s"),
         overload_factor=figure(rules, "overload_factor") or 1.0,
-        tip_after_ms=span(rules, "tip_after_s"),
-        hold_cost=figure(tariffs, "connection"),
-        dial_cost=figure(tariffs, "handshake"),
-        overage_gain=figure(top, "overage_gain"),
-        live_sizes=word(top, "weights", WEIGHTS, "nominal") == "live",
+        overload_window_ms=span(rules, "tip_after_s"),
+        connection_hold_cost=figure(tariffs, "connection"),
+        connection_open_cost=figure(tariffs, "handshake"),
+        over_quota_gain_factor=figure(top, "overage_gain"),
+        weights_reflect_load=word(top, "weights", WEIGHTS, "nominal") == "live",
         kinds=tuple(str(k) for k in top.get("host_types") or []),
-        dial_timeout_ms=span(limits, "dial_timeout_s") or 250.0,
-        conn_idle_ms=span(limits, "conn_idle_s") or 15000.0,
-        gone_is_advice=bool(rules.get("gone_is_advice", False)),
-        nines_part=figure(goal, "log_loss_part"),
-        nines_full=figure(goal, "nines_wanted") or 3.0,
+        connect_timeout_ms=span(limits, "dial_timeout_s") or 250.0,
+        connection_idle_timeout_ms=span(limits, "conn_idle_s") or 15000.0,
+        removal_is_advisory=bool(rules.get("gone_is_advice", False)),
+        availability_bonus_per_nine=figure(goal, "log_loss_part"),
+        availability_bonus_nines=figure(goal, "nines_wanted") or 3.0,
     )
--- a/hookpitch/balancer/interface.py
+++ b/hookpitch/balancer/interface.py
@@ -23,46 +23,50 @@
 
     COMPLETED = 0
     MISS = 1
-    MOOT = 2
+    OBSOLETE = 2
     CANCELLED = 3
     RESET = 4
     CONNECT_FAILED = 5
     TIMEOUT = 6
-    FULL = 7
+    OVERLOADED = 7
     ERROR = 8
-    SPOILT = 9  # an answer came that cannot be read; it may have run
+    MALFORMED = 9  # an answer came that cannot be read; it may have run
 
 
 # A tuple: an enum's hash is a call of Python code, its identity is not.
-NEVER_RAN = (Outcome.MISS, Outcome.MOOT, Outcome.CONNECT_FAILED, Outcome.FULL)
+NOT_EXECUTED = (Outcome.MISS, Outcome.OBSOLETE, Outcome.CONNECT_FAILED, Outcome.OVERLOADED)
 
 
-class State(IntEnum):
+class EndpointState(IntEnum):
     """What the list of servers says of one."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListKind(IntEnum):
+class EndpointUpdate(IntEnum):
     """What a message from discovery holds."""
 
     CACHED = 0
     DELTA = 2
-    FULL = 3
+    SNAPSHOT = 3
     FAILED = 4
 
 
 class Idempotency(IntEnum):
     """Whether an RPC may run again."""
 
-    RETRIABLE = 0
-    DEDUPED = 1
-    NON_RETRIABLE = 2
+    IDEMPOTENT = 0
+    IDEMPOTENT_WITH_KEY = 1
+    NON_IDEMPOTENT = 2
 
 
-GROUPS = ("cell", "zone", "all")  # of servers that drop each other's repeats, the smallest first
+DEDUP_SCOPES = (
+    "cell",
+    "zone",
+    "all",
+)  # of servers that drop each other's repeats, the smallest first
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,9 +78,9 @@
     hard_ms: float
     gain: float
     late_gain: float = 0.0
-    idempotency: Idempotency = Idempotency.RETRIABLE
-    group: str = "all"  # of the servers that drop its repeats: all, zone or cell
-    window_ms: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    dedup_scope: str = "all"  # of the servers that drop its repeats: all, zone or cell
+    dedup_window_ms: float = 0.0
     streamed: bool = False
     kinds: tuple[str, ...] = ()  # the only kinds of machine, and
     zones: tuple[
@@ -92,15 +96,15 @@
         return replace(
             self,
             idempotency=max(self.idempotency, new.idempotency),
-            group=min(self.group, new.group, key=GROUPS.index),
-            window_ms=min(self.window_ms, new.window_ms),
+            dedup_scope=min(self.dedup_scope, new.dedup_scope, key=DEDUP_SCOPES.index),
+            dedup_window_ms=min(self.dedup_window_ms, new.dedup_window_ms),
             kinds=new.kinds or self.kinds,
             zones=new.zones or self.zones,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Customer:
+class Tenant:
     """A customer and its quota over all nodes."""
 
     name: str
@@ -108,14 +112,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class Endpoint:
     """One server as the list has it."""
 
     id: str
     zone: str
     cell: int
     started_ms: float
-    state: State
+    state: EndpointState
     kind: int
     size: float
 
@@ -127,43 +131,51 @@
     seed: int
     nodes: int
     methods: tuple[Method, ...]
-    customers: tuple[Customer, ...]
-    must_ask: bool  # discovery tells nothing unasked
+    tenants: tuple[Tenant, ...]
+    polling_required: bool  # discovery tells nothing unasked
     origin_kind: int  # the kind of the origin's entry, -1 where caches fetch for themselves
     tick_ms: float
-    max_transmissions: int
-    second_copies: bool
-    cancelling: bool
+    max_attempts: int
+    hedging_allowed: bool
+    cancellation_enabled: bool
     max_retry_after_ms: float  # 0 where clients are not told
-    ask_within_ms: float
-    cold_share: float
-    cold_ms: float
+    poll_interval_ms: float
+    slow_start_fraction: float
+    slow_start_ms: float
     overload_factor: float
-    tip_after_ms: float
-    hold_cost: float  # points for a hundred connections held at each server, and
-    dial_cost: float  # for a new connection with each RPC
-    overage_gain: float  # the part of its gain that an RPC over its customer's share keeps
-    live_sizes: bool = False  # listed sizes are cut by the load: nominal / (1 + RPCs held a core)
+    overload_window_ms: float
+    connection_hold_cost: float  # points for a hundred connections held at each server, and
+    connection_open_cost: float  # for a new connection with each RPC
+    over_quota_gain_factor: (
+        float  # the part of its gain that an RPC over its customer's share keeps
+    )
+    weights_reflect_load: bool = (
+        False  # listed sizes are cut by the load: nominal / (1 + RPCs held a core)
+    )
     kinds: tuple[str, ...] = ()  # names of the machine kinds, in the order of their numbers
-    dial_timeout_ms: float = 250.0
-    conn_idle_ms: float = 15000.0  # a server closes a connection that was idle for so long
-    gone_is_advice: bool = (
+    connect_timeout_ms: float = 250.0
+    connection_idle_timeout_ms: float = (
+        15000.0  # a server closes a connection that was idle for so long
+    )
+    removal_is_advisory: bool = (
         False  # only a server seen draining is sent nothing new; gone alone binds nothing
     )
-    nines_part: float = (
+    availability_bonus_per_nine: float = (
         0.0  # what the goal gives for each tenfold step by which little is lost, and
     )
-    nines_full: float = 3.0  # how many such steps earn it in full
+    availability_bonus_nines: float = 3.0  # how many such steps earn it in full
 
 
-class Host(Protocol):
+class RouterHost(Protocol):
     """What carries the decisions out."""
 
     # `limit_ms`: until it is waited for; `begin_ms`: until it has to be begun, or never
-    def send(self, rpc_id: str, server_id: str, limit_ms: float, begin_ms: float) -> None: ...
-    def cancel(self, rpc_id: str, tx: int) -> None: ...
-    def exhaust(self, rpc_id: str, retry_after_ms: float) -> None: ...
-    def error(self, rpc_id: str) -> None: ...
-    def close(self, server_id: str) -> None: ...
-    def wake(self, at_ms: float) -> None: ...
+    def send(
+        self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float
+    ) -> None: ...
+    def cancel(self, rpc_id: str, attempt: int) -> None: ...
+    def reject(self, rpc_id: str, retry_after_ms: float) -> None: ...
+    def fail(self, rpc_id: str) -> None: ...
+    def close_idle(self, backend_id: str) -> None: ...
+    def schedule_wakeup(self, at_ms: float) -> None: ...
     def log(self, text: str) -> None: ...
--- a/hookpitch/cli/lab.py
+++ b/hookpitch/cli/lab.py
@@ -36,7 +36,7 @@
 @lab.command("list")
 def listed() -> None:
     """The experiments at hand."""
-    from hookpitch.lab.experiment import load
+    from hookpitch.testbed.experiment import load
 
     for path in sorted(PLACE.glob("*.toml")) + sorted((PLACE / "found").glob("*.toml")):
         try:
@@ -71,8 +71,8 @@
     """Run experiments. Exit 0: rules and expectations hold; 1: not; 2: a file is wrong, or a run
     did not come
     about; 3: the rig fell behind, and nothing is judged."""
-    from hookpitch.lab.experiment import load
-    from hookpitch.lab.figures import summary
+    from hookpitch.testbed.experiment import load
+    from hookpitch.testbed.metrics import summary
 
     if clock == "wall" and len(names) > 1:
         _fail(ValueError("one experiment at a time with --clock wall: its reactor runs once"))
@@ -83,11 +83,11 @@
         except ValueError as fault:
             _fail(fault)
         if clock == "virtual":
-            from hookpitch.lab.run import Run
+            from hookpitch.testbed.run import Run
 
             ended = Run(x, x.seed if seed is None else seed).run()
         else:
-            from hookpitch.lab.wall import run_on_loopback
+            from hookpitch.testbed.process_run import run_on_loopback
 
             try:
                 progress = _progress if sys.stderr.isatty() else None
@@ -102,7 +102,7 @@
     if json_path is not None:
         json_path.write_text(json.dumps(told if len(told) > 1 else told[0], indent=1))
     if report is not None:
-        from hookpitch.lab.report import page
+        from hookpitch.testbed.report import page
 
         report.write_text("".join(page(figures) for figures in told))
     if any(figures["void"] for figures in told):
@@ -175,8 +175,8 @@
 def fuzz(runs: int, seed: int, keep: Path | None, only: str | None, clock: str) -> None:
     """Draw experiments, run them, and shrink those that break a rule (on loopback they stay as
     they are)."""
-    from hookpitch.lab import fuzz as fuzzing
-    from hookpitch.lab.experiment import ON_LINKS, ON_PROCESSES
+    from hookpitch.testbed import fuzz as fuzzing
+    from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES
 
     groups = {"links": ON_LINKS, "processes": ON_PROCESSES}
     words = only.split(",") if only else []
--- a/hookpitch/cli/node.py
+++ b/hookpitch/cli/node.py
@@ -39,21 +39,21 @@
     """Check a node's JSON file, the operator's TOML file or an experiment, without running it."""
     try:
         if path.suffix == ".json":
-            from hookpitch.net.start import post
+            from hookpitch.net.node_config import load_node_config
 
-            told = post({"PROXY_CONFIG": str(path)})
+            told = load_node_config({"PROXY_CONFIG": str(path)})
             click.echo(f"{path}: node {told.name}, {len(told.known)} servers known")
         else:
             text = path.read_text(encoding="utf-8")
             if "[lab]" in text or "\n[[fault]]" in text or text.startswith("name ="):
-                from hookpitch.lab.experiment import read
+                from hookpitch.testbed.experiment import read
 
                 x = read(text, str(path))
                 click.echo(
                     f"{path}: experiment {x.name}, {len(x.fault)} faults, {len(x.expect)} expectations"  # noqa: E501
                 )
             else:
-                from hookpitch.net.operator import load
+                from hookpitch.net.operator_settings import load
 
                 click.echo(f"{path}: {load(path).told()}")
     except (ValueError, OSError) as fault:
--- a/hookpitch/cli/snapshot.py
+++ b/hookpitch/cli/snapshot.py
@@ -21,8 +21,8 @@
     """Print what FILE holds, without changing it."""
     import msgspec
 
-    from hookpitch.net.keep import load
-    from hookpitch.startup.memory import HALF_MS
+    from hookpitch.net.snapshot_store import load
+    from hookpitch.startup.snapshot_state import HALF_MS
 
     try:
         x = load(str(path))
--- a/hookpitch/cli/standin.py
+++ b/hookpitch/cli/standin.py
@@ -24,8 +24,8 @@
 def fleet(path: Path, post_path: Path | None) -> None:
     """Cache servers, the origin and discovery of an experiment's file, on loopback until they are
     ended."""
-    from hookpitch.lab.experiment import load
-    from hookpitch.lab.wall import serve_fleet
+    from hookpitch.testbed.experiment import load
+    from hookpitch.testbed.process_run import serve_fleet
 
     try:
         serve_fleet(load(path), post_path, click.echo)
--- a/hookpitch/core/admission.py
+++ b/hookpitch/core/admission.py
@@ -75,7 +75,7 @@
         self._let += 1
         self._ages += age
 
-    def turned_away(self) -> None:
+    def reject(self) -> None:
         """The RPC read last was turned away at the door."""
         self._let -= 1
 
@@ -89,7 +89,7 @@
             self._skip = 2  # the window that ends with it, and the one in which the backlog is read
         return away
 
-    def beat(self, now: float, late: float, cpu: float) -> None:
+    def end_window(self, now: float, late: float, cpu: float) -> None:
         """A window is over; its end was seen so many ms late. `cpu`: CPU time used since the
         start, in ms."""
         span, used, self._at, self._cpu = max(now - self._at, 1.0), cpu - self._cpu, now, cpu
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -9,14 +9,22 @@
 from functools import lru_cache
 from typing import Protocol
 
-from hookpitch.balancer.decisions import Node
-from hookpitch.balancer.interface import Deployment, Entry, ListKind, Outcome, Report, State
+from hookpitch.balancer.decisions import Router
+from hookpitch.balancer.interface import (
+    Deployment,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    Outcome,
+    Report,
+)
 from hookpitch.core.admission import Admission
 from hookpitch.core.counters import Counters
 from hookpitch.core.deadlines import Deadline, Deadlines
+from hookpitch.core.reply_slot import ReplySlot
 from hookpitch.core.resp import bulk
-from hookpitch.core.slots import Slots
-from hookpitch.core.stream import Held, Pieces, Source, Stream
+from hookpitch.core.slot_table import SlotTable
+from hookpitch.core.stream import ChunkedValue, MemoryBudget, Source, Stream
 
 # Danger: a cache closes the whole connection on what it cannot read, whatever else waits there.
 KEY = re.compile(rb"[^\x00-\x1f\x7f]{1,1024}")
@@ -24,7 +32,7 @@
 EXTRAS = re.compile(rb"\w+=[^\x00-\x20\x7f,]*(?:,\w+=[^\x00-\x20\x7f,]*)*")
 FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
 FIGURES = (b"d", b"r", b"size")
-CUSTOMER = b"t"  # the name under which an RPC tells its customer
+TENANT = b"t"  # the name under which an RPC tells its customer
 NO_REPORT: Report = {}
 EXTRAS_KEPT = 512  # of what clients said beside their keys, with how it was read
 EXTRAS_MOST = 512  # bytes
@@ -35,21 +43,42 @@
     "exhausted": "rejected",
     "errored": "failed",
 }  # in operators' words
-TX_NAMES = [f"tx.{outcome.name.lower()}" for outcome in Outcome]
-
-
-class Carrier(Protocol):
+OUTCOME_COUNTERS = {
+    Outcome.COMPLETED: "tx.completed",
+    Outcome.MISS: "tx.miss",
+    Outcome.OBSOLETE: "tx.moot",
+    Outcome.CANCELLED: "tx.cancelled",
+    Outcome.RESET: "tx.reset",
+    Outcome.CONNECT_FAILED: "tx.connect_failed",
+    Outcome.TIMEOUT: "tx.timeout",
+    Outcome.OVERLOADED: "tx.full",
+    Outcome.ERROR: "tx.error",
+    Outcome.MALFORMED: "tx.spoilt",
+}
+UPDATE_COUNTERS = {
+    EndpointUpdate.CACHED: "lists.cached",
+    EndpointUpdate.DELTA: "lists.delta",
+    EndpointUpdate.SNAPSHOT: "lists.full",
+    EndpointUpdate.FAILED: "lists.failed",
+}
+
+
+class Transport(Protocol):
     """The pools of connections to caches and origin."""
 
-    def carry(self, now: float, tx: Tx) -> bool: ...  # False where no connection can be had
-    def call_off(self, now: float, tx: Tx) -> None: ...
-    def close_idle(self, server: str) -> None: ...
-    def stop(self, server: str) -> None: ...  # nothing new may be sent to it
-    def listed(
-        self, kind: ListKind, entries: Sequence[Entry], dials: Mapping[str, str]
+    def dispatch(
+        self, now: float, attempt: Attempt
+    ) -> bool: ...  # False where no connection can be had
+    def cancel(self, now: float, attempt: Attempt) -> None: ...
+    def close_idle(self, backend_id: str) -> None: ...
+    def stop_sending(self, backend_id: str) -> None: ...  # nothing new may be sent to it
+    def update_endpoints(
+        self, kind: EndpointUpdate, entries: Sequence[Endpoint], dials: Mapping[str, str]
     ) -> None: ...
 
-    def answer_stands(self, tx: Tx) -> bool: ...  # whether its answer has come and is only unread
+    def has_unread_response(
+        self, attempt: Attempt
+    ) -> bool: ...  # whether its answer has come and is only unread
 
 
 class Logger(Protocol):
@@ -59,26 +88,26 @@
 class Client(Protocol):
     """A client's connection; the place is what it gave with the RPC."""
 
-    def answered(self, place: list[bytes | None], answer: bytes) -> None: ...
-    def begun(self, place: list[bytes | None], stream: Stream) -> None: ...
-    def piece(self, place: list[bytes | None], data: bytes) -> None: ...
-    def broken(self, place: list[bytes | None]) -> None: ...  # what was begun cannot be finished
+    def reply(self, slot: ReplySlot, answer: bytes) -> None: ...
+    def stream_started(self, slot: ReplySlot, stream: Stream) -> None: ...
+    def stream_chunk(self, slot: ReplySlot, data: bytes) -> None: ...
+    def stream_aborted(self, slot: ReplySlot) -> None: ...  # what was begun cannot be finished
     def gone(
         self,
     ) -> bool: ...  # its client has gone, or has ended its sending, as far as this machine knows
 
 
-class Tx:
+class Attempt:
     """One transmission of an RPC."""
 
-    __slots__ = ("rpc", "n", "server", "sent", "until", "begin_by", "carrier", "written", "done")
+    __slots__ = ("rpc", "n", "server", "sent", "until", "begin_by", "holder", "written", "done")
 
     def __init__(
         self, rpc: Rpc, n: int, server: str, sent: float, until: float, begin_by: float
     ) -> None:
         self.rpc, self.n, self.server, self.sent, self.until = rpc, n, server, sent, until
         self.begin_by = begin_by  # later it is not begun any more
-        self.carrier: object | None = (
+        self.holder: object | None = (
             None  # the pool in which it waits, or the connection that it is on
         )
         self.written = self.done = False  # written: maybe
@@ -97,7 +126,7 @@
     __slots__ = (
         "number",
         "client",
-        "place",
+        "slot",
         "command",
         "key",
         "id",
@@ -105,7 +134,7 @@
         "value",
         "hard",
         "deadline",
-        "txs",
+        "attempts",
         "live",
         "open",
         "parting",
@@ -116,17 +145,17 @@
     )
 
     def __init__(
-        self, client: Client, place: list[bytes | None], words: Sequence[bytes], method: str
+        self, client: Client, slot: ReplySlot, words: Sequence[bytes], method: str
     ) -> None:
-        self.client, self.place, self.method = client, place, method
+        self.client, self.slot, self.method = client, slot, method
         self.command, self.key, self.id, self.extras = words[:4]
-        self.value: bytes | Pieces | None = words[4] if len(words) > 4 else None
+        self.value: bytes | ChunkedValue | None = words[4] if len(words) > 4 else None
         self.stream: Stream | None = None  # its answer, once it has begun to pass in pieces,
-        self.streaming: Tx | None = None  # and by which transmission
+        self.streaming: Attempt | None = None  # and by which transmission
         self.number, self.live, self.hard, self.came = -1, 0, 0.0, 0.0  # came: when it was read
         self.open, self.parting = True, False  # parting: the client sends no more, maybe has gone
         self.deadline: Deadline | None = None
-        self.txs: list[Tx] = []
+        self.attempts: list[Attempt] = []
 
 
 class Host:
@@ -143,30 +172,30 @@
         self.now, self.deployment = now, deployment
         self.deadlines, self.counters, self.logger = deadlines, counters, logger
         self.methods = {m.name.encode(): m for m in deployment.methods}
-        self.node = Node(now, deployment)
+        self.router = Router(now, deployment)
         self.admission = Admission(
             now, min((m.soft_ms for m in deployment.methods), default=1000.0)
         )
-        self.rpcs: Slots[Rpc] = Slots()
+        self.rpcs: SlotTable[Rpc] = SlotTable()
         self.ids: set[bytes] = set()  # of all RPCs in slots
         self.open = 0  # RPCs taken and not ended
-        self.held = Held(HELD_MOST)
+        self.value_budget = MemoryBudget(HELD_MOST)
         self.patience = max(
             (m.hard_ms for m in deployment.methods), default=1000.0
         )  # with a silent stream
-        self.connections: Slots[object] = Slots()
-        self.carrier: Carrier
-        self._unsent: deque[Tx] = deque()
+        self.connections: SlotTable[object] = SlotTable()
+        self.transport: Transport
+        self._unsent: deque[Attempt] = deque()
         self._wake: Deadline | None = None
         self._deciding = False
 
     # ---- inputs
 
-    def taken(
+    def accept(
         self,
         now: float,
         client: Client,
-        place: list[bytes | None],
+        slot: ReplySlot,
         words: Sequence[bytes],
         age: float = 0.0,
     ) -> Rpc | None:
@@ -182,29 +211,29 @@
         if not grace > 0:
             return None
         self.admission.read(age)
-        customer = pairs.get(CUSTOMER, b"").decode("latin-1")
-        wait = self.node.turned_away(now, method.name, customer, age)
+        tenant = pairs.get(TENANT, b"").decode("latin-1")
+        wait = self.router.shed_delay(now, method.name, tenant, age)
         if wait >= 0 or age >= grace:
             # Danger: in a surge, what is refused must cost next to nothing: no slot, deadline or
             # bucket.
-            self.admission.turned_away()
+            self.admission.reject()
             self.counters.add("rpcs.turned_away")
             self.counters.add(f"rejected.{method.name}")
-            place[0] = self._busy(max(0.0, wait))
+            slot.answer = self._busy(max(0.0, wait))
             return None
-        rpc = Rpc(client, place, words, method.name)
+        rpc = Rpc(client, slot, words, method.name)
         self.ids.add(rpc.id)
         rpc.number, rpc.hard, rpc.came = self.rpcs.add(rpc), now + grace - age, now
         self.counters.add("rpcs.taken")
         self.open += 1
         key, write = rpc.key.decode("latin-1"), rpc.value is not None
-        self.node.rpc_arrived(now, str(rpc.number), key, method.name, customer, write, grace, age)
+        self.router.rpc_arrived(now, str(rpc.number), key, method.name, tenant, write, grace, age)
         self.decide(now)
         if rpc.open and rpc.deadline is None:  # it waits in a line
             self._watch(rpc, rpc.hard)
         return rpc
 
-    def refused(self, words: Sequence[bytes]) -> None:
+    def record_rejected(self, words: Sequence[bytes]) -> None:
         """An RPC was refused before it was looked at; counted where its method can be told."""
         method = self.methods.get(read_pairs(words[3]).get(b"c", b"")) if len(words) > 3 else None
         if method is not None:
@@ -221,25 +250,25 @@
         if rpc.stream is not None and rpc.open:
             if now - rpc.stream.moved < self.patience:
                 return self._watch(rpc, rpc.stream.moved + self.patience)
-            tx = rpc.streaming
+            attempt = rpc.streaming
             # Danger: a server or a reader that has gone without a word holds both connections for
             # good.
             self.counters.add("streams.silent")
-            self.carrier.call_off(now, tx)
-            return self.tx_over(now, tx, Outcome.TIMEOUT)
-        for tx in rpc.txs:
-            if not tx.done and tx.until <= now:
-                self._waited_out(now, tx)
+            self.transport.cancel(now, attempt)
+            return self.attempt_finished(now, attempt, Outcome.TIMEOUT)
+        for attempt in rpc.attempts:
+            if not attempt.done and attempt.until <= now:
+                self._waited_out(now, attempt)
         if rpc.open and now >= rpc.hard:
             self._overdue(now, rpc)
-        out = [tx.until for tx in rpc.txs if not tx.done]
+        out = [attempt.until for attempt in rpc.attempts if not attempt.done]
         if rpc.open or out:
             self._watch(rpc, min(out + [rpc.hard] if rpc.open else out))
 
-    def tx_over(
+    def attempt_finished(
         self,
         now: float,
-        tx: Tx,
+        attempt: Attempt,
         outcome: Outcome,
         value: bytes | None = None,
         report: Report = NO_REPORT,
@@ -247,50 +276,57 @@
     ) -> None:
         """A transmission is over, as was read `age` ms after it came; a value with it is the RPC's
         answer."""
-        self.counters.must(not tx.done, "a transmission ends once")
-        if tx.done:
+        self.counters.must(not attempt.done, "a transmission ends once")
+        if attempt.done:
             return
-        tx.done, rpc = True, tx.rpc
+        attempt.done, rpc = True, attempt.rpc
         rpc.live -= 1
-        self.counters.add(TX_NAMES[outcome])
+        self.counters.add(OUTCOME_COUNTERS[outcome])
         if rpc.stream is not None:
-            if rpc.open and tx is rpc.streaming:
+            if rpc.open and attempt is rpc.streaming:
                 self._streamed(rpc, outcome)
         elif outcome == Outcome.COMPLETED and rpc.open:
             self._answer(rpc, bulk(value), "completed")
         elif rpc.parting and rpc.open:
             self._answer(rpc, b"-ERR failed\r\n", "errored")
         # Danger: the time for which an answer stood unread here taken for its server's.
-        streamed = rpc.stream is not None and tx is rpc.streaming
-        took = rpc.stream.took if streamed else max(0.0, now - tx.sent - age)
-        self.node.tx_ended(now, str(rpc.number), tx.n, outcome, not rpc.open, took, report)
+        streamed = rpc.stream is not None and attempt is rpc.streaming
+        took = rpc.stream.took if streamed else max(0.0, now - attempt.sent - age)
+        self.router.attempt_ended(
+            now, str(rpc.number), attempt.n, outcome, not rpc.open, took, report
+        )
         self._free(rpc)
         self.decide(now)
 
-    def begun(self, now: float, tx: Tx, length: int, source: Source) -> bool:
+    def stream_started(self, now: float, attempt: Attempt, length: int, source: Source) -> bool:
         """The first bytes of an answer that passes in pieces; False where its RPC is over."""
-        rpc = tx.rpc
-        if tx.done or not rpc.open or rpc.stream is not None:  # of two copies the first one passes
+        rpc = attempt.rpc
+        if (
+            attempt.done or not rpc.open or rpc.stream is not None
+        ):  # of two copies the first one passes
             return False
         self.counters.add("streams")
-        rpc.stream, rpc.streaming = Stream(source, length, max(0.0, now - tx.sent), now), tx
-        self.node.stream_begun(now, str(rpc.number), tx.n)
+        rpc.stream, rpc.streaming = (
+            Stream(source, length, max(0.0, now - attempt.sent), now),
+            attempt,
+        )
+        self.router.stream_started(now, str(rpc.number), attempt.n)
         # Danger: its deadline was for the first bytes; what the server still gives is passed on to
         # the end.
         self.deadlines.drop(rpc.deadline)
         self._watch(rpc, now + self.patience)
-        rpc.client.begun(rpc.place, rpc.stream)
+        rpc.client.stream_started(rpc.slot, rpc.stream)
         self.decide(now)  # Danger: a second copy that runs on, until something else happens
         return True
 
-    def piece(self, now: float, tx: Tx, data: bytes) -> None:
+    def stream_chunk(self, now: float, attempt: Attempt, data: bytes) -> None:
         """More of it."""
-        rpc = tx.rpc
-        if rpc.stream is not None and rpc.open and tx is rpc.streaming:
+        rpc = attempt.rpc
+        if rpc.stream is not None and rpc.open and attempt is rpc.streaming:
             rpc.stream.moved = now
             data = rpc.stream.piece(data)
             if data:
-                rpc.client.piece(rpc.place, data)
+                rpc.client.stream_chunk(rpc.slot, data)
 
     def _streamed(self, rpc: Rpc, outcome: Outcome) -> None:
         whole = outcome == Outcome.COMPLETED and rpc.stream is not None and not rpc.stream.left
@@ -300,11 +336,11 @@
         self.counters.add(f"{FINAL[how]}.{rpc.method}")
         self._end(rpc)
         if whole:
-            rpc.client.answered(rpc.place, rpc.stream.held + b"\r\n")
+            rpc.client.reply(rpc.slot, rpc.stream.held + b"\r\n")
         else:
-            rpc.client.broken(rpc.place)
+            rpc.client.stream_aborted(rpc.slot)
 
-    def client_left(self, now: float, rpcs: Sequence[Rpc], reads: bool) -> None:
+    def client_disconnected(self, now: float, rpcs: Sequence[Rpc], reads: bool) -> None:
         """A client has gone or (reads) has ended its sending: then it has gone, too, or still
         reads."""
         # Danger: all of its RPCs are told of before anything is decided. Room that the first one
@@ -325,29 +361,29 @@
         if not reads:
             self.counters.add("rpcs.client_left")
             self._end(rpc)
-        elif not any(tx.written and not tx.done for tx in rpc.txs):
+        elif not any(attempt.written and not attempt.done for attempt in rpc.attempts):
             self._answer(rpc, b"-ERR failed\r\n", "errored")
-        self.node.client_left(now, str(rpc.number))
-        stop = self.deployment.cancelling or rpc.stream is not None
-        for tx in rpc.txs if not rpc.open else ():
+        self.router.client_disconnected(now, str(rpc.number))
+        stop = self.deployment.cancellation_enabled or rpc.stream is not None
+        for attempt in rpc.attempts if not rpc.open else ():
             # Danger: what only waits for a dial would be begun for nobody once that comes up.
-            if not tx.done and (stop or not tx.written):
-                self.carrier.call_off(now, tx)
-                self.tx_over(now, tx, Outcome.CANCELLED)
+            if not attempt.done and (stop or not attempt.written):
+                self.transport.cancel(now, attempt)
+                self.attempt_finished(now, attempt, Outcome.CANCELLED)
         self._free(rpc)
 
-    def listed(
-        self, now: float, kind: ListKind, entries: list[Entry], dials: Mapping[str, str]
+    def update_endpoints(
+        self, now: float, kind: EndpointUpdate, entries: list[Endpoint], dials: Mapping[str, str]
     ) -> None:
         """A list of servers, or that none could be had."""
-        self.counters.add(f"lists.{kind.name.lower()}")
-        if kind == ListKind.FAILED:  # what was told before stands
+        self.counters.add(UPDATE_COUNTERS[kind])
+        if kind == EndpointUpdate.FAILED:  # what was told before stands
             return
         # Danger: what waited for a dial is decided anew by the list of before.
         deciding, self._deciding = self._deciding, True
         try:
-            self.carrier.listed(kind, entries, dials)
-            self.node.servers_listed(now, kind, entries)
+            self.transport.update_endpoints(kind, entries, dials)
+            self.router.update_endpoints(now, kind, entries)
         finally:
             self._deciding = deciding
         self.decide(now)
@@ -359,7 +395,7 @@
         # Danger: a stream or a leave cut short that began under longer deadlines.
         self.patience = max(self.patience, *(m.hard_ms for m in deployment.methods))
         self.admission.retimed(min(m.soft_ms for m in deployment.methods))
-        self.node.reconfigured(now, deployment)
+        self.router.reconfigured(now, deployment)
         self.decide(now)
 
     def give_up_all(self, now: float) -> None:
@@ -368,28 +404,32 @@
         for rpc in self.rpcs.all():
             if rpc.open and rpc.stream is None:
                 self._answer(rpc, b"-ERR failed\r\n", "errored")
-                self.node.client_left(now, str(rpc.number))
+                self.router.client_disconnected(now, str(rpc.number))
 
     def ban(self, now: float, id: str, banned: bool) -> None:
         """An operator leaves a server out, or takes it back."""
-        self.node.server_banned(now, id, banned)
+        self.router.set_banned(now, id, banned)
         if banned:
-            self.carrier.stop(id)
+            self.transport.stop_sending(id)
         self.decide(now)
 
     def bannable(self, id: str) -> bool:
         """Whether an operator may name it: a listed cache server, or one that is out by hand
         already."""
-        s = self.node.servers.get(id)
-        listed = s is not None and s.listed != State.GONE and s.kind != self.deployment.origin_kind
-        return id in self.node.bans or listed
+        s = self.router.servers.get(id)
+        listed = (
+            s is not None
+            and s.listed != EndpointState.REMOVED
+            and s.kind != self.deployment.origin_kind
+        )
+        return id in self.router.bans or listed
 
-    def members(self) -> tuple[int, int]:
+    def endpoint_counts(self) -> tuple[int, int]:
         """Cache servers in the list, and those of them that are avoided now, by hand or by
         choice."""
-        servers = (s for s in self.node.servers.values() if s.kind != self.deployment.origin_kind)
-        listed = [s for s in servers if s.listed != State.GONE]
-        return len(listed), sum(s.state != State.READY or s.off for s in listed)
+        servers = (s for s in self.router.servers.values() if s.kind != self.deployment.origin_kind)
+        listed = [s for s in servers if s.listed != EndpointState.REMOVED]
+        return len(listed), sum(s.state != EndpointState.READY or s.off for s in listed)
 
     def decide(self, now: float) -> None:
         """Pull decisions until there is none."""
@@ -398,85 +438,91 @@
         self.now, self._deciding = now, True
         try:
             while True:
-                while self.node.decide(now, self):
+                while self.router.decide(now, self):
                     pass
                 if not self._unsent:
                     break
-                tx = self._unsent.popleft()
-                if tx.rpc.parting and tx.rpc.open:
-                    self._left(now, tx.rpc, True)
-                if not tx.done:
-                    self.tx_over(now, tx, Outcome.CANCELLED if tx.rpc.parting else Outcome.FULL)
+                attempt = self._unsent.popleft()
+                if attempt.rpc.parting and attempt.rpc.open:
+                    self._left(now, attempt.rpc, True)
+                if not attempt.done:
+                    self.attempt_finished(
+                        now,
+                        attempt,
+                        Outcome.CANCELLED if attempt.rpc.parting else Outcome.OVERLOADED,
+                    )
         finally:
             self._deciding = False
 
     # ---- decisions
 
-    def send(self, rpc_id: str, server_id: str, limit_ms: float, begin_ms: float) -> None:
+    def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
         rpc = self.rpcs.get(int(rpc_id))
         self.counters.must(rpc is not None and rpc.open, "nothing is sent for an RPC that is over")
         if rpc is None:
             return
-        until = min(self.now + limit_ms, rpc.hard)
-        tx = Tx(rpc, len(rpc.txs), server_id, self.now, until, self.now + begin_ms)
-        rpc.txs.append(tx)
+        until = min(self.now + timeout_ms, rpc.hard)
+        attempt = Attempt(
+            rpc, len(rpc.attempts), backend_id, self.now, until, self.now + start_within_ms
+        )
+        rpc.attempts.append(attempt)
         rpc.live += 1
         # Danger: its client has gone while it waited, and that stands unread behind what else
         # happens.
-        if rpc.open and self.now > rpc.came and rpc.client.gone():
+        if rpc.open and self.now > rpc.came and rpc.client.disconnected():
             rpc.parting = True
             self.counters.add("tx.for_nobody")
-            self._unsent.append(tx)
+            self._unsent.append(attempt)
             return
         self.counters.add("tx.sent")
-        if not rpc.open or not self.carrier.carry(self.now, tx):
-            self._unsent.append(tx)
+        if not rpc.open or not self.transport.dispatch(self.now, attempt):
+            self._unsent.append(attempt)
             return
         self._watch(rpc, until)
 
-    def cancel(self, rpc_id: str, tx: int) -> None:
+    def cancel(self, rpc_id: str, attempt: int) -> None:
         rpc = self.rpcs.get(int(rpc_id))
-        if rpc is not None and tx < len(rpc.txs) and not rpc.txs[tx].done:
-            if rpc.open and (rpc.parting or rpc.txs[tx] is rpc.streaming):
+        if rpc is not None and attempt < len(rpc.attempts) and not rpc.attempts[attempt].done:
+            if rpc.open and (rpc.parting or rpc.attempts[attempt] is rpc.streaming):
                 return
-            self.carrier.call_off(self.now, rpc.txs[tx])
-            self.tx_over(self.now, rpc.txs[tx], Outcome.CANCELLED)
+            self.transport.cancel(self.now, rpc.attempts[attempt])
+            self.attempt_finished(self.now, rpc.attempts[attempt], Outcome.CANCELLED)
 
-    def exhaust(self, rpc_id: str, retry_after_ms: float) -> None:
+    def reject(self, rpc_id: str, retry_after_ms: float) -> None:
         self._final(rpc_id, self._busy(retry_after_ms), "exhausted")
 
     def _busy(self, retry_after_ms: float) -> bytes:
         wait = min(retry_after_ms, self.deployment.max_retry_after_ms)
         return b"-BUSY %d\r\n" % wait if wait >= 1 else b"-BUSY\r\n"
 
-    def error(self, rpc_id: str) -> None:
+    def fail(self, rpc_id: str) -> None:
         self._final(rpc_id, b"-ERR failed\r\n", "errored")
 
-    def close(self, server_id: str) -> None:
-        self.carrier.close_idle(server_id)
+    def close_idle(self, backend_id: str) -> None:
+        self.transport.close_idle(backend_id)
 
-    def wake(self, at_ms: float) -> None:
+    def schedule_wakeup(self, at_ms: float) -> None:
         self.deadlines.drop(self._wake)
-        self._wake = self.deadlines.add(at_ms, self._woken)
+        self._wake = self.deadlines.add(at_ms, self._timer_fired)
 
     def log(self, text: str) -> None:
         self.logger.info(text)
 
-    def late(self, now: float, late: float, used: float) -> None:
+    def loop_late(self, now: float, late: float, used: float) -> None:
         """The loop is late with its deadlines, which wait for one more look at the sockets; CPU
         time used
         since the last beat. All in ms."""
         if self.admission.paused(late, used):
             self.counters.add("node.away")
-            self.node.was_away(now)
+            self.router.event_loop_stalled(now)
 
-    def beat(self, now: float, late: float, cpu: float) -> None:
+    def end_window(self, now: float, late: float, cpu: float) -> None:
         """A window of the admission has ended, seen `late` ms after; `cpu` ms of CPU time used so
         far."""
         before = self.admission.burden
-        self.admission.beat(now, late, cpu)
+        self.admission.end_window(now, late, cpu)
         burden = self.admission.burden
-        self.node.burdened(now, burden, self.admission.wait)
+        self.router.overload_measured(now, burden, self.admission.wait)
         if burden or before:
             self.counters.add("node.burdened")
             if bool(burden) != bool(before):
@@ -486,7 +532,7 @@
                     else "the node can do what comes in"
                 )
 
-    def odd(self, what: str, text: str) -> None:
+    def record_malformed(self, what: str, text: str) -> None:
         """Something came in a form that is not known: counted, the first of them logged."""
         self.counters.add(f"odd.{what}")
         if self.counters.counts[f"odd.{what}"] <= ODD_LOGGED:
@@ -494,26 +540,28 @@
 
     # ---- deadlines and answers
 
-    def _woken(self, now: float) -> None:
-        self.node.woken(now)
+    def _timer_fired(self, now: float) -> None:
+        self.router.timer_fired(now)
         self.decide(now)
 
-    def _waited_out(self, now: float, tx: Tx) -> None:
+    def _waited_out(self, now: float, attempt: Attempt) -> None:
         # Danger: after a pause of the node, answers that came in time stand unread.
-        if now < tx.rpc.hard and self.carrier.answer_stands(tx):
+        if now < attempt.rpc.hard and self.transport.has_unread_response(attempt):
             return
-        self.carrier.call_off(now, tx)
-        if tx.written:
+        self.transport.cancel(now, attempt)
+        if attempt.written:
             outcome = Outcome.TIMEOUT
         else:  # a node that was away has not let its dials come up
-            outcome = Outcome.MOOT if tx.sent < self.node.away_at else Outcome.CONNECT_FAILED
-        self.tx_over(now, tx, outcome)
+            outcome = (
+                Outcome.OBSOLETE if attempt.sent < self.router.away_at else Outcome.CONNECT_FAILED
+            )
+        self.attempt_finished(now, attempt, outcome)
 
     def _overdue(self, now: float, rpc: Rpc) -> None:
         # Danger: rule 1. No RPC passes its hard deadline unanswered, whatever went wrong in the
         # decisions.
         self._answer(rpc, b"-ERR failed\r\n", "errored")
-        self.node.client_left(now, str(rpc.number))
+        self.router.client_disconnected(now, str(rpc.number))
         self._free(rpc)
         self.decide(now)
         self.counters.must(False, "the decisions answer before the hard deadline")
@@ -529,7 +577,7 @@
         self.counters.add(f"rpcs.{how}")
         self.counters.add(f"{FINAL[how]}.{rpc.method}")
         self._end(rpc)
-        rpc.client.answered(rpc.place, answer)
+        rpc.client.reply(rpc.slot, answer)
 
     def _end(self, rpc: Rpc) -> None:
         rpc.open = False
@@ -541,8 +589,8 @@
         if not rpc.open and not rpc.live:
             self.deadlines.drop(rpc.deadline)
             self.rpcs.free(rpc.number)
-            if isinstance(rpc.value, Pieces):
-                self.held.give_back(len(rpc.value))
+            if isinstance(rpc.value, ChunkedValue):
+                self.value_budget.give_back(len(rpc.value))
                 rpc.value = b""
             self.ids.discard(rpc.id)
 
--- a/hookpitch/core/documents.py
+++ b/hookpitch/core/json_stream.py
@@ -20,7 +20,7 @@
 INSIDE = re.compile(rb'[^"\\]*+(.)', re.DOTALL)
 
 
-class Documents:
+class JsonStream:
     """The objects of one stream, in order. `most`: bytes of one object, at the most."""
 
     __slots__ = ("_held", "_at", "_depth", "_text", "_most", "_fresh")
--- a/hookpitch/core/slots.py
+++ b/hookpitch/core/slot_table.py
@@ -9,7 +9,7 @@
 PLACE_BITS = 20  # a million at once; the bits above count how often a place was used
 
 
-class Slots(Generic[T]):
+class SlotTable(Generic[T]):
     def __init__(self) -> None:
         self._items: list[T | None] = []
         self._numbers: list[int] = []
--- a/hookpitch/core/stream.py
+++ b/hookpitch/core/stream.py
@@ -56,7 +56,7 @@
         return data[:cut]
 
 
-class Pieces:
+class ChunkedValue:
     """A large value that a client sends, held once."""
 
     __slots__ = ("parts", "length")
@@ -77,7 +77,7 @@
             self.parts.append(bytearray(data))
 
 
-class Held:
+class MemoryBudget:
     """What large values of all clients hold, in bytes."""
 
     __slots__ = ("now", "most")
--- a/hookpitch/standin/calls.py
+++ b/hookpitch/fakes/admin_clients.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.standin.history import History
+from hookpitch.fakes.history import History
 
 WAIT_MS = 1000.0  # for an answer
 CALLS = (  # in turn: what is said, and how the answer may begin; None: nothing is asked
--- a/hookpitch/standin/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -18,9 +18,9 @@
 
 from hookpitch.core.resp import Malformed, Parser, bulk
 from hookpitch.core.ring import Ring
-from hookpitch.standin.cache import FAR, Cache, Job, Make, value
-from hookpitch.standin.history import History
-from hookpitch.standin.origin import Origin
+from hookpitch.fakes.cache import FAR, Cache, Job, Make, value
+from hookpitch.fakes.history import History
+from hookpitch.fakes.origin import Origin
 
 COMMANDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
 PIECE_S = 0.002  # between two pieces of an answer
--- a/hookpitch/standin/orders.py
+++ b/hookpitch/fakes/control_commands.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from hookpitch.standin.cache_server import CacheServer
-from hookpitch.standin.discovery import Listed
-from hookpitch.standin.web import DiscoveryServer, OriginServer
+from hookpitch.fakes.cache_server import CacheServer
+from hookpitch.fakes.discovery import Listed
+from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 
 
 def _slow(server: CacheServer, by: float) -> None:
--- a/hookpitch/standin/web.py
+++ b/hookpitch/fakes/http_servers.py
@@ -11,10 +11,10 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.standin.cache import FAR, Job, value
-from hookpitch.standin.discovery import Directory, Listed, line
-from hookpitch.standin.history import History
-from hookpitch.standin.origin import Origin
+from hookpitch.fakes.cache import FAR, Job, value
+from hookpitch.fakes.discovery import Directory, Listed, line
+from hookpitch.fakes.history import History
+from hookpitch.fakes.origin import Origin
 
 BEAT_S = 2.0  # an empty line comes this often to a watcher
 
--- a/hookpitch/standin/crowd.py
+++ b/hookpitch/fakes/load_clients.py
@@ -23,7 +23,7 @@
 
 from hookpitch.core.resp import VALUE_MOST, Fault, Malformed, Parser, command
 from hookpitch.core.ring import Ring
-from hookpitch.standin.history import History
+from hookpitch.fakes.history import History
 
 RUBBISH = (
     b"*1\r\n$-5\r\n",
--- a/hookpitch/standin/origin.py
+++ b/hookpitch/fakes/origin.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from hookpitch.standin.cache import Cache, Make
+from hookpitch.fakes.cache import Cache, Make
 
 
 @dataclass(frozen=True, slots=True)
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -29,15 +29,14 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
-from hookpitch.balancer.interface import Entry
-from hookpitch.balancer.interface import State as Listed
+from hookpitch.balancer.interface import Endpoint, EndpointState
 from hookpitch.core.chance import draws
 from hookpitch.members.codec import Codec
-from hookpitch.members.lists import Held, Lists, Taken
+from hookpitch.members.endpoint_exchange import Held, Lists, Taken
 from hookpitch.members.state import Address, Members, State
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import STATES, read
-from hookpitch.startup.asking import FAR
+from hookpitch.startup.poll_schedule import FAR
 
 RATE_MOST = 2000  # datagrams read a second: a flood costs no more than that
 AGAIN_MS = 500.0  # until the next try where the address is still held by the process before
@@ -112,7 +111,9 @@
         )
         self.lists = Lists(clock.now(), name, draws(seed ^ int(clock.now()), "lists"), count)
         self.version = 0  # of the list taken
-        self.waiting: tuple[list[Entry], dict[str, str]] | None = None  # taken, and not given yet
+        self.waiting: tuple[list[Endpoint], dict[str, str]] | None = (
+            None  # taken, and not given yet
+        )
         self.listening: Any = None
         self._second, self._read, self._odd = 0, 0, 0
 
@@ -181,7 +182,7 @@
         # Danger: a version that a member told, kept above discovery's own count once that has been
         # heard.
         version = discovery.seq if told else max(discovery.seq, self.version)
-        return Held(version, told, told and discovery.asking.at == FAR)
+        return Held(version, told, told and discovery.poll_schedule.at == FAR)
 
     def _others(self) -> list[Address]:
         """Who may be asked for a list: all that live, as others tell of them, and the seeds."""
@@ -208,8 +209,8 @@
                 "health": HEALTH[s.listed],
                 "class": kinds[s.kind] if 0 <= s.kind < len(kinds) else "",
             }
-            for s in host.node.servers.values()
-            if s.id in dials and s.listed != Listed.GONE
+            for s in host.router.servers.values()
+            if s.id in dials and s.listed != EndpointState.REMOVED
         ]
         return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
 
@@ -217,7 +218,7 @@
         try:
             d = self.node.host.deployment
             version, whole, entries, dials = read(taken.text, d.kinds)
-            ready = any(e.state == Listed.READY and e.kind != d.origin_kind for e in entries)
+            ready = any(e.state == EndpointState.READY and e.kind != d.origin_kind for e in entries)
             if version != taken.version or not whole or not ready:
                 raise ValueError("no list to begin with")
         except ValueError as why:
@@ -281,9 +282,9 @@
 
 def attach(told: Settings, node: Any) -> Port:  # noqa: ANN401
     """A node becomes a member as it serves, and says goodbye as it leaves."""
-    d = node.post.deployment
+    d = node.config.deployment
     port = Port(
-        told, node.post.name, d.seed, node.clock, node.logger.info, node.host.counters.add, node
+        told, node.config.name, d.seed, node.clock, node.logger.info, node.host.counters.add, node
     )
     node.peers = port
     return port
--- a/hookpitch/members/state.py
+++ b/hookpitch/members/state.py
@@ -73,7 +73,7 @@
     3,
     10000.0,
 )  # that another claims this member's name in so long: this one falls silent
-QUIET_MS, LONGEST_MS = (
+SILENCE_TIMEOUT_MS, LONGEST_MS = (
     1000.0,
     5000.0,
 )  # a view changes once nothing has for so long, or so long at most
@@ -634,7 +634,7 @@
         # was never in a view, and the other in one of its own, before the rest of what fails with
         # it.
         if (
-            now < min(self._changed_at + QUIET_MS, self._unsettled + LONGEST_MS)
+            now < min(self._changed_at + SILENCE_TIMEOUT_MS, self._unsettled + LONGEST_MS)
             or self._unsettled == FAR
         ):
             return
--- a/hookpitch/net/management.py
+++ b/hookpitch/net/admin.py
@@ -24,7 +24,7 @@
 YES, NO = b"YES", b"NO"
 
 
-class Operated(Protocol):
+class AdminTarget(Protocol):
     """What the door needs of the node. Each call says why not, or nothing where it is done."""
 
     def ready(self) -> str: ...
@@ -36,46 +36,46 @@
     def resume(self) -> str: ...
 
 
-class Caller(LineOnlyReceiver):
+class AdminConnection(LineOnlyReceiver):
     MAX_LENGTH = LINE_MOST
     delimiter = b"\n"
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
+    def __init__(self, server: AdminServer) -> None:
+        self.server = server
         self.deadline: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.door.came(self)
+        self.server.came(self)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         # Danger: a caller that goes on writing would have its further lines done as well.
-        if self in self.door.open:
-            self.door.count("door.calls")
-            self.say(self.door.answer(line.removesuffix(b"\r")))
+        if self in self.server.open:
+            self.server.count("door.calls")
+            self.say(self.server.answer(line.removesuffix(b"\r")))
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        if self in self.door.open:
+        if self in self.server.open:
             self.say(NO + b" a line has at most %d bytes" % LINE_MOST)
 
     def say(self, answer: bytes) -> None:
         """The answer, and the end. What the caller has not read goes with the connection in the
         end."""
-        self.door.open.pop(self, None)
+        self.server.open.pop(self, None)
         self.transport.write(answer + b"\n")
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        self.door.open.pop(self, None)
-        self.door.held -= 1
-        self.door.clock.deadlines.drop(self.deadline)
+        self.server.open.pop(self, None)
+        self.server.held -= 1
+        self.server.clock.deadlines.drop(self.deadline)
 
 
-class Door(Factory):
+class AdminServer(Factory):
     noisy = False
 
-    def __init__(self, clock: Clock, node: Operated, count: Callable[[str], None]) -> None:
+    def __init__(self, clock: Clock, node: AdminTarget, count: Callable[[str], None]) -> None:
         self.clock, self.node, self.count = clock, node, count
-        self.open: dict[Caller, None] = {}  # without an answer yet, the oldest first
+        self.open: dict[AdminConnection, None] = {}  # without an answer yet, the oldest first
         self.held = 0  # connections, also those whose answer is still being written
         calls = {b"STATUS": node.ready, b"PAUSE": node.pause, b"RESUME": node.resume}
         self._plain: dict[bytes, Callable[[], str]] = calls
@@ -84,11 +84,11 @@
             b"RESTORE": node.restore,
         }
 
-    def buildProtocol(self, addr: Any) -> Caller | None:  # noqa: ANN401, N802
+    def buildProtocol(self, addr: Any) -> AdminConnection | None:  # noqa: ANN401, N802
         # Danger: callers that read nothing hold their connection until its time is up.
-        return Caller(self) if self.held < CALLERS + SPARE else None
+        return AdminConnection(self) if self.held < CALLERS + SPARE else None
 
-    def came(self, caller: Caller) -> None:
+    def came(self, caller: AdminConnection) -> None:
         self.held += 1
         self.open[caller] = None
         if len(self.open) > CALLERS:
--- a/hookpitch/net/caches.py
+++ b/hookpitch/net/backend_pools.py
@@ -12,24 +12,24 @@
 from twisted.python.failure import Failure
 
 from hookpitch.balancer.deployment import report
-from hookpitch.balancer.interface import Entry, ListKind, Outcome, State
+from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate, Outcome
 from hookpitch.core.deadlines import Deadline
-from hookpitch.core.host import NO_REPORT, Host, Tx
+from hookpitch.core.host import NO_REPORT, Attempt, Host
 from hookpitch.core.resp import Fault, Malformed, Parser, Value, command
-from hookpitch.core.stream import MOST, Pieces
+from hookpitch.core.stream import MOST, ChunkedValue
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import CHUNK, Wire
 
 IDLE_SHARE = 0.9  # of the time after which a server closes an idle connection: it is not used again
 
 
-class Connection(Wire):
+class BackendConnection(Wire):
     """One connection to a server, with at most one transmission on it."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BackendPool) -> None:
         super().__init__()
         self.pool, self.number = pool, -1
-        self.tx: Tx | None = None
+        self.attempt: Attempt | None = None
         self.since = 0.0  # idle since
         self.lost = False
 
@@ -38,16 +38,16 @@
         self.number = self.pool.pools.host.connections.add(self)
         self.pool.made(self)
 
-    def begin(self, tx: Tx) -> None:
-        self.tx, tx.carrier, tx.written = tx, self, True
-        head, *more = self.request(tx)
+    def begin(self, attempt: Attempt) -> None:
+        self.attempt, attempt.holder, attempt.written = attempt, self, True
+        head, *more = self.request(attempt)
         self.put(head)
         if more:
             self.put_behind(more)
         if not self._flowing:
             self.whole()
 
-    def request(self, tx: Tx) -> Sequence[bytes]:
+    def request(self, attempt: Attempt) -> Sequence[bytes]:
         """What is written: a head, and large pieces behind it."""
         raise NotImplementedError
 
@@ -61,10 +61,12 @@
 
     def begun(self, length: int) -> bool:
         """A value begins that passes in pieces; False where nobody waits for it any more."""
-        pools, tx = self.pool.pools, self.tx
-        if tx is not None and pools.host.begun(pools.clock.now(), tx, length, self):
+        pools, attempt = self.pool.pools, self.attempt
+        if attempt is not None and pools.host.stream_started(
+            pools.clock.now(), attempt, length, self
+        ):
             return True
-        if tx is None:
+        if attempt is None:
             self.spoilt("nobody asked")
         else:
             self.over(Outcome.CANCELLED, reuse=False)
@@ -75,14 +77,14 @@
         self.pool.pools.host.counters.add("upstream_requests")
 
     def drained(self) -> None:
-        if self.tx is not None:
+        if self.attempt is not None:
             self.whole()
 
     def over(
         self, outcome: Outcome, value: bytes | None = None, load: str = "", reuse: bool = True
     ) -> None:
         """The transmission is over; the connection is free for the next."""
-        tx, self.tx = self.tx, None
+        attempt, self.attempt = self.attempt, None
         pools = self.pool.pools
         now = pools.clock.now()
         if reuse and not self.waiting:
@@ -91,7 +93,7 @@
             # Danger: an answer without an end is out as long as its connection, beside the next
             # copy.
             self.abort_now()
-        if tx is None:
+        if attempt is None:
             return
         age = self.age() if not self.lost else 0.0
         values = NO_REPORT
@@ -99,23 +101,23 @@
             try:
                 values = report(load, "=")
             except ValueError:
-                pools.host.odd("reports", load)
-        pools.host.tx_over(now, tx, outcome, value, values, age)
+                pools.host.record_malformed("reports", load)
+        pools.host.attempt_finished(now, attempt, outcome, value, values, age)
 
     def spoilt(self, why: str) -> None:
         """What came cannot be read: the RPC may have run, and the connection is of no further
         use."""
-        if self.tx is not None:
-            self.pool.pools.host.odd("answers", why)
-        self.over(Outcome.SPOILT, reuse=False)
+        if self.attempt is not None:
+            self.pool.pools.host.record_malformed("answers", why)
+        self.over(Outcome.MALFORMED, reuse=False)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         self.lost = True
-        pools, tx = self.pool.pools, self.tx
-        self.tx = None
+        pools, attempt = self.pool.pools, self.attempt
+        self.attempt = None
         pools.host.connections.free(self.number)
         self.pool.gone(self)
-        if tx is not None:
+        if attempt is not None:
             # Danger: taken for never sent, an RPC that ran would run twice. Only what stands in our
             # own ring was surely not written whole.
             whole = not self.waiting
@@ -123,34 +125,34 @@
                 # Danger: a machine that was cut off resets all connections from before, RPC after
                 # RPC.
                 self.pool.shut_idle()
-            pools.host.tx_over(
-                pools.clock.now(), tx, Outcome.RESET if whole else Outcome.CONNECT_FAILED
+            pools.host.attempt_finished(
+                pools.clock.now(), attempt, Outcome.RESET if whole else Outcome.CONNECT_FAILED
             )
 
 
-class CacheConnection(Connection):
-    def __init__(self, pool: Pool) -> None:
+class CacheConnection(BackendConnection):
+    def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
         self.parser = Parser(self.inward, most=MOST)
         self.passing = False  # a value passes in pieces
 
-    def request(self, tx: Tx) -> Sequence[bytes]:
-        rpc = tx.rpc
-        words = (rpc.command, rpc.key, rpc.id, tx.extras(self.pool.pools.clock.now()))
+    def request(self, attempt: Attempt) -> Sequence[bytes]:
+        rpc = attempt.rpc
+        words = (rpc.command, rpc.key, rpc.id, attempt.extras(self.pool.pools.clock.now()))
         if rpc.value is None:
             return (command(*words),)
-        if isinstance(rpc.value, Pieces):
+        if isinstance(rpc.value, ChunkedValue):
             head = command(*words).replace(b"*4", b"*5", 1) + b"$%d\r\n" % len(rpc.value)
             return (head, *rpc.value.parts, b"\r\n")
         return (command(*words, rpc.value),)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.passing and not len(self.inward) and not self.paused and self.tx is not None:
+        if self.passing and not len(self.inward) and not self.paused and self.attempt is not None:
             # A large value goes past the ring.
             most = self.parser.passing
             part = data if len(data) <= most else data[:most]
             self.parser.passing -= len(part)
-            self.pool.pools.host.piece(self.pool.pools.clock.now(), self.tx, part)
+            self.pool.pools.host.stream_chunk(self.pool.pools.clock.now(), self.attempt, part)
             data = data[len(part) :]
             if not data:
                 return
@@ -166,7 +168,7 @@
                 # Danger: what comes behind an answer would answer the next RPC. The answer itself
                 # is good.
                 self.passing = False
-                return self._reply(reply, self.tx is not None and self.parser.between)
+                return self._reply(reply, self.attempt is not None and self.parser.between)
             if not self.parser.passing:
                 return
             if not self.passing and not self.begun(self.parser.passing):
@@ -174,8 +176,8 @@
             self.passing = True
             if self.paused or not len(self.inward):
                 return
-            self.pool.pools.host.piece(
-                self.pool.pools.clock.now(), self.tx, self.parser.part(CHUNK)
+            self.pool.pools.host.stream_chunk(
+                self.pool.pools.clock.now(), self.attempt, self.parser.part(CHUNK)
             )
 
     def _reply(self, reply: Value, alone: bool) -> None:
@@ -193,7 +195,9 @@
             "ERR",
         ):
             load = words[-1] if "=" in words[-1] else ""
-            self.over(Outcome.FULL if words[0] == "BUSY" else Outcome.ERROR, load=load, reuse=alone)
+            self.over(
+                Outcome.OVERLOADED if words[0] == "BUSY" else Outcome.ERROR, load=load, reuse=alone
+            )
         else:
             self.spoilt(repr(reply))
 
@@ -201,14 +205,14 @@
 class _Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BackendPool) -> None:
         self.pool = pool
-        self.connection: Connection | None = None
+        self.connection: BackendConnection | None = None
         self.connector: Any = None
         self.deadline: Deadline | None = None
         self.vain = False  # given up, as nothing is to be sent there any more
 
-    def buildProtocol(self, addr: Any) -> Connection:  # noqa: ANN401, N802
+    def buildProtocol(self, addr: Any) -> BackendConnection:  # noqa: ANN401, N802
         self.connection = self.pool.connect(self.pool)
         return self.connection
 
@@ -216,18 +220,21 @@
         # Danger: no descriptor or port left here, taken for the server's fault, shuts out all in
         # turn.
         own = reason.check(ConnectBindError) is not None
-        self.pool.dial_over(self, False, Outcome.MOOT if own else Outcome.CONNECT_FAILED)
+        self.pool.dial_over(self, False, Outcome.OBSOLETE if own else Outcome.CONNECT_FAILED)
 
 
-class Pool:
+class BackendPool:
     """The connections to one server."""
 
     def __init__(
-        self, pools: Pools, address: tuple[str, int], connect: Callable[[Pool], Connection]
+        self,
+        pools: BackendPools,
+        address: tuple[str, int],
+        connect: Callable[[BackendPool], BackendConnection],
     ) -> None:
         self.pools, self.address, self.connect = pools, address, connect
-        self.idle: list[Connection] = []  # the latest used last
-        self.waiting: deque[Tx] = deque()
+        self.idle: list[BackendConnection] = []  # the latest used last
+        self.waiting: deque[Attempt] = deque()
         self.dials: dict[_Dial, None] = {}
         self.expiry: Deadline | None = None
         self.started = 0.0
@@ -235,19 +242,19 @@
             False  # the server lives elsewhere now, drains or has gone: nothing is kept for it
         )
 
-    def carry(self, tx: Tx) -> bool:
+    def dispatch(self, attempt: Attempt) -> bool:
         while self.idle:
             connection = self.idle.pop()
             if self._clean(connection):
-                connection.begin(tx)
+                connection.begin(attempt)
                 return True
         if len(self.dials) <= len(self.waiting) and not self._dial():
             return False
-        self.waiting.append(tx)
-        tx.carrier = self
+        self.waiting.append(attempt)
+        attempt.holder = self
         return True
 
-    def _clean(self, connection: Connection) -> bool:
+    def _clean(self, connection: BackendConnection) -> bool:
         """Danger: bytes that came since the last answer would be the next RPC's value."""
         if connection.unread():
             self.pools.host.counters.add("connections.unclean")
@@ -284,14 +291,16 @@
     def _lacking(self, outcome: Outcome) -> None:
         """What waits and has no dial any more is over, the first of it first."""
         while len(self.waiting) > len(self.dials):
-            self.pools.host.tx_over(self.pools.clock.now(), self.waiting.popleft(), outcome)
+            self.pools.host.attempt_finished(
+                self.pools.clock.now(), self.waiting.popleft(), outcome
+            )
 
-    def made(self, connection: Connection) -> None:
+    def made(self, connection: BackendConnection) -> None:
         dial = next(d for d in self.dials if d.connection is connection)
         self.dial_over(dial, True)
         self.free(connection)
 
-    def free(self, connection: Connection) -> None:
+    def free(self, connection: BackendConnection) -> None:
         if connection.lost:
             return
         if self.waiting:  # what waits has a dial of its own, too
@@ -306,17 +315,17 @@
             self.idle.append(connection)
             self._expire()
 
-    def _begin(self, connection: Connection) -> None:
+    def _begin(self, connection: BackendConnection) -> None:
         """The first in line that may still be begun."""
         now = self.pools.clock.now()
         while self.waiting:
-            tx = self.waiting.popleft()
-            if now < tx.begin_by:
-                return connection.begin(tx)
+            attempt = self.waiting.popleft()
+            if now < attempt.begin_by:
+                return connection.begin(attempt)
             # Danger: rule 2. It was within the time in which its servers know repeats when it was
             # decided on.
             self.pools.host.counters.add("tx.begun_too_late")
-            self.pools.host.tx_over(now, tx, Outcome.MOOT)
+            self.pools.host.attempt_finished(now, attempt, Outcome.OBSOLETE)
         self.free(connection)
 
     def stop(self) -> None:
@@ -329,8 +338,8 @@
             dial.vain = True
             dial.connector.disconnect()
         self.shut_idle()
-        for tx in waiting:
-            pools.host.tx_over(pools.clock.now(), tx, Outcome.MOOT)
+        for attempt in waiting:
+            pools.host.attempt_finished(pools.clock.now(), attempt, Outcome.OBSOLETE)
 
     def _expire(self) -> None:
         """One deadline for all that are idle: that of the longest idle one."""
@@ -344,7 +353,7 @@
             self.shut(self.idle[0])
         self._expire()
 
-    def shut(self, connection: Connection, at_once: bool = False) -> None:
+    def shut(self, connection: BackendConnection, at_once: bool = False) -> None:
         if connection in self.idle:
             self.idle.remove(connection)
             if at_once:
@@ -356,13 +365,13 @@
         for connection in list(self.idle):
             self.shut(connection)
 
-    def gone(self, connection: Connection) -> None:
+    def gone(self, connection: BackendConnection) -> None:
         self.pools.held -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
 
-class Pools:
+class BackendPools:
     """All pools; `held` counts their descriptors, dials included."""
 
     def __init__(
@@ -371,7 +380,7 @@
         clock: Clock,
         host: Host,
         most: int,  # noqa: ANN401
-        origin: Callable[[Pool], Connection],
+        origin: Callable[[BackendPool], BackendConnection],
     ) -> None:
         self.reactor, self.clock, self.host, self.most, self.origin = (
             reactor,
@@ -381,31 +390,35 @@
             origin,
         )
         self.reconfigured()
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, BackendPool] = {}
         self.held = 0
 
     def reconfigured(self) -> None:
         """The settings' times, for dials and idle connections from now on."""
-        self.dial_ms = self.host.deployment.dial_timeout_ms
-        self.idle_ms = IDLE_SHARE * self.host.deployment.conn_idle_ms
+        self.dial_ms = self.host.deployment.connect_timeout_ms
+        self.idle_ms = IDLE_SHARE * self.host.deployment.connection_idle_timeout_ms
 
-    def carry(self, now: float, tx: Tx) -> bool:
-        pool = self.pools.get(tx.server)
-        return pool is not None and pool.carry(tx)
+    def dispatch(self, now: float, attempt: Attempt) -> bool:
+        pool = self.pools.get(attempt.server)
+        return pool is not None and pool.dispatch(attempt)
 
-    def call_off(self, now: float, tx: Tx) -> None:
-        connection = tx.carrier
-        if isinstance(connection, Connection) and connection.tx is tx:
-            connection.tx = None
+    def cancel(self, now: float, attempt: Attempt) -> None:
+        connection = attempt.holder
+        if isinstance(connection, BackendConnection) and connection.attempt is attempt:
+            connection.attempt = None
             connection.abort_now()
-        elif isinstance(connection, Pool) and tx in connection.waiting:
-            connection.waiting.remove(tx)
+        elif isinstance(connection, BackendPool) and attempt in connection.waiting:
+            connection.waiting.remove(attempt)
 
-    def answer_stands(self, tx: Tx) -> bool:
-        connection = tx.carrier
-        if isinstance(connection, Connection) and connection.tx is tx and connection.kernel():
+    def has_unread_response(self, attempt: Attempt) -> bool:
+        connection = attempt.holder
+        if (
+            isinstance(connection, BackendConnection)
+            and connection.attempt is attempt
+            and connection.kernel()
+        ):
             getattr(connection.transport, "doRead", lambda: None)()
-        return tx.done
+        return attempt.done
 
     def dials(self) -> dict[str, str]:
         """Where each server is dialled."""
@@ -415,14 +428,14 @@
             for host, port in (pool.address,)
         }
 
-    def stop(self, server: str) -> None:
+    def stop_sending(self, backend_id: str) -> None:
         """Nothing new may be sent to it, by an operator's word."""
-        if server in self.pools:
-            self.pools[server].stop()
+        if backend_id in self.pools:
+            self.pools[backend_id].stop()
 
-    def close_idle(self, server: str) -> None:
-        if server in self.pools:
-            self.pools[server].shut_idle()
+    def close_idle(self, backend_id: str) -> None:
+        if backend_id in self.pools:
+            self.pools[backend_id].shut_idle()
 
     def room(self) -> bool:
         """Danger: out of descriptors, a node takes no clients. Idle connections go first."""
@@ -435,21 +448,23 @@
                     return True
         return self.held < self.most
 
-    def listed(self, kind: ListKind, entries: Sequence[Entry], dials: Mapping[str, str]) -> None:
+    def update_endpoints(
+        self, kind: EndpointUpdate, entries: Sequence[Endpoint], dials: Mapping[str, str]
+    ) -> None:
         for e in entries:
             old = self.pools.get(e.id)
             host, _, port = dials[e.id].rpartition(":")
             address = (host.strip("[]"), int(port))
-            if e.state != State.READY:
+            if e.state != EndpointState.READY:
                 if old is not None:
                     old.retired = True
                     old.stop()
-                    if e.state == State.GONE:
+                    if e.state == EndpointState.REMOVED:
                         self._forget(e.id)
                 continue
             if old is None or old.address != address:
                 origin = e.kind == self.host.deployment.origin_kind
-                new = Pool(self, address, self.origin if origin else CacheConnection)
+                new = BackendPool(self, address, self.origin if origin else CacheConnection)
                 if old is not None:
                     old.retired = True
                     old.stop()
@@ -458,7 +473,7 @@
                 # Danger: connections to the process before, silent if its machine vanished.
                 old.stop()
             self.pools[e.id].started, self.pools[e.id].retired = e.started_ms, False
-        if kind != ListKind.DELTA:
+        if kind != EndpointUpdate.DELTA:
             listed = {e.id for e in entries}
             for id in [id for id in self.pools if id not in listed]:
                 self._forget(id)
--- a/hookpitch/net/clients.py
+++ b/hookpitch/net/clients.py
@@ -14,8 +14,9 @@
 from zope.interface import implementer
 
 from hookpitch.core.host import Host, Rpc
+from hookpitch.core.reply_slot import ReplySlot
 from hookpitch.core.resp import Malformed, Parser, bulk
-from hookpitch.core.stream import MOST, ROOM, Pieces, Stream
+from hookpitch.core.stream import MOST, ROOM, ChunkedValue, Stream
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import CHUNK, Wire
 
@@ -38,7 +39,7 @@
 LAST_MS = 5000.0  # for the last answers of a connection that ends to be read
 LINGER_MS = 100.0  # between the end of the sending and the close, for the last answer to arrive
 LEFT_MS = 50.0  # what stood unread for longer may be of a client that has gone since
-REFUSED = Pieces()  # stands for a large value that is not held
+REFUSED = ChunkedValue()  # stands for a large value that is not held
 YIELD_MS = 250.0  # without a byte, after which one without a whole request may have to give way
 LOOKED_AT = 16  # connections that are weighed when one has to give way
 
@@ -49,10 +50,10 @@
         super().__init__()
         self.clients, self.host = clients, clients.host
         self.parser = Parser(self.inward, commands_only=True, most=MOST)
-        self.value: Pieces | None = None  # a large one, as it comes
+        self.value: ChunkedValue | None = None  # a large one, as it comes
         self.streams: dict[int, Stream] = {}  # answers that have begun, by their place's id
         self.head: Stream | None = None  # the one that passes now
-        self.due: deque[list[bytes | None]] = deque()  # a place for each command, in order
+        self.due: deque[ReplySlot] = deque()  # a place for each command, in order
         self.rpcs: dict[int, Rpc] = {}  # open ones, by their place's id
         self.number = -1
         self.ending = self.lost = self.guest = False  # ending: nothing more is read
@@ -92,7 +93,7 @@
         """More of a large value that the client sends."""
         if self.value is None:
             size = self.parser.passing + len(data)
-            self.value = Pieces() if self.host.held.take(size) else REFUSED
+            self.value = ChunkedValue() if self.host.value_budget.take(size) else REFUSED
             self.since = self.clients.clock.now()
         if self.value is not REFUSED:
             before = self.value.length // PROGRESS
@@ -104,7 +105,7 @@
     def _let_go(self) -> None:
         """Of a large value that came in part."""
         if self.value is not None and self.value is not REFUSED:
-            self.host.held.give_back(self.value.length + self.parser.passing)
+            self.host.value_budget.give_back(self.value.length + self.parser.passing)
         self.value = None
 
     def came(self) -> None:
@@ -172,40 +173,40 @@
         self.clients.clock.deadlines.add(self.clients.clock.now(), lambda _: self.came())
 
     def _say(self, answer: bytes) -> None:
-        self.due.append([answer])
+        self.due.append(ReplySlot(answer))
 
     def _command(self, words: list[bytes], age: float) -> None:
         name = words[0].upper()
         if name in WORDS:
-            place: list[bytes | None] = [None]
-            self.due.append(place)
+            slot = ReplySlot()
+            self.due.append(slot)
             rpc = None
             if self.parted or self.clients.over:
                 self.host.counters.add("rpcs.client_left")
-                place[0] = b"-ERR failed\r\n"
+                slot.answer = b"-ERR failed\r\n"
             elif self.guest:
                 self.host.counters.add("rpcs.no_room")
-                self.host.refused(words)
-                place[0] = b"-BUSY\r\n"
+                self.host.record_rejected(words)
+                slot.answer = b"-BUSY\r\n"
                 self.ending = True
             elif self.value is REFUSED:
                 self.host.counters.add("rpcs.no_memory")
-                self.host.refused(words)
-                place[0] = b"-BUSY\r\n"
+                self.host.record_rejected(words)
+                slot.answer = b"-BUSY\r\n"
             elif len(words) == WORDS[name]:
                 words[0] = name
                 if self.value is not None:
                     words[4] = self.value
-                rpc = self.host.taken(self.clients.clock.now(), self, place, words, age)
+                rpc = self.host.accept(self.clients.clock.now(), self, slot, words, age)
                 if rpc is not None:
                     self.value = None  # the RPC's, from now on
-            if place[0] is not None:
+            if slot.answer is not None:
                 pass
             elif rpc is None:
                 self.host.counters.add("clients.wrong")
-                place[0] = b"-ERR wrong number of words, unknown class or bad wait\r\n"
+                slot.answer = b"-ERR wrong number of words, unknown class or bad wait\r\n"
             elif rpc.open:
-                self.rpcs[id(place)] = rpc
+                self.rpcs[id(slot)] = rpc
         elif name == b"PING":
             if self.clients.paused:
                 self._say(b"-ERR draining\r\n")
@@ -223,10 +224,10 @@
             self._say(b"-ERR unknown command\r\n")
         self._let_go()
 
-    def answered(self, place: list[bytes | None], answer: bytes) -> None:
-        place[0] = answer
-        self.rpcs.pop(id(place), None)
-        if self.streams.pop(id(place), None) is not None:
+    def reply(self, slot: ReplySlot, answer: bytes) -> None:
+        slot.answer = answer
+        self.rpcs.pop(id(slot), None)
+        if self.streams.pop(id(slot), None) is not None:
             self.clients.streams -= 1
             self.head = None  # the end of what has passed
         if not self.lost:
@@ -234,10 +235,10 @@
 
     # ---- answers that pass in pieces
 
-    def begun(self, place: list[bytes | None], stream: Stream) -> None:
-        self.streams[id(place)] = stream
+    def stream_started(self, slot: ReplySlot, stream: Stream) -> None:
+        self.streams[id(slot)] = stream
         self.clients.streams += 1
-        if self.lost or self.due[0] is not place:
+        if self.lost or self.due[0] is not slot:
             stream.source.hold()  # those before it go first
         else:
             self._begin(stream)
@@ -247,7 +248,7 @@
         self.put(b"$%d\r\n" % stream.length)
         stream.source.go()
 
-    def piece(self, place: list[bytes | None], data: bytes) -> None:
+    def stream_chunk(self, slot: ReplySlot, data: bytes) -> None:
         self.put(data)
         # Danger: a server that gives faster than the client reads; the value would be held here.
         if len(self.outward) > self.clients.stream_room and self.head is not None:
@@ -260,13 +261,13 @@
             if 2 * len(self.outward) <= self.clients.stream_room:
                 self.head.source.go()
 
-    def broken(self, place: list[bytes | None]) -> None:
-        self.rpcs.pop(id(place), None)
-        stream = self.streams.pop(id(place), None)
+    def stream_aborted(self, slot: ReplySlot) -> None:
+        self.rpcs.pop(id(slot), None)
+        stream = self.streams.pop(id(slot), None)
         if stream is not None:
             self.clients.streams -= 1
         if self.head is not stream:
-            place[0] = b"-ERR failed\r\n"  # nothing of it has passed
+            slot.answer = b"-ERR failed\r\n"  # nothing of it has passed
         else:
             # Danger: a client that cannot tell would take what comes next for the rest of the
             # value.
@@ -276,8 +277,8 @@
             self._flush()
 
     def _flush(self) -> None:
-        while self.due and self.due[0][0] is not None:
-            self.put(self.due.popleft()[0])
+        while self.due and self.due[0].answer is not None:
+            self.put(self.due.popleft().answer)
             self.clients.touch(self)
         if (
             self.due
@@ -300,7 +301,7 @@
             self.resumeProducing()
             self.came()  # what was read before the pause
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the client has closed its connection, or ended its sending, read or not."""
         return self.lost or self.peer_ended()
 
@@ -359,7 +360,9 @@
             self.transport.loseConnection()
 
     def readConnectionLost(self) -> None:  # noqa: N802
-        self.host.client_left(self.clients.clock.now(), list(self.rpcs.values()), reads=True)
+        self.host.client_disconnected(
+            self.clients.clock.now(), list(self.rpcs.values()), reads=True
+        )
         self.peer_done = True
         with suppress(Malformed):
             while (
@@ -383,7 +386,9 @@
         self.head = None
         self.clients.streams -= len(self.streams)
         self.streams.clear()
-        self.host.client_left(self.clients.clock.now(), list(self.rpcs.values()), reads=False)
+        self.host.client_disconnected(
+            self.clients.clock.now(), list(self.rpcs.values()), reads=False
+        )
         self.rpcs.clear()
         self.clients.left()
 
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -11,14 +11,14 @@
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.balancer.interface import Entry, ListKind, State
+from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate
 from hookpitch.core.chance import draws
 from hookpitch.core.deadlines import Deadline
-from hookpitch.core.documents import Documents
 from hookpitch.core.host import Host
+from hookpitch.core.json_stream import JsonStream
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import Wire
-from hookpitch.startup.asking import FAR, QUIET_MS, Asking, Loss
+from hookpitch.startup.poll_schedule import FAR, SILENCE_TIMEOUT_MS, PollSchedule, WatchLoss
 
 ASK_WITHIN_MS = 10000.0  # a node asks so often, where nothing is told
 DIALS = 4  # times the time-out of a dial to a server, for one to discovery
@@ -27,19 +27,23 @@
 OLDER_MOST = (
     3  # times that a discovery which counts lower is heard, beats included, before it is taken
 )
-STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.REMOVED,
+}
 
 
 def read(
     text: bytes | str | Mapping[str, Any], kinds: Sequence[str]
-) -> tuple[int, bool, list[Entry], dict[str, str]]:
+) -> tuple[int, bool, list[Endpoint], dict[str, str]]:
     """One of discovery's objects: version, whether whole, entries, where to dial them. ValueError
     if bad."""
     try:
         top = text if isinstance(text, Mapping) else json.loads(text)
         entries, dials = [], {}
         for h in top["hosts"]:
-            e = Entry(
+            e = Endpoint(
                 id=str(h["host"]),
                 zone=str(h.get("site") or ""),
                 cell=int(h.get("block") or 0),
@@ -84,7 +88,7 @@
         super().__init__()
         self.discovery = discovery
         self.http = h11.Connection(h11.CLIENT)
-        self.objects = Documents(discovery.most)
+        self.objects = JsonStream(discovery.most)
         self.seen = (
             0  # bytes of an object that has not come whole, when the silence was last put off
         )
@@ -95,7 +99,7 @@
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
         # Danger: a discovery cut off never answers, and a watch that hangs would tell of no loss.
-        self.wait(self.discovery.asking.patience)
+        self.wait(self.discovery.poll_schedule.response_timeout)
         host, port = self.discovery.address
         target = f"/v1/servers?follow=1&since={self.discovery.seq}"
         headers = [("Host", f"{host}:{port}")]
@@ -109,7 +113,7 @@
                 event = self.http.next_event()
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
-                        return self.end(Loss.REFUSED, retry_after(event.headers))
+                        return self.end(WatchLoss.REFUSED, retry_after(event.headers))
                 elif isinstance(event, h11.Data):
                     self._read(bytes(event.data))
                 elif event is h11.NEED_DATA:
@@ -124,7 +128,7 @@
         """How long it may be silent from now on."""
         clock = self.discovery.clock
         clock.deadlines.drop(self.silence)
-        self.silence = clock.deadlines.add(clock.now() + ms, lambda _: self.end(Loss.SILENT))
+        self.silence = clock.deadlines.add(clock.now() + ms, lambda _: self.end(WatchLoss.SILENT))
 
     def _read(self, data: bytes) -> None:
         discovery, whole = self.discovery, 0
@@ -138,9 +142,9 @@
         # for good.
         if whole or abs(len(self.objects) - self.seen) >= PROGRESS:
             self.seen = len(self.objects)
-            self.wait(QUIET_MS)
+            self.wait(SILENCE_TIMEOUT_MS)
 
-    def end(self, how: Loss | None = Loss.ENDED, after_ms: float = 0.0) -> None:
+    def end(self, how: WatchLoss | None = WatchLoss.ENDED, after_ms: float = 0.0) -> None:
         """The watch is lost, or (None) given up for a new one. `after_ms`: not to be asked for
         sooner."""
         if self.over:
@@ -192,40 +196,48 @@
         self.most = most
         self.current: Watch | None = None
         d = host.deployment
-        within = d.ask_within_ms or ASK_WITHIN_MS
-        self.asking = Asking(clock.now(), d.nodes, within, draws(d.seed, "ask"), not d.must_ask)
+        within = d.poll_interval_ms or ASK_WITHIN_MS
+        self.poll_schedule = PollSchedule(
+            clock.now(), d.nodes, within, draws(d.seed, "ask"), not d.polling_required
+        )
         self.due: Deadline | None = None
         self.first: Callable[[], None] | None = None  # called once a list has come
         self.older = 0  # times in a row that it was heard with versions lower than the one held,
         self.lower = 0  # one more than the last such version; 0: it has none on this watch
-        self.anew: dict[str, tuple[Entry, str]] | None = None  # the whole list with it, and dials
+        self.anew: dict[str, tuple[Endpoint, str]] | None = (
+            None  # the whole list with it, and dials
+        )
 
     def begin(self) -> None:
         """From now on it asks when its time has come."""
         self.clock.deadlines.drop(self.due)
         self.due = (
-            self.clock.deadlines.add(self.asking.at, self._due) if self.asking.at < FAR else None
+            self.clock.deadlines.add(self.poll_schedule.at, self._due)
+            if self.poll_schedule.at < FAR
+            else None
         )
 
     def _due(self, now: float) -> None:
-        if self.asking.due(now):
+        if self.poll_schedule.due(now):
             self.watch(now)
         else:
             self.begin()
 
     def reconfigured(self) -> None:
         d = self.host.deployment
-        self.asking.retimed(d.nodes, d.ask_within_ms or ASK_WITHIN_MS, not d.must_ask)
+        self.poll_schedule.reconfigure(
+            d.nodes, d.poll_interval_ms or ASK_WITHIN_MS, not d.polling_required
+        )
 
     def watch(self, now: float) -> None:
         self.host.counters.add("lists.asked")
-        self.asking.asked(now)
+        self.poll_schedule.poll_started(now)
         self.begin()
         if self.current is not None:
             self.current.end(None)
         watch = self.current = Watch(self)
         watch.connector = self.reactor.connectTCP(*self.address, _Dial(watch), timeout=None)
-        watch.wait(DIALS * self.host.deployment.dial_timeout_ms)
+        watch.wait(DIALS * self.host.deployment.connect_timeout_ms)
 
     def move(self, address: tuple[str, int], anew: bool = False) -> None:
         """Discovery lives elsewhere now, and may count versions anew; or the list held is to be
@@ -242,18 +254,18 @@
         if whole and not entries:
             # Danger: a discovery that has lost its data would empty the list of every node.
             raise ValueError("a whole list without servers")
-        self.asking.told()
+        self.poll_schedule.endpoints_received()
         self.begin()
         if seq < self.seq:
             return self._older(seq, whole, entries, dials)
         self.seq, self.older, self.lower, self.anew = seq, 0, 0, None
-        kind = ListKind.FULL if whole else ListKind.DELTA
-        self.host.listed(self.clock.now(), kind, entries, dials)
+        kind = EndpointUpdate.SNAPSHOT if whole else EndpointUpdate.DELTA
+        self.host.update_endpoints(self.clock.now(), kind, entries, dials)
         if self.first is not None:
             self.first()
 
     def _older(
-        self, seq: int, whole: bool, entries: Sequence[Entry], dials: Mapping[str, str]
+        self, seq: int, whole: bool, entries: Sequence[Endpoint], dials: Mapping[str, str]
     ) -> None:
         """Discovery lags, or has begun to count anew."""
         # Danger: one that lags brings back servers long gone: that waits until it has been heard
@@ -263,23 +275,25 @@
         if whole:
             self.anew = {}
         if self.anew is not None:
-            self.anew |= {e.id: (e, dials[e.id]) for e in entries if e.state != State.GONE}
-            for id in [e.id for e in entries if e.state == State.GONE]:
+            self.anew |= {
+                e.id: (e, dials[e.id]) for e in entries if e.state != EndpointState.REMOVED
+            }
+            for id in [e.id for e in entries if e.state == EndpointState.REMOVED]:
                 self.anew.pop(id, None)
         self.lower = seq + 1
-        self.host.odd("versions", f"discovery has version {seq}, {self.seq} is held")
+        self.host.record_malformed("versions", f"discovery has version {seq}, {self.seq} is held")
         # It brings none back, but what it takes away is let go at once: rule 3 counts from this
         # telling.
-        away = [e for e in entries if e.state != State.READY]
+        away = [e for e in entries if e.state != EndpointState.READY]
         if away:
-            self.host.listed(self.clock.now(), ListKind.DELTA, away, dials)
+            self.host.update_endpoints(self.clock.now(), EndpointUpdate.DELTA, away, dials)
         self.beaten()
 
     def beaten(self) -> None:
         """Discovery was heard, and told nothing newer than is held."""
         # Danger: a watch with beats alone, as nothing has changed, taken for a call that is not
         # answered.
-        self.asking.told()
+        self.poll_schedule.endpoints_received()
         self.begin()
         if not self.lower:
             return
@@ -291,15 +305,15 @@
                 self.seq = 0
                 raise ValueError("versions are counted anew")
             entries, dials = [e for e, _ in known.values()], {id: d for id, (_, d) in known.items()}
-            self.host.listed(self.clock.now(), ListKind.FULL, entries, dials)
+            self.host.update_endpoints(self.clock.now(), EndpointUpdate.SNAPSHOT, entries, dials)
 
-    def lost(self, watch: Watch, how: Loss, after_ms: float) -> None:
+    def lost(self, watch: Watch, how: WatchLoss, after_ms: float) -> None:
         if watch is self.current:
             # What was heard of a discovery that counts lower stays counted; its list may be
             # another's by now.
             self.current, self.anew, self.lower, now = None, None, 0, self.clock.now()
-            if not self.asking.failures:
+            if not self.poll_schedule.failures:
                 self.host.log("discovery lost, asking again")
-            self.host.listed(now, ListKind.FAILED, [], {})
-            self.asking.lost(now, how, after_ms)
+            self.host.update_endpoints(now, EndpointUpdate.FAILED, [], {})
+            self.poll_schedule.poll_failed(now, how, after_ms)
             self.begin()
--- a/hookpitch/net/pulse.py
+++ b/hookpitch/net/loop_monitor.py
@@ -9,7 +9,7 @@
 from hookpitch.net.clock import Clock
 
 
-class Pulse:
+class LoopMonitor:
     """Tells the host of each beat, and at once of a loop that was away."""
 
     def __init__(self, clock: Clock, host: Host, cpu: Callable[[], float]) -> None:
@@ -30,7 +30,7 @@
     def _beat(self, now: float, late: float) -> None:
         self._next()
         self._used = self._cpu()
-        self.host.beat(now, late, self._used * 1000)
+        self.host.end_window(now, late, self._used * 1000)
 
     def _late(self, now: float, by: float) -> None:
-        self.host.late(now, by, (self._cpu() - self._used) * 1000)
+        self.host.loop_late(now, by, (self._cpu() - self._used) * 1000)
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -9,26 +9,26 @@
 from dataclasses import fields, replace
 from typing import TYPE_CHECKING, Any, Protocol
 
-from hookpitch.balancer.interface import Entry, ListKind, State
+from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate
 from hookpitch.core.counters import Counters
 from hookpitch.core.host import Host
-from hookpitch.net.caches import Pools
+from hookpitch.net.admin import CALLERS, SPARE, AdminServer
+from hookpitch.net.backend_pools import BackendPools
 from hookpitch.net.clients import Clients
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import Discovery
-from hookpitch.net.handover import Handover
-from hookpitch.net.management import CALLERS, SPARE, Door
+from hookpitch.net.loop_monitor import LoopMonitor
+from hookpitch.net.node_config import NodeConfig, ReloadedConfig
 from hookpitch.net.origin import OriginConnection
-from hookpitch.net.pulse import Pulse
-from hookpitch.net.start import Anew, Post
+from hookpitch.net.shared_state import SharedState
 from hookpitch.startup.phases import Phase, Seen, Start
 
 if TYPE_CHECKING:
-    from hookpitch.net.keep import Keeper
+    from hookpitch.net.snapshot_store import SnapshotStore
 
 BACKLOG = 4096
 OWN = 14  # descriptors: standard ones, the poller's, discovery's two, Twisted's reserve
-DOOR = CALLERS + SPARE + 4  # the door's, the inherited socket's and the shared files'
+ADMIN_DESCRIPTORS = CALLERS + SPARE + 4  # the door's, the inherited socket's and the shared files'
 FIRST_LIST_MS = 1500.0  # a process with an inherited socket waits so long for its first list
 FOLLOW_MS = 200.0  # between two looks at what the node's other process was told
 PARTING_MS = 400.0  # over which a process that another follows closes what is idle
@@ -54,64 +54,66 @@
         self,
         reactor: Any,  # noqa: ANN401
         clock: Clock,
-        post: Post,
+        config: NodeConfig,
         counters: Counters,  # noqa: ANN401
         logger: Any,  # noqa: ANN401
         cpu: Callable[[], float] = time.process_time,
     ) -> None:  # noqa: ANN401
         """`cpu` tells the CPU time used so far, in seconds."""
-        self.reactor, self.clock, self.post, self.logger = reactor, clock, post, logger
-        self.host = Host(clock.now(), post.deployment, clock.deadlines, counters, logger)
+        self.reactor, self.clock, self.config, self.logger = reactor, clock, config, logger
+        self.host = Host(clock.now(), config.deployment, clock.deadlines, counters, logger)
         # Half of the descriptors for servers, the rest for clients; some for the log, discovery and
         # the like, and some for clients that are only told that there is no room.
-        own = OWN + (DOOR if post.management is not None else 0)
-        third, guests = post.sockets // 3, max(4, post.sockets // 32)
-        servers = min(post.sockets // 2, post.sockets - third - guests - own)
-        self.pools = Pools(reactor, clock, self.host, servers, OriginConnection)
-        room = post.sockets - servers - guests - own
-        self.clients = Clients(self.host, clock, third, post.memory_mb << 19, room, guests)
-        self.host.held.most = post.memory_mb << 18  # a quarter of the memory
-        self.pulse = Pulse(clock, self.host, cpu)
+        own = OWN + (ADMIN_DESCRIPTORS if config.management is not None else 0)
+        third, guests = config.sockets // 3, max(4, config.sockets // 32)
+        servers = min(config.sockets // 2, config.sockets - third - guests - own)
+        self.pools = BackendPools(reactor, clock, self.host, servers, OriginConnection)
+        room = config.sockets - servers - guests - own
+        self.clients = Clients(self.host, clock, third, config.memory_mb << 19, room, guests)
+        self.host.value_budget.most = config.memory_mb << 18  # a quarter of the memory
+        self.loop_monitor = LoopMonitor(clock, self.host, cpu)
         self.discovery = Discovery(
-            reactor, clock, self.host, post.discovery, post.seq, post.memory_mb << 15
+            reactor, clock, self.host, config.discovery, config.seq, config.memory_mb << 15
         )
-        self.host.carrier = self.pools
+        self.host.transport = self.pools
         self.leaving = self.paused = self.up = self.parted = False
         self.pauses = 0  # so far; a drain's later steps are its own
         self.port: Any = None
         self.entry: Any = None
-        self.door = Door(clock, self, counters.add)
-        self.shared: Handover | None = None
+        self.admin_server = AdminServer(clock, self, counters.add)
+        self.shared: SharedState | None = None
         self.phases = Start(clock.now())
         self.peers: Peers | None = (
             None  # its place among the members, where the operator's file has one
         )
-        self.keeper: Keeper | None = None  # of a snapshot, where the operator's file has one
+        self.snapshot_store: SnapshotStore | None = (
+            None  # of a snapshot, where the operator's file has one
+        )
         self.processes, self._look = 1, False  # of this node, as last seen; whether to look again
-        self.whole = servers, room, self.host.held.most  # what one process alone may hold
+        self.whole = servers, room, self.host.value_budget.most  # what one process alone may hold
 
     def start(self) -> None:
         """Raises CannotListenError; then it may be called again."""
-        address, port = self.post.listen
-        if self.post.management is not None and self.entry is None:
+        address, port = self.config.listen
+        if self.config.management is not None and self.entry is None:
             # Danger: an operator's call that waits behind hundreds of clients.
             listen = getattr(self.reactor, "listenFirst", self.reactor.listenTCP)
             self.entry = listen(
-                self.post.management[1], self.door, CALLERS, self.post.management[0]
+                self.config.management[1], self.admin_server, CALLERS, self.config.management[0]
             )
-        if self.post.inherited is None:
+        if self.config.inherited is None:
             self.port = self.reactor.listenTCP(
                 port, self.clients, backlog=BACKLOG, interface=address
             )
-        self.known(self.post.seq, list(self.post.known), self.post.dials)
-        if self.keeper is not None:
-            self.keeper.recall()
+        self.known(self.config.seq, list(self.config.known), self.config.dials)
+        if self.snapshot_store is not None:
+            self.snapshot_store.recall()
         self.clock.deadlines.add(self.clock.now() + PHASE_MS, self._phase)
         if self.peers is not None:
             self.peers.start(self.reactor)
-        if self.post.management is not None and self.post.shared:
+        if self.config.management is not None and self.config.shared:
             self._share()
-        if self.post.inherited is None:
+        if self.config.inherited is None:
             self.discovery.begin()
             self._serve()
             return
@@ -121,10 +123,10 @@
         self.discovery.watch(self.clock.now())
         self.clock.deadlines.add(self.clock.now() + FIRST_LIST_MS, lambda _: self._serve())
 
-    def known(self, seq: int, entries: list[Entry], dials: Mapping[str, str]) -> None:
+    def known(self, seq: int, entries: list[Endpoint], dials: Mapping[str, str]) -> None:
         """The list of before, until discovery tells one."""
         self.discovery.seq = seq
-        self.host.listed(self.clock.now(), ListKind.CACHED, entries, dials)
+        self.host.update_endpoints(self.clock.now(), EndpointUpdate.CACHED, entries, dials)
 
     def _serve(self) -> None:
         """Clients are taken from now on."""
@@ -132,17 +134,17 @@
         if self.up or self.leaving:
             return
         self.up = True
-        if self.post.inherited is not None:
+        if self.config.inherited is not None:
             # Danger: the socket is shared with other processes. It is adopted as it is, and only
             # closed here.
-            os.set_blocking(self.post.inherited, False)
-            family = socket.AF_INET6 if ":" in self.post.listen[0] else socket.AF_INET
-            self.port = self.reactor.adoptStreamPort(self.post.inherited, family, self.clients)
-        address, port = self.post.listen
-        self.logger.info("serving", listen=f"{address}:{port}", servers=len(self.post.known))
+            os.set_blocking(self.config.inherited, False)
+            family = socket.AF_INET6 if ":" in self.config.listen[0] else socket.AF_INET
+            self.port = self.reactor.adoptStreamPort(self.config.inherited, family, self.clients)
+        address, port = self.config.listen
+        self.logger.info("serving", listen=f"{address}:{port}", servers=len(self.config.known))
 
     def _phase(self, now: float) -> None:
-        caches = [s for s in self.host.node.caches if s.state == State.READY]
+        caches = [s for s in self.host.router.caches if s.state == EndpointState.READY]
         asked = [s for s in caches if s.sent or s.rate or s.heard]
         answered, known = sum(s.heard > 0 for s in asked), sum(s.heard >= ENOUGH for s in asked)
         counters, phases = self.host.counters, self.phases
@@ -161,7 +163,7 @@
             or sum(s.failures for s in caches) >= VAIN
             and not any(s.heard for s in caches)
         )
-        if phases.phase == Phase.KNOWN and vain and self.discovery.asking.hurried(now):
+        if phases.phase == Phase.KNOWN and vain and self.discovery.poll_schedule.expedite(now):
             self.discovery.begin()
         if phases.phase != Phase.ORDINARY:
             self.clock.deadlines.add(now + PHASE_MS, self._phase)
@@ -171,7 +173,7 @@
     def ready(self) -> str:
         if self.leaving or self.paused:
             return "leaving" if self.leaving else "draining"
-        if self.up and not self.host.node.servers:
+        if self.up and not self.host.router.servers:
             return "no list of servers yet"
         return "" if self.up else "starting"
 
@@ -182,7 +184,7 @@
             for name in ("completed", "rejected", "failed")
             for m in self.host.deployment.methods
         ]
-        members, out = self.host.members()
+        members, out = self.host.endpoint_counts()
         more = [
             ("upstream_requests", counts.get("upstream_requests", 0)),
             ("pending", self.host.open),
@@ -233,7 +235,7 @@
     def _carry_out(self, verb: str, what: str) -> None:
         if verb in ("SUSPEND", "RESTORE"):
             banned = verb == "SUSPEND"
-            if banned == (what in self.host.node.bans):
+            if banned == (what in self.host.router.bans):
                 return
             self.logger.info("by hand", call=verb, what=what)
             self.host.ban(self.clock.now(), what, banned)
@@ -254,8 +256,8 @@
 
     def _share(self) -> None:
         try:
-            self.shared = Handover(
-                self.post.shared, self.post.name, self.logger.info, self.post.process
+            self.shared = SharedState(
+                self.config.shared, self.config.name, self.logger.info, self.config.process
             )
         except OSError as fault:
             # Danger: without the file a ban does not outlast this process. That is told, and the
@@ -273,12 +275,12 @@
             return
         self.processes, (servers, room, held) = processes, self.whole
         self.logger.info("processes of this node", count=processes)
-        self.host.node.shared_by(self.clock.now(), processes)
+        self.host.router.set_process_count(self.clock.now(), processes)
         # Danger: what is open already stays, or clients would be turned back unheard; it only grows
         # no more.
         self.pools.most = max(servers // processes, min(servers, self.pools.held))
         self.clients.room = max(room // processes, min(room, len(self.clients.open)))
-        self.host.held.most = held // processes
+        self.host.value_budget.most = held // processes
 
     def _catch_up(self) -> None:
         for verb, what in self.shared.news() if self.shared is not None else ():
@@ -291,13 +293,13 @@
         if self._look:
             self._among(1 + len(self.shared.look()))
             self._look = self.processes > 1
-        calls = [("SUSPEND", id) for id in self.host.node.bans] + (
+        calls = [("SUSPEND", id) for id in self.host.router.bans] + (
             [("PAUSE", "")] if self.paused else []
         )
         self.shared.shorten(calls)
         self.clock.deadlines.add(now + FOLLOW_MS, self._follow)
 
-    def reload(self, read: Callable[[], Anew]) -> None:
+    def reload(self, read: Callable[[], ReloadedConfig]) -> None:
         """The file of the configuration was replaced: discovery's address and the settings may
         change."""
         try:
@@ -309,7 +311,7 @@
             return
         self.host.counters.add("config_reloads")
         for name, value in told.fixed.items():
-            if value != self.post.fixed.get(name):
+            if value != self.config.fixed.get(name):
                 self.logger.info("stays until a restart", what=name)
         before, d = self.host.deployment, told.deployment
         changed = (
@@ -326,13 +328,13 @@
             # move.
             self.host.reconfigured(self.clock.now(), replace(d, seed=before.seed))
             self.pools.reconfigured()
-            self.pulse.reconfigured()
+            self.loop_monitor.reconfigured()
             self.discovery.reconfigured()
             self.host.counters.add("config_changes")
         address = f"{told.discovery[0]}:{told.discovery[1]}"
         self.logger.info("reloaded", discovery=address, changed=",".join(changed) or "nothing")
         self.discovery.move(
-            told.discovery, bool({"kinds", "origin_kind", "live_sizes"} & set(changed))
+            told.discovery, bool({"kinds", "origin_kind", "weights_reflect_load"} & set(changed))
         )
 
     def leave(self) -> None:
@@ -346,7 +348,7 @@
         longest = self.host.patience  # also of RPCs that came under settings of before
         # An inherited socket is heard by another process, or kept until there is one: nothing is
         # refused.
-        serve_on = SERVE_ON_MS if self.post.inherited is None else 0.0
+        serve_on = SERVE_ON_MS if self.config.inherited is None else 0.0
         until, deadlines = self.clock.now() + serve_on, self.clock.deadlines
         deadlines.add(until, lambda _: self._close())
         # Danger: what parts by turns may still ask just before its turn, and is owed its whole
@@ -361,7 +363,7 @@
         self.clients.end_all()
 
     def _close(self) -> None:
-        if self.post.inherited is None:
+        if self.config.inherited is None:
             # Danger: the kernel has taken connections that a busy loop has not; they would be
             # reset.
             sessions = -1
@@ -373,15 +375,15 @@
         self.clients.leave(self._end, self._parting())
 
     def _parting(self) -> float:
-        return 0.0 if self.post.inherited is None else PARTING_MS
+        return 0.0 if self.config.inherited is None else PARTING_MS
 
     def _end(self) -> None:
-        if self.keeper is not None and not self.parted:
+        if self.snapshot_store is not None and not self.parted:
             # Danger: what was learned since the last turn is lost; a disk that stalls holds the end
             # up.
             self.parted = True
-            self.keeper.write()
-            wait = LAST_MS if self.keeper.out else 0.0
+            self.snapshot_store.write()
+            wait = LAST_MS if self.snapshot_store.out else 0.0
             self.clock.deadlines.add(self.clock.now() + wait, lambda _: self._end())
             return
         if self.shared is not None:
--- a/hookpitch/net/start.py
+++ b/hookpitch/net/node_config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from hookpitch.balancer.deployment import deployment
-from hookpitch.balancer.interface import Deployment, Entry
+from hookpitch.balancer.interface import Deployment, Endpoint
 from hookpitch.net.discovery import read
 
 FIXED = ("name", "listen", "management", "seed", "limits")  # a running node keeps these
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Post:
+class NodeConfig:
     """One node's place in the deployment."""
 
     name: str
@@ -29,7 +29,7 @@
     memory_mb: int
     deployment: Deployment
     seq: int
-    known: tuple[Entry, ...]
+    known: tuple[Endpoint, ...]
     dials: Mapping[str, str]
     management: tuple[str, int] | None = (
         None  # the operators' door; None where neither place names one
@@ -44,12 +44,12 @@
     )  # as the file had what only a restart changes
 
 
-def post(environment: Mapping[str, str]) -> Post:
+def load_node_config(environment: Mapping[str, str]) -> NodeConfig:
     """ValueError says in one line what is wrong."""
-    return read_post(_file(environment), environment)
+    return parse_node_config(_file(environment), environment)
 
 
-def read_post(top: Mapping[str, Any], environment: Mapping[str, str]) -> Post:
+def parse_node_config(top: Mapping[str, Any], environment: Mapping[str, str]) -> NodeConfig:
     """The same from the file's JSON object."""
 
     def told(name: str) -> str:
@@ -66,7 +66,7 @@
     seq, _, entries, dials = read(
         {"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds
     )
-    return Post(
+    return NodeConfig(
         name=told("name"),
         listen=_address(told("listen"), "listen"),
         discovery=_address(told("discovery"), "discovery"),
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Anew:
+class ReloadedConfig:
     """What a running node takes from its file when it is read anew."""
 
     discovery: tuple[str, int]
@@ -94,7 +94,7 @@
     fixed: Mapping[str, Any]  # what only a restart changes, as the file has it
 
 
-def anew(environment: Mapping[str, str]) -> Anew:
+def load_reloaded_config(environment: Mapping[str, str]) -> ReloadedConfig:
     """The file, read and checked whole. ValueError says in one line what is wrong; the environment
     is as old
     as the process, so here the file alone counts."""
@@ -107,14 +107,14 @@
     if d is not None and not d.methods:
         raise ValueError("settings have no methods")
     fixed = {name: top[name] for name in FIXED if name in top}
-    return Anew(_address(value, "discovery"), d, fixed)
+    return ReloadedConfig(_address(value, "discovery"), d, fixed)
 
 
 def _deployment(seed: int, settings: object) -> Deployment:
     """On sockets a list has to be asked for, where the settings don't say that it is pushed."""
     d = deployment(seed, settings)
     pushed = isinstance(settings, dict) and settings.get("discovery") == "pushed"
-    return replace(d, must_ask=not pushed)
+    return replace(d, polling_required=not pushed)
 
 
 def _seed(top: Mapping[str, Any]) -> int:
--- a/hookpitch/net/operator.py
+++ b/hookpitch/net/operator_settings.py
@@ -18,11 +18,14 @@
 
 # By name: what reads and checks a section, `module:function`, imported where a file has it.
 # ValueError says what is wrong.
-SECTIONS = {"snapshot": "hookpitch.net.keep:settings", "members": "hookpitch.members.port:settings"}
+SECTIONS = {
+    "snapshot": "hookpitch.net.snapshot_store:settings",
+    "members": "hookpitch.members.port:settings",
+}
 
 
 @dataclass(frozen=True, slots=True)
-class House:
+class OperatorSettings:
     """What the operator turned on, by section."""
 
     sections: Mapping[str, Any] = field(default_factory=dict)
@@ -31,7 +34,7 @@
         return f"sections {', '.join(self.sections)}" if self.sections else "nothing is turned on"
 
 
-def load(path: Path) -> House:
+def load(path: Path) -> OperatorSettings:
     """ValueError says in one line what is wrong, and where."""
     try:
         top = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -49,10 +52,10 @@
             sections[name] = getattr(import_module(module), function)(table)
         except ValueError as fault:
             raise ValueError(f"{path}: {name}.{fault}") from None
-    return House(sections)
+    return OperatorSettings(sections)
 
 
-def house(environment: Mapping[str, str]) -> House:
+def house(environment: Mapping[str, str]) -> OperatorSettings:
     """Where the environment names no file: nothing is on."""
     path = environment.get("HOOKPITCH_CONFIG")
-    return load(Path(path)) if path else House()
+    return load(Path(path)) if path else OperatorSettings()
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -12,23 +12,23 @@
 from twisted.python.failure import Failure
 
 from hookpitch.balancer.interface import Outcome
-from hookpitch.core.host import Tx
+from hookpitch.core.host import Attempt
 from hookpitch.core.resp import VALUE_MOST
-from hookpitch.core.stream import MOST, Pieces
-from hookpitch.net.caches import Connection, Pool
+from hookpitch.core.stream import MOST, ChunkedValue
+from hookpitch.net.backend_pools import BackendConnection, BackendPool
 
 
-class OriginConnection(Connection):
-    def __init__(self, pool: Pool) -> None:
+class OriginConnection(BackendConnection):
+    def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
         self.http = h11.Connection(h11.CLIENT)
         self.status, self.headers, self.body = 0, dict[bytes, bytes](), bytearray()
         self.passing = False  # the body passes in pieces
 
-    def request(self, tx: Tx) -> Sequence[bytes]:
-        rpc, write = tx.rpc, tx.rpc.value is not None
+    def request(self, attempt: Attempt) -> Sequence[bytes]:
+        rpc, write = attempt.rpc, attempt.rpc.value is not None
         host, port = self.pool.address
-        extras = tx.extras(self.pool.pools.clock.now())
+        extras = attempt.extras(self.pool.pools.clock.now())
         headers = [("Host", f"{host}:{port}"), ("X-Request-Id", rpc.id), ("X-Extras", extras)]
         if write:
             headers.append(("Content-Length", str(len(rpc.value))))
@@ -36,7 +36,7 @@
             method="PUT" if write else "GET", target="/" + quote(rpc.key, safe=""), headers=headers
         )
         parts = [self.http.send(request)]
-        large = rpc.value.parts if isinstance(rpc.value, Pieces) else ()
+        large = rpc.value.parts if isinstance(rpc.value, ChunkedValue) else ()
         for part in large or ((rpc.value,) if write else ()):
             parts.append(self.http.send(h11.Data(data=part)))
         parts.append(self.http.send(h11.EndOfMessage()))
@@ -48,7 +48,7 @@
         )
 
     def came(self) -> None:
-        if self.tx is None:
+        if self.attempt is None:
             return self.spoilt("nobody asked")
         if not self.paused:
             if len(self.inward):
@@ -56,7 +56,7 @@
             self._read()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        if self.tx is not None and self.status and reason.check(ConnectionDone):
+        if self.attempt is not None and self.status and reason.check(ConnectionDone):
             with suppress(h11.RemoteProtocolError):  # a body that only the connection's end ends
                 self.http.receive_data(b"")
                 while not isinstance(event := self.http.next_event(), h11.EndOfMessage):
@@ -95,8 +95,8 @@
         return size <= MOST
 
     def _data(self, data: bytes) -> None:
-        if self.passing and self.tx is not None:
-            self.pool.pools.host.piece(self.pool.pools.clock.now(), self.tx, data)
+        if self.passing and self.attempt is not None:
+            self.pool.pools.host.stream_chunk(self.pool.pools.clock.now(), self.attempt, data)
         else:
             self.body += data
 
@@ -105,7 +105,7 @@
         if self.status == 200:
             outcome = Outcome.COMPLETED
         else:
-            outcome = Outcome.FULL if self.status in (503, 504) and never else Outcome.ERROR
+            outcome = Outcome.OVERLOADED if self.status in (503, 504) and never else Outcome.ERROR
         reuse = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
         reuse = (
             reuse and not self.http.trailing_data[0]
--- a/hookpitch/net/turns.py
+++ b/hookpitch/net/prioritized_reactor.py
@@ -23,18 +23,18 @@
 LATER = (Server, Port)  # clients and their door
 
 
-class Caller(Server):
+class AdminConnection(Server):
     """An operator's connection: not among those that wait for others in a turn."""
 
 
-class Door(Port):
-    transport = Caller
+class AdminPort(Port):
+    transport = AdminConnection
 
 
-class Turns(EPollReactor):
+class PrioritizedReactor(EPollReactor):
     def listenFirst(self, port: int, factory: Any, backlog: int, interface: str) -> Port:  # noqa: ANN401, N802
         """As `listenTCP`, for connections that go before clients in each turn."""
-        door = Door(port, factory, backlog, interface, self)
+        door = AdminPort(port, factory, backlog, interface, self)
         door.startListening()
         return door
 
@@ -76,8 +76,8 @@
     doIteration = doPoll  # noqa: N815
 
 
-def install() -> Turns:
+def install() -> PrioritizedReactor:
     """Make it the process's reactor; to be called before `twisted.internet.reactor` is imported."""
-    reactor = Turns()
+    reactor = PrioritizedReactor()
     installReactor(reactor)
     return reactor
--- a/hookpitch/net/handover.py
+++ b/hookpitch/net/shared_state.py
@@ -45,7 +45,7 @@
     return (verb, "" if what == "-" else unquote(what)) if verb in VERBS else None
 
 
-class Handover:
+class SharedState:
     """The shared file of one node, as one of its processes sees it.
 
     Raises OSError from the constructor alone, where the folder cannot be used.
--- a/hookpitch/net/keep.py
+++ b/hookpitch/net/snapshot_store.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from hookpitch.net.node import SocketNode
-    from hookpitch.startup.snapshot import Learned
+    from hookpitch.startup.snapshot_format import Snapshot
 
 EVERY_LEAST_S, EVERY_MOST_S = 0.5, 3600.0
 EARLY_MS = 3600000.0  # a snapshot from so far ahead of this clock is of no known age
@@ -70,9 +70,9 @@
     return Settings(path, fleet, **spans)
 
 
-def load(path: str) -> Learned:
+def load(path: str) -> Snapshot:
     """ValueError says in one line why there is none."""
-    from hookpitch.startup.snapshot import BYTES_MOST, HEAD, read
+    from hookpitch.startup.snapshot_format import BYTES_MOST, HEAD, read
 
     try:
         held = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
@@ -137,7 +137,7 @@
     return ""
 
 
-class Keeper:
+class SnapshotStore:
     """One node's snapshot: recalled at its start, written by turns and as it leaves."""
 
     def __init__(
@@ -149,22 +149,22 @@
         """`away(work, then)` does the work elsewhere and calls `then` here with why it failed, or
         nothing."""
         self.told, self.node, self.away = told, node, away
-        self.path = told.path.replace("{name}", quote(node.post.name, safe=""))
+        self.path = told.path.replace("{name}", quote(node.config.name, safe=""))
         self.out, self._failing = False, False
         from hookpitch.core.chance import draws
 
-        self._chance = draws(node.post.deployment.seed, "keep")
+        self._chance = draws(node.config.deployment.seed, "keep")
 
     def recall(self) -> None:
         """Called once, between the list told at the start and the first RPC."""
-        from hookpitch.startup.memory import entries, recalled
+        from hookpitch.startup.snapshot_state import entries, recalled
 
         node, now = self.node, self.node.clock.now()
         try:
             x = load(self.path)
-            if (x.fleet, x.node) != (self.told.fleet, node.post.name):
+            if (x.fleet, x.node) != (self.told.fleet, node.config.name):
                 raise ValueError(f"of node {x.node!r} of fleet {x.fleet!r}")
-            if x.kinds != node.post.deployment.kinds:
+            if x.kinds != node.config.deployment.kinds:
                 raise ValueError("of a fleet with other kinds of machines")
             if not -EARLY_MS <= now - x.written <= self.told.oldest_s * 1000:
                 raise ValueError(f"{(now - x.written) / 1000:.0f} s old")
@@ -175,7 +175,9 @@
             listed, dials = entries(x)
             if x.seq > node.discovery.seq and listed:
                 node.known(x.seq, listed, dials)
-            node.logger.info("snapshot", path=self.path, believed=recalled(node.host.node, now, x))
+            node.logger.info(
+                "snapshot", path=self.path, believed=recalled(node.host.router, now, x)
+            )
             node.host.counters.add("snapshot.recalled")
         # Danger: hundreds of nodes on one disk that write in the same moment.
         node.clock.deadlines.add(now + self.told.every_s * 1000 * self._chance(), self._turn)
@@ -186,16 +188,16 @@
         self.node.clock.deadlines.add(now + span, self._turn)
 
     def write(self) -> None:
-        from hookpitch.startup.memory import taken
-        from hookpitch.startup.snapshot import write
+        from hookpitch.startup.snapshot_format import write
+        from hookpitch.startup.snapshot_state import taken
 
         node = self.node
         # Danger: a node without any list would write nothing over what it had learned.
-        if self.out or not node.host.node.servers:
+        if self.out or not node.host.router.servers:
             return
         seq, dials = node.discovery.seq, node.pools.dials()
         data = write(
-            taken(node.host.node, node.clock.now(), self.told.fleet, node.post.name, seq, dials)
+            taken(node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials)
         )
         self.out = True
         self.away(lambda: store(self.path, data), self._over)
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -9,13 +9,13 @@
 from dataclasses import replace
 from typing import TextIO
 
-from hookpitch.balancer.decisions import Node
+from hookpitch.balancer.decisions import Router
 from hookpitch.balancer.deployment import deployment, report
-from hookpitch.balancer.interface import Entry, ListKind
+from hookpitch.balancer.interface import Endpoint, EndpointUpdate
 from hookpitch.core.chance import draws
 from hookpitch.simwire import codec
-from hookpitch.startup.asking import FAR, Asking, Loss
 from hookpitch.simwire.codec import WireError, flag, ms, outcome, seconds
+from hookpitch.startup.poll_schedule import FAR, PollSchedule, WatchLoss
 
 HINT = 1  # the bit of a REQUEST's options that says that its cost is told
 WRITE = 4  # the bit of a REQUEST's options that marks a write
@@ -26,47 +26,47 @@
 
     def __init__(self, name: str, out: list[str]) -> None:
         self.name, self.out = name, out
-        self.node: Node | None = None
+        self.router: Router | None = None
         self.kinds: tuple[str, ...] = ()
         self.fault = ""
-        self.asking: Asking | None = None  # where discovery has to be asked
+        self.poll_schedule: PollSchedule | None = None  # where discovery has to be asked
         self.armed = FAR
 
-    def send(self, rpc_id: str, server_id: str, limit_ms: float, begin_ms: float) -> None:
-        self.out.append(f"RELAY {self.name} {rpc_id} {server_id} {limit_ms / 1000:.6f}")
+    def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
+        self.out.append(f"RELAY {self.name} {rpc_id} {backend_id} {timeout_ms / 1000:.6f}")
 
-    def cancel(self, rpc_id: str, tx: int) -> None:
-        self.out.append(f"RETRACT {self.name} {rpc_id} {tx}")
+    def cancel(self, rpc_id: str, attempt: int) -> None:
+        self.out.append(f"RETRACT {self.name} {rpc_id} {attempt}")
 
-    def exhaust(self, rpc_id: str, retry_after_ms: float) -> None:
+    def reject(self, rpc_id: str, retry_after_ms: float) -> None:
         after = seconds(retry_after_ms) if retry_after_ms > 0 else "-"
         self.out.append(f"REJECT {self.name} {rpc_id} {after}")
 
-    def error(self, rpc_id: str) -> None:
+    def fail(self, rpc_id: str) -> None:
         self.out.append(f"LOSE {self.name} {rpc_id}")
 
-    def close(self, server_id: str) -> None:
-        self.out.append(f"SHUT_IDLE {self.name} {server_id}")
+    def close_idle(self, backend_id: str) -> None:
+        self.out.append(f"SHUT_IDLE {self.name} {backend_id}")
 
     def ask(self, now: float) -> None:
         """Ask discovery if the time has come, or have it told when it has."""
-        asking = self.asking
-        if asking is None:
+        poll_schedule = self.poll_schedule
+        if poll_schedule is None:
             return
-        if asking.at <= now:
-            asking.asked(now)
+        if poll_schedule.at <= now:
+            poll_schedule.poll_started(now)
             self.out.append(f"SUBSCRIBE {self.name} 1")
-        if asking.at < FAR and asking.at != self.armed:
-            self.armed = asking.at
-            self.wake(asking.at)
+        if poll_schedule.at < FAR and poll_schedule.at != self.armed:
+            self.armed = poll_schedule.at
+            self.schedule_wakeup(poll_schedule.at)
 
-    def listed(self, now: float, kind: ListKind) -> None:
-        if self.asking is not None and kind == ListKind.FAILED:
-            self.asking.lost(now, Loss.ENDED)
-        elif self.asking is not None and kind != ListKind.CACHED:
-            self.asking.told()
+    def listed(self, now: float, kind: EndpointUpdate) -> None:
+        if self.poll_schedule is not None and kind == EndpointUpdate.FAILED:
+            self.poll_schedule.poll_failed(now, WatchLoss.ENDED)
+        elif self.poll_schedule is not None and kind != EndpointUpdate.CACHED:
+            self.poll_schedule.endpoints_received()
 
-    def wake(self, at_ms: float) -> None:
+    def schedule_wakeup(self, at_ms: float) -> None:
         self.out.append(f"TIMER {self.name} {seconds(at_ms + 0.0005)} 0")
 
     def log(self, text: str) -> None:
@@ -104,9 +104,9 @@
             if seat.fault:
                 self.out.append(f"EXCEPTION {seat.name} {seat.fault}")
                 seat.fault = ""
-            node = seat.node
-            if node is not None:
-                while node.decide(self.now, seat):
+            router = seat.router
+            if router is not None:
+                while router.decide(self.now, seat):
                     pass
                 seat.ask(self.now)
         self.out.append("ACK\n")
@@ -124,53 +124,53 @@
             except ValueError as fault:
                 seat.fault = str(fault)
                 raise
-            seat.kinds, seat.node = told.kinds, Node(now, told)
-            if told.must_ask:
-                within = told.ask_within_ms or 10000.0
-                seat.asking = Asking(now, told.nodes, within, draws(told.seed, "ask"))
+            seat.kinds, seat.router = told.kinds, Router(now, told)
+            if told.polling_required:
+                within = told.poll_interval_ms or 10000.0
+                seat.poll_schedule = PollSchedule(now, told.nodes, within, draws(told.seed, "ask"))
             return
         name = rest.partition(" ")[0]
         if word == "PEERS_KNOWN":
             entries, faults = self._entries(rest, lines, self.seats.get(name))
         seat = self.seats.get(name)
-        if seat is None or (seat.node is None and word != "EXIT"):
+        if seat is None or (seat.router is None and word != "EXIT"):
             if word not in READERS.split():
                 raise WireError(f"unknown message '{word}'")
             raise WireError(f"unknown instance '{name}'")
-        node = seat.node
+        router = seat.router
         if word == "SETTLED":
             _, ticket, took, _, code, last, _, copy, load = _values(rest, 9)
             touched[name] = seat
-            node.tx_ended(
+            router.attempt_ended(
                 now, ticket, int(copy), outcome(code), flag(last), ms(took), report(load, ":")
             )
         elif word == "REQUEST":
-            _, ticket, key, bits, grace, _, customer, hint, method = _values(rest, 9)
+            _, ticket, key, bits, grace, _, tenant, hint, method = _values(rest, 9)
             touched[name] = seat
             flags = int(bits) if bits != "-" else 0
-            key, customer = ("" if text == "-" else text for text in (key, customer))
+            key, tenant = ("" if text == "-" else text for text in (key, tenant))
             work = ms(hint) if flags & HINT else 0.0
-            node.rpc_arrived(
-                now, ticket, key, method, customer, bool(flags & WRITE), ms(grace), 0.0, work
+            router.rpc_arrived(
+                now, ticket, key, method, tenant, bool(flags & WRITE), ms(grace), 0.0, work
             )
         elif word == "TIMEOUT_FIRED":
             touched[name] = seat
-            node.woken(now)
+            router.timer_fired(now)
         elif word == "PEERS_KNOWN":
             if faults:
                 raise WireError(faults)
             touched[name] = seat
-            kind = ListKind(int(_values(rest, 4)[1]))
+            kind = EndpointUpdate(int(_values(rest, 4)[1]))
             seat.listed(now, kind)
-            if kind != ListKind.FAILED:
-                node.servers_listed(now, kind, entries)
+            if kind != EndpointUpdate.FAILED:
+                router.update_endpoints(now, kind, entries)
         elif word == "CLIENT_GONE":
             touched[name] = seat
-            node.client_left(now, _values(rest, 2)[1])
+            router.client_disconnected(now, _values(rest, 2)[1])
         elif word == "ACCEPTED":
             _, ticket, _, _, copy = _values(rest, 5)
             touched[name] = seat
-            node.stream_begun(now, ticket, int(copy))
+            router.stream_started(now, ticket, int(copy))
         elif word == "EXIT":
             self.seats.pop(name)
             touched.pop(name, None)
@@ -181,7 +181,7 @@
 
     def _entries(
         self, rest: str, lines: Iterator[str], seat: Seat | None
-    ) -> tuple[list[Entry], str]:
+    ) -> tuple[list[Endpoint], str]:
         """The ENTRY lines that follow; all are taken off the wire even where one is at fault."""
         parts = rest.split(" ")
         if len(parts) != 4:
--- a/hookpitch/simwire/codec.py
+++ b/hookpitch/simwire/codec.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from hookpitch.balancer.interface import Entry, Outcome, State
+from hookpitch.balancer.interface import Endpoint, EndpointState, Outcome
 
 OUTCOMES = {
     "0": Outcome.COMPLETED,
     "1": Outcome.MISS,
-    "249": Outcome.MOOT,
+    "249": Outcome.OBSOLETE,
     "250": Outcome.CANCELLED,
     "251": Outcome.RESET,
     "252": Outcome.CONNECT_FAILED,
     "253": Outcome.TIMEOUT,
-    "254": Outcome.FULL,
+    "254": Outcome.OVERLOADED,
     "255": Outcome.ERROR,
 }
 
@@ -47,16 +47,16 @@
     return OUTCOMES[text]
 
 
-def entry(parts: list[str]) -> Entry:
+def entry(parts: list[str]) -> Endpoint:
     if len(parts) != 8 or parts[0] != "ENTRY":
         raise WireError("an ENTRY line with seven values was due")
     _, zone, cell, started, server, condition, kind, size = parts
-    return Entry(
+    return Endpoint(
         id=server,
         zone=zone,
         cell=0 if cell == "-" else int(cell),
         started_ms=ms(started),
-        state=State(int(condition)),
+        state=EndpointState(int(condition)),
         kind=-2 if kind == "-" else int(kind) if kind.isdigit() else kind,  # type: ignore[arg-type]
         size=1.0 if size == "-" else float(size),
     )
--- a/hookpitch/startup/asking.py
+++ b/hookpitch/startup/poll_schedule.py
@@ -47,12 +47,14 @@
 from enum import IntEnum
 
 EACH_MS = 50.0  # of a span, for each node: twenty calls a second over the fleet
-TOLD_MS = 6000.0  # after discovery had a change and could be reached, it counts as told
-NEXT_MS = 4500.0  # from the beginning of one call to that of the next, where nothing has served
-PATIENCE_MS = (
+NOTIFY_LIMIT_MS = 6000.0  # after discovery had a change and could be reached, it counts as told
+MAX_POLL_GAP_MS = (
+    4500.0  # from the beginning of one call to that of the next, where nothing has served
+)
+RESPONSE_TIMEOUT_MS = (
     3200.0  # with a call that is not answered; a service that is asked too much answers by 3 s
 )
-QUIET_MS = (
+SILENCE_TIMEOUT_MS = (
     3000.0  # half as long again as between two beats: a watch that says nothing for longer is lost
 )
 SPREAD_MS = (
@@ -64,7 +66,7 @@
 FAR = float("inf")
 
 
-class Loss(IntEnum):
+class WatchLoss(IntEnum):
     """How a watch, or the call for one, came to its end."""
 
     REFUSED = 0  # the call failed: turned away, reset, unreachable, not answered in time
@@ -72,7 +74,7 @@
     SILENT = 2  # it had served, and said nothing for too long
 
 
-class Asking:
+class PollSchedule:
     """One node's calls. `at`: when the next is due, in ms of the host's clock; FAR while a watch
     is open."""
 
@@ -83,7 +85,7 @@
         "_nodes",
         "_chance",
         "_served",
-        "_hurried",
+        "_expedited",
         "_began",
         "_pushed",
     )
@@ -100,25 +102,27 @@
         draw.
         `pushed`: what discovery has counts as told whether it was asked or not."""
         self._chance = chance
-        self.retimed(nodes, within_ms, pushed)
-        self.failures, self._served, self._hurried = 0, False, False
+        self.reconfigure(nodes, within_ms, pushed)
+        self.failures, self._served, self._expedited = 0, False, False
         self._began = now  # the latest call
-        spread = 0.0 if pushed else min(within_ms / 2, NEXT_MS) * (1 - 1 / self._nodes)
+        spread = 0.0 if pushed else min(within_ms / 2, MAX_POLL_GAP_MS) * (1 - 1 / self._nodes)
         self.at = now + spread * chance()
 
-    def retimed(self, nodes: int, within_ms: float, pushed: bool = False) -> None:
+    def reconfigure(self, nodes: int, within_ms: float, pushed: bool = False) -> None:
         """New settings; what is due stays due."""
         self._nodes, self._within, self._pushed = max(1, nodes), within_ms, pushed
 
     @property
     def span(self) -> float:
         """Over which the whole fleet may ask once, in ms."""
-        return 0.0 if self._pushed else min(self._within / 2, self._nodes * EACH_MS, NEXT_MS)
+        return (
+            0.0 if self._pushed else min(self._within / 2, self._nodes * EACH_MS, MAX_POLL_GAP_MS)
+        )
 
     @property
-    def patience(self) -> float:
+    def response_timeout(self) -> float:
         """With a call that is not answered, in ms."""
-        return min(self._within / 2, PATIENCE_MS)
+        return min(self._within / 2, RESPONSE_TIMEOUT_MS)
 
     def due(self, now: float) -> bool:
         """Whether to ask now. Danger: nodes that were all stopped find their times past, and ask
@@ -129,32 +133,32 @@
         self.at = now + min(self.span, AGAIN_MS) * self._chance()
         return False
 
-    def hurried(self, now: float) -> bool:
+    def expedite(self, now: float) -> bool:
         """The list of before has nobody who serves: the first call is drawn over the span that the
         whole
         fleet needs, not over the time that the rules give; once a start. True where that is
         sooner."""
-        if self._hurried or self._served or self.failures:
+        if self._expedited or self._served or self.failures:
             return False
-        self._hurried = True
+        self._expedited = True
         at = now + self.span * self._chance()
         sooner = at < self.at
         self.at = min(self.at, at)
         return sooner
 
-    def asked(self, now: float) -> None:
+    def poll_started(self, now: float) -> None:
         """The call is made."""
         self._served, self._began = False, now
         self.at = now + self._within / 2  # no answer by then: ask again
 
-    def told(self) -> None:
+    def endpoints_received(self) -> None:
         """A list has come."""
         self.failures, self._served, self.at = 0, True, FAR
 
-    def lost(self, now: float, how: Loss, after_ms: float = 0.0) -> float:
+    def poll_failed(self, now: float, how: WatchLoss, after_ms: float = 0.0) -> float:
         """The watch or the call has ended; when the next call is due. `after_ms`: as discovery
         said."""
-        if how == Loss.REFUSED or not self._served:
+        if how == WatchLoss.REFUSED or not self._served:
             first = max(self._within / 20, self.span)
             most = max(self._within / 4, 2 * self.span)
             widest = 1.5 * min(most, first * 2 ** min(self.failures, 16))
@@ -162,7 +166,7 @@
             if after_ms > 0:
                 widest = max(widest, 2 * min(after_ms, self._within))
             # Danger: a call that hung, and then a wait as after one that was refused at once.
-            widest = max(min(widest, self._began + NEXT_MS - now), min(widest, SPREAD_MS))
+            widest = max(min(widest, self._began + MAX_POLL_GAP_MS - now), min(widest, SPREAD_MS))
             least = max(
                 widest / 3, min(after_ms, widest * 2 / 3)
             )  # all at once at its end is no better
@@ -175,7 +179,8 @@
             # last.
             least = self._within / 40
             widest = least + max(
-                least, min(self.span, SPREAD_MS if how == Loss.SILENT else NEXT_MS - least)
+                least,
+                min(self.span, SPREAD_MS if how == WatchLoss.SILENT else MAX_POLL_GAP_MS - least),
             )
         self._served = False
         self.at = now + least + (widest - least) * self._chance()
--- a/hookpitch/startup/snapshot.py
+++ b/hookpitch/startup/snapshot_format.py
@@ -25,7 +25,7 @@
 SERVERS_MOST, MOVED_MOST, HEAVY_MOST = 1000, 2000, 500
 
 
-class Known(msgspec.Struct, array_like=True, frozen=True):
+class BackendSnapshot(msgspec.Struct, array_like=True, frozen=True):
     """One cache server, or the origin. Spans in ms; times in Unix ms, 0 for never."""
 
     id: str
@@ -39,7 +39,7 @@
     cold_until: float
 
 
-class Moved(msgspec.Struct, array_like=True, frozen=True):
+class MovedBucket(msgspec.Struct, array_like=True, frozen=True):
     """A bucket that a round has moved away from its home."""
 
     number: int
@@ -48,7 +48,7 @@
     to: str
 
 
-class Heavy(msgspec.Struct, array_like=True, frozen=True):
+class HotBucket(msgspec.Struct, array_like=True, frozen=True):
     """A bucket that is asked for much: its sightings among `Learned.sighted`."""
 
     number: int
@@ -57,7 +57,7 @@
     seen: float
 
 
-class Listed(msgspec.Struct, array_like=True, frozen=True):
+class EndpointSnapshot(msgspec.Struct, array_like=True, frozen=True):
     """One entry of the list, with where to dial it."""
 
     id: str
@@ -70,7 +70,7 @@
     dial: str
 
 
-class Learned(msgspec.Struct, frozen=True):
+class Snapshot(msgspec.Struct, frozen=True):
     """What one node had learned when it was written."""
 
     fleet: (
@@ -80,10 +80,10 @@
     kinds: tuple[str, ...]
     written: float  # Unix ms
     seq: int  # the list's version
-    listed: tuple[Listed, ...]
-    servers: tuple[Known, ...]
-    moved: tuple[Moved, ...] = ()
-    heavy: tuple[Heavy, ...] = ()
+    listed: tuple[EndpointSnapshot, ...]
+    servers: tuple[BackendSnapshot, ...]
+    moved: tuple[MovedBucket, ...] = ()
+    heavy: tuple[HotBucket, ...] = ()
     sighted: float = 0.0
     work: float = 0.0  # the usual time of an answer by a server of size one, ms
     warm_rate: float = 0.0  # RPCs a second that a warm server of size one answers for this node
@@ -91,7 +91,7 @@
     bans: tuple[str, ...] = ()  # servers that an operator has left out
 
 
-def write(x: Learned) -> bytes:
+def write(x: Snapshot) -> bytes:
     """The snapshot; what does not fit is left out, heavy buckets last."""
     x = msgspec.structs.replace(
         x, servers=x.servers[:SERVERS_MOST], moved=x.moved[:MOVED_MOST], heavy=x.heavy[:HEAVY_MOST]
@@ -105,7 +105,7 @@
     return HEAD.pack(MAGIC, FORMAT, len(body), blake2b(body, digest_size=16).digest()) + body
 
 
-def read(data: bytes) -> Learned:
+def read(data: bytes) -> Snapshot:
     """ValueError says in one line why it is none."""
     if len(data) < HEAD.size:
         raise ValueError(f"torn: {len(data)} bytes")
@@ -120,7 +120,7 @@
     if blake2b(body, digest_size=16).digest() != check:
         raise ValueError("its checksum is wrong")
     try:
-        x = msgspec.msgpack.decode(body, type=Learned)
+        x = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as fault:
         raise ValueError(f"cannot be read: {fault}") from None
     figures = [x.written, x.sighted, x.work, x.warm_rate, x.idle, *(h.seen for h in x.heavy)]
--- a/hookpitch/startup/memory.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -28,43 +28,51 @@
 
 from collections.abc import Mapping
 
-from hookpitch.balancer.decisions import BUCKETS, START_LIMIT, Node, Server
-from hookpitch.balancer.interface import Entry, State
-from hookpitch.startup.snapshot import Heavy, Known, Learned, Listed, Moved
+from hookpitch.balancer.decisions import BUCKETS, START_LIMIT, Router, Server
+from hookpitch.balancer.interface import Endpoint, EndpointState
+from hookpitch.startup.snapshot_format import (
+    BackendSnapshot,
+    EndpointSnapshot,
+    HotBucket,
+    MovedBucket,
+    Snapshot,
+)
 
 HALF_MS = 60000.0  # what was learned so long ago counts by half
 MOVED_LEAST = 0.25  # the weight from which on a moved bucket stays where it was moved
 
 
 def taken(
-    node: Node, now: float, fleet: str, name: str, seq: int, dials: Mapping[str, str]
-) -> Learned:
+    router: Router, now: float, fleet: str, name: str, seq: int, dials: Mapping[str, str]
+) -> Snapshot:
     """What is known at `now`; `seq` and `dials` as discovery has them. At most a few thousand
     short steps."""
     past = lambda at: at if 0 < at < float("inf") else 0.0  # noqa: E731
-    servers = sorted(node.servers.values(), key=lambda s: (s is not node.origin, -s.heard, s.id))
+    servers = sorted(
+        router.servers.values(), key=lambda s: (s is not router.origin, -s.heard, s.id)
+    )
     moved, heavy = [], []
-    for (number, kinds, zones), b in node.buckets.items():
+    for (number, kinds, zones), b in router.buckets.items():
         if b.at is not None and b.at is not b.home:
-            moved.append((-b.rate, Moved(number, kinds, zones, b.at.id)))
+            moved.append((-b.rate, MovedBucket(number, kinds, zones, b.at.id)))
         if b.seen >= 2:
-            heavy.append((-b.seen, Heavy(number, kinds, zones, b.seen)))
+            heavy.append((-b.seen, HotBucket(number, kinds, zones, b.seen)))
     first = lambda pair: pair[0]  # noqa: E731
-    return Learned(
+    return Snapshot(
         fleet,
         name,
-        node.kinds,
+        router.kinds,
         now,
         seq,
         tuple(
-            Listed(
+            EndpointSnapshot(
                 s.id, s.zone, s.cell, past(s.started), int(s.listed), s.kind, s.size, dials[s.id]
             )
             for s in servers
-            if s.id in dials and s.listed != State.GONE
+            if s.id in dials and s.listed != EndpointState.REMOVED
         ),
         tuple(
-            Known(
+            BackendSnapshot(
                 s.id,
                 past(s.started),
                 s.limit,
@@ -79,25 +87,25 @@
         ),
         tuple(m for _, m in sorted(moved, key=first)),
         tuple(h for _, h in sorted(heavy, key=first)),
-        node.seen,
-        node.work,
-        node.warm_rate,
-        min(node.idle, 1e9),
-        tuple(node.bans),
+        router.seen,
+        router.work,
+        router.warm_rate,
+        min(router.idle, 1e9),
+        tuple(router.bans),
     )
 
 
-def entries(x: Learned) -> tuple[list[Entry], dict[str, str]]:
+def entries(x: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
     """The list that it holds, and where its servers are dialled."""
     some = [
-        Entry(e.id, e.zone, e.cell, e.started, State(e.state), e.kind, e.size)
+        Endpoint(e.id, e.zone, e.cell, e.started, EndpointState(e.state), e.kind, e.size)
         for e in x.listed
-        if e.state in (State.READY, State.DRAINING)
+        if e.state in (EndpointState.READY, EndpointState.DRAINING)
     ]
     return some, {e.id: e.dial for e in x.listed}
 
 
-def recalled(node: Node, now: float, x: Learned) -> str:
+def recalled(router: Router, now: float, x: Snapshot) -> str:
     """Told to a node that has its first list and no RPC yet; says in a few words what was
     believed."""
     age = max(0.0, now - x.written)
@@ -107,59 +115,59 @@
         return start + (learned - start) * weight
 
     known = {k.id: k for k in x.servers}
-    believed: list[tuple[Server, Known]] = []
-    for s in node.servers.values():
+    believed: list[tuple[Server, BackendSnapshot]] = []
+    for s in router.servers.values():
         k = known.get(s.id)
         started = s.started if s.started > 0 else 0.0
         # Danger: what a process had earned, believed of the one after it, which is cold.
-        if k is not None and s.state == State.READY and started <= k.started:
+        if k is not None and s.state == EndpointState.READY and started <= k.started:
             believed.append((s, k))
     for s, k in believed:
         s.limit = max(s.least, between(s.limit, k.limit))
         s.latency, s.usual = k.latency * (weight > MOVED_LEAST), k.usual * (weight > MOVED_LEAST)
-        cold = min(k.cold_until, now + node.cold_ms)
-        if cold > max(now, s.cold_until) and s is not node.origin:
+        cold = min(k.cold_until, now + router.slow_start_ms)
+        if cold > max(now, s.cold_until) and s is not router.origin:
             s.cold_until, s.refilled, s.tokens, s.ok = cold, now, 0.0, False
-    caches = [(s, k) for s, k in believed if s is not node.origin]
+    caches = [(s, k) for s, k in believed if s is not router.origin]
     off = [(s, k) for s, k in caches if now < k.off_until]
-    ready = sum(s.state == State.READY for s in node.caches)
+    ready = sum(s.state == EndpointState.READY for s in router.caches)
     if (
         len(off) < ready
     ):  # Danger: all shunned for what one snapshot says; then no one answers at all.
         for s, k in off:
             s.off, s.ok, s.limit, s.failures = True, False, min(s.limit, START_LIMIT), k.failures
-            s.backoff = min(8 * node.pause, between(node.pause, k.backoff))
+            s.backoff = min(8 * router.pause, between(router.pause, k.backoff))
             s.off_until = now + min(k.off_until - now, s.backoff) * weight
     else:
         off = []
-    node.work, node.warm_rate = (
+    router.work, router.warm_rate = (
         x.work * (weight > MOVED_LEAST),
-        between(node.warm_rate, x.warm_rate),
+        between(router.warm_rate, x.warm_rate),
     )
     if x.idle > 0:
-        node.idle = min(node.held, max(x.idle, node.idle * (1 - weight)))
-    places = {(m.kinds, m.zones) for m in node.methods.values()}
+        router.idle = min(router.held, max(x.idle, router.idle * (1 - weight)))
+    places = {(m.kinds, m.zones) for m in router.methods.values()}
     heavy = 0
     for h in x.heavy:
         if (h.kinds, h.zones) in places and 0 <= h.number < BUCKETS:
-            b = node._bucket(h.number, h.kinds, h.zones)
+            b = router._bucket(h.number, h.kinds, h.zones)
             b.seen += h.seen * weight
-    node.seen += x.sighted * weight
-    for b in list(node.buckets.values()):
+    router.seen += x.sighted * weight
+    for b in list(router.buckets.values()):
         if b.seen > 0:
-            node._heavy(b)
+            router._heavy(b)
             heavy += b.wide > 0
     moved = 0
     for m in x.moved if weight >= MOVED_LEAST else ():
-        to = node.servers.get(m.to)
+        to = router.servers.get(m.to)
         fits = (m.kinds, m.zones) in places and 0 <= m.number < BUCKETS
-        if not fits or to is None or to.state != State.READY or to is node.origin:
+        if not fits or to is None or to.state != EndpointState.READY or to is router.origin:
             continue
-        b = node._bucket(m.number, m.kinds, m.zones)
-        if node._open(b, to):
+        b = router._bucket(m.number, m.kinds, m.zones)
+        if router._open(b, to):
             b.at, b.chain, moved = to, None, moved + 1
     for id in x.bans:
-        node.server_banned(now, id, True)
+        router.set_banned(now, id, True)
     return (
         f"{len(believed)} servers known, {len(off)} off the path, {moved} buckets moved, {heavy} heavy, "  # noqa: E501
         f"{len(x.bans)} banned, {age / 1000:.0f} s old"
--- a/hookpitch/lab/child.py
+++ b/hookpitch/testbed/child.py
@@ -21,7 +21,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
-from hookpitch.standin.history import Event, History
+from hookpitch.fakes.history import Event, History
 
 PULSE_S = 0.02
 LATE_MS = 5.0  # what is less is not told
@@ -60,7 +60,7 @@
     return events
 
 
-class Pulse:
+class LoopMonitor:
     """How late a loop is: told as `rig` events, in ms."""
 
     def __init__(self, reactor: Any, history: History, name: str, begun: float) -> None:  # noqa: ANN401
@@ -129,7 +129,7 @@
         except Exception as fault:  # noqa: BLE001 - told whole to whoever started it
             line.say("cannot", str(fault))
             return
-        Pulse(reactor, history, given["name"], given["begun"])
+        LoopMonitor(reactor, history, given["name"], given["begun"])
         line.say("ready")
 
     reactor.connectUNIX(given["control"], _Dial(line, made, reactor.stop))
--- a/hookpitch/lab/experiment.py
+++ b/hookpitch/testbed/experiment.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from hookpitch.lab.groups import directions, members
+from hookpitch.testbed.groups import directions, members
 
 FIGURES = (
     "served",
--- a/hookpitch/lab/happenings.py
+++ b/hookpitch/testbed/faults.py
@@ -9,13 +9,13 @@
 
 from typing import TYPE_CHECKING, Any
 
-from hookpitch.lab.experiment import ON_LINKS, ON_PROCESSES, Fault
-from hookpitch.lab.links import Spoil
-from hookpitch.standin.calls import Calls
-from hookpitch.standin.crowd import Rudes, SlowHeads
+from hookpitch.fakes.admin_clients import Calls
+from hookpitch.fakes.load_clients import Rudes, SlowHeads
+from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES, Fault
+from hookpitch.testbed.links import Spoil
 
 if TYPE_CHECKING:
-    from hookpitch.lab.run import Run
+    from hookpitch.testbed.run import Run
 
 RESTART_S = 0.5  # that a restart takes
 BEFORE_S = 1.0  # from the nodes' start to the first RPC
--- a/hookpitch/lab/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from hookpitch.lab.experiment import (
+from hookpitch.testbed.experiment import (
     FAULTS,
     ON_LINKS,
     ON_NODES,
@@ -32,7 +32,7 @@
     Traffic,
     read,
 )
-from hookpitch.lab.run import Ended, Run
+from hookpitch.testbed.run import Ended, Run
 
 KINDS = tuple(what for what in FAULTS if what not in ONLY_VIRTUAL)
 ON_SET = KINDS[:11]  # may last to the end
--- a/hookpitch/lab/judge.py
+++ b/hookpitch/testbed/judge.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from hookpitch.standin.history import Event, History
+from hookpitch.fakes.history import Event, History
 
 SLACK_MS = 50.0
 CALL_MS = 1000.0  # that an operator waits
@@ -34,7 +34,7 @@
     unused_ms: float = UNUSED_MS  # a server that was called back is used again by then
     heads: bool = True  # nodes have room for every honest client
     most_transmissions: int = 3
-    second_copies: bool = False
+    hedging_allowed: bool = False
     retriable: Mapping[str, bool] = field(
         default_factory=dict
     )  # by method: whether it may run again
@@ -237,7 +237,7 @@
         if (
             since < float("inf")
             and until - since > self.rules.overlap_ms
-            and not self.rules.second_copies
+            and not self.rules.hedging_allowed
         ):
             self._say("second copy", since, rpc, f"sent again while it was still out at {server}")
 
--- a/hookpitch/lab/membership.py
+++ b/hookpitch/testbed/membership.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from hookpitch.standin.history import Event
+from hookpitch.fakes.history import Event
 
 PREFIX = "members: "
 STATES = ("alive", "suspected", "dead", "left")
--- a/hookpitch/lab/figures.py
+++ b/hookpitch/testbed/metrics.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hookpitch.lab import membership
-from hookpitch.lab.experiment import FIGURES, OF_MEMBERS, Expectation, Experiment
-from hookpitch.lab.run import Ended
-from hookpitch.standin.history import Event
+from hookpitch.fakes.history import Event
+from hookpitch.testbed import membership
+from hookpitch.testbed.experiment import FIGURES, OF_MEMBERS, Expectation, Experiment
+from hookpitch.testbed.run import Ended
 
 ORIGIN = "origin"
 
--- a/hookpitch/lab/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -9,16 +9,16 @@
 from typing import TYPE_CHECKING, Any
 
 from hookpitch.core.counters import Counters
-from hookpitch.lab.world import Machine
 from hookpitch.members.port import Settings as MemberSettings
 from hookpitch.members.port import attach
 from hookpitch.net.clock import Clock
-from hookpitch.net.keep import Keeper, Settings, done
 from hookpitch.net.node import BACKLOG, SocketNode
-from hookpitch.net.start import anew, read_post
+from hookpitch.net.node_config import load_reloaded_config, parse_node_config
+from hookpitch.net.snapshot_store import Settings, SnapshotStore, done
+from hookpitch.testbed.simulation import Machine
 
 if TYPE_CHECKING:
-    from hookpitch.lab.run import Run
+    from hookpitch.testbed.run import Run
 
 DISCOVERY_PORT, NODE_PORT, DOOR_PORT = 8500, 6379, 15000
 READY_S = 6.0  # by then a new process beside an old one serves
@@ -63,7 +63,7 @@
         machine, self.door = self.machine, DOOR_PORT + self.starts - 1
         reactor = machine.start()
         top = run.told(self, f"10.2.0.1:{DISCOVERY_PORT}")
-        told = read_post(top | {"management": f"{self.address}:{self.door}"}, {})
+        told = parse_node_config(top | {"management": f"{self.address}:{self.door}"}, {})
         if self.upgraded:
             process = f"{self.starts}"
             told = replace(told, inherited=run.descriptor, shared=run.folder.name, process=process)
@@ -75,7 +75,7 @@
             kept = Settings(
                 f"{run.folder.name}/{{name}}.snapshot", run.x.name, run.x.nodes.snapshot_s
             )
-            self.node.keeper = Keeper(kept, self.node, partial(self._away, reactor))
+            self.node.snapshot_store = SnapshotStore(kept, self.node, partial(self._away, reactor))
         if run.x.nodes.members:
             port = run.x.nodes.peer_port
             seeds = tuple((n.address, port) for n in list(run.nodes.values())[:SEEDS])
@@ -152,7 +152,7 @@
             self.run.file(self, self.run.told(self, f"10.2.0.1:{DISCOVERY_PORT}"), wrong)
         )
         if self.node is not None:
-            self.node.reload(partial(anew, {"PROXY_CONFIG": str(path)}))
+            self.node.reload(partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
 
     def leave(self) -> None:
         """SIGTERM."""
--- a/hookpitch/lab/wall.py
+++ b/hookpitch/testbed/process_run.py
@@ -27,15 +27,15 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.lab.child import Line, Pulse, witnessed
-from hookpitch.lab.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
-from hookpitch.lab.happenings import BEFORE_S
-from hookpitch.lab.judge import Broken, Judge, Rules
-from hookpitch.lab.links import Spoil, Spoils
-from hookpitch.lab.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess
-from hookpitch.lab.run import Common, Ended
-from hookpitch.standin.crowd import Crowd
-from hookpitch.standin.discovery import Listed
+from hookpitch.fakes.discovery import Listed
+from hookpitch.fakes.load_clients import Crowd
+from hookpitch.testbed.child import Line, LoopMonitor, witnessed
+from hookpitch.testbed.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
+from hookpitch.testbed.faults import BEFORE_S
+from hookpitch.testbed.judge import Broken, Judge, Rules
+from hookpitch.testbed.links import Spoil, Spoils
+from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess
+from hookpitch.testbed.run import Common, Ended
 
 CACHE_PORT, ORIGIN_PORT = 26379, 28080
 FIRST_NET, STANDIN_NET = 10, 200  # of nodes; of the stand-ins themselves
@@ -200,7 +200,7 @@
         for child in self.children.values():
             child.start()
         self.crowd: Crowd = self.clients(self.reactor, self.begun)
-        Pulse(self.reactor, self.history, "clients", self.begun)
+        LoopMonitor(self.reactor, self.history, "clients", self.begun)
 
     def _block(self) -> int:
         """The first of as many free blocks of nets as the nodes need, held until the run's end."""
@@ -222,7 +222,7 @@
         raise ValueError("other runs on loopback are on: too few addresses are free")
 
     def _child(self, name: str, module: str, given: Callable[[], dict[str, Any]]) -> Child:
-        child = self.children[name] = Child(self, name, f"hookpitch.lab.{module}", given)
+        child = self.children[name] = Child(self, name, f"hookpitch.testbed.{module}", given)
         if module == "standins" and name in ("origin", "discovery"):
             self.home[name] = child
         return child
--- a/hookpitch/lab/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -20,10 +20,10 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from hookpitch.lab.child import Line
+from hookpitch.testbed.child import Line
 
 if TYPE_CHECKING:
-    from hookpitch.lab.wall import WallRun
+    from hookpitch.testbed.process_run import WallRun
 
 PR_SET_PDEATHSIG = 1
 ENDED_S = 0.7  # past its longest deadline, an old process is killed
--- a/hookpitch/lab/reactor.py
+++ b/hookpitch/testbed/reactor.py
@@ -27,10 +27,10 @@
 )
 from twisted.python.failure import Failure
 
-from hookpitch.lab.ends import End, pair
+from hookpitch.testbed.simulated_tcp import End, pair
 
 if TYPE_CHECKING:
-    from hookpitch.lab.world import Call, Machine, World
+    from hookpitch.testbed.simulation import Call, Machine, World
 
 DATAGRAMS = 1 << 18  # bytes of them that wait at a socket; what comes beyond is lost
 DATAGRAM_MOST = 65507  # bytes
--- a/hookpitch/lab/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -37,9 +37,9 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from hookpitch.lab.child import Line, Witness, run_child
-from hookpitch.lab.links import AGAIN_MOST, AGAIN_MS, CLEAN, FAR, Spoil
-from hookpitch.standin.history import History
+from hookpitch.fakes.history import History
+from hookpitch.testbed.child import Line, Witness, run_child
+from hookpitch.testbed.links import AGAIN_MOST, AGAIN_MS, CLEAN, FAR, Spoil
 
 HELD = 1 << 18  # bytes of a flow that are under way; what is more waits in the kernels
 BACKLOG = 4096
