--- a/hookpitch/lab/run.py
+++ b/hookpitch/testbed/run.py
@@ -20,21 +20,21 @@
 from zlib import crc32
 
 from hookpitch.core.counters import Counters
-from hookpitch.lab.experiment import Experiment, bound_methods
-from hookpitch.lab.happenings import BEFORE_S, Happening
-from hookpitch.lab.judge import SLACK_MS, UNUSED_MS, Broken, Judge, Rules
-from hookpitch.lab.links import Spoil
-from hookpitch.lab.nodes import DISCOVERY_PORT, NODE_PORT, Node
-from hookpitch.lab.ends import End
-from hookpitch.lab.world import World
-from hookpitch.standin.cache import Make
-from hookpitch.standin.cache_server import CacheServer
-from hookpitch.standin.crowd import Crowd, Keys, Kind, Manner, Rudes
-from hookpitch.standin.discovery import Directory, Listed
-from hookpitch.standin.history import History
-from hookpitch.standin.orders import carry_out
-from hookpitch.standin.origin import Origin, OriginMake
-from hookpitch.standin.web import DiscoveryServer, OriginServer
+from hookpitch.fakes.cache import Make
+from hookpitch.fakes.cache_server import CacheServer
+from hookpitch.fakes.control_commands import carry_out
+from hookpitch.fakes.discovery import Directory, Listed
+from hookpitch.fakes.history import History
+from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
+from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
+from hookpitch.fakes.origin import Origin, OriginMake
+from hookpitch.testbed.experiment import Experiment, bound_methods
+from hookpitch.testbed.faults import BEFORE_S, Happening
+from hookpitch.testbed.judge import SLACK_MS, UNUSED_MS, Broken, Judge, Rules
+from hookpitch.testbed.links import Spoil
+from hookpitch.testbed.nodes import DISCOVERY_PORT, NODE_PORT, Node
+from hookpitch.testbed.simulated_tcp import End
+from hookpitch.testbed.simulation import World
 
 CACHE_PORT, ORIGIN_PORT = 6379, 8080
 SETTLE_S = 2.0  # after the last RPC was asked, before the run ends
--- a/hookpitch/lab/ends.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -26,8 +26,8 @@
 from twisted.python.failure import Failure
 
 if TYPE_CHECKING:
-    from hookpitch.lab.reactor import Connector
-    from hookpitch.lab.world import Machine
+    from hookpitch.testbed.reactor import Connector
+    from hookpitch.testbed.simulation import Machine
 
 KERNEL = 1 << 18  # bytes of a direction that are in flight or unread at the most
 SEGMENT = 1 << 14  # bytes that travel together
--- a/hookpitch/lab/world.py
+++ b/hookpitch/testbed/simulation.py
@@ -26,12 +26,12 @@
 
 from twisted.internet.error import AlreadyCalled
 
-from hookpitch.lab.links import AGAIN_MOST, AGAIN_MS, CLEAN, Spoil, Spoils
-from hookpitch.lab.reactor import Listening, Reactor
+from hookpitch.testbed.links import AGAIN_MOST, AGAIN_MS, CLEAN, Spoil, Spoils
+from hookpitch.testbed.reactor import Listening, Reactor
 
 if TYPE_CHECKING:
-    from hookpitch.lab.ends import End
-    from hookpitch.lab.reactor import Connector, DatagramPort, Port
+    from hookpitch.testbed.reactor import Connector, DatagramPort, Port
+    from hookpitch.testbed.simulated_tcp import End
 
 FAR = float("inf")
 DIAL_AGAIN = 5  # times as late as the rest is a dial's first packet sent again
--- a/hookpitch/lab/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -15,13 +15,13 @@
 import msgspec
 from twisted.internet.error import CannotListenError
 
-from hookpitch.lab.child import Line, Witness, run_child
-from hookpitch.standin.cache import Cache, Make
-from hookpitch.standin.cache_server import CacheServer
-from hookpitch.standin.discovery import Directory, Listed
-from hookpitch.standin.orders import carry_out
-from hookpitch.standin.origin import Origin, OriginMake
-from hookpitch.standin.web import DiscoveryServer, OriginServer
+from hookpitch.fakes.cache import Cache, Make
+from hookpitch.fakes.cache_server import CacheServer
+from hookpitch.fakes.control_commands import carry_out
+from hookpitch.fakes.discovery import Directory, Listed
+from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
+from hookpitch.fakes.origin import Origin, OriginMake
+from hookpitch.testbed.child import Line, Witness, run_child
 
 
 class FarOrigin:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -17,18 +17,18 @@
 from twisted.python.failure import Failure
 from twisted.test.iosim import FakeTransport
 
-from hookpitch.balancer.decisions import Node
+from hookpitch.balancer.decisions import Router
 from hookpitch.balancer.deployment import deployment as read_deployment
 from hookpitch.balancer.interface import (
-    NEVER_RAN,
-    Customer,
+    NOT_EXECUTED,
     Deployment,
-    Entry,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
     Idempotency,
-    ListKind,
     Method,
     Outcome,
-    State,
+    Tenant,
 )
 from hookpitch.core.counters import Counters
 from hookpitch.core.resp import Fault, Parser, command
@@ -36,7 +36,7 @@
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import read
 from hookpitch.net.node import SocketNode
-from hookpitch.net.start import Post
+from hookpitch.net.node_config import NodeConfig
 
 ORIGIN = 9
 
@@ -47,30 +47,34 @@
         "seed": 7,
         "nodes": 1,
         "methods": (Method("read", 400.0, 1000.0, 1.0),),
-        "customers": (),
-        "must_ask": True,
+        "tenants": (),
+        "polling_required": True,
         "origin_kind": ORIGIN,
         "tick_ms": 1.0,
-        "max_transmissions": 3,
-        "second_copies": False,
-        "cancelling": True,
+        "max_attempts": 3,
+        "hedging_allowed": False,
+        "cancellation_enabled": True,
         "max_retry_after_ms": 0.0,
-        "ask_within_ms": 10000.0,
-        "cold_share": 0.2,
-        "cold_ms": 20000.0,
+        "poll_interval_ms": 10000.0,
+        "slow_start_fraction": 0.2,
+        "slow_start_ms": 20000.0,
         "overload_factor": 3.0,
-        "tip_after_ms": 1500.0,
-        "hold_cost": 0.0,
-        "dial_cost": 0.0,
-        "overage_gain": 0.1,
+        "overload_window_ms": 1500.0,
+        "connection_hold_cost": 0.0,
+        "connection_open_cost": 0.0,
+        "over_quota_gain_factor": 0.1,
     }
     return Deployment(**(base | changes))  # type: ignore[arg-type]
 
 
 def entry(
-    id: str, state: State = State.READY, started: float = 0.0, size: float = 1.0, kind: int = 0
-) -> Entry:
-    return Entry(id, "zone" + id[-1], int(id[-1]), started, state, kind, size)
+    id: str,
+    state: EndpointState = EndpointState.READY,
+    started: float = 0.0,
+    size: float = 1.0,
+    kind: int = 0,
+) -> Endpoint:
+    return Endpoint(id, "zone" + id[-1], int(id[-1]), started, state, kind, size)
 
 
 def drawn(rng: random.Random) -> Deployment:
@@ -93,20 +97,20 @@
     plain = deployment(
         seed=rng.randrange(2**31),
         nodes=rng.choice([0, 1, 3, 5, 400]),
-        hold_cost=rng.choice([0.0, 0.03]),
-        dial_cost=rng.choice([0.0, 0.03]),
+        connection_hold_cost=rng.choice([0.0, 0.03]),
+        connection_open_cost=rng.choice([0.0, 0.03]),
         methods=tuple(methods),
-        customers=tuple(
-            Customer(f"c{i}", rng.choice([0.0, 5.0, 40.0])) for i in range(rng.randint(0, 3))
+        tenants=tuple(
+            Tenant(f"c{i}", rng.choice([0.0, 5.0, 40.0])) for i in range(rng.randint(0, 3))
         ),
-        must_ask=rng.random() < 0.7,
+        polling_required=rng.random() < 0.7,
         origin_kind=rng.choice([ORIGIN, -1]),
-        max_transmissions=rng.randint(1, 6),
-        second_copies=rng.random() < 0.3,
-        cancelling=rng.random() < 0.7,
+        max_attempts=rng.randint(1, 6),
+        hedging_allowed=rng.random() < 0.3,
+        cancellation_enabled=rng.random() < 0.7,
         max_retry_after_ms=rng.choice([0.0, 400.0]),
-        cold_share=rng.choice([0.1, 0.3]),
-        cold_ms=rng.choice([0.0, 5000.0, 20000.0]),
+        slow_start_fraction=rng.choice([0.1, 0.3]),
+        slow_start_ms=rng.choice([0.0, 5000.0, 20000.0]),
     )
     bound = [
         replace(
@@ -120,8 +124,8 @@
         plain,
         methods=tuple(bound),
         kinds=("fast", "std"),
-        gone_is_advice=rng.random() < 0.5,
-        live_sizes=rng.random() < 0.2,
+        removal_is_advisory=rng.random() < 0.5,
+        weights_reflect_load=rng.random() < 0.2,
     )
 
 
@@ -130,9 +134,9 @@
 
     def __init__(self, d: Deployment, seed: int = 1) -> None:
         self.rng, self.d, self.now = random.Random(seed), d, 1000.0
-        self.node = Node(self.now, d)
+        self.router = Router(self.now, d)
         self.methods = {m.name: m for m in d.methods}
-        self.told: dict[str, Entry] = {}  # what the node was last told of each server
+        self.told: dict[str, Endpoint] = {}  # what the node was last told of each server
         self.bound: set[str] = set()  # seen draining, and not ready since
         self.open: dict[str, tuple[Method, float]] = {}  # RPC -> method, hard deadline
         self.txs: dict[str, list[dict]] = {}
@@ -147,17 +151,23 @@
 
     # the host's side
 
-    def send(self, rpc_id: str, server_id: str, limit_ms: float, begin_ms: float) -> None:
+    def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
         assert rpc_id in self.open, "rule 1: sent after the RPC's end"
         method, deadline = self.open[rpc_id]
         earlier = self.txs[rpc_id]
-        assert begin_ms > 0
-        assert limit_ms > 0 and self.now + limit_ms <= deadline, "a limit past the hard deadline"
-        assert len(earlier) < self.d.max_transmissions
-        assert self.d.second_copies or all(t["done"] for t in earlier), "two out at once"
-        e = self.told[server_id]
-        advice = self.d.gone_is_advice and e.state == State.GONE and server_id not in self.bound
-        assert e.state == State.READY or advice, "rule 3: sent to a draining or gone server"
+        assert start_within_ms > 0
+        assert timeout_ms > 0 and self.now + timeout_ms <= deadline, (
+            "a limit past the hard deadline"
+        )
+        assert len(earlier) < self.d.max_attempts
+        assert self.d.hedging_allowed or all(t["done"] for t in earlier), "two out at once"
+        e = self.told[backend_id]
+        advice = (
+            self.d.removal_is_advisory
+            and e.state == EndpointState.REMOVED
+            and backend_id not in self.bound
+        )
+        assert e.state == EndpointState.READY or advice, "rule 3: sent to a draining or gone server"
         if e.kind != self.d.origin_kind:
             name = self.d.kinds[e.kind] if 0 <= e.kind < len(self.d.kinds) else ""
             assert not method.kinds or name in method.kinds, "placement: a kind that is not open"
@@ -165,56 +175,62 @@
                 "placement: a location that is not open"
             )
         ran = [t for t in earlier if t["ran"]]
-        if ran and method.idempotency == Idempotency.NON_RETRIABLE:
+        if ran and method.idempotency == Idempotency.NON_IDEMPOTENT:
             raise AssertionError("rule 2: a non-retriable RPC that may have run was sent again")
-        if ran and method.idempotency == Idempotency.DEDUPED:
-            a, b = self.told[ran[0]["server"]], self.told[server_id]
-            same = {"all": True, "zone": a.zone == b.zone, "cell": a.cell == b.cell}[method.group]
-            assert same and self.now < ran[0]["at"] + method.window_ms, (
+        if ran and method.idempotency == Idempotency.IDEMPOTENT_WITH_KEY:
+            a, b = self.told[ran[0]["server"]], self.told[backend_id]
+            same = {"all": True, "zone": a.zone == b.zone, "cell": a.cell == b.cell}[
+                method.dedup_scope
+            ]
+            assert same and self.now < ran[0]["at"] + method.dedup_window_ms, (
                 "rule 2: outside group or window"
             )
-        self.sends.append((self.now, server_id, rpc_id))
-        self._check_cold(server_id)
+        self.sends.append((self.now, backend_id, rpc_id))
+        self._check_cold(backend_id)
         earlier.append(
             {
-                "server": server_id,
+                "server": backend_id,
                 "at": self.now,
-                "until": self.now + limit_ms,
+                "until": self.now + timeout_ms,
                 "done": False,
                 "ran": True,
             }
         )
         self.out.append((rpc_id, len(earlier) - 1))
 
-    def _check_cold(self, server_id: str) -> None:
+    def _check_cold(self, backend_id: str) -> None:
         """Rule 4: in any window no more than the multiple of a warm server's load, cut by the
         warm-up."""
-        e, d = self.told[server_id], self.d
+        e, d = self.told[backend_id], self.d
         age = self.now - e.started_ms
-        if e.started_ms <= 0 or age >= d.cold_ms or e.kind == d.origin_kind:
+        if e.started_ms <= 0 or age >= d.slow_start_ms or e.kind == d.origin_kind:
             return
-        share = d.cold_share + (1 - d.cold_share) * age / d.cold_ms
+        share = d.slow_start_fraction + (1 - d.slow_start_fraction) * age / d.slow_start_ms
         counts: dict[str, int] = {}
         for at, to, _ in self.sends:
-            if at > self.now - 4 * d.tip_after_ms:
+            if at > self.now - 4 * d.overload_window_ms:
                 counts[to] = counts.get(to, 0) + 1
         warm = float(max(counts.values(), default=0))  # over four windows: at least one window's
         caches = [e for e in self.told.values() if e.kind != d.origin_kind]
         if all(
-            0 < e.started_ms > self.now - d.cold_ms for e in caches
+            0 < e.started_ms > self.now - d.slow_start_ms for e in caches
         ):  # none warm: its part of what came
-            warm = sum(at > self.now - 2 * d.tip_after_ms for at in self.arrivals) / len(caches)
+            warm = sum(at > self.now - 2 * d.overload_window_ms for at in self.arrivals) / len(
+                caches
+            )
         known = self.sends[
-            self.told_from.get(server_id, 0) :
+            self.told_from.get(backend_id, 0) :
         ]  # since the node could know of the start
-        mine = sum(1 for at, to, _ in known if to == server_id and at > self.now - d.tip_after_ms)
+        mine = sum(
+            1 for at, to, _ in known if to == backend_id and at > self.now - d.overload_window_ms
+        )
         assert mine <= max(1.0, d.overload_factor * share * warm), (
             "rule 4: a cold server pushed over"
         )
 
-    def cancel(self, rpc_id: str, tx: int) -> None:
-        assert self.d.cancelling
-        self.txs[rpc_id][tx].update(until=self.now, called_off=True)
+    def cancel(self, rpc_id: str, attempt: int) -> None:
+        assert self.d.cancellation_enabled
+        self.txs[rpc_id][attempt].update(until=self.now, called_off=True)
 
     def _final(self, rpc_id: str, answer: str) -> None:
         assert rpc_id in self.open, "rule 1: a second final answer"
@@ -222,28 +238,30 @@
         del self.open[rpc_id]
         self.answers[rpc_id] = answer
 
-    def exhaust(self, rpc_id: str, retry_after_ms: float) -> None:
+    def reject(self, rpc_id: str, retry_after_ms: float) -> None:
         method = self.methods_of(rpc_id)
         assert 0 <= retry_after_ms <= self.d.max_retry_after_ms
-        if method.idempotency != Idempotency.RETRIABLE and any(t["ran"] for t in self.txs[rpc_id]):
-            deduped = method.idempotency == Idempotency.DEDUPED
-            assert deduped and method.group == "all", "rule 2: exhausted though it may have run"
+        if method.idempotency != Idempotency.IDEMPOTENT and any(t["ran"] for t in self.txs[rpc_id]):
+            deduped = method.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
+            assert deduped and method.dedup_scope == "all", (
+                "rule 2: exhausted though it may have run"
+            )
         self._final(rpc_id, "exhausted")
 
     def methods_of(self, rpc_id: str) -> Method:
         assert rpc_id in self.open, "rule 1: a second final answer"
         return self.open[rpc_id][0]
 
-    def error(self, rpc_id: str) -> None:
+    def fail(self, rpc_id: str) -> None:
         self._final(rpc_id, "errored")
 
-    def close(self, server_id: str) -> None:
-        assert server_id in self.told and all(
-            self.txs[r][n]["server"] != server_id for r, n in self.out
+    def close_idle(self, backend_id: str) -> None:
+        assert backend_id in self.told and all(
+            self.txs[r][n]["server"] != backend_id for r, n in self.out
         )
-        self.closed.append(server_id)
+        self.closed.append(backend_id)
 
-    def wake(self, at_ms: float) -> None:
+    def schedule_wakeup(self, at_ms: float) -> None:
         self.wakes.append(at_ms)
 
     def log(self, text: str) -> None:
@@ -253,34 +271,38 @@
 
     def settle(self) -> None:
         for _ in range(100000):
-            if not self.node.decide(self.now, self):
+            if not self.router.decide(self.now, self):
                 break
         else:
             raise AssertionError("decisions without end")
         for rpc_id, (_, deadline) in self.open.items():
             assert self.now <= deadline, f"rule 1: {rpc_id} lost"
 
-    def listed(self, entries: list[Entry], kind: ListKind = ListKind.FULL) -> None:
-        if kind != ListKind.DELTA and kind != ListKind.FAILED:
+    def listed(
+        self, entries: list[Endpoint], kind: EndpointUpdate = EndpointUpdate.SNAPSHOT
+    ) -> None:
+        if kind != EndpointUpdate.DELTA and kind != EndpointUpdate.FAILED:
             for id, e in self.told.items():
-                self.told[id] = Entry(id, e.zone, e.cell, e.started_ms, State.GONE, e.kind, e.size)
+                self.told[id] = Endpoint(
+                    id, e.zone, e.cell, e.started_ms, EndpointState.REMOVED, e.kind, e.size
+                )
         for e in entries:
             if e.id not in self.told or self.told[e.id].started_ms != e.started_ms:
                 self.told_from[e.id] = len(self.sends)
             self.told[e.id] = e
-            if e.state == State.DRAINING:
+            if e.state == EndpointState.DRAINING:
                 self.bound.add(e.id)
-            elif e.state == State.READY:
+            elif e.state == EndpointState.READY:
                 self.bound.discard(e.id)
-        if kind != ListKind.FAILED:  # what was told before stands
-            self.node.servers_listed(self.now, kind, entries)
+        if kind != EndpointUpdate.FAILED:  # what was told before stands
+            self.router.update_endpoints(self.now, kind, entries)
         self.settle()
 
     def arrive(
         self,
         key: str = "k",
         method: str = "",
-        customer: str = "",
+        tenant: str = "",
         write: bool = False,
         grace: float = 0.0,
     ) -> str:
@@ -289,7 +311,7 @@
         grace = grace or m.hard_ms
         self.arrivals.append(self.now)
         self.open[rpc_id], self.txs[rpc_id] = (m, self.now + grace), []
-        self.node.rpc_arrived(self.now, rpc_id, key, m.name, customer, write, grace)
+        self.router.rpc_arrived(self.now, rpc_id, key, m.name, tenant, write, grace)
         self.settle()
         return rpc_id
 
@@ -301,12 +323,12 @@
     def end(self, rpc_id: str, outcome: Outcome, n: int = -1) -> None:
         n = n if n >= 0 else len(self.txs[rpc_id]) - 1
         tx = self.txs[rpc_id][n]
-        tx["done"], tx["ran"] = True, tx["ran"] and outcome not in NEVER_RAN
+        tx["done"], tx["ran"] = True, tx["ran"] and outcome not in NOT_EXECUTED
         self.out.remove((rpc_id, n))
         if outcome == Outcome.COMPLETED and rpc_id in self.open:
             self._final(rpc_id, "completed")
         last = rpc_id not in self.open
-        self.node.tx_ended(self.now, rpc_id, n, outcome, last, self.now - tx["at"], {})
+        self.router.attempt_ended(self.now, rpc_id, n, outcome, last, self.now - tx["at"], {})
         self.settle()
 
     def pass_time(self, span: float) -> None:
@@ -325,7 +347,7 @@
                 )
             else:
                 self.wakes.remove(wake)
-                self.node.woken(self.now)
+                self.router.timer_fired(self.now)
                 self.settle()
         self.now = end
 
@@ -336,10 +358,10 @@
         if act < 0.4:
             key = "" if rng.random() < 0.1 else f"key{int(rng.paretovariate(0.7)) % 50}"
             m = rng.choice(self.d.methods)
-            customer = rng.choice([c.name for c in self.d.customers] or [""])
+            tenant = rng.choice([c.name for c in self.d.tenants] or [""])
             for _ in range(rng.choice([1, 1, 1, 30])):
                 grace = m.hard_ms * rng.choice([0.02, 0.5, 1.0])
-                self.arrive(key, m.name, customer, rng.random() < 0.1, grace)
+                self.arrive(key, m.name, tenant, rng.random() < 0.1, grace)
         elif act < 0.8 and self.out:
             for r, n in rng.sample(self.out, min(len(self.out), 8)):
                 mood = self.moods.get(self.txs[r][n]["server"], "well")
@@ -351,11 +373,11 @@
                         "aside": [1, 8, 1],
                     }[mood]
                     bad = {
-                        "full": Outcome.FULL,
+                        "full": Outcome.OVERLOADED,
                         "dead": rng.choice([Outcome.RESET, Outcome.CONNECT_FAILED]),
                     }
                     last = bad.get(
-                        mood, rng.choice([Outcome.ERROR, Outcome.CANCELLED, Outcome.FULL])
+                        mood, rng.choice([Outcome.ERROR, Outcome.CANCELLED, Outcome.OVERLOADED])
                     )
                     self.end(r, rng.choices([Outcome.COMPLETED, Outcome.MISS, last], odds)[0], n)
         elif act < 0.84 and self.told:
@@ -363,25 +385,32 @@
             self.moods[server] = rng.choice(["well", "silent", "full", "dead", "aside"])
         elif act < 0.87 and self.told:
             e = self.told[rng.choice(sorted(self.told))]
-            state = rng.choice([State.READY, State.READY, State.DRAINING, State.GONE])
-            started = self.now - 1 if e.state == State.GONE else e.started_ms
+            state = rng.choice(
+                [
+                    EndpointState.READY,
+                    EndpointState.READY,
+                    EndpointState.DRAINING,
+                    EndpointState.REMOVED,
+                ]
+            )
+            started = self.now - 1 if e.state == EndpointState.REMOVED else e.started_ms
             kind = (
                 e.kind
                 if rng.random() < 0.7 or e.kind == self.d.origin_kind
                 else rng.choice([0, 1, -2])
             )
-            changed = Entry(e.id, e.zone, e.cell, started, state, kind, e.size)
-            self.listed([changed], ListKind.DELTA)
+            changed = Endpoint(e.id, e.zone, e.cell, started, state, kind, e.size)
+            self.listed([changed], EndpointUpdate.DELTA)
         elif act < 0.88:
-            self.listed([], ListKind.FAILED)
+            self.listed([], EndpointUpdate.FAILED)
         elif act < 0.89 and self.open:
             rpc_id = rng.choice(sorted(self.open))
             del self.open[rpc_id]
-            self.node.client_left(self.now, rpc_id)
+            self.router.client_disconnected(self.now, rpc_id)
             self.settle()
         elif act < 0.9:  # calls that cannot be
-            self.node.tx_ended(self.now, "nobody", 0, Outcome.COMPLETED, True, 1.0, {})
-            self.node.client_left(self.now, "nobody")
+            self.router.attempt_ended(self.now, "nobody", 0, Outcome.COMPLETED, True, 1.0, {})
+            self.router.client_disconnected(self.now, "nobody")
             self.settle()
         else:
             self.pass_time(rng.choice([1.0, 20.0, 200.0]))
@@ -564,13 +593,13 @@
             {"seq": 5, "whole": True, "hosts": self.hosts}, ("std", "origin")
         )
         self.clock = Clock(self.network, self.network.seconds, lambda: 1e9)
-        self.post = Post(
+        self.config = NodeConfig(
             "n0",
             ("127.0.0.1", 6379),
             ("127.0.0.1", DISCOVERY),
             limits.get("sockets", 256),
             limits.get("memory_mb", 64),
-            replace(told(SETTINGS), must_ask=True),
+            replace(told(SETTINGS), polling_required=True),
             seq,
             tuple(entries),
             dials,
@@ -580,7 +609,7 @@
         )
         self.counters, self.logs, self.cpu = Counters(), list[str](), 0.0
         self.node = SocketNode(
-            self.network, self.clock, self.post, self.counters, self, lambda: self.cpu
+            self.network, self.clock, self.config, self.counters, self, lambda: self.cpu
         )
         self.node.start()
         self.pass_time(0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,9 +11,9 @@
 from test_sockets import VALUE, serve
 from test_start import TOLD
 
-from hookpitch.balancer.interface import Customer, Method
+from hookpitch.balancer.interface import Method, Tenant
 from hookpitch.core.admission import FAR, Admission
-from hookpitch.net.turns import TURN_EVENTS, Server, Turns
+from hookpitch.net.prioritized_reactor import TURN_EVENTS, PrioritizedReactor, Server
 
 SOFT = 200.0  # ms: a soft deadline, and the CPU time of an RPC that is let in or turned away
 TAKEN, REFUSED = 0.5, 0.06
@@ -50,12 +50,12 @@
                     self.credit, self.let = self.credit - 1, self.let + 1
                     self.waits.append(busy - came)
                 else:
-                    a.turned_away()
+                    a.reject()
                     if self.again:
                         self.waiting.append(busy)
                 busy, self.cpu = busy + cost / part, self.cpu + cost
             if self.now >= self.beat:
-                a.beat(self.now, 0.0, self.cpu)
+                a.end_window(self.now, 0.0, self.cpu)
                 self.beat = self.now + a.window
         return self.let / max(1, self.came)
 
@@ -87,7 +87,7 @@
 
 def test_a_pause_is_no_burden() -> None:
     a = Admission(0.0, SOFT)
-    a.beat(50.0, 0.0, 20.0)
+    a.end_window(50.0, 0.0, 20.0)
     assert (
         a.paused(300.0, used=10.0)
         and not a.paused(300.0, used=250.0)
@@ -95,7 +95,7 @@
     )
     for n in range(100):
         a.read(3.0 * n)
-    a.beat(350.0, 300.0, 30.0)
+    a.end_window(350.0, 300.0, 30.0)
     assert a.burden == 0.0 and a.rate == FAR
 
 
@@ -104,26 +104,28 @@
 
 def test_the_least_gain_and_what_is_over_a_share_go_first() -> None:
     f = Fleet(
-        deployment(methods=METHODS, customers=(Customer("small", 1e-6),), max_retry_after_ms=300.0)
+        deployment(methods=METHODS, tenants=(Tenant("small", 1e-6),), max_retry_after_ms=300.0)
     )
     f.listed([entry("s0")])
     counts = {"low": 0, "high": 0, "small": 0}
     for n in range(4000):
         f.now += 1
         if n % 50 == 0:
-            f.node.burdened(f.now, 0.5 if n else 0.0)
+            f.router.overload_measured(f.now, 0.5 if n else 0.0)
         for name, count in (("low", 3), ("high", 1)):
-            counts[name] += sum(f.node.turned_away(f.now, name, "", 0.0) >= 0 for _ in range(count))
-        f.node.shares["small"].tokens = 0.0
-        counts["small"] += f.node.turned_away(f.now, "high", "small", 0.0) >= 0
+            counts[name] += sum(
+                f.router.shed_delay(f.now, name, "", 0.0) >= 0 for _ in range(count)
+            )
+        f.router.shares["small"].tokens = 0.0
+        counts["small"] += f.router.shed_delay(f.now, "high", "small", 0.0) >= 0
     assert counts["high"] == 0 and 0.5 < counts["low"] / 12000 < 0.95, (
         "half of all, each of low gain"
     )
-    assert counts["small"] > 3900 and 0 < f.node.turned_away(f.now, "low", "small", 0.0) <= 300
+    assert counts["small"] > 3900 and 0 < f.router.shed_delay(f.now, "low", "small", 0.0) <= 300
     assert (
-        f.node.turned_away(f.now, "high", "", 0.0)
+        f.router.shed_delay(f.now, "high", "", 0.0)
         < 0
-        <= f.node.turned_away(f.now, "high", "", 399.0)
+        <= f.router.shed_delay(f.now, "high", "", 399.0)
     )
 
 
@@ -133,11 +135,11 @@
     for n in range(12):
         f.arrive(f"k{n}")
     f.now += 150.0
-    f.node.was_away(f.now)
+    f.router.event_loop_stalled(f.now)
     f.pass_time(150.0)
-    assert f.out and not any(s.failures for s in f.node.servers.values())
+    assert f.out and not any(s.failures for s in f.router.servers.values())
     f.pass_time(20.0)  # but who is silent from then on is
-    assert any(s.failures for s in f.node.servers.values())
+    assert any(s.failures for s in f.router.servers.values())
 
 
 def test_answers_that_came_during_a_pause_are_read_before_deadlines_are_run() -> None:
@@ -179,13 +181,13 @@
 
 def test_what_is_turned_away_at_the_door_leaves_nothing_behind() -> None:
     s = Sockets()
-    s.node.host.node.burden = 1.0
+    s.node.host.router.burden = 1.0
     before = len(s.clock.deadlines)
     c = s.client()
     for n in range(20):
         c.say(get(f"r{n}"))
     assert c.take() == 20 * b"-BUSY\r\n" and s.counters.counts["rpcs.turned_away"] == 20
-    assert not len(s.node.host.rpcs) and not s.node.host.ids and not s.node.host.node.rpcs
+    assert not len(s.node.host.rpcs) and not s.node.host.ids and not s.node.host.router.rpcs
     assert len(s.clock.deadlines) == before
 
 
@@ -272,7 +274,7 @@
 
 
 def test_turns_are_short_and_servers_go_first() -> None:
-    reactor, order = Turns(), list[str]()
+    reactor, order = PrioritizedReactor(), list[str]()
     made = [FromClient(order, "client") for _ in range(3 * TURN_EVENTS)] + [
         Selectable(order, "server")
     ]
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,21 +6,28 @@
 
 import pytest
 
-from hookpitch.balancer.interface import ListKind
+from hookpitch.balancer.interface import EndpointUpdate
 from hookpitch.core.chance import draws
 from hookpitch.net.discovery import retry_after
 from hookpitch.simwire.adapter import Seat
-from hookpitch.startup.asking import FAR, NEXT_MS, QUIET_MS, TOLD_MS, Asking, Loss
+from hookpitch.startup.poll_schedule import (
+    FAR,
+    MAX_POLL_GAP_MS,
+    NOTIFY_LIMIT_MS,
+    SILENCE_TIMEOUT_MS,
+    PollSchedule,
+    WatchLoss,
+)
 
 WITHIN = 10000.0
 
 
-def fleet(count: int, seed: int = 1) -> list[Asking]:
-    return [Asking(0.0, count, WITHIN, draws(seed * 1000 + n, "ask")) for n in range(count)]
+def fleet(count: int, seed: int = 1) -> list[PollSchedule]:
+    return [PollSchedule(0.0, count, WITHIN, draws(seed * 1000 + n, "ask")) for n in range(count)]
 
 
 def played(
-    nodes: list[Asking], takes: float, until: float, events: dict[float, Callable[[], None]]
+    nodes: list[PollSchedule], takes: float, until: float, events: dict[float, Callable[[], None]]
 ) -> tuple[Counter[int], list[float]]:
     """Calls in each second, and when each node's list came last, with a discovery that takes so
     many calls
@@ -39,7 +46,7 @@
                     a.told()
                     listed[n] = now
                 else:
-                    a.lost(now, Loss.REFUSED)
+                    a.lost(now, WatchLoss.REFUSED)
     return calls, listed
 
 
@@ -64,15 +71,15 @@
     for a in nodes:
         a.told()
 
-    def lose(how: Loss) -> Callable[[], None]:
+    def lose(how: WatchLoss) -> Callable[[], None]:
         return lambda: [a.lost(1000.0, how) for a in nodes] and None
 
-    calls, listed = played(nodes, 1e9, 20000, {1000.0: lose(Loss.ENDED)})
+    calls, listed = played(nodes, 1e9, 20000, {1000.0: lose(WatchLoss.ENDED)})
     assert max(calls.values()) <= 90 and max(listed) <= 1000 + WITHIN / 2 + 300
-    calls, listed = played(nodes, 1e9, 20000, {1000.0: lose(Loss.SILENT)})
+    calls, listed = played(nodes, 1e9, 20000, {1000.0: lose(WatchLoss.SILENT)})
     # Danger: what a silent watch misses counts from the silence, so there is little time for draws.
     assert max(listed) <= 1000 + (
-        TOLD_MS - 1000 - QUIET_MS
+        NOTIFY_LIMIT_MS - 1000 - SILENCE_TIMEOUT_MS
     )  # a second at least is left for the answer
 
 
@@ -102,7 +109,7 @@
 def test_a_lone_nodes_lost_watch_is_asked_for_at_once() -> None:
     (a,) = fleet(1)
     a.told()
-    assert a.lost(1000.0, Loss.ENDED) <= 1000.0 + 2 * WITHIN / 40
+    assert a.lost(1000.0, WatchLoss.ENDED) <= 1000.0 + 2 * WITHIN / 40
 
 
 def test_a_node_that_is_refused_asks_less_and_within_the_rules_time() -> None:
@@ -111,15 +118,15 @@
         gaps, now = [], 0.0
         for _ in range(40):
             a.asked(now)
-            gaps.append(a.lost(now, Loss.REFUSED) - now)
+            gaps.append(a.lost(now, WatchLoss.REFUSED) - now)
             now = a.at
-        assert max(gaps) <= NEXT_MS < TOLD_MS - 1000 and min(gaps) >= WITHIN / 40
+        assert max(gaps) <= MAX_POLL_GAP_MS < NOTIFY_LIMIT_MS - 1000 and min(gaps) >= WITHIN / 40
         assert sum(gaps[-10:]) > sum(gaps[:2])
         a.told()
         assert a.at == FAR and a.failures == 0
         a.asked(now)
         a.told()
-        a.lost(now, Loss.ENDED)
+        a.lost(now, WatchLoss.ENDED)
         assert (
             a.at - now <= WITHIN / 2 + 300
         )  # what was learnt of discovery's trouble does not stay
@@ -146,24 +153,26 @@
         for failed in (500.0, 500.0 + a.patience):  # refused at once; never answered
             a.asked(500.0)
             a.failures = seed % 9
-            a.lost(failed, Loss.REFUSED)
-            assert failed < a.at <= 500.0 + NEXT_MS and a.at < 500.0 + TOLD_MS - 1000
+            a.lost(failed, WatchLoss.REFUSED)
+            assert (
+                failed < a.at <= 500.0 + MAX_POLL_GAP_MS and a.at < 500.0 + NOTIFY_LIMIT_MS - 1000
+            )
 
 
 def test_where_lists_are_pushed_a_node_asks_at_once_and_again_at_once() -> None:
     # Danger: what the agent has counts as told; a drain that it had at the start was heeded seconds
     # later.
     for n in range(40):
-        a = Asking(700.0, 300, WITHIN, draws(n, "ask"), pushed=True)
+        a = PollSchedule(700.0, 300, WITHIN, draws(n, "ask"), pushed=True)
         assert a.at == 700.0
-        for how in (Loss.REFUSED, Loss.REFUSED, Loss.ENDED, Loss.SILENT):
+        for how in (WatchLoss.REFUSED, WatchLoss.REFUSED, WatchLoss.ENDED, WatchLoss.SILENT):
             a.asked(a.at)
-            if how != Loss.REFUSED:
+            if how != WatchLoss.REFUSED:
                 a.told()
             assert 800.0 + 60 <= a.lost(800.0, how) <= 800.0 + 180
         a.asked(800.0)
         assert (
-            a.lost(800.0, Loss.REFUSED, 2000.0) >= 800.0 + 1500
+            a.lost(800.0, WatchLoss.REFUSED, 2000.0) >= 800.0 + 1500
         )  # but discovery's own word is heeded
 
 
@@ -172,22 +181,27 @@
     for a in nodes:
         for _ in range(5):
             a.asked(0.0)
-            a.lost(0.0, Loss.REFUSED)
+            a.lost(0.0, WatchLoss.REFUSED)
         at.append(a.at)
     assert (
-        max(Counter(int(t / 1000) for t in at).values()) <= 130 and max(at) - min(at) > NEXT_MS / 2
+        max(Counter(int(t / 1000) for t in at).values()) <= 130
+        and max(at) - min(at) > MAX_POLL_GAP_MS / 2
     )
 
 
 def test_when_discovery_says_when_to_come_back_it_is_heeded_within_bounds() -> None:
     # What it asks for gives way to the time by which a change counts as told; all come no sooner
     # than most.
-    late = NEXT_MS * 2 / 3
-    for seconds, least, most in ((1, 1000.0, NEXT_MS), (4, late, NEXT_MS), (999999, late, NEXT_MS)):
+    late = MAX_POLL_GAP_MS * 2 / 3
+    for seconds, least, most in (
+        (1, 1000.0, MAX_POLL_GAP_MS),
+        (4, late, MAX_POLL_GAP_MS),
+        (999999, late, MAX_POLL_GAP_MS),
+    ):
         a = fleet(60)[7]
         a.asked(0.0)
         after = retry_after([(b"server", b"x"), (b"Retry-After", b"%d" % seconds)])
-        assert least <= a.lost(0.0, Loss.REFUSED, after) <= most
+        assert least <= a.lost(0.0, WatchLoss.REFUSED, after) <= most
     assert (
         retry_after([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")]) == retry_after([]) == 0.0
     )
@@ -196,17 +210,17 @@
 def test_an_instance_in_the_simulator_asks_by_the_same_module() -> None:
     out: list[str] = []
     seat = Seat("n1", out)
-    seat.asking = fleet(60)[3]
+    seat.poll_schedule = fleet(60)[3]
     seat.ask(0.0)
     assert len(out) == 1 and out[0].startswith("TIMER n1 ")
     seat.ask(0.0)
     assert len(out) == 1  # told once
-    at = seat.asking.at
+    at = seat.poll_schedule.at
     seat.ask(at)
     assert out[1] == "SUBSCRIBE n1 1"
-    seat.listed(at, ListKind.FAILED)
-    assert at < seat.asking.at < at + WITHIN
-    seat.listed(at, ListKind.CACHED)
-    assert seat.asking.at < FAR
-    seat.listed(at, ListKind.DELTA)
-    assert seat.asking.at == FAR
+    seat.listed(at, EndpointUpdate.FAILED)
+    assert at < seat.poll_schedule.at < at + WITHIN
+    seat.listed(at, EndpointUpdate.CACHED)
+    assert seat.poll_schedule.at < FAR
+    seat.listed(at, EndpointUpdate.DELTA)
+    assert seat.poll_schedule.at == FAR
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -4,12 +4,21 @@
 import pytest
 from fleet import ORIGIN, Fleet, deployment, entry
 
-from hookpitch.balancer.interface import Customer, Idempotency, ListKind, Method, Outcome, State
+from hookpitch.balancer.interface import (
+    EndpointState,
+    EndpointUpdate,
+    Idempotency,
+    Method,
+    Outcome,
+    Tenant,
+)
 
 
 def fleet(servers: int = 6, **changes: object) -> Fleet:
-    f = Fleet(deployment(**({"max_transmissions": 5} | changes)))
-    f.listed([entry(f"s{i}") for i in range(servers)] + [entry("o1", kind=ORIGIN)], ListKind.CACHED)
+    f = Fleet(deployment(**({"max_attempts": 5} | changes)))
+    f.listed(
+        [entry(f"s{i}") for i in range(servers)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED
+    )
     return f
 
 
@@ -31,7 +40,7 @@
         f.end(f.arrive(f"good{i}"), Outcome.COMPLETED)
         if i % 3:
             assert fail(f, f.arrive(key or f"bad{i}")) <= 2
-    assert not any(s.off or s.failures for s in f.node.servers.values())
+    assert not any(s.off or s.failures for s in f.router.servers.values())
     assert not any(to == "o1" for _, to, _ in f.sends), (
         "the origin is not asked for what failed twice"
     )
@@ -53,14 +62,14 @@
         f.end(rpc, Outcome.ERROR if last(f, rpc) == "s2" else Outcome.COMPLETED)
         if rpc in f.open:
             f.end(rpc, Outcome.COMPLETED)
-    assert f.node.servers["s2"].off and sum(s.off for s in f.node.servers.values()) == 1
+    assert f.router.servers["s2"].off and sum(s.off for s in f.router.servers.values()) == 1
 
 
 def test_what_is_vain_has_its_answer_in_the_same_turn_and_gives_its_token_back() -> None:
-    f = fleet(customers=(Customer("c", 10.0),), max_retry_after_ms=400.0)
-    share = f.node.shares["c"]
+    f = fleet(tenants=(Tenant("c", 10.0),), max_retry_after_ms=400.0)
+    share = f.router.shares["c"]
     tokens = share.tokens
-    rpc = f.arrive("bad", customer="c")
+    rpc = f.arrive("bad", tenant="c")
     f.end(rpc, Outcome.ERROR)
     f.end(rpc, Outcome.ERROR)
     assert f.answers[rpc] == "exhausted" and share.tokens == pytest.approx(tokens)
@@ -73,17 +82,26 @@
 
 
 def test_gone_is_advice_where_the_settings_say_so_and_draining_binds() -> None:
-    f = fleet(2, gone_is_advice=True)
+    f = fleet(2, removal_is_advisory=True)
     f.pass_time(5000.0)
-    f.listed([entry("s0", State.GONE), entry("s1", State.GONE)], ListKind.DELTA)
-    assert all(f.node.servers[s].off for s in ("s0", "s1"))  # off the path, to be tried
+    f.listed(
+        [entry("s0", EndpointState.REMOVED), entry("s1", EndpointState.REMOVED)],
+        EndpointUpdate.DELTA,
+    )
+    assert all(f.router.servers[s].off for s in ("s0", "s1"))  # off the path, to be tried
     f.pass_time(2000.0)
     rpc = f.arrive("k")
     assert rpc in f.open and len(f.sends) == 1  # with one RPC at a time
     f.end(rpc, Outcome.COMPLETED)
-    assert not f.node.servers[f.sends[0][1]].off
-    f.listed([entry("s0", State.DRAINING), entry("s1", State.DRAINING)], ListKind.DELTA)
-    f.listed([entry("s0", State.GONE), entry("s1", State.GONE)], ListKind.DELTA)
+    assert not f.router.servers[f.sends[0][1]].off
+    f.listed(
+        [entry("s0", EndpointState.DRAINING), entry("s1", EndpointState.DRAINING)],
+        EndpointUpdate.DELTA,
+    )
+    f.listed(
+        [entry("s0", EndpointState.REMOVED), entry("s1", EndpointState.REMOVED)],
+        EndpointUpdate.DELTA,
+    )
     f.arrive("k")
     assert len(f.sends) == 1
 
@@ -92,7 +110,7 @@
     None
 ):
     for advice in (True, False):
-        f = fleet(1, gone_is_advice=advice)
+        f = fleet(1, removal_is_advisory=advice)
         f.end(f.arrive("k"), Outcome.COMPLETED)
         f.listed([entry("o1", kind=ORIGIN)])  # left out of a full list
         rpc = f.arrive("k")
@@ -101,20 +119,20 @@
 
 def test_what_falls_again_soon_goes_off_at_one_failure_and_is_forgiven_later() -> None:
     f = fleet(1)
-    s = f.node.servers["s0"]
+    s = f.router.servers["s0"]
     for n in range(3):
         assert not s.off, f"off after {n}"
-        f.node._strike(s)
+        f.router._strike(s)
     assert s.off
     f.pass_time(s.backoff + 1)
     f.end(f.arrive("k"), Outcome.COMPLETED)
     assert not s.off
-    f.node._strike(s)
-    assert s.off and s.backoff > f.node.pause  # the pause before it counts on
+    f.router._strike(s)
+    assert s.off and s.backoff > f.router.pause  # the pause before it counts on
     f.pass_time(s.backoff + 1)
     f.end(f.arrive("k"), Outcome.COMPLETED)
-    f.pass_time(8 * f.node.pause + 2000.0)
-    f.node._strike(s)
+    f.pass_time(8 * f.router.pause + 2000.0)
+    f.router._strike(s)
     assert not s.off
 
 
@@ -122,7 +140,7 @@
     None
 ):
     f = fleet(1)
-    s, o = f.node.servers["s0"], f.node.origin
+    s, o = f.router.servers["s0"], f.router.origin
     before, at_origin = s.limit, o.limit
     rpc = f.arrive("k")
     f.pass_time(100.0)
@@ -141,7 +159,9 @@
     f.out.remove((rpc, n))
     f._final(rpc, "completed")
     report = {"inflight": told.get(s, 0.5)}
-    f.node.tx_ended(f.now, rpc, n, Outcome.COMPLETED, True, f.now - f.txs[rpc][n]["at"], report)
+    f.router.attempt_ended(
+        f.now, rpc, n, Outcome.COMPLETED, True, f.now - f.txs[rpc][n]["at"], report
+    )
     f.settle()
 
 
@@ -154,33 +174,31 @@
         if errors and i % 2 == 0:
             assert fail(f, f.arrive(f"bad{i}")) <= 2
         ended(f, f"k{i % 60}", {"s1": 60.0}, {"s1": 0.1})
-    by = {s.id: s.c for s in f.node.caches}
+    by = {s.id: s.c for s in f.router.caches}
     assert by["s1"] == max(by.values())
-    assert not any(s.off or s.failures for s in f.node.caches)
+    assert not any(s.off or s.failures for s in f.router.caches)
     for i in range(
         600
     ):  # now all tell the truth, and another one is busy with what other nodes send
         ended(f, f"k{i % 60}", {"s2": 1.0}, {"s2": 9.0})  # its answers alone would not tell
-    by = {s.id: s.c for s in f.node.caches}
+    by = {s.id: s.c for s in f.router.caches}
     assert by["s2"] == max(by.values()) > by["s1"]
 
 
 def test_a_district_whose_rpcs_all_fail_strikes_no_server_and_costs_the_others_nothing() -> None:
-    f = fleet(
-        customers=(Customer("bad", 1000.0), Customer("good", 1000.0)), max_retry_after_ms=400.0
-    )
+    f = fleet(tenants=(Tenant("bad", 1000.0), Tenant("good", 1000.0)), max_retry_after_ms=400.0)
     for i in range(200):
-        assert fail(f, f.arrive(f"b{i}", customer="bad")) <= 2
-        rpc = f.arrive(f"g{i}", customer="good")
+        assert fail(f, f.arrive(f"b{i}", tenant="bad")) <= 2
+        rpc = f.arrive(f"g{i}", tenant="good")
         f.end(rpc, Outcome.COMPLETED)
         assert f.answers[rpc] == "completed"
         f.pass_time(5.0)
-    assert not any(s.off or s.failures for s in f.node.servers.values())
+    assert not any(s.off or s.failures for s in f.router.servers.values())
     assert not any(to == "o1" for _, to, _ in f.sends)
 
 
 def test_half_of_a_rack_up_and_down_by_turns_with_a_silent_list_is_not_marked_for_good() -> None:
-    f = fleet(6, nodes=1, cold_ms=20000.0, max_transmissions=3)
+    f = fleet(6, nodes=1, slow_start_ms=20000.0, max_attempts=3)
     rack, wasted = {"s0", "s1"}, []
     for turn in range(6):
         tried = 0
@@ -192,8 +210,8 @@
                 f.end(rpc, Outcome.CONNECT_FAILED if down else Outcome.COMPLETED, n)
             f.pass_time(10.0)
         wasted.append(tried)
-        assert all(f.node.servers[s].off and f.node.servers[s].cold_until > f.now for s in rack)
-        assert not any(s.off for s in f.node.caches if s.id not in rack)  # the rest is not blamed
+        assert all(f.router.servers[s].off and f.router.servers[s].cold_until > f.now for s in rack)
+        assert not any(s.off for s in f.router.caches if s.id not in rack)  # the rest is not blamed
         sent = len(f.sends)
         for i in range(150):  # up for 1.5 s, cold, unannounced
             f.end(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
@@ -206,11 +224,18 @@
     for i in range(4000):  # the turns are over: nobody is marked for good
         f.end(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    assert all(f.node.servers[s].ok for s in rack)
+    assert all(f.router.servers[s].ok for s in rack)
 
 
 def test_a_deduped_rpc_is_not_called_off_when_it_may_not_go_out_again() -> None:
-    method = Method("log", 800.0, 1500.0, 2.0, idempotency=Idempotency.DEDUPED, window_ms=300.0)
+    method = Method(
+        "log",
+        800.0,
+        1500.0,
+        2.0,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        dedup_window_ms=300.0,
+    )
     f = fleet(2, methods=(method,))
     f.end(f.arrive("k", write=True), Outcome.COMPLETED)
     rpc, other = f.arrive("k", write=True), f.arrive("j", write=True)
@@ -224,22 +249,22 @@
 
 def test_an_origin_that_answers_as_usual_is_not_crowded_however_much_is_out_there() -> None:
     f = fleet(4)
-    o = f.node.origin
+    o = f.router.origin
     o.latency = o.usual = 50.0
     o.live = dict.fromkeys(range(int(o.limit)))
-    assert not f.node._crowded()
+    assert not f.router._crowded()
     o.latency = 80.0
-    assert f.node._crowded()
+    assert f.router._crowded()
     o.live = {}
-    assert not f.node._crowded()
+    assert not f.router._crowded()
 
 
 def test_what_waited_in_vain_goes_on_while_the_origin_is_at_ease() -> None:
     f = fleet(2)
     first = f.arrive("k")
-    home = f.node.servers[last(f, first)]
+    home = f.router.servers[last(f, first)]
     home.limit = 1.0
-    other = next(s for s in f.node.caches if s is not home)
+    other = next(s for s in f.router.caches if s is not home)
     other.limit = 1.0
     blocker = next(
         r for r in (f.arrive(f"x{i}") for i in range(40)) if f.txs[r] and last(f, r) == other.id
@@ -258,17 +283,17 @@
     )
     f = Fleet(deployment(methods=method, kinds=("fast", "std")))
     f.listed([entry(f"s{i}", kind=i % 2) for i in range(6)])
-    free = {s.kind: s.free for s in f.node.caches}
+    free = {s.kind: s.free for s in f.router.caches}
     assert free[0] == 1.0 and free[1] == 0.5
-    homes = [f.node._bucket(n).home.kind for n in range(400)]
+    homes = [f.router._bucket(n).home.kind for n in range(400)]
     assert 0.2 < sum(homes) / 400 < 0.45  # half without it
-    assert all(f.node._bucket(n, ("std",)).home.kind == 1 for n in range(50))
+    assert all(f.router._bucket(n, ("std",)).home.kind == 1 for n in range(50))
 
 
 def test_writes_slow_at_the_origin_by_nature_are_no_congestion_and_slow_reads_are() -> None:
     for write in (True, False):
         f = fleet(1)
-        o = f.node.origin
+        o = f.router.origin
         before = o.limit
         for i in range(30):
             rpc = f.arrive(f"k{i}", write=write)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,7 @@
 from hookpitch.core.deadlines import Deadlines
 from hookpitch.core.resp import Fault, Malformed, Parser, Plain, bulk, command
 from hookpitch.core.ring import SMALL, Ring
-from hookpitch.core.slots import Slots
+from hookpitch.core.slot_table import SlotTable
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -104,7 +104,7 @@
 
 
 def test_a_freed_number_names_nothing() -> None:
-    slots: Slots[str] = Slots()
+    slots: SlotTable[str] = SlotTable()
     a, b = slots.add("a"), slots.add("b")
     slots.free(a)
     c = slots.add("c")
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -8,7 +8,12 @@
 import pytest
 from peers import Line, Real, chunk, tell
 
-from hookpitch.startup.asking import NEXT_MS, PATIENCE_MS, QUIET_MS, SPREAD_MS
+from hookpitch.startup.poll_schedule import (
+    MAX_POLL_GAP_MS,
+    RESPONSE_TIMEOUT_MS,
+    SILENCE_TIMEOUT_MS,
+    SPREAD_MS,
+)
 
 RULES = {"cold_from": 0.2, "cold_s": 20.0, "tip_after_s": 1.5, "ask_within_s": 30.0}
 EASE_S = 0.5  # for a busy machine, on top of a bound
@@ -28,8 +33,8 @@
             silent = r.discovery.accept()
             silent.head()
             began = time.monotonic()
-            assert r.discovery.dialled(NEXT_MS / 1000 + EASE_S), "a list that never comes"
-            assert since(began) >= PATIENCE_MS / 1000 - EASE_S
+            assert r.discovery.dialled(MAX_POLL_GAP_MS / 1000 + EASE_S), "a list that never comes"
+            assert since(began) >= RESPONSE_TIMEOUT_MS / 1000 - EASE_S
             assert silent.ended() in ("fin", "reset")
         r.watch(r.change(6, 0, health="terminating"))
         r.until(lambda: r.count("lists.delta") == 1)
@@ -45,13 +50,13 @@
         tell(watch, b"\n")
         began = time.monotonic()
         while not r.discovery.dialled(0.2):  # half of what it would tell, or a blank, now and then
-            assert since(began) < (QUIET_MS + SPREAD_MS) / 1000 + 1 + EASE_S, (
+            assert since(began) < (SILENCE_TIMEOUT_MS + SPREAD_MS) / 1000 + 1 + EASE_S, (
                 "the silence was put off"
             )
             with suppress(OSError):  # it has given the watch up, and asks in a moment
                 if what:
                     tell(watch, what)
-        assert since(began) >= QUIET_MS / 1000 - EASE_S
+        assert since(began) >= SILENCE_TIMEOUT_MS / 1000 - EASE_S
         r.watch(r.change(7, 1, health="terminating"))
         assert b"since=6 " in r.since
         r.until(lambda: r.count("lists.delta") == 2)
@@ -62,10 +67,10 @@
         watch = r.watch()
         text = json.dumps({"seq": 6, "whole": True, "hosts": r.hosts * 12}, indent=2).encode()
         parts = [text[at : at + 600] for at in range(0, len(text), 600)]
-        for part in parts[: int(1.6 * QUIET_MS / 300)]:
+        for part in parts[: int(1.6 * SILENCE_TIMEOUT_MS / 300)]:
             tell(watch, part)
             assert not r.discovery.dialled(0.3), "given up while it came"
-        tell(watch, b"".join(parts[int(1.6 * QUIET_MS / 300) :]))
+        tell(watch, b"".join(parts[int(1.6 * SILENCE_TIMEOUT_MS / 300) :]))
         r.until(lambda: r.count("lists.full") == 1)
 
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from hookpitch.lab import fuzz
-from hookpitch.lab.experiment import load, read
-from hookpitch.lab.figures import expected
-from hookpitch.lab.run import Run
+from hookpitch.testbed import fuzz
+from hookpitch.testbed.experiment import load, read
+from hookpitch.testbed.metrics import expected
+from hookpitch.testbed.run import Run
 
 PLACE = Path(__file__).parent.parent / "experiments"
 FILES = sorted(path for path in PLACE.rglob("*.toml") if not path.stem.startswith("start-"))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,15 +10,15 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
 from hookpitch.core.counters import Counters
-from hookpitch.lab.experiment import read
-from hookpitch.lab.figures import summary
-from hookpitch.lab.judge import Judge, Rules
-from hookpitch.lab.run import Run
-from hookpitch.lab.ends import KERNEL
-from hookpitch.lab.world import World
+from hookpitch.fakes.history import History
 from hookpitch.net.clients import Clients
-from hookpitch.net.handover import Handover
-from hookpitch.standin.history import History
+from hookpitch.net.shared_state import SharedState
+from hookpitch.testbed.experiment import read
+from hookpitch.testbed.judge import Judge, Rules
+from hookpitch.testbed.metrics import summary
+from hookpitch.testbed.run import Run
+from hookpitch.testbed.simulated_tcp import KERNEL
+from hookpitch.testbed.simulation import World
 
 ROOT = Path(__file__).parent.parent
 SMALL = """
@@ -38,7 +38,7 @@
 
 def test_one_seed_is_one_history_whatever_the_order_of_hashes() -> None:
     code = (
-        "from hookpitch.lab.experiment import read; from hookpitch.lab.run import Run; import sys; "
+        "from hookpitch.testbed.experiment import read; from hookpitch.testbed.run import Run; import sys; "  # noqa: E501
         "print(Run(read(sys.argv[1]), int(sys.argv[2])).run().history.digest())"
     )
     digests = []
@@ -273,7 +273,7 @@
     ("whose", "what", "fault", "rules"),
     [
         (
-            Handover,
+            SharedState,
             "news",
             lambda self: iter(()),
             {"rule 3"},
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,11 +5,11 @@
 from test_lab import Pair
 from twisted.internet.protocol import DatagramProtocol
 
-from hookpitch.lab.experiment import read
-from hookpitch.lab.groups import directions, members
-from hookpitch.lab.links import Spoil, together
-from hookpitch.lab.reactor import DATAGRAMS
-from hookpitch.lab.world import World
+from hookpitch.testbed.experiment import read
+from hookpitch.testbed.groups import directions, members
+from hookpitch.testbed.links import Spoil, together
+from hookpitch.testbed.reactor import DATAGRAMS
+from hookpitch.testbed.simulation import World
 
 A, B = "1.1.1.1", "2.2.2.2"
 
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -17,7 +17,7 @@
 
 from hookpitch.core.resp import Fault
 from hookpitch.members.codec import BYTES_MOST, Codec
-from hookpitch.members.lists import (
+from hookpitch.members.endpoint_exchange import (
     OLDEST_MS,
     PARTS_A_SECOND,
     PLAIN_MOST,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,9 +1,9 @@
 """Membership: detection that bears pauses, lost datagrams and one-sided cuts; the state machine
 explored.
 
-`Net` (hookpitch/lab/gossip.py) runs the program's state machine and codec over datagrams in
+`Net` (hookpitch/testbed/membership_simulation.py) runs the program's state machine and codec over datagrams in
 virtual time.
-"""
+"""  # noqa: E501
 
 import copy
 import json
@@ -19,13 +19,22 @@
 from fleet import Sockets
 
 from hookpitch.cli import main
-from hookpitch.lab.experiment import load
-from hookpitch.lab.gossip import Net
-from hookpitch.lab.run import Run
 from hookpitch.members.codec import BYTES_MOST, Codec
 from hookpitch.members.port import attach, settings
-from hookpitch.members.state import MARKS, MEMBERS_MOST, PERIOD_MS, VAIN
-from hookpitch.members.state import Member, Members, Message, Record, State
+from hookpitch.members.state import (
+    MARKS,
+    MEMBERS_MOST,
+    PERIOD_MS,
+    VAIN,
+    Member,
+    Members,
+    Message,
+    Record,
+    State,
+)
+from hookpitch.testbed.experiment import load
+from hookpitch.testbed.membership_simulation import Net
+from hookpitch.testbed.run import Run
 
 HEALED_MS, SAME_MS = 20000.0, 45000.0  # after the last fault
 ROOT = Path(__file__).parent.parent
@@ -708,11 +717,11 @@
 
 def test_the_door_tells_of_the_members_where_the_node_is_one() -> None:
     s = Sockets(1)
-    assert s.node.door.answer(b"MEMBERS") == b"NO no members here"
+    assert s.node.admin_server.answer(b"MEMBERS") == b"NO no members here"
     port = attach(settings({"listen": "10.0.0.1:7946"}), s.node)
     suspect = Record("n2", ("10.0.0.2", 7946), 3, State.SUSPECTED, "n9")
     port.members.members["n2"] = Member(suspect, s.node.clock.now())
-    lines = s.node.door.answer(b"MEMBERS").decode().splitlines()
+    lines = s.node.admin_server.answer(b"MEMBERS").decode().splitlines()
     assert lines[0].startswith("view=0 members=1") and lines[-1] == "END"
     assert any(line.startswith("n2 suspected for=") and line.endswith("by=n9") for line in lines)
     wrong = CliRunner().invoke(main, ["members", "nowhere"])
@@ -722,7 +731,7 @@
 def test_a_node_without_the_section_imports_none_of_it() -> None:
     code = (
         "import sys, hookpitch.__main__, hookpitch.net.node; "
-        "print([m for m in sys.modules if 'members' in m or 'msgspec' in m or m.endswith('net.keep')])"  # noqa: E501
+        "print([m for m in sys.modules if 'members' in m or 'msgspec' in m or m.endswith('net.snapshot_store')])"  # noqa: E501
     )
     done = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, timeout=30
@@ -737,7 +746,7 @@
         port.datagramReceived(b"HKM" + bytes([n % 7]) * 40, ("10.0.0.9", 1))
     counts = s.counters.counts
     assert counts["members.foreign"] <= 2000 and counts["members.flood"] >= 3000
-    assert list(port.members.members) == [s.node.post.name]
+    assert list(port.members.members) == [s.node.config.name]
 
 
 # ---- nodes, with faults between them, in both clocks
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,11 +9,11 @@
 import msgspec
 import pytest
 
-from hookpitch.lab.experiment import load, read
-from hookpitch.lab.figures import expected, summary
-from hookpitch.lab.membership import Said, figure, said, up
-from hookpitch.lab.run import Run
-from hookpitch.standin.history import Event
+from hookpitch.fakes.history import Event
+from hookpitch.testbed.experiment import load, read
+from hookpitch.testbed.membership import Said, figure, said, up
+from hookpitch.testbed.metrics import expected, summary
+from hookpitch.testbed.run import Run
 
 ROOT = Path(__file__).parent.parent
 LISTS = ROOT / "experiments" / "members-lists.toml"
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -7,18 +7,18 @@
 import pytest
 from fleet import Fleet, Line, Sockets, deployment, entry, get, listed_host
 
-from hookpitch.balancer.interface import ListKind, Outcome, State
-from hookpitch.net.handover import Handover, line, read
-from hookpitch.net.management import CALL_MS, CALLERS, SPARE
-from hookpitch.net.start import _inherited
+from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
+from hookpitch.net.admin import CALL_MS, CALLERS, SPARE
+from hookpitch.net.node_config import _inherited
+from hookpitch.net.shared_state import SharedState, line, read
 
 
 def call(s: Sockets, text: bytes) -> bytes:
-    caller = Line(s.network, s.node.door.buildProtocol(None), 0)
+    caller = Line(s.network, s.node.admin_server.buildProtocol(None), 0)
     caller.say(text)
     got = caller.take()
     s.pass_time(0)
-    assert caller.ended and caller.protocol not in s.node.door.open
+    assert caller.ended and caller.protocol not in s.node.admin_server.open
     return got
 
 
@@ -63,16 +63,16 @@
 
 def test_callers_that_say_nothing_are_bounded_and_delay_nobody() -> None:
     s = Sockets()
-    mute = [Line(s.network, s.node.door.buildProtocol(None), 0) for _ in range(CALLERS)]
+    mute = [Line(s.network, s.node.admin_server.buildProtocol(None), 0) for _ in range(CALLERS)]
     mute[0].say(b"STAT")
     assert (
-        call(s, b"STATUS\n") == b"YES\n" and s.node.door.held == CALLERS - 1
+        call(s, b"STATUS\n") == b"YES\n" and s.node.admin_server.held == CALLERS - 1
     )  # the oldest gave way
-    while (protocol := s.node.door.buildProtocol(None)) is not None:
+    while (protocol := s.node.admin_server.buildProtocol(None)) is not None:
         Line(s.network, protocol, 0)
-    assert s.node.door.held == CALLERS + SPARE
+    assert s.node.admin_server.held == CALLERS + SPARE
     s.pass_time(CALL_MS + 1)
-    assert s.node.door.held == 0 and not s.node.door.open
+    assert s.node.admin_server.held == 0 and not s.node.admin_server.open
 
 
 # ---- figures
@@ -124,10 +124,10 @@
 
 
 def banned_fleet() -> Fleet:
-    fleet = Fleet(deployment(second_copies=False))
+    fleet = Fleet(deployment(hedging_allowed=False))
     fleet.listed([entry("s1"), entry("s2"), entry("s3")])
     assert asked(fleet) == {"s1", "s2", "s3"}
-    fleet.node.server_banned(fleet.now, "s2", True)
+    fleet.router.set_banned(fleet.now, "s2", True)
     fleet.settle()
     return fleet
 
@@ -137,37 +137,42 @@
     assert "s2" not in asked(fleet)
     fleet.listed([entry("s1"), entry("s2", started=fleet.now), entry("s3")])
     assert "s2" not in asked(fleet)
-    fleet.listed([entry("s2", State.GONE)], ListKind.DELTA)
-    fleet.listed([entry("s2")], ListKind.DELTA)
+    fleet.listed([entry("s2", EndpointState.REMOVED)], EndpointUpdate.DELTA)
+    fleet.listed([entry("s2")], EndpointUpdate.DELTA)
     fleet.listed([entry("s1"), entry("s3")])
     fleet.listed([entry("s1"), entry("s2"), entry("s3")])
-    assert "s2" not in asked(fleet) and fleet.node.servers["s2"].state != State.READY
+    assert "s2" not in asked(fleet) and fleet.router.servers["s2"].state != EndpointState.READY
 
 
 def test_two_bans_are_undone_by_one_call_and_the_server_comes_back_cold_and_without_strikes() -> (
     None
 ):
     fleet = banned_fleet()
-    fleet.node.server_banned(fleet.now, "s2", True)
-    b = fleet.node.servers["s2"]
+    fleet.router.set_banned(fleet.now, "s2", True)
+    b = fleet.router.servers["s2"]
     b.failures, b.off, b.off_until, b.backoff = 3, True, fleet.now + 1e6, 1e6
-    fleet.node.server_banned(fleet.now, "s2", False)
-    assert b.state == State.READY and fleet.now < b.cold_until and not b.off and b.failures == 0
+    fleet.router.set_banned(fleet.now, "s2", False)
+    assert (
+        b.state == EndpointState.READY
+        and fleet.now < b.cold_until
+        and not b.off
+        and b.failures == 0
+    )
     assert "s2" in asked(fleet, 400)
 
 
 def test_lines_before_a_banned_server_are_decided_anew_and_the_last_cache_may_be_banned() -> None:
-    fleet = Fleet(deployment(second_copies=False))
+    fleet = Fleet(deployment(hedging_allowed=False))
     fleet.listed([entry("s1")])
     for n in range(30):
         fleet.arrive(key=f"k{n}")
     fleet.settle()
-    a = fleet.node.servers["s1"]
+    a = fleet.router.servers["s1"]
     assert a.first
-    fleet.node.server_banned(fleet.now, "s1", True)
+    fleet.router.set_banned(fleet.now, "s1", True)
     fleet.settle()
     assert not a.first and not a.again
-    assert not [rpc for rpc in fleet.node.rpcs.values() if not rpc.live and not rpc.closed]
+    assert not [rpc for rpc in fleet.router.rpcs.values() if not rpc.live and not rpc.closed]
 
 
 # ---- drains
@@ -214,11 +219,11 @@
 # ---- what processes share
 
 
-def handover(folder: Path, told: list[str]) -> Handover:
-    return Handover(str(folder), "n/0", told.append)
+def handover(folder: Path, told: list[str]) -> SharedState:
+    return SharedState(str(folder), "n/0", told.append)
 
 
-def news(process: Handover) -> list[tuple[str, str]]:
+def news(process: SharedState) -> list[tuple[str, str]]:
     return [call for call in process.news() if call[0] != "START"]
 
 
@@ -229,7 +234,7 @@
     file = os.open(next(tmp_path.glob("*.calls")), os.O_RDWR | os.O_APPEND)
     os.write(file, line("RESTORE", "s2")[:9])  # killed as it wrote
     one.tell("RESUME")
-    two = Handover(str(tmp_path), "n/0", told.append, "2")
+    two = SharedState(str(tmp_path), "n/0", told.append, "2")
     assert two.others and one.look() == ["2"]
     calls = [("SUSPEND", "s 1/é"), ("PAUSE", ""), ("RESUME", "")]
     assert news(one) == calls and news(one) == []
@@ -273,7 +278,7 @@
     s = Sockets(shared=str(tmp_path), sockets=384)
     s.pass_time(300)
     servers, room = s.node.pools.most, s.node.clients.room
-    other = Handover(str(tmp_path), "n0", s.logs.append, "2")
+    other = SharedState(str(tmp_path), "n0", s.logs.append, "2")
     other.tell("SUSPEND", "s1")
     s.pass_time(250)
     assert (
@@ -281,20 +286,20 @@
         and s.node.pools.most == servers // 2
         and s.node.clients.room == room // 2
     )
-    assert s.node.host.node.part == 0.5 and figures(s)["members_unavailable"] == 1
+    assert s.node.host.router.part == 0.5 and figures(s)["members_unavailable"] == 1
     call(s, b"PAUSE\n")
     call(s, b"RESTORE s1\n")
     assert [verb for verb, _ in other.news()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
     other.close()
     s.pass_time(250)
-    assert s.node.processes == 1 and s.node.pools.most == servers and s.node.host.node.part == 1.0
+    assert s.node.processes == 1 and s.node.pools.most == servers and s.node.host.router.part == 1.0
     s.node.shared.close()
 
 
 def test_a_process_that_starts_beside_another_has_its_bans_and_its_drain_and_one_alone_its_bans(
     tmp_path: Path,
 ) -> None:
-    other = Handover(str(tmp_path), "n0", print, "2")
+    other = SharedState(str(tmp_path), "n0", print, "2")
     other.tell("SUSPEND", "s1")
     other.tell("PAUSE")
     beside = Sockets(shared=str(tmp_path))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,13 +6,13 @@
 import pytest
 from fleet import ORIGIN, Fleet, deployment, entry
 
-from hookpitch.balancer.decisions import BUCKETS, Node
+from hookpitch.balancer.decisions import BUCKETS, Router
 from hookpitch.balancer.deployment import deployment as read
-from hookpitch.balancer.interface import ListKind, Method, Outcome, State
-from hookpitch.lab.experiment import load
-from hookpitch.lab.judge import Judge, Rules
-from hookpitch.lab.run import Run
-from hookpitch.standin.history import History
+from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Method, Outcome
+from hookpitch.fakes.history import History
+from hookpitch.testbed.experiment import load
+from hookpitch.testbed.judge import Judge, Rules
+from hookpitch.testbed.run import Run
 
 ON_STD = Method("status", 400.0, 1000.0, 1.0, kinds=("std",))
 
@@ -22,22 +22,22 @@
     methods = (method, Method("page", 400.0, 1000.0, 1.0))
     f = Fleet(deployment(methods=methods, kinds=("fast", "std"), **changes))
     caches = [entry(f"s{i}", kind=i % 2) for i in range(servers)]
-    f.listed([*caches, entry("o1", kind=ORIGIN)], ListKind.CACHED)
+    f.listed([*caches, entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
     return f
 
 
 def test_first_and_further_transmissions_go_to_open_servers_only() -> None:
-    f = fleet(max_transmissions=5)
+    f = fleet(max_attempts=5)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
         while rpc in f.open and f.txs[rpc] and not f.txs[rpc][-1]["done"]:
-            f.end(rpc, Outcome.FULL if len(f.txs[rpc]) % 2 else Outcome.RESET)
+            f.end(rpc, Outcome.OVERLOADED if len(f.txs[rpc]) % 2 else Outcome.RESET)
     assert {to for _, to, _ in f.sends} <= {"s1", "s3", "s5", "o1"}
 
 
 @pytest.mark.parametrize("copies", [True, False])
 def test_second_copies_and_overflow_stay_within_placement(copies: bool) -> None:
-    f = fleet(second_copies=copies)
+    f = fleet(hedging_allowed=copies)
     for i in range(200):  # far more than three servers are let bear
         f.arrive(f"k{i % 9}")
         f.pass_time(3.0)
@@ -59,11 +59,11 @@
     f = fleet(12)
     for i in range(60):
         f.arrive(f"k{i}", "status")
-    ring = f.node.ring = Walked(f.node.ring)
+    ring = f.router.ring = Walked(f.router.ring)
     for i in range(1, 12, 2):  # those of kind std drain, one after the other
-        f.listed([entry(f"s{i}", State.DRAINING, kind=1)], ListKind.DELTA)
-    assert not [b.home for b in f.node.buckets.values() if b.kinds and b.home]
-    assert ring.looks < 40 * len(f.node.buckets) * 6 < len(ring) * 60
+        f.listed([entry(f"s{i}", EndpointState.DRAINING, kind=1)], EndpointUpdate.DELTA)
+    assert not [b.home for b in f.router.buckets.values() if b.kinds and b.home]
+    assert ring.looks < 40 * len(f.router.buckets) * 6 < len(ring) * 60
 
 
 def test_a_heavy_key_is_spread_over_open_servers() -> None:
@@ -71,7 +71,7 @@
     for seed in range(12):
         f = fleet(16, seed=seed)
         f.ask_a_hot_key()
-        taken.add(f.node._bucket(crc32(b"hot") % BUCKETS, ("std",)).home.id)
+        taken.add(f.router._bucket(crc32(b"hot") % BUCKETS, ("std",)).home.id)
     assert len(taken) > 1 and all(int(id[1:]) % 2 for id in taken)
 
 
@@ -81,13 +81,15 @@
         f.end(f.arrive(f"key{i % 40}"), Outcome.COMPLETED)
         f.end(f.arrive(f"page{i % 7}", "page"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    bound = [b for b in f.node.buckets.values() if b.kinds]
+    bound = [b for b in f.router.buckets.values() if b.kinds]
     assert bound and all(b.at.kind == 1 for b in bound)
 
 
 def test_a_server_of_another_kind_that_alone_is_up_gets_nothing() -> None:
     f = fleet(6)
-    f.listed([entry(f"s{i}", State.GONE, kind=1) for i in (1, 3, 5)], ListKind.DELTA)
+    f.listed(
+        [entry(f"s{i}", EndpointState.REMOVED, kind=1) for i in (1, 3, 5)], EndpointUpdate.DELTA
+    )
     rpc = f.arrive("k")
     assert f.answers[rpc] == "exhausted" and not f.sends
     assert f.arrive("k", "page") in f.open and f.sends  # what is bound to nothing goes on
@@ -96,8 +98,8 @@
 def test_an_entry_without_kind_or_zone_is_open_to_what_is_bound_to_nothing_only() -> None:
     f = fleet(0, Method("status", 400.0, 1000.0, 1.0, zones=("zone1",)))
     f.listed([entry("s1", kind=-2)])
-    f.node.servers["s1"].zone = ""
-    f.node._rebuild([])
+    f.router.servers["s1"].zone = ""
+    f.router._rebuild([])
     assert f.answers[f.arrive("k")] == "exhausted" and not f.sends
     assert f.arrive("k", "page") in f.open
 
@@ -107,7 +109,7 @@
     rpc = f.arrive("k")
     assert f.txs[rpc][0]["server"] == "s1"
     f.end(rpc, Outcome.COMPLETED)
-    f.listed([entry("s1", kind=0), entry("s0", kind=1)], ListKind.DELTA)
+    f.listed([entry("s1", kind=0), entry("s0", kind=1)], EndpointUpdate.DELTA)
     f.arrive("k")
     assert f.sends[-1][1] == "s0"
 
@@ -117,8 +119,12 @@
     top = {"methods": [method], "rules": {"gone_is_advice": True}}
     d = read(1, top | {"goal": {"log_loss_part": 0.2, "nines_wanted": 3}})
     assert d.methods[0].kinds == ("std",) and d.methods[0].zones == ("north",)
-    assert d.gone_is_advice and d.nines_part == 0.2 and d.nines_full == 3.0
-    assert not read(1, {"methods": [{"name": "m", "hard_deadline_s": 1.0}]}).gone_is_advice
+    assert (
+        d.removal_is_advisory
+        and d.availability_bonus_per_nine == 0.2
+        and d.availability_bonus_nines == 3.0
+    )
+    assert not read(1, {"methods": [{"name": "m", "hard_deadline_s": 1.0}]}).removal_is_advisory
     for bad in ("std", [1], [""]):
         with pytest.raises(ValueError, match="allowed_on"):
             read(1, {"methods": [method | {"allowed_on": bad}]})
@@ -142,5 +148,5 @@
 ) -> None:
     x = load(Path(__file__).parent.parent / "experiments" / "core-placement.toml")
     assert not Run(x, x.seed).run().broken
-    monkeypatch.setattr(Node, "_open", lambda *_: True)
+    monkeypatch.setattr(Router, "_open", lambda *_: True)
     assert "placement" in {b.rule for b in Run(x, x.seed).run().broken}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,8 +11,8 @@
 import msgspec
 import pytest
 
-from hookpitch.lab.child import witnessed
-from hookpitch.lab.links import CLEAN, Spoil
+from hookpitch.testbed.child import witnessed
+from hookpitch.testbed.links import CLEAN, Spoil
 
 NET = "127.9"  # no run's
 AT, TO, WHENCE = (f"{NET}.1.1", 29100), (f"{NET}.2.1", 29101), f"{NET}.9.9"
@@ -42,7 +42,7 @@
             "udp": [["n0", "n1", SEEN["n1"], SEEN["n0"], PEERS["n1"], PEERS["n0"]]],
         }
         (folder / "given").write_text(json.dumps(given))
-        words = [sys.executable, "-m", "hookpitch.lab.relay", str(folder / "given")]
+        words = [sys.executable, "-m", "hookpitch.testbed.relay", str(folder / "given")]
         self.process = subprocess.Popen(words)
         control.settimeout(20)
         self.line = control.accept()[0].makefile("rw")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 import pytest
 from fleet import DISCOVERY, ORIGIN, Fleet, Storm, drawn, entry
 
-from hookpitch.balancer.interface import ListKind
+from hookpitch.balancer.interface import EndpointUpdate
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -16,13 +16,13 @@
     sizes = [rng.choice([0.5, 1.0, 2.0]) for _ in range(rng.randint(1, 9))]
     servers = [entry(f"s{i}", size=size, kind=i % 2) for i, size in enumerate(sizes)]
     origin = [entry("o1", kind=ORIGIN)] if rng.random() < 0.9 else []
-    fleet.listed(servers + origin, rng.choice([ListKind.CACHED, ListKind.FULL]))
+    fleet.listed(servers + origin, rng.choice([EndpointUpdate.CACHED, EndpointUpdate.SNAPSHOT]))
     for _ in range(700):
         fleet.step()
     fleet.pass_time(30000.0)  # whatever was open has ended by now
     assert not fleet.open
-    assert not fleet.node.rpcs, "records outlive their RPCs"
-    assert not any(s.first or s.again or s.live for s in fleet.node.servers.values())
+    assert not fleet.router.rpcs, "records outlive their RPCs"
+    assert not any(s.first or s.again or s.live for s in fleet.router.servers.values())
 
 
 def test_same_input_gives_the_same_decisions() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,14 +5,14 @@
 
 from fleet import ORIGIN, Fleet, deployment, entry
 
-from hookpitch.balancer.interface import Customer, ListKind, Method, Outcome
+from hookpitch.balancer.interface import EndpointUpdate, Method, Outcome, Tenant
 
 SERVERS = [entry(f"s{i}") for i in range(8)] + [entry("o1", kind=ORIGIN)]
 
 
 def node(nodes: int, seed: int = 7, **changes: object) -> Fleet:
     f = Fleet(deployment(nodes=nodes, seed=seed, **changes), seed)
-    f.listed(SERVERS, ListKind.CACHED)
+    f.listed(SERVERS, EndpointUpdate.CACHED)
     return f
 
 
@@ -23,7 +23,7 @@
     for step in range(50):
         for f in fleets:
             if step == 30:
-                f.listed([entry("s9", started=started)], ListKind.DELTA)
+                f.listed([entry("s9", started=started)], EndpointUpdate.DELTA)
             f.pass_time(500.0)
             f.end(f.arrive(f"k{rng.randrange(200)}"), Outcome.COMPLETED)
             sends.append(f.sends[-1])
@@ -36,23 +36,21 @@
 
 
 def test_a_quota_under_one_rpc_a_window_still_lets_its_customer_in() -> None:
-    f = node(300, customers=(Customer("small", 87.0),), max_retry_after_ms=400.0)
+    f = node(300, tenants=(Tenant("small", 87.0),), max_retry_after_ms=400.0)
     for i in range(40):
         f.pass_time(5000.0)
-        f.node.pressure = 1.0  # nothing over a share is let in
-        f.end(
-            f.arrive(f"k{i}", customer="small"), Outcome.COMPLETED
-        )  # fails where it was exhausted
+        f.router.pressure = 1.0  # nothing over a share is let in
+        f.end(f.arrive(f"k{i}", tenant="small"), Outcome.COMPLETED)  # fails where it was exhausted
 
 
 def test_failures_do_not_let_more_in_than_the_quota() -> None:
-    f = node(1, customers=(Customer("big", 1.0),))
+    f = node(1, tenants=(Tenant("big", 1.0),))
     sent = 0
     for i in range(60):
-        f.node.pressure = 1.0  # nothing over a share is let in
-        rpc = f.arrive(f"k{i}", customer="big")
+        f.router.pressure = 1.0  # nothing over a share is let in
+        rpc = f.arrive(f"k{i}", tenant="big")
         sent += bool(f.txs[rpc])
-        assert not f.txs[rpc] or not f.node.rpcs[rpc].over
+        assert not f.txs[rpc] or not f.router.rpcs[rpc].over
         f.pass_time(500.0)
         if (rpc, 0) in f.out:
             f.end(rpc, Outcome.TIMEOUT)
@@ -61,12 +59,12 @@
 
 def test_rounds_move_nothing_on_a_few_answers() -> None:
     f = node(300)
-    for s in f.node.servers.values():
+    for s in f.router.servers.values():
         s.load = 50.0 if s.id == "s0" else 1.0
     for i in range(20):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(1000.0)
-    assert all(b.at is b.home for b in f.node.buckets.values())
+    assert all(b.at is b.home for b in f.router.buckets.values())
 
 
 def test_a_full_origin_is_asked_less_and_less_by_each_node() -> None:
@@ -77,14 +75,14 @@
         f.end(rpc, Outcome.MISS)
         while (rpc, n := len(f.txs[rpc]) - 1) in f.out:
             asked.append(f.now)
-            f.end(rpc, Outcome.FULL, n)
+            f.end(rpc, Outcome.OVERLOADED, n)
         f.pass_time(500.0)
     assert sum(1 for at in asked if at > 16000.0) <= 8
 
 
 def test_idle_connections_are_closed_where_they_cost() -> None:
     for cost, closed in ((0.03, True), (0.0, False)):
-        f = node(300, hold_cost=cost, dial_cost=0.03)
+        f = node(300, connection_hold_cost=cost, connection_open_cost=0.03)
         f.pass_time(60000.0)  # without a tariff a node begins by holding them briefly
         f.end(f.arrive("k"), Outcome.COMPLETED)
         f.pass_time(9000.0)
@@ -93,34 +91,34 @@
 
 def test_where_holding_costs_nothing_connections_are_held_ever_longer_until_some_fail() -> None:
     f = node(300)
-    begun = f.node.idle
-    assert begun == f.node.brief < f.node.held / 10
+    begun = f.router.idle
+    assert begun == f.router.brief < f.router.held / 10
     f.pass_time(60000.0)
-    assert f.node.idle == f.node.held
+    assert f.router.idle == f.router.held
     for n in range(30):
         rpc = f.arrive(f"k{n}")
         if f.txs[rpc]:
             f.end(rpc, Outcome.RESET)
         f.pass_time(200.0)
-    assert f.node.idle < f.node.held / 2
-    after = f.node.idle
+    assert f.router.idle < f.router.held / 2
+    after = f.router.idle
     f.pass_time(6000.0)
-    assert after < f.node.idle < 1.5 * after  # and from then on slowly
-    f.node.reconfigured(f.now, f.d)
-    assert f.node.idle < f.node.held
+    assert after < f.router.idle < 1.5 * after  # and from then on slowly
+    f.router.reconfigured(f.now, f.d)
+    assert f.router.idle < f.router.held
 
 
 def test_overload_sheds_the_least_gain_first_and_stops_when_it_is_over() -> None:
     dear, cheap = Method("dear", 400.0, 1000.0, 5.0), Method("cheap", 400.0, 1000.0, 1.0)
     f = node(300, methods=(dear, cheap))
     for i in range(40):
-        f.node.turned, f.node.asked = 2 * (i < 20), 4
+        f.router.turned, f.router.asked = 2 * (i < 20), 4
         f.pass_time(1500.0)
         if i == 2:
-            f.node.shed = 0.5
+            f.router.shed = 0.5
             assert all(not f.txs[f.arrive(f"c{k}", "cheap")] for k in range(5))
             assert all(f.txs[f.arrive(f"d{k}", "dear")] for k in range(5))
-    assert f.node.shed == 0.0 and f.txs[f.arrive("last", "cheap")]
+    assert f.router.shed == 0.0 and f.txs[f.arrive("last", "cheap")]
 
 
 def test_the_origins_limit_falls_when_its_mean_is_slow_not_when_its_work_varies() -> None:
@@ -135,12 +133,12 @@
                 if (rpc, n) in f.out:
                     f.end(rpc, Outcome.COMPLETED, n)
             f.pass_time(100.0)
-        assert (f.node.servers["o1"].limit > 6.0) == varies, f.node.servers["o1"].limit
+        assert (f.router.servers["o1"].limit > 6.0) == varies, f.router.servers["o1"].limit
 
 
 def test_a_silent_origin_is_struck_once_its_wait_is_over() -> None:
     f = node(1)
-    origin, struck = f.node.servers["o1"], []
+    origin, struck = f.router.servers["o1"], []
     first = origin.limit
     for i in range(6):
         f.end(rpc := f.arrive(f"k{i}"), Outcome.MISS)
@@ -156,14 +154,14 @@
     None
 ):
     old, new = node(4), node(4)
-    begun = new.node.origin.limit
+    begun = new.router.origin.limit
     old.end(old.arrive("k"), Outcome.MISS)
     old.end(next(iter(old.open)), Outcome.COMPLETED)
-    before = old.node.origin.limit
+    before = old.router.origin.limit
     for f in (old, new):
-        f.node.shared_by(f.now, 2)
-    assert old.node.origin.limit == before and new.node.origin.limit == begun / 2
-    new.node.shared_by(new.now, 1)
-    assert new.node.origin.limit == begun
-    new.node.reconfigured(new.now, new.d)
-    assert new.node.origin.limit == begun
+        f.router.set_process_count(f.now, 2)
+    assert old.router.origin.limit == before and new.router.origin.limit == begun / 2
+    new.router.set_process_count(new.now, 1)
+    assert new.router.origin.limit == begun
+    new.router.reconfigured(new.now, new.d)
+    assert new.router.origin.limit == begun
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -11,32 +11,32 @@
 from click.testing import CliRunner
 from fleet import ORIGIN, Fleet, Sockets, deployment, entry, get
 
-from hookpitch.balancer.interface import ListKind, Outcome, State
+from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
-from hookpitch.lab.experiment import read as read_experiment
-from hookpitch.lab.run import Run
-from hookpitch.net import keep
-from hookpitch.net.operator import load as load_operator
-from hookpitch.startup.memory import entries, recalled, taken
-from hookpitch.startup.snapshot import (
+from hookpitch.net import snapshot_store
+from hookpitch.net.operator_settings import load as load_operator
+from hookpitch.startup.snapshot_format import (
     BYTES_MOST,
     FORMAT,
     HEAD,
-    Heavy,
-    Known,
-    Learned,
-    Moved,
+    BackendSnapshot,
+    HotBucket,
+    MovedBucket,
+    Snapshot,
     read,
     write,
 )
+from hookpitch.startup.snapshot_state import entries, recalled, taken
+from hookpitch.testbed.experiment import read as read_experiment
+from hookpitch.testbed.run import Run
 
 SERVERS = [entry(f"s{i}") for i in range(6)] + [entry("o1", kind=ORIGIN)]
 DIALS = {e.id: f"127.0.0.1:{7000 + n}" for n, e in enumerate(SERVERS)}
 
 
 def fleet(**changes: object) -> Fleet:
-    f = Fleet(deployment(nodes=1, cold_ms=20000.0, **changes))
-    f.listed(SERVERS, ListKind.FULL)
+    f = Fleet(deployment(nodes=1, slow_start_ms=20000.0, **changes))
+    f.listed(SERVERS, EndpointUpdate.SNAPSHOT)
     return f
 
 
@@ -49,22 +49,22 @@
             f.end(rpc, Outcome.RESET if f.txs[rpc][n]["server"] == "s2" else Outcome.COMPLETED, n)
         if i % 10 == 0:
             f.pass_time(20.0)
-    assert f.node.servers["s2"].off
-    f.node.servers["s0"].limit = 9.0  # grown in use
+    assert f.router.servers["s2"].off
+    f.router.servers["s0"].limit = 9.0  # grown in use
     return f
 
 
-def learned(f: Fleet, **changes: object) -> Learned:
-    return msgspec.structs.replace(taken(f.node, f.now, "fleet", "n1", 41, DIALS), **changes)
+def learned(f: Fleet, **changes: object) -> Snapshot:
+    return msgspec.structs.replace(taken(f.router, f.now, "fleet", "n1", 41, DIALS), **changes)
 
 
-def begun(x: Learned, later_ms: float, servers: list = SERVERS) -> Fleet:
+def begun(x: Snapshot, later_ms: float, servers: list = SERVERS) -> Fleet:
     """A node that starts so much later and recalls it."""
-    f = Fleet(deployment(nodes=1, cold_ms=20000.0))
+    f = Fleet(deployment(nodes=1, slow_start_ms=20000.0))
     f.now = x.written + later_ms
-    f.node = type(f.node)(f.now, f.d)
-    f.listed(servers, ListKind.CACHED)
-    recalled(f.node, f.now, x)
+    f.router = type(f.router)(f.now, f.d)
+    f.listed(servers, EndpointUpdate.CACHED)
+    recalled(f.router, f.now, x)
     return f
 
 
@@ -72,21 +72,21 @@
     f = busy()
     x = read(write(learned(f)))
     assert x == learned(f)
-    best = max((s for s in f.node.caches if not s.off), key=lambda s: s.limit)
-    limits = [begun(x, ms).node.servers[best.id].limit for ms in (0.0, 60000.0, 3600000.0)]
+    best = max((s for s in f.router.caches if not s.off), key=lambda s: s.limit)
+    limits = [begun(x, ms).router.servers[best.id].limit for ms in (0.0, 60000.0, 3600000.0)]
     assert limits[0] == pytest.approx(best.limit) and limits[0] > limits[1] > limits[2]
     assert limits[2] == pytest.approx(2.0, abs=0.01)
     now, later = begun(x, 100.0), begun(x, 3600000.0)
-    assert now.node.servers["s2"].off and not later.node.servers["s2"].off
-    assert now.node.work == f.node.work and later.node.work == 0.0
+    assert now.router.servers["s2"].off and not later.router.servers["s2"].off
+    assert now.router.work == f.router.work and later.router.work == 0.0
 
 
 def test_a_heavy_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
-    (key,) = [k for k, b in f.node.buckets.items() if b.wide]
+    (key,) = [k for k, b in f.router.buckets.items() if b.wide]
     new = begun(learned(f), 500.0)
-    assert new.node.buckets[key].wide > 0 and len(new.node._taking(new.node.buckets[key])) > 1
-    assert not any(b.wide for b in begun(learned(f), 3600000.0).node.buckets.values())
+    assert new.router.buckets[key].wide > 0 and len(new.router._taking(new.router.buckets[key])) > 1
+    assert not any(b.wide for b in begun(learned(f), 3600000.0).router.buckets.values())
 
 
 def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> (  # noqa: E501
@@ -94,14 +94,15 @@
 ):
     f = fleet()
     known = tuple(
-        Known(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0) for e in SERVERS
+        BackendSnapshot(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0)
+        for e in SERVERS
     )
     new = begun(learned(f, servers=known), 100.0)
-    assert not any(s.off for s in new.node.caches)
+    assert not any(s.off for s in new.router.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
     new = begun(learned(f, servers=known), 100.0, alone)
-    assert not new.node.servers["s3"].off and new.txs[new.arrive("k")]
-    assert begun(learned(f, servers=known[:2]), 100.0).node.servers["s0"].off
+    assert not new.router.servers["s3"].off and new.txs[new.arrive("k")]
+    assert begun(learned(f, servers=known[:2]), 100.0).router.servers["s0"].off
 
 
 def test_a_server_that_started_since_is_cold_whatever_the_snapshot_says() -> None:
@@ -109,40 +110,45 @@
     x = learned(f)
     fresh = [replace(e, started_ms=x.written + 500.0) if e.id == "s1" else e for e in SERVERS]
     new = begun(x, 1000.0, fresh)
-    s = new.node.servers["s1"]
+    s = new.router.servers["s1"]
     assert s.cold_until > new.now and s.limit <= 2.0 and not s.ok
     # And one that was cold as it was written is so for the rest of its time, no longer.
     cold = tuple(
         replace_known(k, cold_until=x.written + 9e9) if k.id == "s1" else k for k in x.servers
     )
     new = begun(msgspec.structs.replace(x, servers=cold), 1000.0)
-    assert new.now < new.node.servers["s1"].cold_until <= new.now + 20000.0
+    assert new.now < new.router.servers["s1"].cold_until <= new.now + 20000.0
 
 
-def replace_known(k: Known, **changes: object) -> Known:
+def replace_known(k: BackendSnapshot, **changes: object) -> BackendSnapshot:
     return msgspec.structs.replace(k, **changes)
 
 
 def test_buckets_stay_moved_while_that_is_young_and_only_to_servers_that_serve() -> None:
     f = fleet()
-    b = f.node._bucket(77)
-    to = next(s.id for s in f.node.caches if s is not b.home)
+    b = f.router._bucket(77)
+    to = next(s.id for s in f.router.caches if s is not b.home)
     x = learned(
-        f, moved=(Moved(77, (), (), to), Moved(78, ("other",), (), to), Moved(10**9, (), (), to))
+        f,
+        moved=(
+            MovedBucket(77, (), (), to),
+            MovedBucket(78, ("other",), (), to),
+            MovedBucket(10**9, (), (), to),
+        ),
     )
-    assert begun(x, 1000.0).node.buckets[77, (), ()].at.id == to
-    assert (77, (), ()) not in begun(x, 600000.0).node.buckets
-    gone = [replace(e, state=State.DRAINING) if e.id == to else e for e in SERVERS]
-    assert (77, (), ()) not in begun(x, 1000.0, gone).node.buckets
+    assert begun(x, 1000.0).router.buckets[77, (), ()].at.id == to
+    assert (77, (), ()) not in begun(x, 600000.0).router.buckets
+    gone = [replace(e, state=EndpointState.DRAINING) if e.id == to else e for e in SERVERS]
+    assert (77, (), ()) not in begun(x, 1000.0, gone).router.buckets
 
 
 def test_a_ban_by_hand_outlasts_the_process() -> None:
     f = fleet()
-    f.node.server_banned(f.now, "s4", True)
+    f.router.set_banned(f.now, "s4", True)
     new = begun(learned(f), 60000.0)
-    assert new.node.servers["s4"].state == State.DRAINING
-    new.node.server_banned(new.now, "s4", False)
-    assert new.node.servers["s4"].state == State.READY
+    assert new.router.servers["s4"].state == EndpointState.DRAINING
+    new.router.set_banned(new.now, "s4", False)
+    assert new.router.servers["s4"].state == EndpointState.READY
 
 
 def test_what_is_cut_or_turned_at_any_byte_is_never_taken() -> None:
@@ -180,10 +186,13 @@
 
 def test_it_is_bounded_however_much_was_learned() -> None:
     many = tuple(
-        Known(f"server-{'x' * 200}-{n}", 1e12, 9.0, 9.0, 9.0, 0, 0.0, 0.0, 0.0) for n in range(5000)
+        BackendSnapshot(f"server-{'x' * 200}-{n}", 1e12, 9.0, 9.0, 9.0, 0, 0.0, 0.0, 0.0)
+        for n in range(5000)
     )
-    moved = tuple(Moved(n % 4096, ("kind" * 20,), ("zone" * 20,), "s" * 200) for n in range(9000))
-    heavy = tuple(Heavy(n, (), (), 9.0) for n in range(4096))
+    moved = tuple(
+        MovedBucket(n % 4096, ("kind" * 20,), ("zone" * 20,), "s" * 200) for n in range(9000)
+    )
+    heavy = tuple(HotBucket(n, (), (), 9.0) for n in range(4096))
     data = write(learned(fleet(), servers=many, moved=moved, heavy=heavy))
     assert len(data) <= BYTES_MOST and read(data).heavy[0] == heavy[0]
 
@@ -194,9 +203,11 @@
 def node(path: Path, **told: object) -> Sockets:
     """A node that is up, with its snapshot there."""
     s = Sockets(1)
-    kept = keep.Settings(str(path), **{"fleet": "f", **told})
-    s.node.keeper = keep.Keeper(kept, s.node, lambda work, then: then(keep.done(work)))
-    s.node.keeper.recall()
+    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **told})
+    s.node.snapshot_store = snapshot_store.SnapshotStore(
+        kept, s.node, lambda work, then: then(snapshot_store.done(work))
+    )
+    s.node.snapshot_store.recall()
     return s
 
 
@@ -205,7 +216,7 @@
 ) -> None:
     path = tmp_path / "n.snapshot"
     old, new = write(learned(fleet(), seq=1)), write(learned(fleet(), seq=2))
-    keep.store(str(path), old)
+    snapshot_store.store(str(path), old)
     real, left = os.write, [0]
 
     def some(held: int, data: bytes) -> int:
@@ -221,11 +232,11 @@
     for end in range(len(new)):
         left[0] = end
         with pytest.raises(OSError):
-            keep.store(str(path), new)
-        assert keep.load(str(path)).seq == 1
+            snapshot_store.store(str(path), new)
+        assert snapshot_store.load(str(path)).seq == 1
     left[0] = len(new)
-    keep.store(str(path), new)
-    assert keep.load(str(path)).seq == 2
+    snapshot_store.store(str(path), new)
+    assert snapshot_store.load(str(path)).seq == 2
 
 
 def test_a_node_recalls_what_the_process_before_it_wrote(tmp_path: Path) -> None:
@@ -234,7 +245,7 @@
     assert s.counters.counts["snapshot.none"] == 1
     s.node.discovery.seq = 77
     s.pass_time(11000)
-    assert s.counters.counts["snapshot.written"] >= 1 and keep.load(str(path)).seq == 77
+    assert s.counters.counts["snapshot.written"] >= 1 and snapshot_store.load(str(path)).seq == 77
     again = node(path)
     assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.seq == 77
     c = again.client()
@@ -259,7 +270,7 @@
     before = b""
     if told != "":
         s = node(path)
-        s.node.keeper.write()
+        s.node.snapshot_store.write()
         before = path.read_bytes()
         before = before[:-1] if told is None else before
         path.write_bytes(before)
@@ -268,14 +279,14 @@
     s.node.logger = type(
         "Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")}
     )()
-    kept = keep.Settings(str(path), **{"fleet": "f", **(told or {})})
-    s.node.keeper = keep.Keeper(kept, s.node, lambda *_: None)
+    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **(told or {})})
+    s.node.snapshot_store = snapshot_store.SnapshotStore(kept, s.node, lambda *_: None)
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
-    s.node.keeper.recall()
+    s.node.snapshot_store.recall()
     assert len(lines) == 1 and said in lines[0]
     assert not before or path.read_bytes() == before
-    assert s.node.host.node.servers["s0"].state == State.READY
+    assert s.node.host.router.servers["s0"].state == EndpointState.READY
 
 
 def test_a_disk_that_fails_or_stalls_holds_up_nothing_and_is_told_once(tmp_path: Path) -> None:
@@ -283,7 +294,7 @@
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
     s = node(tmp_path / "n.snapshot", every_s=0.5)
-    s.node.keeper.away = lambda work, then: None  # it never answers
+    s.node.snapshot_store.away = lambda work, then: None  # it never answers
     s.pass_time(5000)
     s.node.leave()
     s.pass_time(3000)
@@ -297,9 +308,9 @@
     os.mkfifo(tmp_path / "pipe")
     for name in ("link", "pipe"):
         with pytest.raises(ValueError):
-            keep.load(str(tmp_path / name))
+            snapshot_store.load(str(tmp_path / name))
     with pytest.raises(ValueError):
-        keep.load("/dev/zero")
+        snapshot_store.load("/dev/zero")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -6,7 +6,7 @@
 import pytest
 from fleet import DISCOVERY, ORIGIN_PORT, Sockets, get, listed_host
 
-from hookpitch.balancer.interface import State
+from hookpitch.balancer.interface import EndpointState
 from hookpitch.core.resp import bulk, command
 from hookpitch.core.stream import MOST
 from hookpitch.net import clients
@@ -150,7 +150,7 @@
         s.network.ways[port] = "refused"
     c = s.client()
     s.network.ways.clear()
-    s.node.host.node.origin_kind = (
+    s.node.host.router.origin_kind = (
         -1
     )  # a write goes to a cache, large enough to leave in two pieces
     c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v" * CHUNK))
@@ -219,7 +219,7 @@
     c = s.client()
     c.say(get("r1"))
     serve(s, b"-ERR failed outstanding=5,recent_ms=1\r\n")
-    assert s.node.host.node.servers["s0"].load > 1  # the report at an error's end was read
+    assert s.node.host.router.servers["s0"].load > 1  # the report at an error's end was read
 
 
 def test_a_good_answer_with_more_behind_it_counts_and_its_connection_ends() -> None:
@@ -239,7 +239,7 @@
         s.pass_time(1)
         assert c.take() == bulk(b"v") and (s.network.to(7000) == []) == ended, answer
         assert (
-            0 <= s.node.host.node.servers["s0"].load + 1 < 3
+            0 <= s.node.host.router.servers["s0"].load + 1 < 3
         )  # figures that cannot be spoil no belief
     for behind, said in ((b"more", bulk(b"one")), (b"", bulk(b"one"))):
         s = Sockets()
@@ -269,7 +269,7 @@
 def test_spoilt_answers_say_nothing_of_a_server_that_gives_good_ones_too() -> None:
     s = Sockets(1)
     c = s.client()
-    origin_limit = s.node.host.node.servers["o1"].limit
+    origin_limit = s.node.host.router.servers["o1"].limit
     for i in range(
         12
     ):  # every second answer is noise: the RPC goes to its home again, and to no origin
@@ -277,12 +277,12 @@
         serve(s, b"\xab\r\n" if i % 2 else VALUE)
         serve(s)
     assert c.take() == bulk(b"v") * 12 and s.counters.counts["tx.spoilt"] == 6
-    assert s.node.host.node.servers["s0"].failures == 0 and not s.network.to(ORIGIN_PORT)
+    assert s.node.host.router.servers["s0"].failures == 0 and not s.network.to(ORIGIN_PORT)
     for i in range(12):
         c.say(command(b"OBJ.SET", b"k", b"w%d" % i, b"c=once,d=900", b"v"))
         s.pass_time(1)
         origin(s, b"ICY 200 OK\r\n\r\n" if i % 2 else http(200, b"v"))
-    assert c.take().count(b"-ERR") == 6 and s.node.host.node.servers["o1"].limit >= origin_limit
+    assert c.take().count(b"-ERR") == 6 and s.node.host.router.servers["o1"].limit >= origin_limit
     for i in range(12):  # nothing but noise for longer: it is a failure like any other
         c.say(get(f"x{i}"))
         serve(s, b"\xab\r\n")
@@ -396,11 +396,12 @@
     c = s.client()
     c.say(get("r1").replace(b"c=read,d=900", b"c=read,t=abc"))
     serve(s)
-    full = s.node.host.node.shares["small"].tokens
+    full = s.node.host.router.shares["small"].tokens
     c.say(get("r2").replace(b"c=read,d=900", b"c=read,t=small").replace(b"$12", b"$14"))
     (words,) = serve(s)
     assert (
-        words[3].startswith(b"c=read,t=small,d=") and s.node.host.node.shares["small"].tokens < full
+        words[3].startswith(b"c=read,t=small,d=")
+        and s.node.host.router.shares["small"].tokens < full
     )
 
 
@@ -416,8 +417,8 @@
 
 def test_where_nothing_may_be_called_off_a_gone_clients_transmission_ends_by_itself() -> None:
     s = Sockets()
-    s.node.host.deployment = replace(s.node.host.deployment, cancelling=False)
-    s.node.host.node.cancelling = False
+    s.node.host.deployment = replace(s.node.host.deployment, cancellation_enabled=False)
+    s.node.host.router.cancellation_enabled = False
     c = s.client()
     c.say(get("r1"))
     s.pass_time(1)
@@ -545,10 +546,10 @@
     c.say(get("r1"))
     s.pass_time(1)
     (asked,) = [p for p in PORTS if s.network.to(p)]
-    home = "s0" if s.node.host.node.servers["s0"].live else "s1"
+    home = "s0" if s.node.host.router.servers["s0"].live else "s1"
     assert {"s0": 7001, "s1": 7000}[home] == asked
     watch(s, {"seq": 7, "whole": False, "hosts": [listed_host(home, asked, health="terminating")]})
-    assert s.node.host.node.servers[home].state == State.DRAINING
+    assert s.node.host.router.servers[home].state == EndpointState.DRAINING
     serve(s)
     assert c.take() == bulk(b"v")  # what it had is finished there
     s.pass_time(1)
@@ -565,14 +566,17 @@
     for told in (old, b"", old):
         watch(s, told)
         assert (
-            s.node.host.node.servers["s0"].state == State.READY
+            s.node.host.router.servers["s0"].state == EndpointState.READY
             and "lists.full" not in s.counters.counts
         )
         s.pass_time(1000)
     asked = s.counters.counts["lists.asked"]
     watch(s, b"")  # it insists: discovery counts anew
     assert asked == s.counters.counts["lists.asked"] == 2  # all on one watch
-    assert s.node.host.node.servers["s0"].state == State.GONE and s.node.discovery.seq == 3
+    assert (
+        s.node.host.router.servers["s0"].state == EndpointState.REMOVED
+        and s.node.discovery.seq == 3
+    )
 
 
 def test_a_discovery_that_counts_anew_and_tells_changes_alone_is_asked_for_the_whole_list() -> None:
@@ -596,7 +600,9 @@
         {"seq": 5, "whole": False, "hosts": []},
     )
     watch(s, b"", b"", b"", b"")
-    assert s.node.host.node.servers["s0"].state == State.READY and s.node.discovery.seq == 5
+    assert (
+        s.node.host.router.servers["s0"].state == EndpointState.READY and s.node.discovery.seq == 5
+    )
 
 
 def test_a_body_that_the_connections_end_ends_is_whole_unless_its_length_was_told() -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,9 +13,8 @@
 import pytest
 from fleet import DISCOVERY, SETTINGS, Line, Sockets, get, listed_host
 
-from hookpitch.balancer.interface import State
-from hookpitch.net.start import Post, anew, post
-
+from hookpitch.balancer.interface import EndpointState
+from hookpitch.net.node_config import NodeConfig, load_node_config, load_reloaded_config
 
 TOLD = {
     "name": "n3",
@@ -32,10 +31,10 @@
 }
 
 
-def start(folder: Path, told: object, **environment: str) -> Post:
+def start(folder: Path, told: object, **environment: str) -> NodeConfig:
     path = folder / "node.json"
     path.write_text(told if isinstance(told, str) else json.dumps(told))
-    return post({"PROXY_CONFIG": str(path)} | environment)
+    return load_node_config({"PROXY_CONFIG": str(path)} | environment)
 
 
 def test_all_that_is_told_is_read(tmp_path: Path) -> None:
@@ -50,10 +49,13 @@
     )
     assert (
         p.deployment.seed == 0x8C1F30D27A5BE964
-        and p.deployment.must_ask
+        and p.deployment.polling_required
         and p.deployment.origin_kind == 1
     )
-    assert p.deployment.dial_timeout_ms == 250.0 and p.deployment.conn_idle_ms == 60000.0
+    assert (
+        p.deployment.connect_timeout_ms == 250.0
+        and p.deployment.connection_idle_timeout_ms == 60000.0
+    )
     (e,) = p.known
     assert (e.id, e.kind, e.cell, e.started_ms, p.dials) == (
         "s0",
@@ -138,7 +140,8 @@
     s, path, said = Sockets(), tmp_path / "node.json", []
     s.info = lambda event, **values: said.append(event)
     reload = partial(
-        s.node.reload, partial(anew, {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "h:1"})
+        s.node.reload,
+        partial(load_reloaded_config, {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "h:1"}),
     )
     for bad in ("{", "[1]", "{}", '{"discovery": "nowhere"}', '{"discovery": 5}'):
         path.write_text(bad)
@@ -152,7 +155,10 @@
     line.say(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(told), told)
     )
-    assert s.node.discovery.seq == 2 and s.node.host.node.servers["s0"].state == State.GONE
+    assert (
+        s.node.discovery.seq == 2
+        and s.node.host.router.servers["s0"].state == EndpointState.REMOVED
+    )
     reload()  # the same again: the watch goes on
     s.pass_time(1)
     assert s.network.to(8600) == [line]
@@ -168,7 +174,7 @@
     s.info = lambda event, **values: said.append(
         (event, str(values.get("changed") or values.get("what")))
     )
-    reload = partial(s.node.reload, partial(anew, {"PROXY_CONFIG": str(path)}))
+    reload = partial(s.node.reload, partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
     told = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": deepcopy(SETTINGS)}
     reload()
     assert [event for event, _ in said] == ["not reloaded"]
@@ -180,8 +186,13 @@
     said.clear()
     reload()
     stays = [what for event, what in said if event == "stays until a restart"]
-    assert sorted(stays) == ["listen", "name", "seed"] and said[-1] == ("reloaded", "second_copies")
-    assert s.node.host.deployment.seed == s.post.deployment.seed and s.node.post.listen[1] == 6379
+    assert sorted(stays) == ["listen", "name", "seed"] and said[-1] == (
+        "reloaded",
+        "hedging_allowed",
+    )
+    assert (
+        s.node.host.deployment.seed == s.config.deployment.seed and s.node.config.listen[1] == 6379
+    )
     reload()
     assert said[-1] == ("reloaded", "nothing") and s.counters.counts["config_changes"] == 1
 
@@ -236,7 +247,7 @@
     tmp_path: Path,
 ) -> None:
     s, path = Sockets(), tmp_path / "node.json"
-    reload = partial(s.node.reload, partial(anew, {"PROXY_CONFIG": str(path)}))
+    reload = partial(s.node.reload, partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
     old = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": SETTINGS}
     new = deepcopy(old)
     new["settings"]["weights"] = "live"
@@ -259,12 +270,12 @@
             for value in ({}, 7, *(SETTINGS | change for change in wrong)):
                 path.write_text(json.dumps(old | {"settings": value}))
                 reload()
-                assert s.logs[-1] == "not reloaded" and s.node.host.node.copies, value
+                assert s.logs[-1] == "not reloaded" and s.node.host.router.copies, value
         else:
             path.write_text(json.dumps(told))
             reload()
-            assert s.node.host.node.copies == (told is new)
-            assert (s.node.host.node.nominal is not None) == (told is new)
+            assert s.node.host.router.copies == (told is new)
+            assert (s.node.host.router.nominal is not None) == (told is new)
         asked = [data.split(b"\r\n")[6] for line in lines() if (data := line.take())]
         assert asked == [b"r%d" % step]  # sent once, and not again
         for line in lines():
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from hookpitch.lab.experiment import load, read
-from hookpitch.lab.figures import Seen, expected, figure, seen
-from hookpitch.lab.run import Ended, Run
-from hookpitch.standin.history import History
+from hookpitch.fakes.history import History
+from hookpitch.testbed.experiment import load, read
+from hookpitch.testbed.metrics import Seen, expected, figure, seen
+from hookpitch.testbed.run import Ended, Run
 
 FILES = sorted((Path(__file__).parent.parent / "experiments").glob("start-*.toml"))
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -6,10 +6,9 @@
 import pytest
 from fleet import ORIGIN_PORT, Line, Sockets, get
 
-from hookpitch.core.resp import bulk, command
+from hookpitch.core.resp import Parser, bulk, command
 from hookpitch.core.ring import Ring
-from hookpitch.core.resp import Parser
-from hookpitch.core.stream import HELD, MOST, Pieces, Stream
+from hookpitch.core.stream import HELD, MOST, ChunkedValue, Stream
 
 LARGE = 300_000
 VALUE = bytes(range(256)) * (LARGE // 256 + 1)
@@ -175,7 +174,7 @@
     for at in range(0, len(data), 3000):
         client.say(data[at : at + 3000])
     s.pass_time(1)
-    assert s.node.host.held.now == LARGE
+    assert s.node.host.value_budget.now == LARGE
     (o,) = s.network.to(ORIGIN_PORT)
     server = h11.Connection(h11.SERVER)
     server.receive_data(o.take())
@@ -185,7 +184,7 @@
         body += bytes(event.data)
     assert body == VALUE and isinstance(event, h11.EndOfMessage)
     o.say(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
-    assert client.take() == bulk(b"ok") and s.node.host.held.now == 0
+    assert client.take() == bulk(b"ok") and s.node.host.value_budget.now == 0
 
 
 def test_many_large_writes_are_refused_before_memory_is_gone() -> None:
@@ -199,7 +198,7 @@
     for client in clients:
         client.end()
     s.pass_time(1)
-    assert s.node.host.held.now == 0
+    assert s.node.host.value_budget.now == 0
 
 
 def test_a_write_that_comes_slowly_is_no_silent_client_and_one_that_stops_is() -> None:
@@ -211,7 +210,7 @@
         s.pass_time(1000)
     assert not client.ended
     s.pass_time(3000)
-    assert client.ended and s.node.host.held.now == 0
+    assert client.ended and s.node.host.value_budget.now == 0
 
 
 @pytest.mark.parametrize(
@@ -230,7 +229,7 @@
     client.say(said)
     assert client.take().startswith(b"-ERR")
     s.pass_time(1)
-    assert client.ended and s.node.host.held.now == 0
+    assert client.ended and s.node.host.value_budget.now == 0
 
 
 def test_what_passes_and_what_is_held_is_what_came() -> None:
@@ -238,7 +237,7 @@
         stream = Stream(None, LARGE, 0.0, 0.0)
         out = b"".join(stream.piece(VALUE[at : at + size]) for at in range(0, LARGE, size))
         assert out + stream.held == VALUE and len(stream.held) == HELD and not stream.left
-    pieces = Pieces()
+    pieces = ChunkedValue()
     for at in range(0, LARGE, 7):
         pieces.add(VALUE[at : at + 7])
     assert b"".join(pieces.parts) == VALUE and len(pieces) == LARGE and len(pieces.parts) < 12
@@ -262,7 +261,9 @@
 def test_of_two_copies_the_first_to_begin_passes_and_no_other(first: str, cancelling: bool) -> None:
     s = Sockets()
     d = s.node.host.deployment
-    s.node.host.reconfigured(s.clock.now(), replace(d, second_copies=True, cancelling=cancelling))
+    s.node.host.reconfigured(
+        s.clock.now(), replace(d, hedging_allowed=True, cancellation_enabled=cancelling)
+    )
     s, client, cache = begun(s)
     s.pass_time(300)  # silent for the patience: a copy goes to the origin
     (origin,) = s.network.to(ORIGIN_PORT)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -6,9 +6,8 @@
 import pytest
 from fleet import ORIGIN, SETTINGS, Fleet, Line, Sockets, Storm, deployment, entry, told
 
-from hookpitch.balancer.interface import Customer, Idempotency, ListKind, Method, Outcome
-from hookpitch.net.start import Anew
-
+from hookpitch.balancer.interface import EndpointUpdate, Idempotency, Method, Outcome, Tenant
+from hookpitch.net.node_config import ReloadedConfig
 
 NEW = deepcopy(SETTINGS)
 NEW["weights"] = "live"
@@ -21,18 +20,24 @@
     """A storm in which the settings change back and forth; copies are allowed half of the time."""
 
     def sent(self, line: Line, rpc: str) -> None:
-        if self.s.node.host.deployment.second_copies and rpc not in self.once:
+        if self.s.node.host.deployment.hedging_allowed and rpc not in self.once:
             self.out.pop(rpc, None)  # a second one beside it is in order
         super().sent(line, rpc)
 
     def step(self) -> None:
         host = self.s.node.host
         if self.rng.random() < 0.06:
-            back = host.deployment.second_copies
-            host.reconfigured(self.now, replace(told(SETTINGS if back else NEW), must_ask=True))
+            back = host.deployment.hedging_allowed
+            host.reconfigured(
+                self.now, replace(told(SETTINGS if back else NEW), polling_required=True)
+            )
             if back:
-                for number in list(host.node.rpcs):
-                    out = [tx for tx in host.rpcs.get(int(number)).txs if not tx.done]
+                for number in list(host.router.rpcs):
+                    out = [
+                        attempt
+                        for attempt in host.rpcs.get(int(number)).attempts
+                        if not attempt.done
+                    ]
                     assert len(out) < 2, "two out at once"
         super().step()
 
@@ -48,7 +53,7 @@
     storm.settle()
     assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
     host, counts = storm.s.node.host, storm.s.counters.counts
-    assert not len(host.rpcs) and not host.node.rpcs, "records outlive their RPCs"
+    assert not len(host.rpcs) and not host.router.rpcs, "records outlive their RPCs"
     assert (
         not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
     )
@@ -57,27 +62,31 @@
 def test_what_is_known_is_carried_over_there_and_back() -> None:
     methods = (
         Method("read", 400.0, 1000.0, 1.0),
-        Method("once", 400.0, 1000.0, 1.0, 0.0, Idempotency.NON_RETRIABLE),
+        Method("once", 400.0, 1000.0, 1.0, 0.0, Idempotency.NON_IDEMPOTENT),
     )
-    small, kinds = (Customer("small", 1.0),), ("std", "origin")
-    d = deployment(methods=methods, customers=small, kinds=kinds, origin_kind=1)
+    small, kinds = (Tenant("small", 1.0),), ("std", "origin")
+    d = deployment(methods=methods, tenants=small, kinds=kinds, origin_kind=1)
     f = Fleet(d)
-    f.listed([entry(f"s{i}") for i in range(6)] + [entry("o1", kind=1)], ListKind.CACHED)
-    node = f.node
+    f.listed([entry(f"s{i}") for i in range(6)] + [entry("o1", kind=1)], EndpointUpdate.CACHED)
+    node = f.router
     for i in range(200):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
-    node.server_banned(f.now, "s0", True)
+    node.set_banned(f.now, "s0", True)
     sick, cold = node.servers["s1"], node.servers["s2"]
     sick.failures, sick.off, sick.off_until, sick.limit = 3, True, f.now + 9e9, 1.5
     node._cool(cold, f.now)
     for _ in range(3):
-        f.end(f.arrive("k1", customer="small"), Outcome.COMPLETED)
+        f.end(f.arrive("k1", tenant="small"), Outcome.COMPLETED)
     tokens, cold_tokens = node.shares["small"].tokens, cold.tokens
     homes = {number: b.home.id for number, b in node.buckets.items()}
     out = f.arrive("k5", method="once")
-    other = Method("once", 50.0, 100.0, 1.0, 0.0, Idempotency.RETRIABLE)
+    other = Method("once", 50.0, 100.0, 1.0, 0.0, Idempotency.IDEMPOTENT)
     new = replace(
-        d, methods=(methods[0], other), live_sizes=True, kinds=("box", *kinds), origin_kind=2
+        d,
+        methods=(methods[0], other),
+        weights_reflect_load=True,
+        kinds=("box", *kinds),
+        origin_kind=2,
     )
     for settings, kind in ((new, 1), (d, 0)):
         node.reconfigured(f.now, settings)
@@ -90,7 +99,7 @@
         assert rpc.method == methods[1] and rpc.until > f.now + 390  # as it came
     node.reconfigured(f.now, new)
     # Sizes that move with load: the same list, cut by load, moves nothing either.
-    node.servers_listed(f.now, ListKind.DELTA, [entry("s3", size=0.25, kind=1)])
+    node.update_endpoints(f.now, EndpointUpdate.DELTA, [entry("s3", size=0.25, kind=1)])
     assert (
         node.servers["s3"].load == 3.0 and {n: b.home.id for n, b in node.buckets.items()} == homes
     )
@@ -99,14 +108,14 @@
 
 
 def test_copies_that_are_out_are_called_off_where_they_are_forbidden_from_now_on() -> None:
-    d = deployment(second_copies=True)
+    d = deployment(hedging_allowed=True)
     f = Fleet(d)
-    f.listed([entry(f"s{i}") for i in range(4)] + [entry("o1", kind=ORIGIN)], ListKind.CACHED)
-    f.node.seen = 1e6
+    f.listed([entry(f"s{i}") for i in range(4)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
+    f.router.seen = 1e6
     rpc = f.arrive("k")
-    f.pass_time(f.node.methods["read"].soft_ms * 0.7)
+    f.pass_time(f.router.methods["read"].soft_ms * 0.7)
     assert len(f.txs[rpc]) == 2 and not f.txs[rpc][0].get("called_off")
-    f.node.reconfigured(f.now, replace(d, second_copies=False))
+    f.router.reconfigured(f.now, replace(d, hedging_allowed=False))
     f.settle()
     assert f.txs[rpc][0].get("called_off") and not f.txs[rpc][1].get("called_off")
 
@@ -115,5 +124,7 @@
     s = Sockets()
     before = s.clock.late_ms
     methods = [m | {"soft_deadline_s": 0.1} for m in SETTINGS["methods"]]
-    s.node.reload(lambda: Anew(s.post.discovery, told(SETTINGS | {"methods": methods}), {}))
+    s.node.reload(
+        lambda: ReloadedConfig(s.config.discovery, told(SETTINGS | {"methods": methods}), {})
+    )
     assert s.clock.late_ms == pytest.approx(before / 4)
