--- a/hookpitch/cli/node.py
+++ b/hookpitch/cli/node.py
@@ -11,10 +11,16 @@
 
 @click.command()
 @click.option(
-    "--post", "path", type=click.Path(path_type=Path), help="The node's JSON file; else PROXY_CONFIG."
+    "--post",
+    "path",
+    type=click.Path(path_type=Path),
+    help="The node's JSON file; else PROXY_CONFIG.",
 )
 @click.option(
-    "--config", "config", type=click.Path(path_type=Path), help="The operator's file; else HOOKPITCH_CONFIG."
+    "--config",
+    "config",
+    type=click.Path(path_type=Path),
+    help="The operator's file; else HOOKPITCH_CONFIG.",
 )
 def node(path: Path | None, config: Path | None) -> None:
     """Run one node in the foreground, as `python -m hookpitch` does."""
@@ -33,21 +39,21 @@
     """Check a node's JSON file, the operator's TOML file or an experiment, without running it."""
     try:
         if path.suffix == ".json":
-            from hookpitch.net.start import post
+            from hookpitch.net.node_config import load_node_config
 
-            told = post({"PROXY_CONFIG": str(path)})
+            told = load_node_config({"PROXY_CONFIG": str(path)})
             click.echo(f"{path}: node {told.name}, {len(told.known)} servers known")
         else:
             text = path.read_text(encoding="utf-8")
             if "[lab]" in text or "\n[[fault]]" in text or text.startswith("name ="):
-                from hookpitch.lab.experiment import read
+                from hookpitch.testbed.experiment import read
 
                 x = read(text, str(path))
                 click.echo(
-                    f"{path}: experiment {x.name}, {len(x.fault)} faults, {len(x.expect)} expectations"
+                    f"{path}: experiment {x.name}, {len(x.fault)} faults, {len(x.expect)} expectations"  # noqa: E501
                 )
             else:
-                from hookpitch.net.operator import load
+                from hookpitch.net.operator_settings import load
 
                 click.echo(f"{path}: {load(path).told()}")
     except (ValueError, OSError) as fault:
--- a/hookpitch/core/slots.py
+++ b/hookpitch/core/slot_table.py
@@ -1,4 +1,5 @@
-"""A table of numbered slots. A number that was freed names nothing, even once its place is used again."""
+"""A table of numbered slots. A number that was freed names nothing, even once its place is used
+again."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 PLACE_BITS = 20  # a million at once; the bits above count how often a place was used
 
 
-class Slots(Generic[T]):
+class SlotTable(Generic[T]):
     def __init__(self) -> None:
         self._items: list[T | None] = []
         self._numbers: list[int] = []
--- a/hookpitch/standin/calls.py
+++ b/hookpitch/fakes/admin_clients.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.standin.history import History
+from hookpitch.fakes.history import History
 
 WAIT_MS = 1000.0  # for an answer
 CALLS = (  # in turn: what is said, and how the answer may begin; None: nothing is asked
@@ -47,7 +47,9 @@
         self.over = True
         whole = self.got.endswith(b"END\n" if self.due == b"svc." else b"\n")
         well = whole and self.got.startswith(self.due)
-        self.calls.told("well" if well else f"wrong: {self.said[:20]!r} was answered {self.got[:40]!r}")
+        self.calls.told(
+            "well" if well else f"wrong: {self.said[:20]!r} was answered {self.got[:40]!r}"
+        )
 
 
 class Calls(ClientFactory):
--- a/hookpitch/net/start.py
+++ b/hookpitch/net/node_config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from hookpitch.balancer.deployment import deployment
-from hookpitch.balancer.interface import Deployment, Entry
+from hookpitch.balancer.interface import Deployment, Endpoint
 from hookpitch.net.discovery import read
 
 FIXED = ("name", "listen", "management", "seed", "limits")  # a running node keeps these
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Post:
+class NodeConfig:
     """One node's place in the deployment."""
 
     name: str
@@ -29,21 +29,27 @@
     memory_mb: int
     deployment: Deployment
     seq: int
-    known: tuple[Entry, ...]
+    known: tuple[Endpoint, ...]
     dials: Mapping[str, str]
-    management: tuple[str, int] | None = None  # the operators' door; None where neither place names one
+    management: tuple[str, int] | None = (
+        None  # the operators' door; None where neither place names one
+    )
     inherited: int | None = None  # the descriptor of the clients' listening socket, if inherited
     shared: str = ""  # a folder that this node's processes share
-    process: str = ""  # what tells this process from the node's others; its number, where nothing is said
-    fixed: Mapping[str, Any] = field(default_factory=dict)  # as the file had what only a restart changes
+    process: str = (
+        ""  # what tells this process from the node's others; its number, where nothing is said
+    )
+    fixed: Mapping[str, Any] = field(
+        default_factory=dict
+    )  # as the file had what only a restart changes
 
 
-def post(environment: Mapping[str, str]) -> Post:
+def load_node_config(environment: Mapping[str, str]) -> NodeConfig:
     """ValueError says in one line what is wrong."""
-    return read_post(_file(environment), environment)
+    return parse_node_config(_file(environment), environment)
 
 
-def read_post(top: Mapping[str, Any], environment: Mapping[str, str]) -> Post:
+def parse_node_config(top: Mapping[str, Any], environment: Mapping[str, str]) -> NodeConfig:
     """The same from the file's JSON object."""
 
     def told(name: str) -> str:
@@ -57,8 +63,10 @@
         raise ValueError("limits is no JSON object")
     d = _deployment(number, top.get("settings"))
     known = top.get("known")
-    seq, _, entries, dials = read({"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds)
-    return Post(
+    seq, _, entries, dials = read(
+        {"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds
+    )
+    return NodeConfig(
         name=told("name"),
         listen=_address(told("listen"), "listen"),
         discovery=_address(told("discovery"), "discovery"),
@@ -69,14 +77,16 @@
         known=tuple(entries),
         dials=dials,
         management=_door(environment.get("PROXY_MANAGEMENT") or top.get("management")),
-        inherited=_inherited(environment.get("PROXY_INHERITED_FD"), _address(told("listen"), "listen")),
+        inherited=_inherited(
+            environment.get("PROXY_INHERITED_FD"), _address(told("listen"), "listen")
+        ),
         shared=environment.get("TMPDIR", ""),
         fixed={name: top[name] for name in FIXED if name in top},
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Anew:
+class ReloadedConfig:
     """What a running node takes from its file when it is read anew."""
 
     discovery: tuple[str, int]
@@ -84,8 +94,9 @@
     fixed: Mapping[str, Any]  # what only a restart changes, as the file has it
 
 
-def anew(environment: Mapping[str, str]) -> Anew:
-    """The file, read and checked whole. ValueError says in one line what is wrong; the environment is as old
+def load_reloaded_config(environment: Mapping[str, str]) -> ReloadedConfig:
+    """The file, read and checked whole. ValueError says in one line what is wrong; the environment
+    is as old
     as the process, so here the file alone counts."""
     top = _file(environment)
     value = top.get("discovery")
@@ -96,14 +107,14 @@
     if d is not None and not d.methods:
         raise ValueError("settings have no methods")
     fixed = {name: top[name] for name in FIXED if name in top}
-    return Anew(_address(value, "discovery"), d, fixed)
+    return ReloadedConfig(_address(value, "discovery"), d, fixed)
 
 
 def _deployment(seed: int, settings: object) -> Deployment:
     """On sockets a list has to be asked for, where the settings don't say that it is pushed."""
     d = deployment(seed, settings)
     pushed = isinstance(settings, dict) and settings.get("discovery") == "pushed"
-    return replace(d, must_ask=not pushed)
+    return replace(d, polling_required=not pushed)
 
 
 def _seed(top: Mapping[str, Any]) -> int:
@@ -145,7 +156,9 @@
         raise ValueError(f"inherited_fd '{text}' is no descriptor's number")
     number = int(text)
     try:
-        with socket.socket(fileno=os.dup(number)) as held:  # closing the duplicate leaves the socket as it is
+        with socket.socket(
+            fileno=os.dup(number)
+        ) as held:  # closing the duplicate leaves the socket as it is
             listens = held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
             tcp, address = held.type == socket.SOCK_STREAM, held.getsockname()
     except (OSError, ValueError) as fault:
@@ -153,7 +166,9 @@
     if not listens or not tcp:
         raise ValueError(f"inherited_fd {number} is no listening socket")
     if not isinstance(address, tuple) or address[:2] != listen:
-        raise ValueError(f"inherited_fd {number} listens at {address}, not at {listen[0]}:{listen[1]}")
+        raise ValueError(
+            f"inherited_fd {number} listens at {address}, not at {listen[0]}:{listen[1]}"
+        )
     return number
 
 
--- a/hookpitch/net/operator.py
+++ b/hookpitch/net/operator_settings.py
@@ -1,7 +1,10 @@
-"""The operator's own settings: `deploy/node.toml`, one section a subsystem, all optional, all off by default.
+"""The operator's own settings: `deploy/node.toml`, one section a subsystem, all optional, all off
+by default.
 
-Read by `--config` or `HOOKPITCH_CONFIG`; where neither names a file, nothing is read. Checked whole at the
-start: an unknown section or name is refused with its place. A subsystem adds its section to `SECTIONS`.
+Read by `--config` or `HOOKPITCH_CONFIG`; where neither names a file, nothing is read. Checked
+whole at the
+start: an unknown section or name is refused with its place. A subsystem adds its section to
+`SECTIONS`.
 """
 
 from __future__ import annotations
@@ -13,13 +16,16 @@
 from pathlib import Path
 from typing import Any
 
-# By name: what reads and checks a section, `module:function`, imported where a file has it. ValueError says
-# what is wrong.
-SECTIONS = {"snapshot": "hookpitch.net.keep:settings", "members": "hookpitch.members.port:settings"}
+# By name: what reads and checks a section, `module:function`, imported where a file has it.
+# ValueError says what is wrong.
+SECTIONS = {
+    "snapshot": "hookpitch.net.snapshot_store:settings",
+    "members": "hookpitch.members.port:settings",
+}
 
 
 @dataclass(frozen=True, slots=True)
-class House:
+class OperatorSettings:
     """What the operator turned on, by section."""
 
     sections: Mapping[str, Any] = field(default_factory=dict)
@@ -28,7 +34,7 @@
         return f"sections {', '.join(self.sections)}" if self.sections else "nothing is turned on"
 
 
-def load(path: Path) -> House:
+def load(path: Path) -> OperatorSettings:
     """ValueError says in one line what is wrong, and where."""
     try:
         top = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -46,10 +52,10 @@
             sections[name] = getattr(import_module(module), function)(table)
         except ValueError as fault:
             raise ValueError(f"{path}: {name}.{fault}") from None
-    return House(sections)
+    return OperatorSettings(sections)
 
 
-def house(environment: Mapping[str, str]) -> House:
+def house(environment: Mapping[str, str]) -> OperatorSettings:
     """Where the environment names no file: nothing is on."""
     path = environment.get("HOOKPITCH_CONFIG")
-    return load(Path(path)) if path else House()
+    return load(Path(path)) if path else OperatorSettings()
--- a/hookpitch/net/turns.py
+++ b/hookpitch/net/prioritized_reactor.py
@@ -1,4 +1,5 @@
-"""The node's reactor: Twisted's on epoll, with short turns in which servers' answers go before new work.
+"""The node's reactor: Twisted's on epoll, with short turns in which servers' answers go before new
+work.
 
 Source: `EPollReactor.doPoll` of Twisted; only the order and the number of the events taken differ.
 """
@@ -15,28 +16,31 @@
 from twisted.internet.tcp import Port, Server
 from twisted.python import log
 
-TURN_EVENTS = 48  # looked at between two looks at the deadlines; the kernel gives those left over next time
+TURN_EVENTS = (
+    48  # looked at between two looks at the deadlines; the kernel gives those left over next time
+)
 ACCEPTS = 16  # new connections taken in one turn
 LATER = (Server, Port)  # clients and their door
 
 
-class Caller(Server):
+class AdminConnection(Server):
     """An operator's connection: not among those that wait for others in a turn."""
 
 
-class Door(Port):
-    transport = Caller
+class AdminPort(Port):
+    transport = AdminConnection
 
 
-class Turns(EPollReactor):
+class PrioritizedReactor(EPollReactor):
     def listenFirst(self, port: int, factory: Any, backlog: int, interface: str) -> Port:  # noqa: ANN401, N802
         """As `listenTCP`, for connections that go before clients in each turn."""
-        door = Door(port, factory, backlog, interface, self)
+        door = AdminPort(port, factory, backlog, interface, self)
         door.startListening()
         return door
 
     def doPoll(self, timeout: float | None) -> None:  # noqa: N802
-        """One turn. Danger: hundreds of ready clients in one turn hold up every deadline and every answer."""
+        """One turn. Danger: hundreds of ready clients in one turn hold up every deadline and every
+        answer."""
         try:
             found = self._poller.poll(-1 if timeout is None else timeout, TURN_EVENTS)
         except OSError as fault:
@@ -72,8 +76,8 @@
     doIteration = doPoll  # noqa: N815
 
 
-def install() -> Turns:
+def install() -> PrioritizedReactor:
     """Make it the process's reactor; to be called before `twisted.internet.reactor` is imported."""
-    reactor = Turns()
+    reactor = PrioritizedReactor()
     installReactor(reactor)
     return reactor
--- a/hookpitch/net/keep.py
+++ b/hookpitch/net/snapshot_store.py
@@ -6,9 +6,12 @@
     every_s = 10.0
     oldest_s = 3600.0
 
-A file is written beside the old one, forced to the disk, and put in its place by one rename: a reader sees
-the old or the new one, whole. A thread of its own writes: a disk that stalls must not stop RPCs, and while
-one write is out no other begins. What cannot be read is told in one line, and left where it is until the
+A file is written beside the old one, forced to the disk, and put in its place by one rename: a
+reader sees
+the old or the new one, whole. A thread of its own writes: a disk that stalls must not stop RPCs,
+and while
+one write is out no other begins. What cannot be read is told in one line, and left where it is
+until the
 next write. Invariants: at most one write is out; the file has at most `BYTES_MOST` bytes.
 """
 
@@ -24,7 +27,7 @@
 
 if TYPE_CHECKING:
     from hookpitch.net.node import SocketNode
-    from hookpitch.startup.snapshot import Learned
+    from hookpitch.startup.snapshot_format import Snapshot
 
 EVERY_LEAST_S, EVERY_MOST_S = 0.5, 3600.0
 EARLY_MS = 3600000.0  # a snapshot from so far ahead of this clock is of no known age
@@ -51,19 +54,25 @@
     spans = {}
     for name, least, most in (("every_s", EVERY_LEAST_S, EVERY_MOST_S), ("oldest_s", 1.0, 1e9)):
         value = table.get(name, getattr(Settings(""), name))
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not least <= value <= most
+        ):
             raise ValueError(f"{name}: wants {least:g} to {most:g}")
         spans[name] = float(value)
     try:
         import msgspec  # noqa: F401
     except ImportError:
-        raise ValueError("path: snapshots need msgspec, which comes with hookpitch[snapshot]") from None
+        raise ValueError(
+            "path: snapshots need msgspec, which comes with hookpitch[snapshot]"
+        ) from None
     return Settings(path, fleet, **spans)
 
 
-def load(path: str) -> Learned:
+def load(path: str) -> Snapshot:
     """ValueError says in one line why there is none."""
-    from hookpitch.startup.snapshot import BYTES_MOST, HEAD, read
+    from hookpitch.startup.snapshot_format import BYTES_MOST, HEAD, read
 
     try:
         held = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
@@ -89,7 +98,9 @@
     beside = f"{path}.new"
     with suppress(FileNotFoundError):  # of a process that died as it wrote
         os.unlink(beside)
-    held = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+    held = os.open(
+        beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600
+    )
     try:
         view = memoryview(data)
         while view:
@@ -126,29 +137,34 @@
     return ""
 
 
-class Keeper:
+class SnapshotStore:
     """One node's snapshot: recalled at its start, written by turns and as it leaves."""
 
-    def __init__(self, told: Settings, node: SocketNode,
-                 away: Callable[[Callable[[], None], Callable[[str], None]], None]) -> None:  # fmt: skip
-        """`away(work, then)` does the work elsewhere and calls `then` here with why it failed, or nothing."""
+    def __init__(
+        self,
+        told: Settings,
+        node: SocketNode,
+        away: Callable[[Callable[[], None], Callable[[str], None]], None],
+    ) -> None:
+        """`away(work, then)` does the work elsewhere and calls `then` here with why it failed, or
+        nothing."""
         self.told, self.node, self.away = told, node, away
-        self.path = told.path.replace("{name}", quote(node.post.name, safe=""))
+        self.path = told.path.replace("{name}", quote(node.config.name, safe=""))
         self.out, self._failing = False, False
         from hookpitch.core.chance import draws
 
-        self._chance = draws(node.post.deployment.seed, "keep")
+        self._chance = draws(node.config.deployment.seed, "keep")
 
     def recall(self) -> None:
         """Called once, between the list told at the start and the first RPC."""
-        from hookpitch.startup.memory import entries, recalled
+        from hookpitch.startup.snapshot_state import entries, recalled
 
         node, now = self.node, self.node.clock.now()
         try:
             x = load(self.path)
-            if (x.fleet, x.node) != (self.told.fleet, node.post.name):
+            if (x.fleet, x.node) != (self.told.fleet, node.config.name):
                 raise ValueError(f"of node {x.node!r} of fleet {x.fleet!r}")
-            if x.kinds != node.post.deployment.kinds:
+            if x.kinds != node.config.deployment.kinds:
                 raise ValueError("of a fleet with other kinds of machines")
             if not -EARLY_MS <= now - x.written <= self.told.oldest_s * 1000:
                 raise ValueError(f"{(now - x.written) / 1000:.0f} s old")
@@ -159,7 +175,9 @@
             listed, dials = entries(x)
             if x.seq > node.discovery.seq and listed:
                 node.known(x.seq, listed, dials)
-            node.logger.info("snapshot", path=self.path, believed=recalled(node.host.node, now, x))
+            node.logger.info(
+                "snapshot", path=self.path, believed=recalled(node.host.router, now, x)
+            )
             node.host.counters.add("snapshot.recalled")
         # Danger: hundreds of nodes on one disk that write in the same moment.
         node.clock.deadlines.add(now + self.told.every_s * 1000 * self._chance(), self._turn)
@@ -170,15 +188,17 @@
         self.node.clock.deadlines.add(now + span, self._turn)
 
     def write(self) -> None:
-        from hookpitch.startup.memory import taken
-        from hookpitch.startup.snapshot import write
+        from hookpitch.startup.snapshot_format import write
+        from hookpitch.startup.snapshot_state import taken
 
         node = self.node
         # Danger: a node without any list would write nothing over what it had learned.
-        if self.out or not node.host.node.servers:
+        if self.out or not node.host.router.servers:
             return
         seq, dials = node.discovery.seq, node.pools.dials()
-        data = write(taken(node.host.node, node.clock.now(), self.told.fleet, node.post.name, seq, dials))
+        data = write(
+            taken(node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials)
+        )
         self.out = True
         self.away(lambda: store(self.path, data), self._over)
 
--- a/hookpitch/lab/child.py
+++ b/hookpitch/testbed/child.py
@@ -1,7 +1,9 @@
 """What every process of the rig has: a control line to the run, a history on disk, a pulse.
 
-The control line is JSON, a list a line, over a Unix socket; where it ends, the process ends. Events are
-written one by one, so that a process that is killed has told all it saw. The pulse tells how late the process
+The control line is JSON, a list a line, over a Unix socket; where it ends, the process ends.
+Events are
+written one by one, so that a process that is killed has told all it saw. The pulse tells how late
+the process
 itself was: a run whose rig fell behind is void.
 """
 
@@ -19,7 +21,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
-from hookpitch.standin.history import Event, History
+from hookpitch.fakes.history import Event, History
 
 PULSE_S = 0.02
 LATE_MS = 5.0  # what is less is not told
@@ -34,7 +36,14 @@
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def add(
-        self, at: float, kind: str, who: str, rpc: str = "", what: str = "", value: float = 0.0, port: int = 0
+        self,
+        at: float,
+        kind: str,
+        who: str,
+        rpc: str = "",
+        what: str = "",
+        value: float = 0.0,
+        port: int = 0,
     ) -> None:
         line = json.dumps([round(at, 4), kind, who, rpc, what, value, port], separators=(",", ":"))
         os.write(self._file, line.encode() + b"\n")
@@ -51,7 +60,7 @@
     return events
 
 
-class Pulse:
+class LoopMonitor:
     """How late a loop is: told as `rig` events, in ms."""
 
     def __init__(self, reactor: Any, history: History, name: str, begun: float) -> None:  # noqa: ANN401
@@ -102,7 +111,8 @@
 
 
 def run_child(make: Callable[[Any, dict[str, Any], Witness, Line], Callable[..., None]]) -> int:
-    """The main function of a process of the rig: reads the file that it is given, makes what it is for and
+    """The main function of a process of the rig: reads the file that it is given, makes what it is
+    for and
     does what it is told until its line ends. `make` answers with what carries out orders."""
     from twisted.internet import reactor
 
@@ -119,7 +129,7 @@
         except Exception as fault:  # noqa: BLE001 - told whole to whoever started it
             line.say("cannot", str(fault))
             return
-        Pulse(reactor, history, given["name"], given["begun"])
+        LoopMonitor(reactor, history, given["name"], given["begun"])
         line.say("ready")
 
     reactor.connectUNIX(given["control"], _Dial(line, made, reactor.stop))
--- a/hookpitch/lab/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -1,6 +1,7 @@
 """Stand-ins in a process of their own: cache servers, the origin or discovery of a run on loopback.
 
-What one process would tell another goes over the control line: which server missed an RPC, and what the
+What one process would tell another goes over the control line: which server missed an RPC, and
+what the
 origin has stored where.
 """
 
@@ -14,13 +15,13 @@
 import msgspec
 from twisted.internet.error import CannotListenError
 
-from hookpitch.lab.child import Line, Witness, run_child
-from hookpitch.standin.cache import Cache, Make
-from hookpitch.standin.cache_server import CacheServer
-from hookpitch.standin.discovery import Directory, Listed
-from hookpitch.standin.orders import carry_out
-from hookpitch.standin.origin import Origin, OriginMake
-from hookpitch.standin.web import DiscoveryServer, OriginServer
+from hookpitch.fakes.cache import Cache, Make
+from hookpitch.fakes.cache_server import CacheServer
+from hookpitch.fakes.control_commands import carry_out
+from hookpitch.fakes.discovery import Directory, Listed
+from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
+from hookpitch.fakes.origin import Origin, OriginMake
+from hookpitch.testbed.child import Line, Witness, run_child
 
 
 class FarOrigin:
@@ -69,7 +70,14 @@
     def _cache(self, role: dict[str, Any]) -> None:
         make, origin = msgspec.convert(role["make"], Make), FarOrigin(self.line)
         server = CacheServer(
-            role["name"], make, self.reactor, self.history, origin, self.chance, self._whose, self.begun
+            role["name"],
+            make,
+            self.reactor,
+            self.history,
+            origin,
+            self.chance,
+            self._whose,
+            self.begun,
         )
         server.size_of = self._size
         self.there[role["name"]] = server
@@ -81,7 +89,9 @@
         origin = Origin(msgspec.convert(role["make"], OriginMake), 0.0, self.chance)
         for name in role["caches"]:
             origin.caches[name] = FarCache(self.line, name)
-        server = OriginServer(origin, self.reactor, self.history, self.chance, self._whose, self.begun)
+        server = OriginServer(
+            origin, self.reactor, self.history, self.chance, self._whose, self.begun
+        )
         server.size_of = self._size
         self.there["origin"] = server
         self.reactor.listenTCP(role["port"], server, interface=role["address"], backlog=4096)
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -1,4 +1,5 @@
-"""A start in phases: each with its condition and its bound, and a node that serves in all of them."""
+"""A start in phases: each with its condition and its bound, and a node that serves in all of
+them."""
 
 import pytest
 from fleet import DISCOVERY, Sockets, get
@@ -20,9 +21,13 @@
     assert not s.lacked and not s.look(1e9, NOTHING)
 
 
-@pytest.mark.parametrize(("seen", "lacks"), [
-    (NOTHING, ["unlisted", "", ""]), (Seen(False, 9, 1, 1), ["unlisted", "unanswered", "unknown"]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("seen", "lacks"),
+    [
+        (NOTHING, ["unlisted", "", ""]),
+        (Seen(False, 9, 1, 1), ["unlisted", "unanswered", "unknown"]),
+    ],
+)
 def test_each_phase_has_a_bound_and_says_what_it_lacked(seen: Seen, lacks: list[str]) -> None:
     s, now, lacked = Start(0.0), 0.0, []
     for bound in (LISTED_MS, ANSWERED_MS, KNOWN_MS):
@@ -70,7 +75,7 @@
 
 def test_a_node_without_any_list_says_that_it_is_not_ready() -> None:
     s = Sockets(1)
-    s.node.host.node.servers.clear()  # it was told none
+    s.node.host.router.servers.clear()  # it was told none
     assert s.node.ready() == "no list of servers yet"
     watch(s, {"seq": 6, "whole": True, "hosts": Sockets(1).hosts})
     assert s.node.ready() == ""
