--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -416,10 +416,10 @@
     def bannable(self, id: str) -> bool:
         """Whether an operator may name it: a listed cache server, or one that is out by hand
         already."""
-        s = self.router.servers.get(id)
+        s = self.router.backends.get(id)
         listed = (
             s is not None
-            and s.listed != EndpointState.REMOVED
+            and s.listed_state != EndpointState.REMOVED
             and s.kind != self.deployment.origin_kind
         )
         return id in self.router.bans or listed
@@ -427,9 +427,11 @@
     def endpoint_counts(self) -> tuple[int, int]:
         """Cache servers in the list, and those of them that are avoided now, by hand or by
         choice."""
-        servers = (s for s in self.router.servers.values() if s.kind != self.deployment.origin_kind)
-        listed = [s for s in servers if s.listed != EndpointState.REMOVED]
-        return len(listed), sum(s.state != EndpointState.READY or s.off for s in listed)
+        servers = (
+            s for s in self.router.backends.values() if s.kind != self.deployment.origin_kind
+        )
+        listed = [s for s in servers if s.listed_state != EndpointState.REMOVED]
+        return len(listed), sum(s.state != EndpointState.READY or s.ejected for s in listed)
 
     def decide(self, now: float) -> None:
         """Pull decisions until there is none."""
@@ -553,7 +555,9 @@
             outcome = Outcome.TIMEOUT
         else:  # a node that was away has not let its dials come up
             outcome = (
-                Outcome.OBSOLETE if attempt.sent < self.router.away_at else Outcome.CONNECT_FAILED
+                Outcome.OBSOLETE
+                if attempt.sent < self.router.stalled_at
+                else Outcome.CONNECT_FAILED
             )
         self.attempt_finished(now, attempt, outcome)
 
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -205,12 +205,12 @@
                 "site": s.zone,
                 "block": s.cell,
                 "share": s.size,
-                "born_ms": max(0.0, s.started),
-                "health": HEALTH[s.listed],
+                "born_ms": max(0.0, s.started_at),
+                "health": HEALTH[s.listed_state],
                 "class": kinds[s.kind] if 0 <= s.kind < len(kinds) else "",
             }
-            for s in host.router.servers.values()
-            if s.id in dials and s.listed != EndpointState.REMOVED
+            for s in host.router.backends.values()
+            if s.id in dials and s.listed_state != EndpointState.REMOVED
         ]
         return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
 
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -145,8 +145,11 @@
 
     def _phase(self, now: float) -> None:
         caches = [s for s in self.host.router.caches if s.state == EndpointState.READY]
-        asked = [s for s in caches if s.sent or s.rate or s.heard]
-        answered, known = sum(s.heard > 0 for s in asked), sum(s.heard >= ENOUGH for s in asked)
+        asked = [s for s in caches if s.send_count or s.send_rate or s.response_count]
+        answered, known = (
+            sum(s.response_count > 0 for s in asked),
+            sum(s.response_count >= ENOUGH for s in asked),
+        )
         counters, phases = self.host.counters, self.phases
         listed = any(name in counters.counts for name in ("lists.full", "lists.delta"))
         if phases.look(now, Seen(listed, len(asked), answered, known)):
@@ -160,8 +163,8 @@
         # Danger: a list of yesterday, in which every server is gone, served by for seconds.
         vain = (
             not caches
-            or sum(s.failures for s in caches) >= VAIN
-            and not any(s.heard for s in caches)
+            or sum(s.consecutive_failures for s in caches) >= VAIN
+            and not any(s.response_count for s in caches)
         )
         if phases.phase == Phase.KNOWN and vain and self.discovery.poll_schedule.expedite(now):
             self.discovery.begin()
@@ -173,7 +176,7 @@
     def ready(self) -> str:
         if self.leaving or self.paused:
             return "leaving" if self.leaving else "draining"
-        if self.up and not self.host.router.servers:
+        if self.up and not self.host.router.backends:
             return "no list of servers yet"
         return "" if self.up else "starting"
 
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -193,7 +193,7 @@
 
         node = self.node
         # Danger: a node without any list would write nothing over what it had learned.
-        if self.out or not node.host.router.servers:
+        if self.out or not node.host.router.backends:
             return
         seq, dials = node.discovery.seq, node.pools.dials()
         data = write(
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -28,7 +28,7 @@
 
 from collections.abc import Mapping
 
-from hookpitch.balancer.decisions import BUCKETS, START_LIMIT, Router, Server
+from hookpitch.balancer.decisions import BUCKETS, START_CONCURRENCY_LIMIT, Backend, Router
 from hookpitch.balancer.interface import Endpoint, EndpointState
 from hookpitch.startup.snapshot_format import (
     BackendSnapshot,
@@ -49,14 +49,14 @@
     short steps."""
     past = lambda at: at if 0 < at < float("inf") else 0.0  # noqa: E731
     servers = sorted(
-        router.servers.values(), key=lambda s: (s is not router.origin, -s.heard, s.id)
+        router.backends.values(), key=lambda s: (s is not router.origin, -s.response_count, s.id)
     )
     moved, heavy = [], []
     for (number, kinds, zones), b in router.buckets.items():
-        if b.at is not None and b.at is not b.home:
-            moved.append((-b.rate, MovedBucket(number, kinds, zones, b.at.id)))
-        if b.seen >= 2:
-            heavy.append((-b.seen, HotBucket(number, kinds, zones, b.seen)))
+        if b.assigned is not None and b.assigned is not b.primary:
+            moved.append((-b.rate, MovedBucket(number, kinds, zones, b.assigned.id)))
+        if b.recent_requests >= 2:
+            heavy.append((-b.recent_requests, HotBucket(number, kinds, zones, b.recent_requests)))
     first = lambda pair: pair[0]  # noqa: E731
     return Snapshot(
         fleet,
@@ -66,31 +66,38 @@
         seq,
         tuple(
             EndpointSnapshot(
-                s.id, s.zone, s.cell, past(s.started), int(s.listed), s.kind, s.size, dials[s.id]
+                s.id,
+                s.zone,
+                s.cell,
+                past(s.started_at),
+                int(s.listed_state),
+                s.kind,
+                s.size,
+                dials[s.id],
             )
             for s in servers
-            if s.id in dials and s.listed != EndpointState.REMOVED
+            if s.id in dials and s.listed_state != EndpointState.REMOVED
         ),
         tuple(
             BackendSnapshot(
                 s.id,
-                past(s.started),
-                s.limit,
-                s.latency,
-                s.usual,
-                s.failures,
-                s.backoff,
-                past(s.off_until) if s.off else 0.0,
-                past(s.cold_until),
+                past(s.started_at),
+                s.concurrency_limit,
+                s.latency_ms,
+                s.baseline_latency_ms,
+                s.consecutive_failures,
+                s.ejection_ms,
+                past(s.ejected_until) if s.ejected else 0.0,
+                past(s.warmup_until),
             )
             for s in servers
         ),
         tuple(m for _, m in sorted(moved, key=first)),
         tuple(h for _, h in sorted(heavy, key=first)),
-        router.seen,
-        router.work,
+        router.recent_requests,
+        router.unit_latency_ms,
         router.warm_rate,
-        min(router.idle, 1e9),
+        min(router.idle_limit_ms, 1e9),
         tuple(router.bans),
     )
 
@@ -115,19 +122,27 @@
         return start + (learned - start) * weight
 
     known = {k.id: k for k in x.servers}
-    believed: list[tuple[Server, BackendSnapshot]] = []
-    for s in router.servers.values():
+    believed: list[tuple[Backend, BackendSnapshot]] = []
+    for s in router.backends.values():
         k = known.get(s.id)
-        started = s.started if s.started > 0 else 0.0
+        started = s.started_at if s.started_at > 0 else 0.0
         # Danger: what a process had earned, believed of the one after it, which is cold.
         if k is not None and s.state == EndpointState.READY and started <= k.started:
             believed.append((s, k))
     for s, k in believed:
-        s.limit = max(s.least, between(s.limit, k.limit))
-        s.latency, s.usual = k.latency * (weight > MOVED_LEAST), k.usual * (weight > MOVED_LEAST)
+        s.concurrency_limit = max(s.min_concurrency_limit, between(s.concurrency_limit, k.limit))
+        s.latency_ms, s.baseline_latency_ms = (
+            k.latency * (weight > MOVED_LEAST),
+            k.usual * (weight > MOVED_LEAST),
+        )
         cold = min(k.cold_until, now + router.slow_start_ms)
-        if cold > max(now, s.cold_until) and s is not router.origin:
-            s.cold_until, s.refilled, s.tokens, s.ok = cold, now, 0.0, False
+        if cold > max(now, s.warmup_until) and s is not router.origin:
+            s.warmup_until, s.warmup_refilled_at, s.warmup_tokens, s.available = (
+                cold,
+                now,
+                0.0,
+                False,
+            )
     caches = [(s, k) for s, k in believed if s is not router.origin]
     off = [(s, k) for s, k in caches if now < k.off_until]
     ready = sum(s.state == EndpointState.READY for s in router.caches)
@@ -135,37 +150,46 @@
         len(off) < ready
     ):  # Danger: all shunned for what one snapshot says; then no one answers at all.
         for s, k in off:
-            s.off, s.ok, s.limit, s.failures = True, False, min(s.limit, START_LIMIT), k.failures
-            s.backoff = min(8 * router.pause, between(router.pause, k.backoff))
-            s.off_until = now + min(k.off_until - now, s.backoff) * weight
+            s.ejected, s.available, s.concurrency_limit, s.consecutive_failures = (
+                True,
+                False,
+                min(s.concurrency_limit, START_CONCURRENCY_LIMIT),
+                k.failures,
+            )
+            s.ejection_ms = min(
+                8 * router.base_ejection_ms, between(router.base_ejection_ms, k.backoff)
+            )
+            s.ejected_until = now + min(k.off_until - now, s.ejection_ms) * weight
     else:
         off = []
-    router.work, router.warm_rate = (
+    router.unit_latency_ms, router.warm_rate = (
         x.work * (weight > MOVED_LEAST),
         between(router.warm_rate, x.warm_rate),
     )
     if x.idle > 0:
-        router.idle = min(router.held, max(x.idle, router.idle * (1 - weight)))
+        router.idle_limit_ms = min(
+            router.max_idle_ms, max(x.idle, router.idle_limit_ms * (1 - weight))
+        )
     places = {(m.kinds, m.zones) for m in router.methods.values()}
     heavy = 0
     for h in x.heavy:
         if (h.kinds, h.zones) in places and 0 <= h.number < BUCKETS:
-            b = router._bucket(h.number, h.kinds, h.zones)
-            b.seen += h.seen * weight
-    router.seen += x.sighted * weight
+            b = router.bucket(h.number, h.kinds, h.zones)
+            b.recent_requests += h.seen * weight
+    router.recent_requests += x.sighted * weight
     for b in list(router.buckets.values()):
-        if b.seen > 0:
-            router._heavy(b)
-            heavy += b.wide > 0
+        if b.recent_requests > 0:
+            router.track_hot_bucket(b)
+            heavy += b.spread_size > 0
     moved = 0
     for m in x.moved if weight >= MOVED_LEAST else ():
-        to = router.servers.get(m.to)
+        to = router.backends.get(m.to)
         fits = (m.kinds, m.zones) in places and 0 <= m.number < BUCKETS
         if not fits or to is None or to.state != EndpointState.READY or to is router.origin:
             continue
-        b = router._bucket(m.number, m.kinds, m.zones)
-        if router._open(b, to):
-            b.at, b.chain, moved = to, None, moved + 1
+        b = router.bucket(m.number, m.kinds, m.zones)
+        if router.allows(b, to):
+            b.assigned, b.chain, moved = to, None, moved + 1
     for id in x.bans:
         router.set_banned(now, id, True)
     return (
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -139,7 +139,7 @@
         self.told: dict[str, Endpoint] = {}  # what the node was last told of each server
         self.bound: set[str] = set()  # seen draining, and not ready since
         self.open: dict[str, tuple[Method, float]] = {}  # RPC -> method, hard deadline
-        self.txs: dict[str, list[dict]] = {}
+        self.attempts: dict[str, list[dict]] = {}
         self.out: list[tuple[str, int]] = []
         self.answers: dict[str, str] = {}
         self.sends: list[tuple[float, str, str]] = []
@@ -154,7 +154,7 @@
     def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
         assert rpc_id in self.open, "rule 1: sent after the RPC's end"
         method, deadline = self.open[rpc_id]
-        earlier = self.txs[rpc_id]
+        earlier = self.attempts[rpc_id]
         assert start_within_ms > 0
         assert timeout_ms > 0 and self.now + timeout_ms <= deadline, (
             "a limit past the hard deadline"
@@ -230,7 +230,7 @@
 
     def cancel(self, rpc_id: str, attempt: int) -> None:
         assert self.d.cancellation_enabled
-        self.txs[rpc_id][attempt].update(until=self.now, called_off=True)
+        self.attempts[rpc_id][attempt].update(until=self.now, called_off=True)
 
     def _final(self, rpc_id: str, answer: str) -> None:
         assert rpc_id in self.open, "rule 1: a second final answer"
@@ -241,7 +241,7 @@
     def reject(self, rpc_id: str, retry_after_ms: float) -> None:
         method = self.methods_of(rpc_id)
         assert 0 <= retry_after_ms <= self.d.max_retry_after_ms
-        if method.idempotency != Idempotency.IDEMPOTENT and any(t["ran"] for t in self.txs[rpc_id]):
+        if method.idempotency != Idempotency.IDEMPOTENT and any(t["ran"] for t in self.attempts[rpc_id]):
             deduped = method.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
             assert deduped and method.dedup_scope == "all", (
                 "rule 2: exhausted though it may have run"
@@ -257,7 +257,7 @@
 
     def close_idle(self, backend_id: str) -> None:
         assert backend_id in self.told and all(
-            self.txs[r][n]["server"] != backend_id for r, n in self.out
+            self.attempts[r][n]["server"] != backend_id for r, n in self.out
         )
         self.closed.append(backend_id)
 
@@ -310,7 +310,7 @@
         rpc_id, m = f"rpc{self.count}", self.methods[method or self.d.methods[0].name]
         grace = grace or m.hard_ms
         self.arrivals.append(self.now)
-        self.open[rpc_id], self.txs[rpc_id] = (m, self.now + grace), []
+        self.open[rpc_id], self.attempts[rpc_id] = (m, self.now + grace), []
         self.router.rpc_arrived(self.now, rpc_id, key, m.name, tenant, write, grace)
         self.settle()
         return rpc_id
@@ -321,8 +321,8 @@
             self.end(self.arrive("hot" if i % 4 == 0 else f"k{i}"), Outcome.COMPLETED)
 
     def end(self, rpc_id: str, outcome: Outcome, n: int = -1) -> None:
-        n = n if n >= 0 else len(self.txs[rpc_id]) - 1
-        tx = self.txs[rpc_id][n]
+        n = n if n >= 0 else len(self.attempts[rpc_id]) - 1
+        tx = self.attempts[rpc_id][n]
         tx["done"], tx["ran"] = True, tx["ran"] and outcome not in NOT_EXECUTED
         self.out.remove((rpc_id, n))
         if outcome == Outcome.COMPLETED and rpc_id in self.open:
@@ -335,7 +335,7 @@
         """Let time pass, with time-outs, cancels and wakes in their order."""
         end = self.now + span
         while True:
-            limits = [(self.txs[r][n]["until"], r, n) for r, n in self.out]
+            limits = [(self.attempts[r][n]["until"], r, n) for r, n in self.out]
             at, r, n = min(limits, default=(float("inf"), "", 0))
             wake = min(self.wakes, default=float("inf"))
             if min(at, wake) > end:
@@ -343,7 +343,7 @@
             self.now = max(self.now, min(at, wake))
             if at <= wake:
                 self.end(
-                    r, Outcome.CANCELLED if "called_off" in self.txs[r][n] else Outcome.TIMEOUT, n
+                    r, Outcome.CANCELLED if "called_off" in self.attempts[r][n] else Outcome.TIMEOUT, n
                 )
             else:
                 self.wakes.remove(wake)
@@ -364,7 +364,7 @@
                 self.arrive(key, m.name, tenant, rng.random() < 0.1, grace)
         elif act < 0.8 and self.out:
             for r, n in rng.sample(self.out, min(len(self.out), 8)):
-                mood = self.moods.get(self.txs[r][n]["server"], "well")
+                mood = self.moods.get(self.attempts[r][n]["server"], "well")
                 if (r, n) in self.out and mood != "silent":
                     odds = {
                         "well": [8, 2, 1],
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -116,7 +116,7 @@
             counts[name] += sum(
                 f.router.shed_delay(f.now, name, "", 0.0) >= 0 for _ in range(count)
             )
-        f.router.shares["small"].tokens = 0.0
+        f.router.token_buckets["small"].tokens = 0.0
         counts["small"] += f.router.shed_delay(f.now, "high", "small", 0.0) >= 0
     assert counts["high"] == 0 and 0.5 < counts["low"] / 12000 < 0.95, (
         "half of all, each of low gain"
@@ -137,9 +137,9 @@
     f.now += 150.0
     f.router.event_loop_stalled(f.now)
     f.pass_time(150.0)
-    assert f.out and not any(s.failures for s in f.router.servers.values())
+    assert f.out and not any(s.consecutive_failures for s in f.router.backends.values())
     f.pass_time(20.0)  # but who is silent from then on is
-    assert any(s.failures for s in f.router.servers.values())
+    assert any(s.consecutive_failures for s in f.router.backends.values())
 
 
 def test_answers_that_came_during_a_pause_are_read_before_deadlines_are_run() -> None:
@@ -181,7 +181,7 @@
 
 def test_what_is_turned_away_at_the_door_leaves_nothing_behind() -> None:
     s = Sockets()
-    s.node.host.router.burden = 1.0
+    s.node.host.router.overload = 1.0
     before = len(s.clock.deadlines)
     c = s.client()
     for n in range(20):
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -23,14 +23,14 @@
 
 
 def last(f: Fleet, rpc: str) -> str:
-    return f.txs[rpc][-1]["server"]
+    return f.attempts[rpc][-1]["server"]
 
 
 def fail(f: Fleet, rpc: str, outcome: Outcome = Outcome.ERROR) -> int:
     """Every transmission of the RPC ends so; how many there were."""
     while rpc in f.open:
         f.end(rpc, outcome)
-    return len(f.txs[rpc])
+    return len(f.attempts[rpc])
 
 
 @pytest.mark.parametrize("key", ["same", ""])
@@ -40,7 +40,7 @@
         f.end(f.arrive(f"good{i}"), Outcome.COMPLETED)
         if i % 3:
             assert fail(f, f.arrive(key or f"bad{i}")) <= 2
-    assert not any(s.off or s.failures for s in f.router.servers.values())
+    assert not any(s.ejected or s.consecutive_failures for s in f.router.backends.values())
     assert not any(to == "o1" for _, to, _ in f.sends), (
         "the origin is not asked for what failed twice"
     )
@@ -62,12 +62,14 @@
         f.end(rpc, Outcome.ERROR if last(f, rpc) == "s2" else Outcome.COMPLETED)
         if rpc in f.open:
             f.end(rpc, Outcome.COMPLETED)
-    assert f.router.servers["s2"].off and sum(s.off for s in f.router.servers.values()) == 1
+    assert (
+        f.router.backends["s2"].ejected and sum(s.ejected for s in f.router.backends.values()) == 1
+    )
 
 
 def test_what_is_vain_has_its_answer_in_the_same_turn_and_gives_its_token_back() -> None:
     f = fleet(tenants=(Tenant("c", 10.0),), max_retry_after_ms=400.0)
-    share = f.router.shares["c"]
+    share = f.router.token_buckets["c"]
     tokens = share.tokens
     rpc = f.arrive("bad", tenant="c")
     f.end(rpc, Outcome.ERROR)
@@ -88,12 +90,12 @@
         [entry("s0", EndpointState.REMOVED), entry("s1", EndpointState.REMOVED)],
         EndpointUpdate.DELTA,
     )
-    assert all(f.router.servers[s].off for s in ("s0", "s1"))  # off the path, to be tried
+    assert all(f.router.backends[s].ejected for s in ("s0", "s1"))  # off the path, to be tried
     f.pass_time(2000.0)
     rpc = f.arrive("k")
     assert rpc in f.open and len(f.sends) == 1  # with one RPC at a time
     f.end(rpc, Outcome.COMPLETED)
-    assert not f.router.servers[f.sends[0][1]].off
+    assert not f.router.backends[f.sends[0][1]].ejected
     f.listed(
         [entry("s0", EndpointState.DRAINING), entry("s1", EndpointState.DRAINING)],
         EndpointUpdate.DELTA,
@@ -119,48 +121,48 @@
 
 def test_what_falls_again_soon_goes_off_at_one_failure_and_is_forgiven_later() -> None:
     f = fleet(1)
-    s = f.router.servers["s0"]
+    s = f.router.backends["s0"]
     for n in range(3):
-        assert not s.off, f"off after {n}"
-        f.router._strike(s)
-    assert s.off
-    f.pass_time(s.backoff + 1)
+        assert not s.ejected, f"off after {n}"
+        f.router.record_failure(s)
+    assert s.ejected
+    f.pass_time(s.ejection_ms + 1)
     f.end(f.arrive("k"), Outcome.COMPLETED)
-    assert not s.off
-    f.router._strike(s)
-    assert s.off and s.backoff > f.router.pause  # the pause before it counts on
-    f.pass_time(s.backoff + 1)
+    assert not s.ejected
+    f.router.record_failure(s)
+    assert s.ejected and s.ejection_ms > f.router.base_ejection_ms  # the pause before it counts on
+    f.pass_time(s.ejection_ms + 1)
     f.end(f.arrive("k"), Outcome.COMPLETED)
-    f.pass_time(8 * f.router.pause + 2000.0)
-    f.router._strike(s)
-    assert not s.off
+    f.pass_time(8 * f.router.base_ejection_ms + 2000.0)
+    f.router.record_failure(s)
+    assert not s.ejected
 
 
 def test_a_cache_slower_than_a_fifth_of_the_soft_deadline_gets_less_and_the_origin_does_not() -> (
     None
 ):
     f = fleet(1)
-    s, o = f.router.servers["s0"], f.router.origin
-    before, at_origin = s.limit, o.limit
+    s, o = f.router.backends["s0"], f.router.origin
+    before, at_origin = s.concurrency_limit, o.concurrency_limit
     rpc = f.arrive("k")
     f.pass_time(100.0)
     f.end(rpc, Outcome.MISS)
-    assert s.limit < before
+    assert s.concurrency_limit < before
     f.pass_time(100.0)
     f.end(rpc, Outcome.COMPLETED)
-    assert o.limit >= at_origin
+    assert o.concurrency_limit >= at_origin
 
 
 def ended(f: Fleet, key: str, took: dict[str, float], told: dict[str, float]) -> None:
     """An RPC that its server answers after its time, with what that server says it holds."""
     rpc = f.arrive(key)
-    s, n = last(f, rpc), len(f.txs[rpc]) - 1
+    s, n = last(f, rpc), len(f.attempts[rpc]) - 1
     f.pass_time(took.get(s, 4.0))
     f.out.remove((rpc, n))
     f._final(rpc, "completed")
     report = {"inflight": told.get(s, 0.5)}
     f.router.attempt_ended(
-        f.now, rpc, n, Outcome.COMPLETED, True, f.now - f.txs[rpc][n]["at"], report
+        f.now, rpc, n, Outcome.COMPLETED, True, f.now - f.attempts[rpc][n]["at"], report
     )
     f.settle()
 
@@ -174,14 +176,14 @@
         if errors and i % 2 == 0:
             assert fail(f, f.arrive(f"bad{i}")) <= 2
         ended(f, f"k{i % 60}", {"s1": 60.0}, {"s1": 0.1})
-    by = {s.id: s.c for s in f.router.caches}
+    by = {s.id: s.cpu_load for s in f.router.caches}
     assert by["s1"] == max(by.values())
-    assert not any(s.off or s.failures for s in f.router.caches)
+    assert not any(s.ejected or s.consecutive_failures for s in f.router.caches)
     for i in range(
         600
     ):  # now all tell the truth, and another one is busy with what other nodes send
         ended(f, f"k{i % 60}", {"s2": 1.0}, {"s2": 9.0})  # its answers alone would not tell
-    by = {s.id: s.c for s in f.router.caches}
+    by = {s.id: s.cpu_load for s in f.router.caches}
     assert by["s2"] == max(by.values()) > by["s1"]
 
 
@@ -193,7 +195,7 @@
         f.end(rpc, Outcome.COMPLETED)
         assert f.answers[rpc] == "completed"
         f.pass_time(5.0)
-    assert not any(s.off or s.failures for s in f.router.servers.values())
+    assert not any(s.ejected or s.consecutive_failures for s in f.router.backends.values())
     assert not any(to == "o1" for _, to, _ in f.sends)
 
 
@@ -204,14 +206,18 @@
         tried = 0
         for i in range(150):  # down for 1.5 s: dials are refused; the list says nothing
             rpc = f.arrive(f"k{(turn * 150 + i) % 200}")
-            while (rpc, n := len(f.txs[rpc]) - 1) in f.out:
+            while (rpc, n := len(f.attempts[rpc]) - 1) in f.out:
                 down = last(f, rpc) in rack
                 tried += down
                 f.end(rpc, Outcome.CONNECT_FAILED if down else Outcome.COMPLETED, n)
             f.pass_time(10.0)
         wasted.append(tried)
-        assert all(f.router.servers[s].off and f.router.servers[s].cold_until > f.now for s in rack)
-        assert not any(s.off for s in f.router.caches if s.id not in rack)  # the rest is not blamed
+        assert all(
+            f.router.backends[s].ejected and f.router.backends[s].warmup_until > f.now for s in rack
+        )
+        assert not any(
+            s.ejected for s in f.router.caches if s.id not in rack
+        )  # the rest is not blamed
         sent = len(f.sends)
         for i in range(150):  # up for 1.5 s, cold, unannounced
             f.end(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
@@ -224,7 +230,7 @@
     for i in range(4000):  # the turns are over: nobody is marked for good
         f.end(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    assert all(f.router.servers[s].ok for s in rack)
+    assert all(f.router.backends[s].available for s in rack)
 
 
 def test_a_deduped_rpc_is_not_called_off_when_it_may_not_go_out_again() -> None:
@@ -242,7 +248,7 @@
     f.pass_time(200.0)
     f.end(other, Outcome.COMPLETED)  # the origin answers, so the first looks lost
     f.pass_time(500.0)
-    assert "called_off" not in f.txs[rpc][0] and rpc in f.open
+    assert "called_off" not in f.attempts[rpc][0] and rpc in f.open
     f.end(rpc, Outcome.COMPLETED)
     assert f.answers[rpc] == "completed"
 
@@ -250,30 +256,32 @@
 def test_an_origin_that_answers_as_usual_is_not_crowded_however_much_is_out_there() -> None:
     f = fleet(4)
     o = f.router.origin
-    o.latency = o.usual = 50.0
-    o.live = dict.fromkeys(range(int(o.limit)))
-    assert not f.router._crowded()
-    o.latency = 80.0
-    assert f.router._crowded()
-    o.live = {}
-    assert not f.router._crowded()
+    o.latency_ms = o.baseline_latency_ms = 50.0
+    o.in_flight = dict.fromkeys(range(int(o.concurrency_limit)))
+    assert not f.router.origin_congested()
+    o.latency_ms = 80.0
+    assert f.router.origin_congested()
+    o.in_flight = {}
+    assert not f.router.origin_congested()
 
 
 def test_what_waited_in_vain_goes_on_while_the_origin_is_at_ease() -> None:
     f = fleet(2)
     first = f.arrive("k")
-    home = f.router.servers[last(f, first)]
-    home.limit = 1.0
+    home = f.router.backends[last(f, first)]
+    home.concurrency_limit = 1.0
     other = next(s for s in f.router.caches if s is not home)
-    other.limit = 1.0
+    other.concurrency_limit = 1.0
     blocker = next(
-        r for r in (f.arrive(f"x{i}") for i in range(40)) if f.txs[r] and last(f, r) == other.id
+        r
+        for r in (f.arrive(f"x{i}") for i in range(40))
+        if f.attempts[r] and last(f, r) == other.id
     )
     waits = f.arrive("k")
-    assert not f.txs[waits]
+    assert not f.attempts[waits]
     f.end(blocker, Outcome.COMPLETED)
     f.pass_time(150.0)
-    assert waits in f.open and f.txs[waits] and last(f, waits) == other.id
+    assert waits in f.open and f.attempts[waits] and last(f, waits) == other.id
 
 
 def test_bound_methods_leave_the_rest_fewer_points_of_their_servers() -> None:
@@ -283,22 +291,22 @@
     )
     f = Fleet(deployment(methods=method, kinds=("fast", "std")))
     f.listed([entry(f"s{i}", kind=i % 2) for i in range(6)])
-    free = {s.kind: s.free for s in f.router.caches}
+    free = {s.kind: s.unconstrained_fraction for s in f.router.caches}
     assert free[0] == 1.0 and free[1] == 0.5
-    homes = [f.router._bucket(n).home.kind for n in range(400)]
+    homes = [f.router.bucket(n).primary.kind for n in range(400)]
     assert 0.2 < sum(homes) / 400 < 0.45  # half without it
-    assert all(f.router._bucket(n, ("std",)).home.kind == 1 for n in range(50))
+    assert all(f.router.bucket(n, ("std",)).primary.kind == 1 for n in range(50))
 
 
 def test_writes_slow_at_the_origin_by_nature_are_no_congestion_and_slow_reads_are() -> None:
     for write in (True, False):
         f = fleet(1)
         o = f.router.origin
-        before = o.limit
+        before = o.concurrency_limit
         for i in range(30):
             rpc = f.arrive(f"k{i}", write=write)
             if not write:
                 f.end(rpc, Outcome.MISS)
             f.pass_time(230.0)  # of a soft deadline of 400
             f.end(rpc, Outcome.COMPLETED)
-        assert (o.limit >= before) == write
+        assert (o.concurrency_limit >= before) == write
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,8 +7,8 @@
 
 from hookpitch.balancer.decisions import (
     BUCKETS,
+    Backend,
     Bucket,
-    Server,
     migrate,
     nearest,
     target_point,
@@ -25,11 +25,11 @@
     return f
 
 
-def caches(*loads: tuple[float, float]) -> list[Server]:
+def caches(*loads: tuple[float, float]) -> list[Backend]:
     made = []
     for i, (c, m) in enumerate(loads):
-        made.append(Server(f"n{i}"))
-        made[-1].c, made[-1].m = c, m
+        made.append(Backend(f"n{i}"))
+        made[-1].cpu_load, made[-1].memory_load = c, m
     return made
 
 
@@ -54,14 +54,14 @@
     f = fleet()
     for i in range(600):  # one cache's keys are asked for far more often than the others'
         key = f"key{i % 40}"
-        heavy = f.router._bucket(crc32(key.encode()) % BUCKETS).home.id == "s0"
+        heavy = f.router.bucket(crc32(key.encode()) % BUCKETS).primary.id == "s0"
         for _ in range(9 if heavy else 1):
             f.end(f.arrive(key), Outcome.COMPLETED)
         f.pass_time(10.0)
-    moved = [b for b in f.router.buckets.values() if b.at is not b.home]
-    assert moved and all(b.home.id == "s0" for b in moved)
-    f.listed([entry(moved[0].at.id, EndpointState.DRAINING)], EndpointUpdate.DELTA)
-    assert moved[0].at.state == EndpointState.READY  # buckets on a draining cache go home
+    moved = [b for b in f.router.buckets.values() if b.assigned is not b.primary]
+    assert moved and all(b.primary.id == "s0" for b in moved)
+    f.listed([entry(moved[0].assigned.id, EndpointState.DRAINING)], EndpointUpdate.DELTA)
+    assert moved[0].assigned.state == EndpointState.READY  # buckets on a draining cache go home
 
 
 def test_a_wait_in_line_ends_before_the_hard_deadline() -> None:
@@ -73,19 +73,23 @@
 
 def test_failures_in_a_row_take_a_server_off_and_an_answer_brings_it_back() -> None:
     f = fleet(2)
-    victim = f.txs[f.arrive("k")][0]["server"]
+    victim = f.attempts[f.arrive("k")][0]["server"]
     for _ in range(2):  # after a reset the same server may be asked again
         while f.out:
             rpc, n = f.out[0]
-            f.end(rpc, Outcome.RESET if f.txs[rpc][n]["server"] == victim else Outcome.COMPLETED, n)
+            f.end(
+                rpc,
+                Outcome.RESET if f.attempts[rpc][n]["server"] == victim else Outcome.COMPLETED,
+                n,
+            )
         f.arrive("k")
     f.end(f.out[0][0], Outcome.COMPLETED)
-    assert f.router.servers[victim].off and f.txs[f.arrive("k")][0]["server"] != victim
+    assert f.router.backends[victim].ejected and f.attempts[f.arrive("k")][0]["server"] != victim
     for _ in range(100):
         f.pass_time(1000.0)
         rpc = f.arrive("k")
         f.end(rpc, Outcome.COMPLETED)
-        if f.txs[rpc][0]["server"] == victim:
+        if f.attempts[rpc][0]["server"] == victim:
             return
     raise AssertionError("shut out for good")
 
@@ -95,7 +99,7 @@
     for i in range(4):
         f.arrive(f"k{i}")
     f.pass_time(250.0)  # all four are silent for the patience
-    assert f.router.servers["s0"].failures == 1 and not f.router.servers["s0"].off
+    assert f.router.backends["s0"].consecutive_failures == 1 and not f.router.backends["s0"].ejected
 
 
 def test_a_cold_server_gets_little_at_first() -> None:
@@ -134,22 +138,28 @@
 
 def test_resets_tell_of_connections_and_leave_a_server_warm() -> None:
     f = fleet(4)
-    f.router.seen = 1e6  # the key is one of many
-    victim = f.txs[f.arrive("k")][0]["server"]
+    f.router.recent_requests = 1e6  # the key is one of many
+    victim = f.attempts[f.arrive("k")][0]["server"]
     for _ in range(4):  # a refused dial among good answers is a chance, too
         for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.COMPLETED):
             f.end(f"rpc{f.count}", outcome)
         f.end(rpc := f.arrive("k"), Outcome.COMPLETED)
-        assert f.txs[rpc][0]["server"] == victim and f.router.servers[victim].cold_until < f.now
+        assert (
+            f.attempts[rpc][0]["server"] == victim
+            and f.router.backends[victim].warmup_until < f.now
+        )
         f.arrive("k")
     for _ in range(2):
         f.end(f"rpc{f.count}", Outcome.RESET)
-    assert f.router.servers[victim].failures == 2 and f.router.servers[victim].cold_until < f.now
+    assert (
+        f.router.backends[victim].consecutive_failures == 2
+        and f.router.backends[victim].warmup_until < f.now
+    )
     f.end(f"rpc{f.count}", Outcome.COMPLETED)
     f.end(
         f.arrive("k"), Outcome.CONNECT_FAILED
     )  # refused as the third failure in a row: its process died
-    assert f.router.servers[victim].cold_until > f.now
+    assert f.router.backends[victim].warmup_until > f.now
 
 
 def test_the_origins_single_failures_do_not_cut_its_limit() -> None:
@@ -160,13 +170,13 @@
         while rpc in f.open:
             f.end(rpc, Outcome.COMPLETED)
         f.pass_time(20.0)
-    assert f.router.servers["o1"].limit >= 2.0
+    assert f.router.backends["o1"].concurrency_limit >= 2.0
     for i in range(6):  # no good answer for longer than two soft deadlines: it has failed
         f.pass_time(900.0)
         f.end(rpc := f.arrive(f"m{i}"), Outcome.MISS)
         while rpc in f.open and f.out:
             f.end(rpc, Outcome.RESET)
-    assert f.router.servers["o1"].limit < 1.0
+    assert f.router.backends["o1"].concurrency_limit < 1.0
 
 
 def test_refused_by_most_servers_a_node_suspects_its_own_network() -> None:
@@ -175,8 +185,8 @@
         rpc = f.arrive(f"k{i}")
         while rpc in f.open and f.out:
             f.end(rpc, Outcome.CONNECT_FAILED)
-    caches = [s for s in f.router.servers.values() if s is not f.router.origin]
-    assert sum(s.off for s in caches) >= 3 and sum(s.cold_until > f.now for s in caches) <= 2
+    caches = [s for s in f.router.backends.values() if s is not f.router.origin]
+    assert sum(s.ejected for s in caches) >= 3 and sum(s.warmup_until > f.now for s in caches) <= 2
 
 
 def test_a_node_that_starts_among_cold_caches_alone_serves_some() -> None:
@@ -196,17 +206,21 @@
     for others, pressure, tries in ((True, 0.0, 2), (False, 0.0, 1), (True, 0.5, 1)):
         f = fleet(1)
         f.end(f.arrive("k"), Outcome.COMPLETED)
-        f.router.pressure, f.router.next_beat = pressure, 1e9
+        f.router.pressure, f.router.next_rate_update = pressure, 1e9
         rpc = f.arrive("k")  # its answer never comes; the soft deadline is 400 ms
         f.pass_time(50.0)
         other = f.arrive("k2")
         if others:
             f.end(other, Outcome.COMPLETED)
         f.pass_time(200.0)
-        assert len(f.txs[rpc]) == tries and f.router.servers["s0"].failures == (0 if others else 1)
-        assert {t["server"] for t in f.txs[rpc]} == {"s0"} and sum(r == rpc for r, _ in f.out) == 1
+        assert len(f.attempts[rpc]) == tries and f.router.backends["s0"].consecutive_failures == (
+            0 if others else 1
+        )
+        assert {t["server"] for t in f.attempts[rpc]} == {"s0"} and sum(
+            r == rpc for r, _ in f.out
+        ) == 1
         f.pass_time(130.0)
-        assert len(f.txs[rpc]) <= 2 and (tries == 2) == (f.txs[rpc][0]["done"])
+        assert len(f.attempts[rpc]) <= 2 and (tries == 2) == (f.attempts[rpc][0]["done"])
 
 
 def test_servers_that_are_gone_are_forgotten_and_an_id_that_returns_is_new_and_cold() -> None:
@@ -219,9 +233,11 @@
             while f.out:
                 f.end(f.out[0][0], Outcome.COMPLETED)
             f.pass_time(500.0)
-    assert len(f.router.servers) <= 6 and len(f.router.caches) <= 5
+    assert len(f.router.backends) <= 6 and len(f.router.caches) <= 5
     f.listed([entry("s0", started=f.now - 1)], EndpointUpdate.DELTA)
-    assert f.router.servers["s0"].cold_until > f.now and f.router.servers["s0"].heard == 0
+    assert (
+        f.router.backends["s0"].warmup_until > f.now and f.router.backends["s0"].response_count == 0
+    )
 
 
 @pytest.mark.parametrize("eased", [True, False])
@@ -232,14 +248,20 @@
     fleet.listed([entry("s1"), entry("s2"), entry("s3"), entry("o1", kind=ORIGIN)])
     fleet.pass_time(10)
     node = fleet.router
-    for s in node.servers.values():
-        s.limit, s.latency = (1.0, 350.0) if s.id == "s1" else (6.0, 20.0 if eased else 350.0)
-    node.origin.limit = 1.0
+    for s in node.backends.values():
+        s.concurrency_limit, s.latency_ms = (
+            (1.0, 350.0) if s.id == "s1" else (6.0, 20.0 if eased else 350.0)
+        )
+    node.origin.concurrency_limit = 1.0
     fleet.arrive(key="busy", write=True)  # the origin has no room for a miss
-    home = [f"k{n}" for n in range(400) if node._bucket(crc32(b"k%d" % n) % BUCKETS).at.id == "s1"]
+    home = [
+        f"k{n}" for n in range(400) if node.bucket(crc32(b"k%d" % n) % BUCKETS).assigned.id == "s1"
+    ]
     for key in home[:20]:
         fleet.arrive(key=key)
-    assert (node.turned == 0) is eased and list(fleet.answers.values()).count("exhausted") > 10
+    assert (node.rejected_count == 0) is eased and list(fleet.answers.values()).count(
+        "exhausted"
+    ) > 10
 
 
 def test_cold_servers_that_answer_at_once_get_more_than_their_part_and_one_that_is_full_its_part() -> (  # noqa: E501
@@ -250,21 +272,23 @@
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(20.0)
     f.listed([entry("s1", started=f.now)], EndpointUpdate.DELTA)
-    s, sent = f.router.servers["s1"], len(f.sends)
+    s, sent = f.router.backends["s1"], len(f.sends)
     for i in range(600):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    assert s.boost * f.router.boost == f.router.boost_most == 2.0
+    assert s.warmup_gain * f.router.warmup_gain == f.router.max_warmup_gain == 2.0
     assert any(to == "s1" for _, to, _ in f.sends[sent:])
     f.listed([entry("s2", started=f.now)], EndpointUpdate.DELTA)
     assert (
-        f.router.servers["s2"].boost * f.router.boost == 2.0
+        f.router.backends["s2"].warmup_gain * f.router.warmup_gain == 2.0
     )  # what one tells holds for all that are cold
     for i in range(600):
         rpc = f.arrive(f"n{i}")
-        if f.txs[rpc][-1]["server"] == "s1":
+        if f.attempts[rpc][-1]["server"] == "s1":
             f.end(rpc, Outcome.OVERLOADED)
-            assert s.boost * f.router.boost <= 1.0 == f.router.servers["s2"].boost
+            assert (
+                s.warmup_gain * f.router.warmup_gain <= 1.0 == f.router.backends["s2"].warmup_gain
+            )
             return
         f.end(rpc, Outcome.COMPLETED)
         f.pass_time(10.0)
@@ -277,7 +301,7 @@
     for i in range(1200):
         rpc = f.arrive(f"k{i}")
         while rpc in f.open:
-            at_cache = f.txs[rpc][-1]["server"] != "o1"
+            at_cache = f.attempts[rpc][-1]["server"] != "o1"
             done += at_cache and i % 6 == 0
             f.end(rpc, Outcome.OVERLOADED if at_cache and i % 6 else Outcome.COMPLETED)
         f.pass_time(10.0)
@@ -290,24 +314,26 @@
     for seed in range(24):
         f = fleet(16, seed=seed)
         f.ask_a_hot_key()
-        heavy, light = (f.router._bucket(crc32(key) % BUCKETS) for key in (b"hot", b"k1"))
-        assert light.home is next(f.router._ready_from(light))
-        assert heavy.home is heavy.at
-        taken.add(heavy.home.id)
+        heavy, light = (f.router.bucket(crc32(key) % BUCKETS) for key in (b"hot", b"k1"))
+        assert light.primary is next(f.router.ready_from(light))
+        assert heavy.primary is heavy.assigned
+        taken.add(heavy.primary.id)
     assert len(taken) > 4
 
 
 def test_a_silent_transmission_gets_one_second_copy_and_the_first_answer_ends_both() -> None:
     f = fleet(4, hedging_allowed=True)
-    f.router.seen = 1e6
+    f.router.recent_requests = 1e6
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
-    assert len(f.txs[rpc]) == 2 and f.txs[rpc][0]["server"] != f.txs[rpc][1]["server"]
+    assert (
+        len(f.attempts[rpc]) == 2 and f.attempts[rpc][0]["server"] != f.attempts[rpc][1]["server"]
+    )
     assert len([out for out in f.out if out[0] == rpc]) == 2  # the first is still out
     # Danger: the next cache along the ring would miss, and the origin be asked too late.
-    assert f.txs[rpc][1]["server"] == "o1"
+    assert f.attempts[rpc][1]["server"] == "o1"
     f.end(rpc, Outcome.COMPLETED, 1)
-    assert not f.open and f.txs[rpc][0].get("called_off")
+    assert not f.open and f.attempts[rpc][0].get("called_off")
 
 
 def test_a_few_sightings_of_a_key_spread_nothing() -> None:
@@ -316,16 +342,19 @@
     f = fleet(16)
     for i in range(120):
         f.end(f.arrive(f"k{i % 40}"), Outcome.COMPLETED)  # each key three times
-    assert not any(b.wide for b in f.router.buckets.values() if b.seen < 4)
+    assert not any(b.spread_size for b in f.router.buckets.values() if b.recent_requests < 4)
 
 
 def test_no_second_copy_is_sent_while_the_origin_is_slow() -> None:
     # Danger: copies that a slow origin gets on top of its fetches are what stops it.
     f = fleet(4, hedging_allowed=True)
-    f.router.seen, f.router.servers["o1"].latency = 1e6, f.router.methods["read"].soft_ms * 0.4
+    f.router.recent_requests, f.router.backends["o1"].latency_ms = (
+        1e6,
+        f.router.methods["read"].soft_ms * 0.4,
+    )
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
-    assert len(f.txs[rpc]) == 1
+    assert len(f.attempts[rpc]) == 1
 
 
 def test_an_origin_whose_work_varies_is_asked_no_less_whatever_is_turned_away() -> None:
@@ -340,26 +369,26 @@
         )  # one in four over half of the soft deadline of 400
         f.router.pressure = 1.0
         f.end(rpc, Outcome.COMPLETED)
-        assert f.router.servers["o1"].limit >= 2.0
-    before = f.router.servers["o1"].limit
+        assert f.router.backends["o1"].concurrency_limit >= 2.0
+    before = f.router.backends["o1"].concurrency_limit
     for i in range(60):  # and with a mean that is slow it is asked less
         rpc = f.arrive(f"m{i}")
         f.end(rpc, Outcome.MISS)
         f.pass_time(220.0)
         f.end(rpc, Outcome.COMPLETED)
-    assert f.router.servers["o1"].limit < before
+    assert f.router.backends["o1"].concurrency_limit < before
 
 
 def test_without_reports_a_cache_that_answers_late_is_the_heavy_one() -> None:
     # Danger: an overloaded cache is sent little, so the rate calls it light and gives it more.
     f = fleet(4)
-    f.router.seen = 1e6
+    f.router.recent_requests = 1e6
     for i in range(400):
         rpc = f.arrive(f"k{i % 100}")
-        f.pass_time(60.0 if f.txs[rpc][0]["server"] == "s0" else 5.0)
+        f.pass_time(60.0 if f.attempts[rpc][0]["server"] == "s0" else 5.0)
         f.end(rpc, Outcome.COMPLETED)
-    moved = [b for b in f.router.buckets.values() if b.at is not b.home]
-    assert moved and all(b.home.id == "s0" for b in moved)
+    moved = [b for b in f.router.buckets.values() if b.assigned is not b.primary]
+    assert moved and all(b.primary.id == "s0" for b in moved)
 
 
 @pytest.mark.parametrize("pressure", [0.0, 1.0])
@@ -381,11 +410,11 @@
     # Danger: with half of that, nodes exhausted 3% of a quiet start; with far more, a crowd stops
     # the origin.
     f = fleet(4, nodes=nodes)
-    assert f.router.origin.limit == limit
+    assert f.router.origin.concurrency_limit == limit
     rpc = f.arrive("w", write=True)
     f.pass_time(50.0)
     f.end(rpc, Outcome.COMPLETED)
-    rest = f.router.origin.rest_until - f.now  # its limit has doubled where it was under one
+    rest = f.router.origin.paused_until - f.now  # its limit has doubled where it was under one
     assert 25.0 <= rest < 75.0 if nodes == 256 else rest <= 0.0
 
 
@@ -402,7 +431,7 @@
         f.arrive(f"k{i}")
         for _ in range(5):
             for rpc, n in list(f.out):
-                lost = f.txs[rpc][n]["server"] == "o1"
+                lost = f.attempts[rpc][n]["server"] == "o1"
                 tried += [f.now] if lost else []
                 f.end(rpc, Outcome.CONNECT_FAILED if lost else Outcome.MISS, n)
             f.pass_time(10.0)
@@ -420,16 +449,16 @@
     )
     reject = f.reject
     f.reject = lambda rpc, ms: (told.setdefault(rpc, (f.now, ms)), reject(rpc, ms))[1]
-    for s in f.router.servers.values():
-        s.limit = 1.0
-    f.router.servers["s0"].latency = f.router.origin.latency = 100.0
+    for s in f.router.backends.values():
+        s.concurrency_limit = 1.0
+    f.router.backends["s0"].latency_ms = f.router.origin.latency_ms = 100.0
     for i in range(40):
         came[f.arrive(f"k{i}")] = f.now
     assert len(told) > 25  # more than the line holds in time
     assert all(at == came[rpc] and 0 < ms <= 400.0 for rpc, (at, ms) in told.items())
-    waiting, given_up = set(f.open) - {rpc for rpc, _ in f.out}, f.router._give_up
+    waiting, given_up = set(f.open) - {rpc for rpc, _ in f.out}, f.router.reject
     turns = dict[str, float]()
-    f.router._give_up = lambda rpc, host: (turns.setdefault(rpc.id, f.now), given_up(rpc, host))[1]
+    f.router.reject = lambda rpc, host: (turns.setdefault(rpc.id, f.now), given_up(rpc, host))[1]
     f.pass_time(900.0)
     ended = {rpc: at for rpc, (at, _) in told.items() if rpc in waiting}
     assert ended and all(turns[rpc] == at for rpc, at in ended.items())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -117,7 +117,7 @@
     before = len(fleet.sends)
     for n in range(count):
         rpc = fleet.arrive(key=f"k{n}")
-        if rpc in fleet.open and fleet.txs[rpc]:
+        if rpc in fleet.open and fleet.attempts[rpc]:
             fleet.end(rpc, Outcome.COMPLETED)
         fleet.pass_time(5)
     return {server for _, server, _ in fleet.sends[before:]}
@@ -141,7 +141,7 @@
     fleet.listed([entry("s2")], EndpointUpdate.DELTA)
     fleet.listed([entry("s1"), entry("s3")])
     fleet.listed([entry("s1"), entry("s2"), entry("s3")])
-    assert "s2" not in asked(fleet) and fleet.router.servers["s2"].state != EndpointState.READY
+    assert "s2" not in asked(fleet) and fleet.router.backends["s2"].state != EndpointState.READY
 
 
 def test_two_bans_are_undone_by_one_call_and_the_server_comes_back_cold_and_without_strikes() -> (
@@ -149,14 +149,19 @@
 ):
     fleet = banned_fleet()
     fleet.router.set_banned(fleet.now, "s2", True)
-    b = fleet.router.servers["s2"]
-    b.failures, b.off, b.off_until, b.backoff = 3, True, fleet.now + 1e6, 1e6
+    b = fleet.router.backends["s2"]
+    b.consecutive_failures, b.ejected, b.ejected_until, b.ejection_ms = (
+        3,
+        True,
+        fleet.now + 1e6,
+        1e6,
+    )
     fleet.router.set_banned(fleet.now, "s2", False)
     assert (
         b.state == EndpointState.READY
-        and fleet.now < b.cold_until
-        and not b.off
-        and b.failures == 0
+        and fleet.now < b.warmup_until
+        and not b.ejected
+        and b.consecutive_failures == 0
     )
     assert "s2" in asked(fleet, 400)
 
@@ -167,12 +172,12 @@
     for n in range(30):
         fleet.arrive(key=f"k{n}")
     fleet.settle()
-    a = fleet.router.servers["s1"]
-    assert a.first
+    a = fleet.router.backends["s1"]
+    assert a.fresh_queue
     fleet.router.set_banned(fleet.now, "s1", True)
     fleet.settle()
-    assert not a.first and not a.again
-    assert not [rpc for rpc in fleet.router.rpcs.values() if not rpc.live and not rpc.closed]
+    assert not a.fresh_queue and not a.retry_queue
+    assert not [rpc for rpc in fleet.router.rpcs.values() if not rpc.in_flight and not rpc.closed]
 
 
 # ---- drains
@@ -286,13 +291,17 @@
         and s.node.pools.most == servers // 2
         and s.node.clients.room == room // 2
     )
-    assert s.node.host.router.part == 0.5 and figures(s)["members_unavailable"] == 1
+    assert s.node.host.router.process_share == 0.5 and figures(s)["members_unavailable"] == 1
     call(s, b"PAUSE\n")
     call(s, b"RESTORE s1\n")
     assert [verb for verb, _ in other.news()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
     other.close()
     s.pass_time(250)
-    assert s.node.processes == 1 and s.node.pools.most == servers and s.node.host.router.part == 1.0
+    assert (
+        s.node.processes == 1
+        and s.node.pools.most == servers
+        and s.node.host.router.process_share == 1.0
+    )
     s.node.shared.close()
 
 
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -75,7 +75,7 @@
 
 def test_a_node_without_any_list_says_that_it_is_not_ready() -> None:
     s = Sockets(1)
-    s.node.host.router.servers.clear()  # it was told none
+    s.node.host.router.backends.clear()  # it was told none
     assert s.node.ready() == "no list of servers yet"
     watch(s, {"seq": 6, "whole": True, "hosts": Sockets(1).hosts})
     assert s.node.ready() == ""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -30,8 +30,8 @@
     f = fleet(max_attempts=5)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
-        while rpc in f.open and f.txs[rpc] and not f.txs[rpc][-1]["done"]:
-            f.end(rpc, Outcome.OVERLOADED if len(f.txs[rpc]) % 2 else Outcome.RESET)
+        while rpc in f.open and f.attempts[rpc] and not f.attempts[rpc][-1]["done"]:
+            f.end(rpc, Outcome.OVERLOADED if len(f.attempts[rpc]) % 2 else Outcome.RESET)
     assert {to for _, to, _ in f.sends} <= {"s1", "s3", "s5", "o1"}
 
 
@@ -62,7 +62,7 @@
     ring = f.router.ring = Walked(f.router.ring)
     for i in range(1, 12, 2):  # those of kind std drain, one after the other
         f.listed([entry(f"s{i}", EndpointState.DRAINING, kind=1)], EndpointUpdate.DELTA)
-    assert not [b.home for b in f.router.buckets.values() if b.kinds and b.home]
+    assert not [b.primary for b in f.router.buckets.values() if b.kinds and b.primary]
     assert ring.looks < 40 * len(f.router.buckets) * 6 < len(ring) * 60
 
 
@@ -71,7 +71,7 @@
     for seed in range(12):
         f = fleet(16, seed=seed)
         f.ask_a_hot_key()
-        taken.add(f.router._bucket(crc32(b"hot") % BUCKETS, ("std",)).home.id)
+        taken.add(f.router.bucket(crc32(b"hot") % BUCKETS, ("std",)).primary.id)
     assert len(taken) > 1 and all(int(id[1:]) % 2 for id in taken)
 
 
@@ -82,7 +82,7 @@
         f.end(f.arrive(f"page{i % 7}", "page"), Outcome.COMPLETED)
         f.pass_time(10.0)
     bound = [b for b in f.router.buckets.values() if b.kinds]
-    assert bound and all(b.at.kind == 1 for b in bound)
+    assert bound and all(b.assigned.kind == 1 for b in bound)
 
 
 def test_a_server_of_another_kind_that_alone_is_up_gets_nothing() -> None:
@@ -98,8 +98,8 @@
 def test_an_entry_without_kind_or_zone_is_open_to_what_is_bound_to_nothing_only() -> None:
     f = fleet(0, Method("status", 400.0, 1000.0, 1.0, zones=("zone1",)))
     f.listed([entry("s1", kind=-2)])
-    f.router.servers["s1"].zone = ""
-    f.router._rebuild([])
+    f.router.backends["s1"].zone = ""
+    f.router.rebuild_ring([])
     assert f.answers[f.arrive("k")] == "exhausted" and not f.sends
     assert f.arrive("k", "page") in f.open
 
@@ -107,7 +107,7 @@
 def test_a_server_listed_as_another_kind_loses_what_is_bound() -> None:
     f = fleet(2)
     rpc = f.arrive("k")
-    assert f.txs[rpc][0]["server"] == "s1"
+    assert f.attempts[rpc][0]["server"] == "s1"
     f.end(rpc, Outcome.COMPLETED)
     f.listed([entry("s1", kind=0), entry("s0", kind=1)], EndpointUpdate.DELTA)
     f.arrive("k")
@@ -148,5 +148,5 @@
 ) -> None:
     x = load(Path(__file__).parent.parent / "experiments" / "core-placement.toml")
     assert not Run(x, x.seed).run().broken
-    monkeypatch.setattr(Router, "_open", lambda *_: True)
+    monkeypatch.setattr(Router, "allows", lambda *_: True)
     assert "placement" in {b.rule for b in Run(x, x.seed).run().broken}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from hookpitch.balancer.decisions import Router, Server
+from hookpitch.balancer.decisions import Backend, Router
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.testbed.experiment import load, read
 from hookpitch.testbed.metrics import summary
@@ -51,10 +51,10 @@
 WRONG = """
 import os
 if "PROXY_CONFIG" in os.environ:  # a node's process
-    from hookpitch.balancer.decisions import Router, Server
+    from hookpitch.balancer.decisions import Backend, Router
     from hookpitch.balancer.interface import EndpointState
-    right = Router._state
-    Router._state = lambda self, s, state: right(self, s, EndpointState.READY if state == EndpointState.DRAINING else state)
+    right = Router.set_state
+    Router.set_state = lambda self, s, state: right(self, s, EndpointState.READY if state == EndpointState.DRAINING else state)
 """  # noqa: E501
 
 
@@ -158,11 +158,11 @@
         assert (counters["config_changes"], counters["config_reload_errors"]) == (4, 4)
 
 
-def wrong_in_virtual_time(self: Router, s: Server, state: EndpointState) -> None:
+def wrong_in_virtual_time(self: Router, s: Backend, state: EndpointState) -> None:
     RIGHT(self, s, EndpointState.READY if state == EndpointState.DRAINING else state)
 
 
-RIGHT = Router._state
+RIGHT = Router.set_state
 
 
 def test_a_node_that_sends_past_the_grace_is_caught_in_both_clocks(
@@ -171,7 +171,7 @@
     (tmp_path / "past-grace.toml").write_text(PAST_GRACE)
     (tmp_path / "sitecustomize.py").write_text(WRONG)
     assert not Run(read(PAST_GRACE), 1).run().broken
-    monkeypatch.setattr(Router, "_state", wrong_in_virtual_time)
+    monkeypatch.setattr(Router, "set_state", wrong_in_virtual_time)
     assert {b.rule for b in Run(read(PAST_GRACE), 1).run().broken} == {"rule 3"}
     code, said = Play(tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=str(tmp_path)).end()
     if code == VOID:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,9 @@
     fleet.pass_time(30000.0)  # whatever was open has ended by now
     assert not fleet.open
     assert not fleet.router.rpcs, "records outlive their RPCs"
-    assert not any(s.first or s.again or s.live for s in fleet.router.servers.values())
+    assert not any(
+        s.fresh_queue or s.retry_queue or s.in_flight for s in fleet.router.backends.values()
+    )
 
 
 def test_same_input_gives_the_same_decisions() -> None:
@@ -54,6 +56,6 @@
     held = [x for x in storm.network.lines if not x.ended] + [
         d for d in storm.network.dials if not d.over
     ]
-    assert storm.s.node.pools.held == sum(x.port != DISCOVERY for x in held), (
+    assert storm.s.node.pools.max_idle_ms == sum(x.port != DISCOVERY for x in held), (
         "descriptors are counted wrong"
     )
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -49,8 +49,8 @@
     for i in range(60):
         f.router.pressure = 1.0  # nothing over a share is let in
         rpc = f.arrive(f"k{i}", tenant="big")
-        sent += bool(f.txs[rpc])
-        assert not f.txs[rpc] or not f.router.rpcs[rpc].over
+        sent += bool(f.attempts[rpc])
+        assert not f.attempts[rpc] or not f.router.rpcs[rpc].over_quota
         f.pass_time(500.0)
         if (rpc, 0) in f.out:
             f.end(rpc, Outcome.TIMEOUT)
@@ -59,12 +59,12 @@
 
 def test_rounds_move_nothing_on_a_few_answers() -> None:
     f = node(300)
-    for s in f.router.servers.values():
-        s.load = 50.0 if s.id == "s0" else 1.0
+    for s in f.router.backends.values():
+        s.reported_load = 50.0 if s.id == "s0" else 1.0
     for i in range(20):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(1000.0)
-    assert all(b.at is b.home for b in f.router.buckets.values())
+    assert all(b.assigned is b.primary for b in f.router.buckets.values())
 
 
 def test_a_full_origin_is_asked_less_and_less_by_each_node() -> None:
@@ -73,7 +73,7 @@
     for i in range(60):
         rpc = f.arrive(f"k{i}")
         f.end(rpc, Outcome.MISS)
-        while (rpc, n := len(f.txs[rpc]) - 1) in f.out:
+        while (rpc, n := len(f.attempts[rpc]) - 1) in f.out:
             asked.append(f.now)
             f.end(rpc, Outcome.OVERLOADED, n)
         f.pass_time(500.0)
@@ -91,34 +91,34 @@
 
 def test_where_holding_costs_nothing_connections_are_held_ever_longer_until_some_fail() -> None:
     f = node(300)
-    begun = f.router.idle
-    assert begun == f.router.brief < f.router.held / 10
+    begun = f.router.idle_limit_ms
+    assert begun == f.router.min_idle_ms < f.router.max_idle_ms / 10
     f.pass_time(60000.0)
-    assert f.router.idle == f.router.held
+    assert f.router.idle_limit_ms == f.router.max_idle_ms
     for n in range(30):
         rpc = f.arrive(f"k{n}")
-        if f.txs[rpc]:
+        if f.attempts[rpc]:
             f.end(rpc, Outcome.RESET)
         f.pass_time(200.0)
-    assert f.router.idle < f.router.held / 2
-    after = f.router.idle
+    assert f.router.idle_limit_ms < f.router.max_idle_ms / 2
+    after = f.router.idle_limit_ms
     f.pass_time(6000.0)
-    assert after < f.router.idle < 1.5 * after  # and from then on slowly
+    assert after < f.router.idle_limit_ms < 1.5 * after  # and from then on slowly
     f.router.reconfigured(f.now, f.d)
-    assert f.router.idle < f.router.held
+    assert f.router.idle_limit_ms < f.router.max_idle_ms
 
 
 def test_overload_sheds_the_least_gain_first_and_stops_when_it_is_over() -> None:
     dear, cheap = Method("dear", 400.0, 1000.0, 5.0), Method("cheap", 400.0, 1000.0, 1.0)
     f = node(300, methods=(dear, cheap))
     for i in range(40):
-        f.router.turned, f.router.asked = 2 * (i < 20), 4
+        f.router.rejected_count, f.router.arrival_count = 2 * (i < 20), 4
         f.pass_time(1500.0)
         if i == 2:
             f.router.shed = 0.5
-            assert all(not f.txs[f.arrive(f"c{k}", "cheap")] for k in range(5))
-            assert all(f.txs[f.arrive(f"d{k}", "dear")] for k in range(5))
-    assert f.router.shed == 0.0 and f.txs[f.arrive("last", "cheap")]
+            assert all(not f.attempts[f.arrive(f"c{k}", "cheap")] for k in range(5))
+            assert all(f.attempts[f.arrive(f"d{k}", "dear")] for k in range(5))
+    assert f.router.shed == 0.0 and f.attempts[f.arrive("last", "cheap")]
 
 
 def test_the_origins_limit_falls_when_its_mean_is_slow_not_when_its_work_varies() -> None:
@@ -133,19 +133,23 @@
                 if (rpc, n) in f.out:
                     f.end(rpc, Outcome.COMPLETED, n)
             f.pass_time(100.0)
-        assert (f.router.servers["o1"].limit > 6.0) == varies, f.router.servers["o1"].limit
+        assert (f.router.backends["o1"].concurrency_limit > 6.0) == varies, f.router.backends[
+            "o1"
+        ].concurrency_limit
 
 
 def test_a_silent_origin_is_struck_once_its_wait_is_over() -> None:
     f = node(1)
-    origin, struck = f.router.servers["o1"], []
-    first = origin.limit
+    origin, struck = f.router.backends["o1"], []
+    first = origin.concurrency_limit
     for i in range(6):
         f.end(rpc := f.arrive(f"k{i}"), Outcome.MISS)
         f.pass_time(390.0)
-        assert origin.limit == (struck[-1] if struck else first), "a slow answer may still come"
+        assert origin.concurrency_limit == (struck[-1] if struck else first), (
+            "a slow answer may still come"
+        )
         f.pass_time(2000.0)
-        struck.append(origin.limit)
+        struck.append(origin.concurrency_limit)
         assert rpc in f.answers
     assert struck == sorted(struck, reverse=True) and struck[-1] < 0.3
 
@@ -154,14 +158,17 @@
     None
 ):
     old, new = node(4), node(4)
-    begun = new.router.origin.limit
+    begun = new.router.origin.concurrency_limit
     old.end(old.arrive("k"), Outcome.MISS)
     old.end(next(iter(old.open)), Outcome.COMPLETED)
-    before = old.router.origin.limit
+    before = old.router.origin.concurrency_limit
     for f in (old, new):
         f.router.set_process_count(f.now, 2)
-    assert old.router.origin.limit == before and new.router.origin.limit == begun / 2
+    assert (
+        old.router.origin.concurrency_limit == before
+        and new.router.origin.concurrency_limit == begun / 2
+    )
     new.router.set_process_count(new.now, 1)
-    assert new.router.origin.limit == begun
+    assert new.router.origin.concurrency_limit == begun
     new.router.reconfigured(new.now, new.d)
-    assert new.router.origin.limit == begun
+    assert new.router.origin.concurrency_limit == begun
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -45,12 +45,14 @@
     f, rng = fleet(), random.Random(seed)
     for i in range(600):
         rpc = f.arrive("heavy" if rng.random() < 0.3 else f"k{rng.randrange(300)}")
-        while (rpc, n := len(f.txs[rpc]) - 1) in f.out:
-            f.end(rpc, Outcome.RESET if f.txs[rpc][n]["server"] == "s2" else Outcome.COMPLETED, n)
+        while (rpc, n := len(f.attempts[rpc]) - 1) in f.out:
+            f.end(
+                rpc, Outcome.RESET if f.attempts[rpc][n]["server"] == "s2" else Outcome.COMPLETED, n
+            )
         if i % 10 == 0:
             f.pass_time(20.0)
-    assert f.router.servers["s2"].off
-    f.router.servers["s0"].limit = 9.0  # grown in use
+    assert f.router.backends["s2"].ejected
+    f.router.backends["s0"].concurrency_limit = 9.0  # grown in use
     return f
 
 
@@ -72,21 +74,29 @@
     f = busy()
     x = read(write(learned(f)))
     assert x == learned(f)
-    best = max((s for s in f.router.caches if not s.off), key=lambda s: s.limit)
-    limits = [begun(x, ms).router.servers[best.id].limit for ms in (0.0, 60000.0, 3600000.0)]
-    assert limits[0] == pytest.approx(best.limit) and limits[0] > limits[1] > limits[2]
+    best = max((s for s in f.router.caches if not s.ejected), key=lambda s: s.concurrency_limit)
+    limits = [
+        begun(x, ms).router.backends[best.id].concurrency_limit for ms in (0.0, 60000.0, 3600000.0)
+    ]
+    assert limits[0] == pytest.approx(best.concurrency_limit) and limits[0] > limits[1] > limits[2]
     assert limits[2] == pytest.approx(2.0, abs=0.01)
     now, later = begun(x, 100.0), begun(x, 3600000.0)
-    assert now.router.servers["s2"].off and not later.router.servers["s2"].off
-    assert now.router.work == f.router.work and later.router.work == 0.0
+    assert now.router.backends["s2"].ejected and not later.router.backends["s2"].ejected
+    assert (
+        now.router.unit_latency_ms == f.router.unit_latency_ms
+        and later.router.unit_latency_ms == 0.0
+    )
 
 
 def test_a_heavy_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
-    (key,) = [k for k, b in f.router.buckets.items() if b.wide]
+    (key,) = [k for k, b in f.router.buckets.items() if b.spread_size]
     new = begun(learned(f), 500.0)
-    assert new.router.buckets[key].wide > 0 and len(new.router._taking(new.router.buckets[key])) > 1
-    assert not any(b.wide for b in begun(learned(f), 3600000.0).router.buckets.values())
+    assert (
+        new.router.buckets[key].spread_size > 0
+        and len(new.router.replicas(new.router.buckets[key])) > 1
+    )
+    assert not any(b.spread_size for b in begun(learned(f), 3600000.0).router.buckets.values())
 
 
 def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> (  # noqa: E501
@@ -98,11 +108,11 @@
         for e in SERVERS
     )
     new = begun(learned(f, servers=known), 100.0)
-    assert not any(s.off for s in new.router.caches)
+    assert not any(s.ejected for s in new.router.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
     new = begun(learned(f, servers=known), 100.0, alone)
-    assert not new.router.servers["s3"].off and new.txs[new.arrive("k")]
-    assert begun(learned(f, servers=known[:2]), 100.0).router.servers["s0"].off
+    assert not new.router.backends["s3"].ejected and new.attempts[new.arrive("k")]
+    assert begun(learned(f, servers=known[:2]), 100.0).router.backends["s0"].ejected
 
 
 def test_a_server_that_started_since_is_cold_whatever_the_snapshot_says() -> None:
@@ -110,14 +120,14 @@
     x = learned(f)
     fresh = [replace(e, started_ms=x.written + 500.0) if e.id == "s1" else e for e in SERVERS]
     new = begun(x, 1000.0, fresh)
-    s = new.router.servers["s1"]
-    assert s.cold_until > new.now and s.limit <= 2.0 and not s.ok
+    s = new.router.backends["s1"]
+    assert s.warmup_until > new.now and s.concurrency_limit <= 2.0 and not s.available
     # And one that was cold as it was written is so for the rest of its time, no longer.
     cold = tuple(
         replace_known(k, cold_until=x.written + 9e9) if k.id == "s1" else k for k in x.servers
     )
     new = begun(msgspec.structs.replace(x, servers=cold), 1000.0)
-    assert new.now < new.router.servers["s1"].cold_until <= new.now + 20000.0
+    assert new.now < new.router.backends["s1"].warmup_until <= new.now + 20000.0
 
 
 def replace_known(k: BackendSnapshot, **changes: object) -> BackendSnapshot:
@@ -126,8 +136,8 @@
 
 def test_buckets_stay_moved_while_that_is_young_and_only_to_servers_that_serve() -> None:
     f = fleet()
-    b = f.router._bucket(77)
-    to = next(s.id for s in f.router.caches if s is not b.home)
+    b = f.router.bucket(77)
+    to = next(s.id for s in f.router.caches if s is not b.primary)
     x = learned(
         f,
         moved=(
@@ -136,7 +146,7 @@
             MovedBucket(10**9, (), (), to),
         ),
     )
-    assert begun(x, 1000.0).router.buckets[77, (), ()].at.id == to
+    assert begun(x, 1000.0).router.buckets[77, (), ()].assigned.id == to
     assert (77, (), ()) not in begun(x, 600000.0).router.buckets
     gone = [replace(e, state=EndpointState.DRAINING) if e.id == to else e for e in SERVERS]
     assert (77, (), ()) not in begun(x, 1000.0, gone).router.buckets
@@ -146,9 +156,9 @@
     f = fleet()
     f.router.set_banned(f.now, "s4", True)
     new = begun(learned(f), 60000.0)
-    assert new.router.servers["s4"].state == EndpointState.DRAINING
+    assert new.router.backends["s4"].state == EndpointState.DRAINING
     new.router.set_banned(new.now, "s4", False)
-    assert new.router.servers["s4"].state == EndpointState.READY
+    assert new.router.backends["s4"].state == EndpointState.READY
 
 
 def test_what_is_cut_or_turned_at_any_byte_is_never_taken() -> None:
@@ -286,7 +296,7 @@
     s.node.snapshot_store.recall()
     assert len(lines) == 1 and said in lines[0]
     assert not before or path.read_bytes() == before
-    assert s.node.host.router.servers["s0"].state == EndpointState.READY
+    assert s.node.host.router.backends["s0"].state == EndpointState.READY
 
 
 def test_a_disk_that_fails_or_stalls_holds_up_nothing_and_is_told_once(tmp_path: Path) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -219,7 +219,9 @@
     c = s.client()
     c.say(get("r1"))
     serve(s, b"-ERR failed outstanding=5,recent_ms=1\r\n")
-    assert s.node.host.router.servers["s0"].load > 1  # the report at an error's end was read
+    assert (
+        s.node.host.router.backends["s0"].reported_load > 1
+    )  # the report at an error's end was read
 
 
 def test_a_good_answer_with_more_behind_it_counts_and_its_connection_ends() -> None:
@@ -239,7 +241,7 @@
         s.pass_time(1)
         assert c.take() == bulk(b"v") and (s.network.to(7000) == []) == ended, answer
         assert (
-            0 <= s.node.host.router.servers["s0"].load + 1 < 3
+            0 <= s.node.host.router.backends["s0"].reported_load + 1 < 3
         )  # figures that cannot be spoil no belief
     for behind, said in ((b"more", bulk(b"one")), (b"", bulk(b"one"))):
         s = Sockets()
@@ -269,7 +271,7 @@
 def test_spoilt_answers_say_nothing_of_a_server_that_gives_good_ones_too() -> None:
     s = Sockets(1)
     c = s.client()
-    origin_limit = s.node.host.router.servers["o1"].limit
+    origin_limit = s.node.host.router.backends["o1"].concurrency_limit
     for i in range(
         12
     ):  # every second answer is noise: the RPC goes to its home again, and to no origin
@@ -277,12 +279,17 @@
         serve(s, b"\xab\r\n" if i % 2 else VALUE)
         serve(s)
     assert c.take() == bulk(b"v") * 12 and s.counters.counts["tx.spoilt"] == 6
-    assert s.node.host.router.servers["s0"].failures == 0 and not s.network.to(ORIGIN_PORT)
+    assert s.node.host.router.backends["s0"].consecutive_failures == 0 and not s.network.to(
+        ORIGIN_PORT
+    )
     for i in range(12):
         c.say(command(b"OBJ.SET", b"k", b"w%d" % i, b"c=once,d=900", b"v"))
         s.pass_time(1)
         origin(s, b"ICY 200 OK\r\n\r\n" if i % 2 else http(200, b"v"))
-    assert c.take().count(b"-ERR") == 6 and s.node.host.router.servers["o1"].limit >= origin_limit
+    assert (
+        c.take().count(b"-ERR") == 6
+        and s.node.host.router.backends["o1"].concurrency_limit >= origin_limit
+    )
     for i in range(12):  # nothing but noise for longer: it is a failure like any other
         c.say(get(f"x{i}"))
         serve(s, b"\xab\r\n")
@@ -396,12 +403,12 @@
     c = s.client()
     c.say(get("r1").replace(b"c=read,d=900", b"c=read,t=abc"))
     serve(s)
-    full = s.node.host.router.shares["small"].tokens
+    full = s.node.host.router.token_buckets["small"].tokens
     c.say(get("r2").replace(b"c=read,d=900", b"c=read,t=small").replace(b"$12", b"$14"))
     (words,) = serve(s)
     assert (
         words[3].startswith(b"c=read,t=small,d=")
-        and s.node.host.router.shares["small"].tokens < full
+        and s.node.host.router.token_buckets["small"].tokens < full
     )
 
 
@@ -546,10 +553,10 @@
     c.say(get("r1"))
     s.pass_time(1)
     (asked,) = [p for p in PORTS if s.network.to(p)]
-    home = "s0" if s.node.host.router.servers["s0"].live else "s1"
+    home = "s0" if s.node.host.router.backends["s0"].in_flight else "s1"
     assert {"s0": 7001, "s1": 7000}[home] == asked
     watch(s, {"seq": 7, "whole": False, "hosts": [listed_host(home, asked, health="terminating")]})
-    assert s.node.host.router.servers[home].state == EndpointState.DRAINING
+    assert s.node.host.router.backends[home].state == EndpointState.DRAINING
     serve(s)
     assert c.take() == bulk(b"v")  # what it had is finished there
     s.pass_time(1)
@@ -566,7 +573,7 @@
     for told in (old, b"", old):
         watch(s, told)
         assert (
-            s.node.host.router.servers["s0"].state == EndpointState.READY
+            s.node.host.router.backends["s0"].state == EndpointState.READY
             and "lists.full" not in s.counters.counts
         )
         s.pass_time(1000)
@@ -574,7 +581,7 @@
     watch(s, b"")  # it insists: discovery counts anew
     assert asked == s.counters.counts["lists.asked"] == 2  # all on one watch
     assert (
-        s.node.host.router.servers["s0"].state == EndpointState.REMOVED
+        s.node.host.router.backends["s0"].state == EndpointState.REMOVED
         and s.node.discovery.seq == 3
     )
 
@@ -601,7 +608,7 @@
     )
     watch(s, b"", b"", b"", b"")
     assert (
-        s.node.host.router.servers["s0"].state == EndpointState.READY and s.node.discovery.seq == 5
+        s.node.host.router.backends["s0"].state == EndpointState.READY and s.node.discovery.seq == 5
     )
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -72,13 +72,18 @@
     for i in range(200):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
     node.set_banned(f.now, "s0", True)
-    sick, cold = node.servers["s1"], node.servers["s2"]
-    sick.failures, sick.off, sick.off_until, sick.limit = 3, True, f.now + 9e9, 1.5
-    node._cool(cold, f.now)
+    sick, cold = node.backends["s1"], node.backends["s2"]
+    sick.consecutive_failures, sick.ejected, sick.ejected_until, sick.concurrency_limit = (
+        3,
+        True,
+        f.now + 9e9,
+        1.5,
+    )
+    node.start_warmup(cold, f.now)
     for _ in range(3):
         f.end(f.arrive("k1", tenant="small"), Outcome.COMPLETED)
-    tokens, cold_tokens = node.shares["small"].tokens, cold.tokens
-    homes = {number: b.home.id for number, b in node.buckets.items()}
+    tokens, cold_tokens = node.token_buckets["small"].tokens, cold.warmup_tokens
+    homes = {number: b.primary.id for number, b in node.buckets.items()}
     out = f.arrive("k5", method="once")
     other = Method("once", 50.0, 100.0, 1.0, 0.0, Idempotency.IDEMPOTENT)
     new = replace(
@@ -90,34 +95,42 @@
     )
     for settings, kind in ((new, 1), (d, 0)):
         node.reconfigured(f.now, settings)
-        assert node.bans == {"s0": None} and sick.off and sick.failures == 3 and sick.limit == 1.5
-        assert cold.cold_until > f.now and cold.tokens == cold_tokens
-        assert abs(node.shares["small"].tokens - tokens) < 1e-6
-        assert {number: b.home.id for number, b in node.buckets.items()} == homes  # no ring moved
+        assert (
+            node.bans == {"s0": None}
+            and sick.ejected
+            and sick.consecutive_failures == 3
+            and sick.concurrency_limit == 1.5
+        )
+        assert cold.warmup_until > f.now and cold.warmup_tokens == cold_tokens
+        assert abs(node.token_buckets["small"].tokens - tokens) < 1e-6
+        assert {
+            number: b.primary.id for number, b in node.buckets.items()
+        } == homes  # no ring moved
         assert sick.kind == kind and node.origin.id == "o1" and node.origin.kind == kind + 1
         rpc = node.rpcs[out]
-        assert rpc.method == methods[1] and rpc.until > f.now + 390  # as it came
+        assert rpc.method == methods[1] and rpc.deadline > f.now + 390  # as it came
     node.reconfigured(f.now, new)
     # Sizes that move with load: the same list, cut by load, moves nothing either.
     node.update_endpoints(f.now, EndpointUpdate.DELTA, [entry("s3", size=0.25, kind=1)])
     assert (
-        node.servers["s3"].load == 3.0 and {n: b.home.id for n, b in node.buckets.items()} == homes
+        node.backends["s3"].reported_load == 3.0
+        and {n: b.primary.id for n, b in node.buckets.items()} == homes
     )
     node.reconfigured(f.now, d)
-    assert node.servers["s3"].load == -1.0
+    assert node.backends["s3"].reported_load == -1.0
 
 
 def test_copies_that_are_out_are_called_off_where_they_are_forbidden_from_now_on() -> None:
     d = deployment(hedging_allowed=True)
     f = Fleet(d)
     f.listed([entry(f"s{i}") for i in range(4)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
-    f.router.seen = 1e6
+    f.router.recent_requests = 1e6
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
-    assert len(f.txs[rpc]) == 2 and not f.txs[rpc][0].get("called_off")
+    assert len(f.attempts[rpc]) == 2 and not f.attempts[rpc][0].get("called_off")
     f.router.reconfigured(f.now, replace(d, hedging_allowed=False))
     f.settle()
-    assert f.txs[rpc][0].get("called_off") and not f.txs[rpc][1].get("called_off")
+    assert f.attempts[rpc][0].get("called_off") and not f.attempts[rpc][1].get("called_off")
 
 
 def test_how_late_counts_as_away_goes_by_the_new_deadlines() -> None:
