--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -241,7 +241,9 @@
     def reject(self, rpc_id: str, retry_after_ms: float) -> None:
         method = self.methods_of(rpc_id)
         assert 0 <= retry_after_ms <= self.d.max_retry_after_ms
-        if method.idempotency != Idempotency.IDEMPOTENT and any(t["ran"] for t in self.attempts[rpc_id]):
+        if method.idempotency != Idempotency.IDEMPOTENT and any(
+            t["ran"] for t in self.attempts[rpc_id]
+        ):
             deduped = method.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
             assert deduped and method.dedup_scope == "all", (
                 "rule 2: exhausted though it may have run"
@@ -343,7 +345,9 @@
             self.now = max(self.now, min(at, wake))
             if at <= wake:
                 self.end(
-                    r, Outcome.CANCELLED if "called_off" in self.attempts[r][n] else Outcome.TIMEOUT, n
+                    r,
+                    Outcome.CANCELLED if "called_off" in self.attempts[r][n] else Outcome.TIMEOUT,
+                    n,
                 )
             else:
                 self.wakes.remove(wake)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -173,7 +173,7 @@
     assert not Run(read(PAST_GRACE), 1).run().broken
     monkeypatch.setattr(Router, "set_state", wrong_in_virtual_time)
     assert {b.rule for b in Run(read(PAST_GRACE), 1).run().broken} == {"rule 3"}
-    code, said = Play(tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=str(tmp_path)).end()
+    code, said = Play(tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=f"{tmp_path}:{ROOT}").end()
     if code == VOID:
         pytest.skip(f"void: {said}")
     assert code == 1 and "rule 3" in said and "to drain" in said
