--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,8 +4,9 @@
 
     tests/test_x.py::test_name | command and seed | what was seen | issue N
 
-The listed tests are expected to fail, strictly, and are printed. One that passes, one that names no test
-and a malformed entry fail the run. Runs on processes that could not be judged are counted and printed.
+The listed tests are expected to fail, strictly, and are printed. One that passes, one that names no
+test and a malformed entry fail the run. Runs on processes that could not be judged are counted and
+printed.
 """
 
 from __future__ import annotations
