--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
 """KNOWN-RED.txt: tests that fail because of a known fault which is not fixed yet.
 
-One entry a line, four fields set apart by ` | `, in any number; blank lines and `#` lines are comments:
+One entry a line, four fields set apart by ` | `, in any number; blank lines and `#` lines are
+comments:
 
     tests/test_x.py::test_name | command and seed | what was seen | issue N
 
