--- a/hookpitch/core/admission.py
+++ b/hookpitch/core/admission.py
@@ -1,123 +1,160 @@
-"""What the node itself can do, measured; free of input, output and clock.
-
-The node is a queue before the fleet: what it has not read yet waits in the kernel, seen by nobody.
-Its length in time (the age of an RPC when it is read, and how late the loop comes to its deadlines)
-is held under a part of the shortest soft deadline by a rate of RPCs that are let in:
-
-- a window whose mean wait is over the aim lowers the rate, from what was let in, by as much as it
-  was over;
-- it never falls so far that refusals use most of the CPU time, which alone can fill the wait;
-- a window within the aim raises it by `GROWTH`, and once it stands well over what comes in there
-  is none.
-
-What comes in beyond the rate is the burden. The decisions are told of it and choose whom to turn
-away. The
-rate is no figure of the machine: nothing but the wait sets it, so it holds for any core and any
-neighbour.
-
-A pause (the process stopped, or its core taken) is no burden: the node was away, and what it reads
-then is
-old for that reason alone. Invariants: 0 <= burden <= MOST; no rate means no burden.
+"""Adaptive admission control: which part of the incoming RPCs this node can serve.
+
+RPCs that the node has not read yet wait in the kernel, where no deadline is checked. The controller
+bounds that wait (the age of an RPC when it is read, and how late the event loop runs its timers) to
+a fraction of the shortest soft deadline by adapting an admission rate, once per window:
+
+- a mean wait above the target lowers the rate in proportion, starting from what was admitted;
+- the rate never falls so far that rejecting takes most of the CPU time, which alone can keep the
+  wait above the target;
+- a mean wait within the target raises the rate by `RATE_GROWTH`, and a rate that is well above the
+  arrivals is dropped.
+
+The fraction of the arrivals above the rate is `shed_fraction`; the router chooses which RPCs are
+shed. Only the measured wait sets the rate, so no setting describes the machine.
+
+A pause of the process (stopped, or its core taken away) is no overload: what was queued meanwhile
+is old for that reason alone, and such windows are not measured.
+
+Times are in milliseconds. Invariants: 0 <= shed_fraction <= MAX_SHED_FRACTION; without a rate
+nothing is shed.
 """
 
 from __future__ import annotations
 
-AIM = 0.4  # of the shortest soft deadline: the mean wait for being read that is held
-WINDOWS = 4  # in a shortest soft deadline
-GROWTH = 1.15  # of the rate, in a window within the aim: from a tenth to all in seventeen windows
-EASY = 1.3  # times what comes in: a rate above it limits nothing and goes
-STEPS = (0.6, 0.97)  # a rate is lowered to between these parts of what was let in
-FLOOR = 0.6  # of the CPU time used: the least that goes to what is let in,
-# up to a wait of so many times the aim; less beyond, as ever more is too late when it is read
-LONG = 1.25
-SAMPLE = 8  # RPCs in a window that tell what one costs
-MOST = 0.98  # the largest burden: some are always let in, or nothing would be measured
-AWAY = 1.0  # times the aim: a beat so much late, with its CPU time not used, is a pause
-FAR = float("inf")
+UNLIMITED = float("inf")
+TARGET_WAIT_FRACTION = 0.4  # of the shortest soft deadline: the mean wait that is accepted
+WINDOWS_PER_SOFT_DEADLINE = 4
+RATE_GROWTH = 1.15  # factor per window within the target: from a tenth to all in 17 windows
+DROP_RATE_FACTOR = 1.3  # a rate above this multiple of the arrivals limits nothing
+MIN_STEP = 0.6  # one window lowers the rate to this fraction of what was admitted, at the lowest
+MAX_STEP = 0.97  # ... and to this fraction, at the highest
+MIN_USEFUL_CPU_FRACTION = 0.6  # of the CPU time used goes to admitted RPCs, whatever the wait
+# Above this multiple of the target wait that fraction shrinks: what would be admitted on top is too
+# late by the time it is read.
+LONG_WAIT_FACTOR = 1.25
+MIN_COST_SAMPLE = 8  # RPCs in a window, for its CPU time to be a measure of one RPC
+COST_SMOOTHING = 0.2  # weight of the newest window in the CPU time of one RPC
+ARRIVALS_SMOOTHING = 0.5  # weight of the newest window in the arrival rate
+MAX_SHED_FRACTION = 0.98  # some RPCs are always admitted, or nothing would be measured
+PAUSE_FACTOR = 1.0  # times the target wait: a loop this late that used no CPU time was paused
+WINDOWS_AFTER_PAUSE = 2  # not measured: the one it ends, and the one that reads the backlog
 
 
 class Admission:
-    """Told of what was read and of each beat; tells the burden."""
+    """The admission controller of one node, fed by the host with arrivals and window ends."""
 
     __slots__ = (
-        "aim",
-        "window",
-        "rate",
-        "cost",
-        "burden",
-        "arrivals",
-        "wait",
-        "_at",
-        "_came",
-        "_let",
-        "_ages",
-        "_skip",
-        "_cpu",
+        "target_wait_ms",
+        "window_ms",
+        "admitted_per_ms",
+        "cpu_ms_per_rpc",
+        "shed_fraction",
+        "arrivals_per_ms",
+        "mean_wait_ms",
+        "_window_started",
+        "_arrived",
+        "_admitted",
+        "_total_wait_ms",
+        "_windows_to_skip",
+        "_cpu_ms",
     )
 
     def __init__(self, now: float, soft_ms: float) -> None:
-        """`soft_ms`: the shortest soft deadline, in milliseconds."""
-        self.aim, self.window = AIM * soft_ms, soft_ms / WINDOWS
-        self.rate, self.burden = FAR, 0.0  # RPCs a millisecond let in; the part that is above it
-        self.cost = 0.0  # CPU time of an RPC that is let in, ms, as seen while none is turned away
-        self.arrivals, self.wait = 0.0, 0.0  # a millisecond; the last window's mean wait
-        self._at = now
-        self._came = self._let = 0
-        self._ages, self._skip, self._cpu = 0.0, 0, 0.0
-
-    def retimed(self, soft_ms: float) -> None:
-        """Another shortest soft deadline, in milliseconds; the rate and what was measured stay."""
-        self.aim, self.window = AIM * soft_ms, soft_ms / WINDOWS
-
-    def read(self, age: float) -> None:
-        """An RPC was read that had waited for `age` milliseconds."""
-        self._came += 1
-        self._let += 1
-        self._ages += age
-
-    def reject(self) -> None:
-        """The RPC read last was turned away at the door."""
-        self._let -= 1
-
-    def paused(self, late: float, used: float) -> bool:
-        """Whether a loop that is `late` was away: `used` is its CPU time since the last beat; all
-        in ms."""
-        # Danger: a pause taken for too much work turns clients away that the node has all the time
-        # to serve.
-        away = late > AWAY * self.aim and used < late / 2
-        if away:
-            self._skip = 2  # the window that ends with it, and the one in which the backlog is read
-        return away
-
-    def end_window(self, now: float, late: float, cpu: float) -> None:
-        """A window is over; its end was seen so many ms late. `cpu`: CPU time used since the
-        start, in ms."""
-        span, used, self._at, self._cpu = max(now - self._at, 1.0), cpu - self._cpu, now, cpu
-        came, let, ages = self._came, self._let, self._ages
-        self._came = self._let = 0
-        self._ages = 0.0
-        if self._skip:
-            self._skip -= 1
+        """`soft_ms`: the shortest soft deadline."""
+        self.set_soft_deadline(soft_ms)
+        self.admitted_per_ms = UNLIMITED
+        self.shed_fraction = 0.0
+        self.cpu_ms_per_rpc = 0.0  # of an admitted one, measured while nothing is rejected
+        self.arrivals_per_ms = 0.0
+        self.mean_wait_ms = 0.0  # in the last measured window
+        self._window_started = now
+        self._arrived = 0
+        self._admitted = 0
+        self._total_wait_ms = 0.0
+        self._windows_to_skip = 0
+        self._cpu_ms = 0.0
+
+    @property
+    def pause_threshold_ms(self) -> float:
+        """How late the event loop has to be for `detect_pause` to consider a pause."""
+        return PAUSE_FACTOR * self.target_wait_ms
+
+    def set_soft_deadline(self, soft_ms: float) -> None:
+        """Use another shortest soft deadline; the rate and all measurements stay."""
+        self.target_wait_ms = TARGET_WAIT_FRACTION * soft_ms
+        self.window_ms = soft_ms / WINDOWS_PER_SOFT_DEADLINE
+
+    def record_arrival(self, wait_ms: float) -> None:
+        """Count an RPC that had waited for `wait_ms` when it was read, as admitted."""
+        self._arrived += 1
+        self._admitted += 1
+        self._total_wait_ms += wait_ms
+
+    def record_rejected(self) -> None:
+        """Count the RPC recorded last as rejected."""
+        self._admitted -= 1
+
+    def detect_pause(self, late_ms: float, cpu_ms: float) -> bool:
+        """Return whether the process was paused; if so, skip the windows that it falsifies.
+
+        `late_ms`: how late the event loop runs its timers; `cpu_ms`: CPU time it used since the
+        last window. A loop that is late because of work has used the CPU, and is overloaded.
+        """
+        paused = late_ms > self.pause_threshold_ms and cpu_ms < late_ms / 2
+        if paused:
+            self._windows_to_skip = WINDOWS_AFTER_PAUSE
+        return paused
+
+    def end_window(self, now: float, late_ms: float, cpu_ms: float) -> None:
+        """Measure the window that ends, and adapt the rate.
+
+        `late_ms`: how late its end was seen; `cpu_ms`: CPU time used since the process started.
+        """
+        span_ms = max(now - self._window_started, 1.0)
+        used_cpu_ms = cpu_ms - self._cpu_ms
+        arrived = self._arrived
+        admitted = self._admitted
+        total_wait_ms = self._total_wait_ms
+        self._window_started = now
+        self._cpu_ms = cpu_ms
+        self._arrived = 0
+        self._admitted = 0
+        self._total_wait_ms = 0.0
+        if self._windows_to_skip:
+            self._windows_to_skip -= 1
             return
-        self.arrivals += (came / span - self.arrivals) * 0.5
-        self.wait = (ages + late) / (came + 1)
-        if came == let >= SAMPLE:
-            self.cost += (used / let - self.cost) * (0.2 if self.cost else 1.0)
-        if self.wait > self.aim:
-            low, high = STEPS
-            # Danger: clients that try again at once fill the wait whatever is let in. A rate that
-            # falls and falls turns the whole of a core into refusals.
-            useful = FLOOR * min(1.0, LONG * self.aim / self.wait)
-            floor = useful * used / span / self.cost if self.cost > 0 else 0.0
-            self.rate = max(
-                floor, min(self.rate, let / span) * max(low, min(high, self.aim / self.wait))
-            )
-        elif self.rate < FAR:
-            # Danger: a rate that was not reached says nothing; grown on it would be let go in the
-            # next surge.
-            self.rate *= GROWTH
-            if self.rate > EASY * self.arrivals and came == let:
-                self.rate = FAR
-        self.burden = (
-            min(MOST, max(0.0, 1 - self.rate / self.arrivals)) if self.arrivals > 0 else 0.0
+        self.arrivals_per_ms += (arrived / span_ms - self.arrivals_per_ms) * ARRIVALS_SMOOTHING
+        self.mean_wait_ms = (total_wait_ms + late_ms) / (arrived + 1)
+        if arrived == admitted >= MIN_COST_SAMPLE:
+            smoothing = COST_SMOOTHING if self.cpu_ms_per_rpc else 1.0
+            self.cpu_ms_per_rpc += (used_cpu_ms / admitted - self.cpu_ms_per_rpc) * smoothing
+        if self.mean_wait_ms > self.target_wait_ms:
+            self._lower_rate(admitted, span_ms, used_cpu_ms)
+        elif self.admitted_per_ms < UNLIMITED:
+            self._raise_rate(nothing_rejected=arrived == admitted)
+        self.shed_fraction = self._fraction_above_rate()
+
+    def _lower_rate(self, admitted: int, span_ms: float, used_cpu_ms: float) -> None:
+        # Clients that retry at once fill the wait whatever is admitted. Without a floor the rate
+        # would fall until the core does nothing but reject.
+        useful = MIN_USEFUL_CPU_FRACTION * min(
+            1.0, LONG_WAIT_FACTOR * self.target_wait_ms / self.mean_wait_ms
         )
+        floor = 0.0
+        if self.cpu_ms_per_rpc > 0:
+            floor = useful * used_cpu_ms / span_ms / self.cpu_ms_per_rpc
+        step = max(MIN_STEP, min(MAX_STEP, self.target_wait_ms / self.mean_wait_ms))
+        self.admitted_per_ms = max(floor, min(self.admitted_per_ms, admitted / span_ms) * step)
+
+    def _raise_rate(self, nothing_rejected: bool) -> None:
+        self.admitted_per_ms *= RATE_GROWTH
+        # A rate that rejected something was a limit, even where it is above the mean arrivals.
+        if nothing_rejected and self.admitted_per_ms > DROP_RATE_FACTOR * self.arrivals_per_ms:
+            self.admitted_per_ms = UNLIMITED
+
+    def _fraction_above_rate(self) -> float:
+        if self.arrivals_per_ms <= 0:
+            return 0.0
+        above = max(0.0, 1 - self.admitted_per_ms / self.arrivals_per_ms)
+        return min(MAX_SHED_FRACTION, above)
--- a/hookpitch/core/counters.py
+++ b/hookpitch/core/counters.py
@@ -10,11 +10,11 @@
     def add(self, name: str, by: int = 1) -> None:
         self.counts[name] = self.counts.get(name, 0) + by
 
-    def must(self, holds: bool, what: str) -> None:
+    def check(self, holds: bool, what: str) -> None:
         """Asserted in debug builds, counted in release (`python -O`)."""
         if not holds:
             self.add("broken." + what.replace(" ", "_"))
             assert holds, what
 
-    def lines(self) -> str:
+    def render(self) -> str:
         return "".join(f"{name}:{self.counts[name]}\r\n" for name in sorted(self.counts))
--- a/hookpitch/core/deadlines.py
+++ b/hookpitch/core/deadlines.py
@@ -9,7 +9,7 @@
 
 
 class Deadline:
-    """One place in the order; `drop` takes it out."""
+    """One place in the order; `cancel` takes it out."""
 
     __slots__ = ("at", "call")
 
@@ -37,7 +37,7 @@
             self._arm(at)
         return deadline
 
-    def drop(self, deadline: Deadline | None) -> None:
+    def cancel(self, deadline: Deadline | None) -> None:
         if deadline is None or deadline.call is None:
             return
         deadline.call = None
@@ -49,7 +49,7 @@
             self._dropped = 0
 
     @property
-    def first(self) -> float:
+    def next_due(self) -> float:
         while self._heap and self._heap[0][2].call is None:
             heapq.heappop(self._heap)
             self._dropped -= 1
@@ -58,12 +58,12 @@
     def run(self, now: float) -> None:
         """The wake-up: call all that is due, in order, and ask for the next."""
         try:
-            while self.first <= now:
+            while self.next_due <= now:
                 deadline = heapq.heappop(self._heap)[2]
                 call, deadline.call = deadline.call, None
                 if call is not None:
                     call(now)
         finally:  # Danger: a fault in one call must not leave the node without a wake-up.
-            self._armed = self.first
+            self._armed = self.next_due
             if self._armed < FAR:
                 self._arm(self._armed)
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -92,7 +92,7 @@
     def stream_started(self, slot: ReplySlot, stream: Stream) -> None: ...
     def stream_chunk(self, slot: ReplySlot, data: bytes) -> None: ...
     def stream_aborted(self, slot: ReplySlot) -> None: ...  # what was begun cannot be finished
-    def gone(
+    def disconnected(
         self,
     ) -> bool: ...  # its client has gone, or has ended its sending, as far as this machine knows
 
@@ -100,14 +100,31 @@
 class Attempt:
     """One transmission of an RPC."""
 
-    __slots__ = ("rpc", "n", "server", "sent", "until", "begin_by", "holder", "written", "done")
+    __slots__ = (
+        "rpc",
+        "index",
+        "backend_id",
+        "sent_at",
+        "deadline",
+        "start_by",
+        "carrier",
+        "written",
+        "done",
+    )
 
     def __init__(
-        self, rpc: Rpc, n: int, server: str, sent: float, until: float, begin_by: float
+        self,
+        rpc: Rpc,
+        index: int,
+        backend_id: str,
+        sent_at: float,
+        deadline: float,
+        start_by: float,
     ) -> None:
-        self.rpc, self.n, self.server, self.sent, self.until = rpc, n, server, sent, until
-        self.begin_by = begin_by  # later it is not begun any more
-        self.holder: object | None = (
+        self.rpc, self.index, self.backend_id = rpc, index, backend_id
+        self.sent_at, self.deadline = sent_at, deadline
+        self.start_by = start_by  # later it is not begun any more
+        self.carrier: object | None = (
             None  # the pool in which it waits, or the connection that it is on
         )
         self.written = self.done = False  # written: maybe
@@ -115,7 +132,7 @@
     def extras(self, now: float) -> bytes:
         """The RPC's names and values, with how long this node will wait from now on."""
         # Danger: a server that is told of more time than is left works on for nobody.
-        wait = b"d=%d" % max(1, int(self.until - now))
+        wait = b"d=%d" % max(1, int(self.deadline - now))
         pairs = [wait if p[:2] == b"d=" else p for p in self.rpc.extras.split(b",") if p]
         return b",".join(pairs if wait in pairs else [*pairs, wait])
 
@@ -132,16 +149,16 @@
         "id",
         "extras",
         "value",
-        "hard",
-        "deadline",
+        "hard_deadline",
+        "timer",
         "attempts",
-        "live",
-        "open",
-        "parting",
+        "in_flight",
+        "pending",
+        "client_half_closed",
         "method",
         "stream",
-        "streaming",
-        "came",
+        "streaming_attempt",
+        "accepted_at",
     )
 
     def __init__(
@@ -151,10 +168,11 @@
         self.command, self.key, self.id, self.extras = words[:4]
         self.value: bytes | ChunkedValue | None = words[4] if len(words) > 4 else None
         self.stream: Stream | None = None  # its answer, once it has begun to pass in pieces,
-        self.streaming: Attempt | None = None  # and by which transmission
-        self.number, self.live, self.hard, self.came = -1, 0, 0.0, 0.0  # came: when it was read
-        self.open, self.parting = True, False  # parting: the client sends no more, maybe has gone
-        self.deadline: Deadline | None = None
+        self.streaming_attempt: Attempt | None = None  # and by which transmission
+        self.number, self.in_flight, self.hard_deadline = -1, 0, 0.0
+        self.accepted_at = 0.0
+        self.pending, self.client_half_closed = True, False  # half closed: it may also have gone
+        self.timer: Deadline | None = None
         self.attempts: list[Attempt] = []
 
 
@@ -177,10 +195,10 @@
             now, min((m.soft_ms for m in deployment.methods), default=1000.0)
         )
         self.rpcs: SlotTable[Rpc] = SlotTable()
-        self.ids: set[bytes] = set()  # of all RPCs in slots
-        self.open = 0  # RPCs taken and not ended
+        self.rpc_ids: set[bytes] = set()  # of all RPCs in slots
+        self.pending_rpcs = 0  # RPCs taken and not ended
         self.value_budget = MemoryBudget(HELD_MOST)
-        self.patience = max(
+        self.stream_timeout_ms = max(
             (m.hard_ms for m in deployment.methods), default=1000.0
         )  # with a silent stream
         self.connections: SlotTable[object] = SlotTable()
@@ -205,32 +223,32 @@
         pairs = read_pairs(words[3])
         method = self.methods.get(pairs.get(b"c", b""))
         readable = KEY.fullmatch(words[1]) and ID.fullmatch(words[2])
-        if method is None or not readable or words[2] in self.ids:
+        if method is None or not readable or words[2] in self.rpc_ids:
             return None
         grace = min(float(pairs.get(b"d", method.hard_ms)), method.hard_ms)
         if not grace > 0:
             return None
-        self.admission.read(age)
+        self.admission.record_arrival(age)
         tenant = pairs.get(TENANT, b"").decode("latin-1")
         wait = self.router.shed_delay(now, method.name, tenant, age)
         if wait >= 0 or age >= grace:
             # Danger: in a surge, what is refused must cost next to nothing: no slot, deadline or
             # bucket.
-            self.admission.reject()
+            self.admission.record_rejected()
             self.counters.add("rpcs.turned_away")
             self.counters.add(f"rejected.{method.name}")
             slot.answer = self._busy(max(0.0, wait))
             return None
         rpc = Rpc(client, slot, words, method.name)
-        self.ids.add(rpc.id)
-        rpc.number, rpc.hard, rpc.came = self.rpcs.add(rpc), now + grace - age, now
+        self.rpc_ids.add(rpc.id)
+        rpc.number, rpc.hard_deadline, rpc.accepted_at = self.rpcs.add(rpc), now + grace - age, now
         self.counters.add("rpcs.taken")
-        self.open += 1
+        self.pending_rpcs += 1
         key, write = rpc.key.decode("latin-1"), rpc.value is not None
         self.router.rpc_arrived(now, str(rpc.number), key, method.name, tenant, write, grace, age)
         self.decide(now)
-        if rpc.open and rpc.deadline is None:  # it waits in a line
-            self._watch(rpc, rpc.hard)
+        if rpc.pending and rpc.timer is None:  # it waits in a line
+            self._watch(rpc, rpc.hard_deadline)
         return rpc
 
     def record_rejected(self, words: Sequence[bytes]) -> None:
@@ -242,28 +260,28 @@
     def _watch(self, rpc: Rpc, at: float) -> None:
         """The RPC's one place among the deadlines: the next time at which something of it may be
         over."""
-        if rpc.deadline is None or rpc.deadline.call is None or at < rpc.deadline.at:
-            self.deadlines.drop(rpc.deadline)
-            rpc.deadline = self.deadlines.add(at, lambda now: self._due(now, rpc))
+        if rpc.timer is None or rpc.timer.call is None or at < rpc.timer.at:
+            self.deadlines.cancel(rpc.timer)
+            rpc.timer = self.deadlines.add(at, lambda now: self._due(now, rpc))
 
     def _due(self, now: float, rpc: Rpc) -> None:
-        if rpc.stream is not None and rpc.open:
-            if now - rpc.stream.moved < self.patience:
-                return self._watch(rpc, rpc.stream.moved + self.patience)
-            attempt = rpc.streaming
+        if rpc.stream is not None and rpc.pending:
+            if now - rpc.stream.last_progress < self.stream_timeout_ms:
+                return self._watch(rpc, rpc.stream.last_progress + self.stream_timeout_ms)
+            attempt = rpc.streaming_attempt
             # Danger: a server or a reader that has gone without a word holds both connections for
             # good.
             self.counters.add("streams.silent")
             self.transport.cancel(now, attempt)
             return self.attempt_finished(now, attempt, Outcome.TIMEOUT)
         for attempt in rpc.attempts:
-            if not attempt.done and attempt.until <= now:
+            if not attempt.done and attempt.deadline <= now:
                 self._waited_out(now, attempt)
-        if rpc.open and now >= rpc.hard:
+        if rpc.pending and now >= rpc.hard_deadline:
             self._overdue(now, rpc)
-        out = [attempt.until for attempt in rpc.attempts if not attempt.done]
-        if rpc.open or out:
-            self._watch(rpc, min(out + [rpc.hard] if rpc.open else out))
+        out = [attempt.deadline for attempt in rpc.attempts if not attempt.done]
+        if rpc.pending or out:
+            self._watch(rpc, min(out + [rpc.hard_deadline] if rpc.pending else out))
 
     def attempt_finished(
         self,
@@ -276,24 +294,24 @@
     ) -> None:
         """A transmission is over, as was read `age` ms after it came; a value with it is the RPC's
         answer."""
-        self.counters.must(not attempt.done, "a transmission ends once")
+        self.counters.check(not attempt.done, "a transmission ends once")
         if attempt.done:
             return
         attempt.done, rpc = True, attempt.rpc
-        rpc.live -= 1
+        rpc.in_flight -= 1
         self.counters.add(OUTCOME_COUNTERS[outcome])
         if rpc.stream is not None:
-            if rpc.open and attempt is rpc.streaming:
+            if rpc.pending and attempt is rpc.streaming_attempt:
                 self._streamed(rpc, outcome)
-        elif outcome == Outcome.COMPLETED and rpc.open:
+        elif outcome == Outcome.COMPLETED and rpc.pending:
             self._answer(rpc, bulk(value), "completed")
-        elif rpc.parting and rpc.open:
+        elif rpc.client_half_closed and rpc.pending:
             self._answer(rpc, b"-ERR failed\r\n", "errored")
         # Danger: the time for which an answer stood unread here taken for its server's.
-        streamed = rpc.stream is not None and attempt is rpc.streaming
-        took = rpc.stream.took if streamed else max(0.0, now - attempt.sent - age)
+        streamed = rpc.stream is not None and attempt is rpc.streaming_attempt
+        took = rpc.stream.first_byte_ms if streamed else max(0.0, now - attempt.sent_at - age)
         self.router.attempt_ended(
-            now, str(rpc.number), attempt.n, outcome, not rpc.open, took, report
+            now, str(rpc.number), attempt.index, outcome, not rpc.pending, took, report
         )
         self._free(rpc)
         self.decide(now)
@@ -302,19 +320,19 @@
         """The first bytes of an answer that passes in pieces; False where its RPC is over."""
         rpc = attempt.rpc
         if (
-            attempt.done or not rpc.open or rpc.stream is not None
+            attempt.done or not rpc.pending or rpc.stream is not None
         ):  # of two copies the first one passes
             return False
         self.counters.add("streams")
-        rpc.stream, rpc.streaming = (
-            Stream(source, length, max(0.0, now - attempt.sent), now),
+        rpc.stream, rpc.streaming_attempt = (
+            Stream(source, length, max(0.0, now - attempt.sent_at), now),
             attempt,
         )
-        self.router.stream_started(now, str(rpc.number), attempt.n)
+        self.router.stream_started(now, str(rpc.number), attempt.index)
         # Danger: its deadline was for the first bytes; what the server still gives is passed on to
         # the end.
-        self.deadlines.drop(rpc.deadline)
-        self._watch(rpc, now + self.patience)
+        self.deadlines.cancel(rpc.timer)
+        self._watch(rpc, now + self.stream_timeout_ms)
         rpc.client.stream_started(rpc.slot, rpc.stream)
         self.decide(now)  # Danger: a second copy that runs on, until something else happens
         return True
@@ -322,21 +340,21 @@
     def stream_chunk(self, now: float, attempt: Attempt, data: bytes) -> None:
         """More of it."""
         rpc = attempt.rpc
-        if rpc.stream is not None and rpc.open and attempt is rpc.streaming:
-            rpc.stream.moved = now
-            data = rpc.stream.piece(data)
+        if rpc.stream is not None and rpc.pending and attempt is rpc.streaming_attempt:
+            rpc.stream.last_progress = now
+            data = rpc.stream.feed(data)
             if data:
                 rpc.client.stream_chunk(rpc.slot, data)
 
     def _streamed(self, rpc: Rpc, outcome: Outcome) -> None:
-        whole = outcome == Outcome.COMPLETED and rpc.stream is not None and not rpc.stream.left
-        self.counters.must(whole or outcome != Outcome.COMPLETED, "a value passed whole")
+        whole = outcome == Outcome.COMPLETED and rpc.stream is not None and not rpc.stream.remaining
+        self.counters.check(whole or outcome != Outcome.COMPLETED, "a value passed whole")
         how = "completed" if whole else "errored"
         self.counters.add(f"rpcs.{how}")
         self.counters.add(f"{FINAL[how]}.{rpc.method}")
         self._end(rpc)
         if whole:
-            rpc.client.reply(rpc.slot, rpc.stream.held + b"\r\n")
+            rpc.client.reply(rpc.slot, rpc.stream.tail + b"\r\n")
         else:
             rpc.client.stream_aborted(rpc.slot)
 
@@ -348,7 +366,7 @@
         deciding, self._deciding = self._deciding, True
         try:
             for rpc in rpcs:
-                if rpc.open and not (rpc.parting and reads):
+                if rpc.pending and not (rpc.client_half_closed and reads):
                     self._left(now, rpc, reads)
         finally:
             self._deciding = deciding
@@ -357,7 +375,7 @@
     def _left(self, now: float, rpc: Rpc, reads: bool) -> None:
         # Danger: both ends of sending look alike. One who reads must get its answer, so what is out
         # may end; for one who has gone nothing further may be sent.
-        rpc.parting = reads
+        rpc.client_half_closed = reads
         if not reads:
             self.counters.add("rpcs.client_left")
             self._end(rpc)
@@ -365,7 +383,7 @@
             self._answer(rpc, b"-ERR failed\r\n", "errored")
         self.router.client_disconnected(now, str(rpc.number))
         stop = self.deployment.cancellation_enabled or rpc.stream is not None
-        for attempt in rpc.attempts if not rpc.open else ():
+        for attempt in rpc.attempts if not rpc.pending else ():
             # Danger: what only waits for a dial would be begun for nobody once that comes up.
             if not attempt.done and (stop or not attempt.written):
                 self.transport.cancel(now, attempt)
@@ -393,16 +411,18 @@
         deadlines."""
         self.deployment, self.methods = deployment, {m.name.encode(): m for m in deployment.methods}
         # Danger: a stream or a leave cut short that began under longer deadlines.
-        self.patience = max(self.patience, *(m.hard_ms for m in deployment.methods))
-        self.admission.retimed(min(m.soft_ms for m in deployment.methods))
+        self.stream_timeout_ms = max(
+            self.stream_timeout_ms, *(m.hard_ms for m in deployment.methods)
+        )
+        self.admission.set_soft_deadline(min(m.soft_ms for m in deployment.methods))
         self.router.reconfigured(now, deployment)
         self.decide(now)
 
-    def give_up_all(self, now: float) -> None:
+    def fail_all(self, now: float) -> None:
         """The node ends: what is open is answered now."""
         # Danger: a connection that ends with no answer on it loses its RPC.
-        for rpc in self.rpcs.all():
-            if rpc.open and rpc.stream is None:
+        for rpc in self.rpcs.values():
+            if rpc.pending and rpc.stream is None:
                 self._answer(rpc, b"-ERR failed\r\n", "errored")
                 self.router.client_disconnected(now, str(rpc.number))
 
@@ -443,13 +463,13 @@
                 if not self._unsent:
                     break
                 attempt = self._unsent.popleft()
-                if attempt.rpc.parting and attempt.rpc.open:
+                if attempt.rpc.client_half_closed and attempt.rpc.pending:
                     self._left(now, attempt.rpc, True)
                 if not attempt.done:
                     self.attempt_finished(
                         now,
                         attempt,
-                        Outcome.CANCELLED if attempt.rpc.parting else Outcome.OVERLOADED,
+                        Outcome.CANCELLED if attempt.rpc.client_half_closed else Outcome.OVERLOADED,
                     )
         finally:
             self._deciding = False
@@ -458,24 +478,26 @@
 
     def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
         rpc = self.rpcs.get(int(rpc_id))
-        self.counters.must(rpc is not None and rpc.open, "nothing is sent for an RPC that is over")
+        self.counters.check(
+            rpc is not None and rpc.pending, "nothing is sent for an RPC that is over"
+        )
         if rpc is None:
             return
-        until = min(self.now + timeout_ms, rpc.hard)
+        until = min(self.now + timeout_ms, rpc.hard_deadline)
         attempt = Attempt(
             rpc, len(rpc.attempts), backend_id, self.now, until, self.now + start_within_ms
         )
         rpc.attempts.append(attempt)
-        rpc.live += 1
+        rpc.in_flight += 1
         # Danger: its client has gone while it waited, and that stands unread behind what else
         # happens.
-        if rpc.open and self.now > rpc.came and rpc.client.disconnected():
-            rpc.parting = True
+        if rpc.pending and self.now > rpc.accepted_at and rpc.client.disconnected():
+            rpc.client_half_closed = True
             self.counters.add("tx.for_nobody")
             self._unsent.append(attempt)
             return
         self.counters.add("tx.sent")
-        if not rpc.open or not self.transport.dispatch(self.now, attempt):
+        if not rpc.pending or not self.transport.dispatch(self.now, attempt):
             self._unsent.append(attempt)
             return
         self._watch(rpc, until)
@@ -483,7 +505,9 @@
     def cancel(self, rpc_id: str, attempt: int) -> None:
         rpc = self.rpcs.get(int(rpc_id))
         if rpc is not None and attempt < len(rpc.attempts) and not rpc.attempts[attempt].done:
-            if rpc.open and (rpc.parting or rpc.attempts[attempt] is rpc.streaming):
+            if rpc.pending and (
+                rpc.client_half_closed or rpc.attempts[attempt] is rpc.streaming_attempt
+            ):
                 return
             self.transport.cancel(self.now, rpc.attempts[attempt])
             self.attempt_finished(self.now, rpc.attempts[attempt], Outcome.CANCELLED)
@@ -502,7 +526,7 @@
         self.transport.close_idle(backend_id)
 
     def schedule_wakeup(self, at_ms: float) -> None:
-        self.deadlines.drop(self._wake)
+        self.deadlines.cancel(self._wake)
         self._wake = self.deadlines.add(at_ms, self._timer_fired)
 
     def log(self, text: str) -> None:
@@ -512,17 +536,17 @@
         """The loop is late with its deadlines, which wait for one more look at the sockets; CPU
         time used
         since the last beat. All in ms."""
-        if self.admission.paused(late, used):
+        if self.admission.detect_pause(late, used):
             self.counters.add("node.away")
             self.router.event_loop_stalled(now)
 
     def end_window(self, now: float, late: float, cpu: float) -> None:
         """A window of the admission has ended, seen `late` ms after; `cpu` ms of CPU time used so
         far."""
-        before = self.admission.burden
+        before = self.admission.shed_fraction
         self.admission.end_window(now, late, cpu)
-        burden = self.admission.burden
-        self.router.overload_measured(now, burden, self.admission.wait)
+        burden = self.admission.shed_fraction
+        self.router.overload_measured(now, burden, self.admission.mean_wait_ms)
         if burden or before:
             self.counters.add("node.burdened")
             if bool(burden) != bool(before):
@@ -546,14 +570,16 @@
 
     def _waited_out(self, now: float, attempt: Attempt) -> None:
         # Danger: after a pause of the node, answers that came in time stand unread.
-        if now < attempt.rpc.hard and self.transport.has_unread_response(attempt):
+        if now < attempt.rpc.hard_deadline and self.transport.has_unread_response(attempt):
             return
         self.transport.cancel(now, attempt)
         if attempt.written:
             outcome = Outcome.TIMEOUT
         else:  # a node that was away has not let its dials come up
             outcome = (
-                Outcome.OBSOLETE if attempt.sent < self.router.away_at else Outcome.CONNECT_FAILED
+                Outcome.OBSOLETE
+                if attempt.sent_at < self.router.away_at
+                else Outcome.CONNECT_FAILED
             )
         self.attempt_finished(now, attempt, outcome)
 
@@ -564,12 +590,12 @@
         self.router.client_disconnected(now, str(rpc.number))
         self._free(rpc)
         self.decide(now)
-        self.counters.must(False, "the decisions answer before the hard deadline")
+        self.counters.check(False, "the decisions answer before the hard deadline")
 
     def _final(self, rpc_id: str, answer: bytes, how: str) -> None:
         rpc = self.rpcs.get(int(rpc_id))
-        self.counters.must(rpc is not None and rpc.open, "one final answer")
-        if rpc is not None and rpc.open:
+        self.counters.check(rpc is not None and rpc.pending, "one final answer")
+        if rpc is not None and rpc.pending:
             self._answer(rpc, answer, how)
             self._free(rpc)
 
@@ -580,19 +606,19 @@
         rpc.client.reply(rpc.slot, answer)
 
     def _end(self, rpc: Rpc) -> None:
-        rpc.open = False
-        self.open -= 1
-        if not rpc.live:
-            self.deadlines.drop(rpc.deadline)
+        rpc.pending = False
+        self.pending_rpcs -= 1
+        if not rpc.in_flight:
+            self.deadlines.cancel(rpc.timer)
 
     def _free(self, rpc: Rpc) -> None:
-        if not rpc.open and not rpc.live:
-            self.deadlines.drop(rpc.deadline)
+        if not rpc.pending and not rpc.in_flight:
+            self.deadlines.cancel(rpc.timer)
             self.rpcs.free(rpc.number)
             if isinstance(rpc.value, ChunkedValue):
-                self.value_budget.give_back(len(rpc.value))
+                self.value_budget.release(len(rpc.value))
                 rpc.value = b""
-            self.ids.discard(rpc.id)
+            self.rpc_ids.discard(rpc.id)
 
 
 @lru_cache(maxsize=EXTRAS_KEPT)
--- a/hookpitch/core/resp.py
+++ b/hookpitch/core/resp.py
@@ -4,22 +4,22 @@
 
 from hookpitch.core.ring import Ring
 
-VALUE_MOST = 65536  # bytes in a bulk string
+MAX_BULK_BYTES = 65536  # bytes in a bulk string
 LINE_MOST = 4096  # bytes in any other line
 ITEMS_MOST = 16  # in an array
 DEPTH_MOST = 4  # of arrays within arrays
 QUICK = 2048  # bytes of an array of bulk strings that are looked at in one go
 
 
-class Malformed(ValueError):
+class ProtocolError(ValueError):
     """What came is no RESP2, or more than is taken."""
 
 
-class Plain(bytes):
+class SimpleString(bytes):
     """A simple string: `+OK`."""
 
 
-class Fault(bytes):
+class ErrorReply(bytes):
     """An error line, without its dash."""
 
 
@@ -29,30 +29,34 @@
 class Parser:
     """Takes whole values off a ring. `commands_only`: arrays of bulk strings, as clients send them.
 
-    The value in a command or an answer may have up to `most` bytes. One over `VALUE_MOST` is not
-    taken whole:
-    `passing` tells how many bytes of it are still to come, the caller takes them (off the ring
-    with `part`,
-    or past it) and counts them off, and an empty string stands in the value's place.
+    The value in a command or an answer may have up to `max_value_bytes`. One over `MAX_BULK_BYTES`
+    is not taken whole: `body_remaining` tells how many bytes of it are still to come, the caller
+    takes them (off the ring with `read_body`, or past it) and counts them off, and an empty string
+    stands in the value's place.
     """
 
-    __slots__ = ("ring", "commands_only", "passing", "_most", "_arrays", "_bulk", "_seen")
+    __slots__ = ("ring", "commands_only", "body_remaining", "_most", "_arrays", "_bulk", "_seen")
 
-    def __init__(self, ring: Ring, commands_only: bool = False, most: int = 0) -> None:
-        self.ring, self.commands_only, self._most, self.passing = ring, commands_only, most, 0
+    def __init__(self, ring: Ring, commands_only: bool = False, max_value_bytes: int = 0) -> None:
+        self.ring, self.commands_only, self._most, self.body_remaining = (
+            ring,
+            commands_only,
+            max_value_bytes,
+            0,
+        )
         self._arrays: list[
             tuple[list[Value], int]
         ] = []  # open ones, outermost first, with their lengths
         self._bulk, self._seen = -1, 0  # the bulk string's length; where the line's end is sought
 
     @property
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         """True where nothing has come of a next value."""
         return not self._arrays and self._bulk < 0 and not len(self.ring)
 
     def next(self) -> tuple[bool, Value]:
         """(True, a value), or (False, None) until more has come."""
-        if self.passing or not len(self.ring):
+        if self.body_remaining or not len(self.ring):
             return False, None
         if (
             self._bulk < 0
@@ -67,7 +71,7 @@
                 return False, None
             if isinstance(value, tuple):  # an array was opened
                 if len(self._arrays) >= DEPTH_MOST:
-                    raise Malformed("arrays too deep")
+                    raise ProtocolError("arrays too deep")
                 self._arrays.append(value)
                 if value[1]:
                     continue
@@ -81,10 +85,10 @@
             else:
                 return True, value
 
-    def part(self, most: int) -> bytes:
+    def read_body(self, most: int) -> bytes:
         """Bytes of the value that passes, off the ring, counted off."""
-        data = self.ring.read(min(self.passing, most))
-        self.passing -= len(data)
+        data = self.ring.read(min(self.body_remaining, most))
+        self.body_remaining -= len(data)
         return data
 
     def _quick(self) -> list[Value] | None:
@@ -126,33 +130,33 @@
         ring = self.ring
         if self._bulk >= 0:
             return self._body()
-        end = ring.line_end(self._seen)
+        end = ring.find_line_end(self._seen)
         if end < 0:
             self._seen = len(ring)
             if self._seen > LINE_MOST:
-                raise Malformed("line too long")
+                raise ProtocolError("line too long")
             if self.commands_only and self._seen and ring.peek(1) not in (b"*", b"$"):
-                raise Malformed("an array of bulk strings was due")
+                raise ProtocolError("an array of bulk strings was due")
             return False, None
         self._seen = 0
         if end > LINE_MOST:
-            raise Malformed("line too long")
+            raise ProtocolError("line too long")
         line = ring.read(end + 1)
         if line[-2:] != b"\r\n":
-            raise Malformed("a line ends without CR")
+            raise ProtocolError("a line ends without CR")
         kind, text = line[:1], line[1:-2]
         if self.commands_only and kind != (b"$" if self._arrays else b"*"):
-            raise Malformed("an array of bulk strings was due")
+            raise ProtocolError("an array of bulk strings was due")
         if kind == b"$":
             place = len(self._arrays[-1][0]) if len(self._arrays) == 1 else -1
             most = self._most if place == (4 if self.commands_only else 0) else 0
-            length = _count(text, max(VALUE_MOST, most))
+            length = _count(text, max(MAX_BULK_BYTES, most))
             if length < 0:
                 if self.commands_only:
-                    raise Malformed("null in a command")
+                    raise ProtocolError("null in a command")
                 return True, None
-            if length > VALUE_MOST:
-                self.passing, self._bulk = length, 0
+            if length > MAX_BULK_BYTES:
+                self.body_remaining, self._bulk = length, 0
                 return False, None
             self._bulk = length
             return self._body()
@@ -160,28 +164,28 @@
             length = _count(text, ITEMS_MOST)
             return True, None if length < 0 else ([], length)
         if kind == b"+":
-            return True, Plain(text)
+            return True, SimpleString(text)
         if kind == b"-":
-            return True, Fault(text)
+            return True, ErrorReply(text)
         if kind == b":":
             return True, _count(text, 2**63 - 1, -(2**63))
-        raise Malformed("no such type")
+        raise ProtocolError("no such type")
 
     def _body(self) -> tuple[bool, Value]:
         if len(self.ring) < self._bulk + 2:  # with its line end
             return False, None
         value = self.ring.read(self._bulk + 2)
         if value[-2:] != b"\r\n":
-            raise Malformed("a bulk string is longer than told")
+            raise ProtocolError("a bulk string is longer than told")
         self._bulk = -1
         return True, value[:-2]
 
 
 def _count(text: bytes, most: int, least: int = -1) -> int:
     if not text.isdigit() and not (text[:1] == b"-" and text[1:].isdigit()):
-        raise Malformed("a bad number")
+        raise ProtocolError("a bad number")
     if len(text) > 20 or not least <= (count := int(text)) <= most:
-        raise Malformed("a number out of bounds")
+        raise ProtocolError("a number out of bounds")
     return count
 
 
--- a/hookpitch/core/ring.py
+++ b/hookpitch/core/ring.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-SMALL = 4096  # bytes held at the start, and again once a larger ring has been emptied
+INITIAL_CAPACITY = 4096  # bytes held at the start, and again once a larger ring has been emptied
 
 
 class Ring:
@@ -11,13 +11,13 @@
     __slots__ = ("_bytes", "_head", "_used")
 
     def __init__(self) -> None:
-        self._bytes, self._head, self._used = bytearray(SMALL), 0, 0
+        self._bytes, self._head, self._used = bytearray(INITIAL_CAPACITY), 0, 0
 
     def __len__(self) -> int:
         return self._used
 
     @property
-    def room(self) -> int:
+    def capacity(self) -> int:
         """Bytes of memory held."""
         return len(self._bytes)
 
@@ -50,9 +50,9 @@
         count = min(count, self._used)
         self._used -= count
         self._head = (self._head + count) & (len(self._bytes) - 1) if self._used else 0
-        if not self._used and len(self._bytes) > SMALL:
+        if not self._used and len(self._bytes) > INITIAL_CAPACITY:
             # Danger: one larger value on each of hundreds of connections holds its memory for good.
-            self._bytes = bytearray(SMALL)
+            self._bytes = bytearray(INITIAL_CAPACITY)
 
     def read(self, count: int) -> bytes:
         start, end, used = self._head, self._head + count, self._used
@@ -63,7 +63,7 @@
         self._head, self._used = end & (len(self._bytes) - 1), used - count
         return bytes(self._bytes[start:end])
 
-    def line_end(self, at: int = 0) -> int:
+    def find_line_end(self, at: int = 0) -> int:
         """The offset of the first line feed from offset `at` on; -1 where there is none."""
         size = len(self._bytes)
         start, end = self._head + at, self._head + self._used
--- a/hookpitch/core/chance.py
+++ b/hookpitch/core/seeded_random.py
@@ -10,7 +10,7 @@
 STIR = 0x9E3779B97F4A7C15  # odd, half of its bits set
 
 
-def draws(seed: int, name: str) -> Callable[[], float]:
+def seeded_random(seed: int, name: str) -> Callable[[], float]:
     """Calls give floats from 0 to under 1."""
     # Danger: a CRC is linear. Seeds that follow one another, as nodes' may, gave draws that came in
     # lumps: of 300 nodes 93 in the first of five seconds, 45 in the next. Spread over all digits
--- a/hookpitch/core/slot_table.py
+++ b/hookpitch/core/slot_table.py
@@ -41,6 +41,6 @@
             self._items[place] = None
             self._free.append(place)
 
-    def all(self) -> list[T]:
+    def values(self) -> list[T]:
         """In the order of their places."""
         return [item for item in self._items if item is not None]
--- a/hookpitch/core/stream.py
+++ b/hookpitch/core/stream.py
@@ -1,7 +1,7 @@
 """Values too large to hold: answers in pieces, and what large writes may hold.
 
-An answer over `resp.VALUE_MOST` goes from its server's connection (the source) to its client's in
-pieces.
+An answer over `resp.MAX_BULK_BYTES` goes from its server's connection (the source) to its
+client's in pieces.
 Its last bytes stay here until the server's whole reply has been read and found right, so that a
 spoilt answer
 never looks whole. Invariants: what was passed on plus what is held is what came; a stream ends
@@ -12,85 +12,84 @@
 
 from typing import Protocol
 
-HELD = 1024  # bytes at the end of a value that wait for the rest of its reply
-PIECE = 32768  # bytes from which on a piece of a write is closed
-MOST = 1 << 22  # bytes of a value that passes at all
-ROOM = (
-    1 << 17,
-    1 << 14,
-)  # bytes that wait for a slow reader: at most, and at least with many streams
+TAIL_BYTES = 1024  # bytes at the end of a value that wait for the rest of its reply
+CHUNK_BYTES = 32768  # bytes from which on a piece of a write is closed
+MAX_STREAMED_BYTES = 1 << 22  # bytes of a value that passes at all
+# What may wait unsent for a slow reader, in bytes: at most, and at least with many streams.
+MAX_UNSENT_BYTES = 1 << 17
+MIN_UNSENT_BYTES = 1 << 14
 
 
 class Source(Protocol):
     """The server's connection."""
 
-    def hold(self) -> None: ...  # no more for now
-    def go(self) -> None: ...
+    def pause(self) -> None: ...  # no more for now
+    def resume(self) -> None: ...
 
 
 class Stream:
     """An answer on its way through."""
 
-    __slots__ = ("source", "length", "left", "held", "took", "moved")
+    __slots__ = ("source", "length", "remaining", "tail", "first_byte_ms", "last_progress")
 
-    def __init__(self, source: Source, length: int, took: float, now: float) -> None:
-        """`took`: milliseconds from the send to the first bytes."""
-        self.source, self.length, self.left, self.held, self.took = (
+    def __init__(self, source: Source, length: int, first_byte_ms: float, now: float) -> None:
+        """`first_byte_ms`: milliseconds from the send to the first bytes."""
+        self.source, self.length, self.remaining, self.tail, self.first_byte_ms = (
             source,
             length,
             length,
             b"",
-            took,
+            first_byte_ms,
         )
-        self.moved = now  # when a piece came or the reader last took something
+        self.last_progress = now  # when a piece came or the reader last took something
 
-    def piece(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """What of the value can be passed on now."""
-        self.left -= len(data)
-        if self.left > HELD:
+        self.remaining -= len(data)
+        if self.remaining > TAIL_BYTES:
             return data
-        data = self.held + data
-        keep = max(0, HELD - self.left)
+        data = self.tail + data
+        keep = max(0, TAIL_BYTES - self.remaining)
         cut = max(0, len(data) - keep)
-        self.held = data[cut:]
+        self.tail = data[cut:]
         return data[:cut]
 
 
 class ChunkedValue:
     """A large value that a client sends, held once."""
 
-    __slots__ = ("parts", "length")
+    __slots__ = ("chunks", "length")
 
     def __init__(self) -> None:
-        self.parts, self.length = list[bytearray](), 0
+        self.chunks, self.length = list[bytearray](), 0
 
     def __len__(self) -> int:
         return self.length
 
-    def add(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         self.length += len(data)
         if (
-            self.parts and len(self.parts[-1]) < PIECE
+            self.chunks and len(self.chunks[-1]) < CHUNK_BYTES
         ):  # Danger: a value sent by the byte, an object for each
-            self.parts[-1] += data
+            self.chunks[-1] += data
         else:
-            self.parts.append(bytearray(data))
+            self.chunks.append(bytearray(data))
 
 
 class MemoryBudget:
     """What large values of all clients hold, in bytes."""
 
-    __slots__ = ("now", "most")
+    __slots__ = ("used", "limit")
 
-    def __init__(self, most: int) -> None:
-        self.now, self.most = 0, most
+    def __init__(self, limit: int) -> None:
+        self.used, self.limit = 0, limit
 
-    def take(self, count: int) -> bool:
+    def reserve(self, count: int) -> bool:
         """Danger: many large writes at once; the node would be killed for memory."""
-        if self.now + count > self.most:
+        if self.used + count > self.limit:
             return False
-        self.now += count
+        self.used += count
         return True
 
-    def give_back(self, count: int) -> None:
-        self.now -= count
+    def release(self, count: int) -> None:
+        self.used -= count
--- a/hookpitch/fakes/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.core.resp import Malformed, Parser, bulk
+from hookpitch.core.resp import Parser, ProtocolError, bulk
 from hookpitch.core.ring import Ring
 from hookpitch.fakes.cache import FAR, Cache, Job, Make, value
 from hookpitch.fakes.history import History
@@ -64,7 +64,7 @@
                     break
                 if words:
                     self.command(words)
-        except Malformed:
+        except ProtocolError:
             self.transport.loseConnection()
         self.flush()
 
@@ -94,7 +94,7 @@
     def flush(self) -> None:
         while self.due and self.due[0][1] is not None:
             self.write(self.due.popleft()[1])
-        if len(self.due) < AT_ONCE and len(self.ring) and not self.parser.between:
+        if len(self.due) < AT_ONCE and len(self.ring) and not self.parser.at_boundary:
             self.dataReceived(b"")
 
     def write(self, data: bytes) -> None:
--- a/hookpitch/fakes/load_clients.py
+++ b/hookpitch/fakes/load_clients.py
@@ -21,7 +21,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.core.resp import VALUE_MOST, Fault, Malformed, Parser, command
+from hookpitch.core.resp import MAX_BULK_BYTES, ErrorReply, Parser, ProtocolError, command
 from hookpitch.core.ring import Ring
 from hookpitch.fakes.history import History
 
@@ -156,7 +156,7 @@
                     )
                     continue
                 self.answered(self.due.popleft(), answer)
-        except Malformed:
+        except ProtocolError:
             self.transport.loseConnection()
 
     def large(self) -> tuple[bool, bytes | None] | None:
@@ -164,7 +164,7 @@
         next."""
         head = self.ring.peek(16)
         end = head.find(b"\r\n")
-        if head[:1] != b"$" or not head[1:end].isdigit() or int(head[1:end]) <= VALUE_MOST:
+        if head[:1] != b"$" or not head[1:end].isdigit() or int(head[1:end]) <= MAX_BULK_BYTES:
             return None
         whole = end + 2 + int(head[1:end]) + 2
         if len(self.ring) < whole:
@@ -178,7 +178,7 @@
     def answered(self, asked: Asked, answer: object) -> None:
         crowd = self.crowd
         asked.open = False
-        if isinstance(answer, Fault):
+        if isinstance(answer, ErrorReply):
             how = "exhausted" if answer.startswith(b"BUSY") else "errored"
         elif isinstance(answer, bytes) and answer.startswith(f"{asked.rpc}:{asked.key}:".encode()):
             how = "completed"
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -30,7 +30,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from hookpitch.balancer.interface import Endpoint, EndpointState
-from hookpitch.core.chance import draws
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.members.codec import Codec
 from hookpitch.members.endpoint_exchange import Held, Lists, Taken
 from hookpitch.members.state import Address, Members, State
@@ -106,10 +106,12 @@
             name,
             told.listen,
             told.seeds,
-            draws(seed ^ int(clock.now()), "members"),
+            seeded_random(seed ^ int(clock.now()), "members"),
             self.log,
         )
-        self.lists = Lists(clock.now(), name, draws(seed ^ int(clock.now()), "lists"), count)
+        self.lists = Lists(
+            clock.now(), name, seeded_random(seed ^ int(clock.now()), "lists"), count
+        )
         self.version = 0  # of the list taken
         self.waiting: tuple[list[Endpoint], dict[str, str]] | None = (
             None  # taken, and not given yet
--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -67,7 +67,7 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         self.server.open.pop(self, None)
         self.server.held -= 1
-        self.server.clock.deadlines.drop(self.deadline)
+        self.server.clock.deadlines.cancel(self.deadline)
 
 
 class AdminServer(Factory):
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -15,8 +15,8 @@
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate, Outcome
 from hookpitch.core.deadlines import Deadline
 from hookpitch.core.host import NO_REPORT, Attempt, Host
-from hookpitch.core.resp import Fault, Malformed, Parser, Value, command
-from hookpitch.core.stream import MOST, ChunkedValue
+from hookpitch.core.resp import ErrorReply, Parser, ProtocolError, Value, command
+from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import CHUNK, Wire
 
@@ -39,7 +39,7 @@
         self.pool.made(self)
 
     def begin(self, attempt: Attempt) -> None:
-        self.attempt, attempt.holder, attempt.written = attempt, self, True
+        self.attempt, attempt.carrier, attempt.written = attempt, self, True
         head, *more = self.request(attempt)
         self.put(head)
         if more:
@@ -51,11 +51,11 @@
         """What is written: a head, and large pieces behind it."""
         raise NotImplementedError
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         if not self.paused and not self.lost:
             self.pauseProducing()
 
-    def go(self) -> None:
+    def resume(self) -> None:
         if self.paused and not self.lost:
             self.resumeProducing()
 
@@ -133,7 +133,7 @@
 class CacheConnection(BackendConnection):
     def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
-        self.parser = Parser(self.inward, most=MOST)
+        self.parser = Parser(self.inward, max_value_bytes=MAX_STREAMED_BYTES)
         self.passing = False  # a value passes in pieces
 
     def request(self, attempt: Attempt) -> Sequence[bytes]:
@@ -143,15 +143,15 @@
             return (command(*words),)
         if isinstance(rpc.value, ChunkedValue):
             head = command(*words).replace(b"*4", b"*5", 1) + b"$%d\r\n" % len(rpc.value)
-            return (head, *rpc.value.parts, b"\r\n")
+            return (head, *rpc.value.chunks, b"\r\n")
         return (command(*words, rpc.value),)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.passing and not len(self.inward) and not self.paused and self.attempt is not None:
             # A large value goes past the ring.
-            most = self.parser.passing
+            most = self.parser.body_remaining
             part = data if len(data) <= most else data[:most]
-            self.parser.passing -= len(part)
+            self.parser.body_remaining -= len(part)
             self.pool.pools.host.stream_chunk(self.pool.pools.clock.now(), self.attempt, part)
             data = data[len(part) :]
             if not data:
@@ -162,22 +162,22 @@
         while not self.paused:
             try:
                 found, reply = self.parser.next()
-            except Malformed as fault:
+            except ProtocolError as fault:
                 return self.spoilt(str(fault))
             if found:
                 # Danger: what comes behind an answer would answer the next RPC. The answer itself
                 # is good.
                 self.passing = False
-                return self._reply(reply, self.attempt is not None and self.parser.between)
-            if not self.parser.passing:
+                return self._reply(reply, self.attempt is not None and self.parser.at_boundary)
+            if not self.parser.body_remaining:
                 return
-            if not self.passing and not self.begun(self.parser.passing):
+            if not self.passing and not self.begun(self.parser.body_remaining):
                 return
             self.passing = True
             if self.paused or not len(self.inward):
                 return
             self.pool.pools.host.stream_chunk(
-                self.pool.pools.clock.now(), self.attempt, self.parser.part(CHUNK)
+                self.pool.pools.clock.now(), self.attempt, self.parser.read_body(CHUNK)
             )
 
     def _reply(self, reply: Value, alone: bool) -> None:
@@ -190,7 +190,7 @@
             self.over(
                 Outcome.MISS if reply[0] is None else Outcome.COMPLETED, reply[0], load, alone
             )
-        elif isinstance(reply, Fault) and (words := reply.decode("latin-1").split(" "))[0] in (
+        elif isinstance(reply, ErrorReply) and (words := reply.decode("latin-1").split(" "))[0] in (
             "BUSY",
             "ERR",
         ):
@@ -251,7 +251,7 @@
         if len(self.dials) <= len(self.waiting) and not self._dial():
             return False
         self.waiting.append(attempt)
-        attempt.holder = self
+        attempt.carrier = self
         return True
 
     def _clean(self, connection: BackendConnection) -> bool:
@@ -279,7 +279,7 @@
     def dial_over(self, dial: _Dial, up: bool, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
         pools = self.pools
         self.dials.pop(dial, None)
-        pools.clock.deadlines.drop(dial.deadline)
+        pools.clock.deadlines.cancel(dial.deadline)
         if up:
             return
         pools.held -= 1
@@ -320,7 +320,7 @@
         now = self.pools.clock.now()
         while self.waiting:
             attempt = self.waiting.popleft()
-            if now < attempt.begin_by:
+            if now < attempt.start_by:
                 return connection.begin(attempt)
             # Danger: rule 2. It was within the time in which its servers know repeats when it was
             # decided on.
@@ -399,11 +399,11 @@
         self.idle_ms = IDLE_SHARE * self.host.deployment.connection_idle_timeout_ms
 
     def dispatch(self, now: float, attempt: Attempt) -> bool:
-        pool = self.pools.get(attempt.server)
+        pool = self.pools.get(attempt.backend_id)
         return pool is not None and pool.dispatch(attempt)
 
     def cancel(self, now: float, attempt: Attempt) -> None:
-        connection = attempt.holder
+        connection = attempt.carrier
         if isinstance(connection, BackendConnection) and connection.attempt is attempt:
             connection.attempt = None
             connection.abort_now()
@@ -411,7 +411,7 @@
             connection.waiting.remove(attempt)
 
     def has_unread_response(self, attempt: Attempt) -> bool:
-        connection = attempt.holder
+        connection = attempt.carrier
         if (
             isinstance(connection, BackendConnection)
             and connection.attempt is attempt
--- a/hookpitch/net/clients.py
+++ b/hookpitch/net/clients.py
@@ -15,8 +15,14 @@
 
 from hookpitch.core.host import Host, Rpc
 from hookpitch.core.reply_slot import ReplySlot
-from hookpitch.core.resp import Malformed, Parser, bulk
-from hookpitch.core.stream import MOST, ROOM, ChunkedValue, Stream
+from hookpitch.core.resp import Parser, ProtocolError, bulk
+from hookpitch.core.stream import (
+    MAX_STREAMED_BYTES,
+    MAX_UNSENT_BYTES,
+    MIN_UNSENT_BYTES,
+    ChunkedValue,
+    Stream,
+)
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import CHUNK, Wire
 
@@ -49,7 +55,7 @@
     def __init__(self, clients: Clients) -> None:
         super().__init__()
         self.clients, self.host = clients, clients.host
-        self.parser = Parser(self.inward, commands_only=True, most=MOST)
+        self.parser = Parser(self.inward, commands_only=True, max_value_bytes=MAX_STREAMED_BYTES)
         self.value: ChunkedValue | None = None  # a large one, as it comes
         self.streams: dict[int, Stream] = {}  # answers that have begun, by their place's id
         self.head: Stream | None = None  # the one that passes now
@@ -77,12 +83,12 @@
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
         self.heard = self.clients.clock.now()
-        if self.asked and self.parser.between:
+        if self.asked and self.parser.at_boundary:
             self.since = self.heard
-        if self.parser.passing and not len(self.inward) and not self.ending:
-            most = self.parser.passing
+        if self.parser.body_remaining and not len(self.inward) and not self.ending:
+            most = self.parser.body_remaining
             part = data if len(data) <= most else data[:most]  # past the ring
-            self.parser.passing -= len(part)
+            self.parser.body_remaining -= len(part)
             self._piece(part)
             data = data[len(part) :]
             if not data:
@@ -92,12 +98,12 @@
     def _piece(self, data: bytes) -> None:
         """More of a large value that the client sends."""
         if self.value is None:
-            size = self.parser.passing + len(data)
-            self.value = ChunkedValue() if self.host.value_budget.take(size) else REFUSED
+            size = self.parser.body_remaining + len(data)
+            self.value = ChunkedValue() if self.host.value_budget.reserve(size) else REFUSED
             self.since = self.clients.clock.now()
         if self.value is not REFUSED:
             before = self.value.length // PROGRESS
-            self.value.add(data)
+            self.value.append(data)
             if self.value.length // PROGRESS > before:
                 # Danger: a large value that comes slowly taken for a client that says nothing.
                 self.since = self.clients.clock.now()
@@ -105,7 +111,7 @@
     def _let_go(self) -> None:
         """Of a large value that came in part."""
         if self.value is not None and self.value is not REFUSED:
-            self.host.value_budget.give_back(self.value.length + self.parser.passing)
+            self.host.value_budget.release(self.value.length + self.parser.body_remaining)
         self.value = None
 
     def came(self) -> None:
@@ -117,7 +123,7 @@
             # Danger: what was read too late is sent for a client that has gone.
             self.parted = age > LEFT_MS and self.peer_ended()
             self._take(age)
-        except Malformed as fault:
+        except ProtocolError as fault:
             self.host.counters.add("clients.malformed")
             self._say(b"-ERR %b\r\n" % str(fault).encode())
             self.ending = True
@@ -138,7 +144,7 @@
             and self.asked
             and self.due
             and not self.ending
-            and self.parser.between
+            and self.parser.at_boundary
         ):
             self.ending = True
             self.pauseProducing()
@@ -150,15 +156,15 @@
         clients.idle.pop(self, None)
         clients.quiet.pop(self, None)
         if not self.due and not self.ending and not self.lost and not len(self.outward):
-            (clients.idle if self.asked and self.parser.between else clients.quiet)[self] = None
+            (clients.idle if self.asked and self.parser.at_boundary else clients.quiet)[self] = None
 
     def _take(self, age: float) -> None:
         for _ in range(BATCH):
             if self.ending or self.paused:
                 return
             found, words = self.parser.next()
-            if not found and self.parser.passing and len(self.inward):
-                self._piece(self.parser.part(CHUNK))
+            if not found and self.parser.body_remaining and len(self.inward):
+                self._piece(self.parser.read_body(CHUNK))
                 continue
             if not found:
                 return
@@ -205,7 +211,7 @@
             elif rpc is None:
                 self.host.counters.add("clients.wrong")
                 slot.answer = b"-ERR wrong number of words, unknown class or bad wait\r\n"
-            elif rpc.open:
+            elif rpc.pending:
                 self.rpcs[id(slot)] = rpc
         elif name == b"PING":
             if self.clients.paused:
@@ -239,27 +245,27 @@
         self.streams[id(slot)] = stream
         self.clients.streams += 1
         if self.lost or self.due[0] is not slot:
-            stream.source.hold()  # those before it go first
+            stream.source.pause()  # those before it go first
         else:
             self._begin(stream)
 
     def _begin(self, stream: Stream) -> None:
         self.head = stream
         self.put(b"$%d\r\n" % stream.length)
-        stream.source.go()
+        stream.source.resume()
 
     def stream_chunk(self, slot: ReplySlot, data: bytes) -> None:
         self.put(data)
         # Danger: a server that gives faster than the client reads; the value would be held here.
         if len(self.outward) > self.clients.stream_room and self.head is not None:
-            self.head.source.hold()
+            self.head.source.pause()
 
     def flow(self) -> None:
         super().flow()
         if self.head is not None:
-            self.head.moved = self.clients.clock.now()
+            self.head.last_progress = self.clients.clock.now()
             if 2 * len(self.outward) <= self.clients.stream_room:
-                self.head.source.go()
+                self.head.source.resume()
 
     def stream_aborted(self, slot: ReplySlot) -> None:
         self.rpcs.pop(id(slot), None)
@@ -317,7 +323,9 @@
 
     @property
     def idle(self) -> bool:
-        return not self.due and not len(self.outward) and not self.ending and self.parser.between
+        return (
+            not self.due and not len(self.outward) and not self.ending and self.parser.at_boundary
+        )
 
     def _end(self) -> None:
         # Danger: a command that has come in part is a client that waits: a node that leaves reads
@@ -364,7 +372,7 @@
             self.clients.clock.now(), list(self.rpcs.values()), reads=True
         )
         self.peer_done = True
-        with suppress(Malformed):
+        with suppress(ProtocolError):
             while (
                 not self.ending and self.parser.next()[0]
             ):  # not begun yet, and nothing is sent any more
@@ -420,13 +428,14 @@
 
     def info(self) -> bytes:
         gauges = f"clients.open:{len(self.open)}\r\nrpcs.open:{len(self.host.rpcs)}\r\n"
-        return (gauges + self.host.counters.lines()).encode()
+        return (gauges + self.host.counters.render()).encode()
 
     @property
     def stream_room(self) -> int:
         """Bytes that a stream may have waiting for its reader: less with more of them."""
-        most, least = ROOM
-        return max(least, min(most, self.memory // (4 * max(1, self.streams))))
+        return max(
+            MIN_UNSENT_BYTES, min(MAX_UNSENT_BYTES, self.memory // (4 * max(1, self.streams)))
+        )
 
     def make_room(self, newcomer: Client) -> None:
         """Danger: clients that keep connections and use none shut all others out."""
@@ -461,7 +470,7 @@
     def part(self, guest: Client) -> None:
         """Danger: what has its answer must not wait for another turn with a descriptor that others
         need."""
-        if not guest.lost and not guest.due and not len(guest.outward) and guest.parser.between:
+        if not guest.lost and not guest.due and not len(guest.outward) and guest.parser.at_boundary:
             if not guest.ending:
                 self.host.counters.add("clients.closed_silent")
             guest.ending = True
@@ -489,7 +498,7 @@
             if self.draining and client.idle and not client.unread():
                 self.close(client, "closed_drained")
                 continue
-            silent = not client.asked or not client.parser.between
+            silent = not client.asked or not client.parser.at_boundary
             if silent and client.since <= now - SILENT_MS and not client.kernel():
                 # Danger: hundreds that connect and say nothing, or half of a command, hold every
                 # descriptor.
@@ -510,8 +519,8 @@
 
     def spare_memory(self) -> None:
         """Danger: clients that ask and never read; the node would be killed for memory."""
-        if sum(client.outward.room for client in self.open) > self.memory:
-            worst = max(self.open, key=lambda client: client.outward.room)
+        if sum(client.outward.capacity for client in self.open) > self.memory:
+            worst = max(self.open, key=lambda client: client.outward.capacity)
             self.host.counters.add("clients.cut_off")
             worst.transport.abortConnection()
 
@@ -541,7 +550,7 @@
         """What is open ends now, but for what stands in part: no more time is left."""
         self.over = True  # a command that becomes whole only now is answered at once
         for client in list(self.open):
-            if client.due or client.parser.between:
+            if client.due or client.parser.at_boundary:
                 client.ending = True
                 client.due.clear()
                 client.finish()
--- a/hookpitch/net/clock.py
+++ b/hookpitch/net/clock.py
@@ -39,7 +39,7 @@
     def _run(self) -> None:
         self._call = None
         now = self.now()
-        by = now - self.deadlines.first
+        by = now - self.deadlines.next_due
         if by > self.late_ms and self.late is not None:
             # Danger: after a pause, what came in time stands unread, and its deadline would be seen
             # first.
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -12,10 +12,10 @@
 from twisted.python.failure import Failure
 
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate
-from hookpitch.core.chance import draws
 from hookpitch.core.deadlines import Deadline
 from hookpitch.core.host import Host
 from hookpitch.core.json_stream import JsonStream
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import Wire
 from hookpitch.startup.poll_schedule import FAR, SILENCE_TIMEOUT_MS, PollSchedule, WatchLoss
@@ -127,7 +127,7 @@
     def wait(self, ms: float) -> None:
         """How long it may be silent from now on."""
         clock = self.discovery.clock
-        clock.deadlines.drop(self.silence)
+        clock.deadlines.cancel(self.silence)
         self.silence = clock.deadlines.add(clock.now() + ms, lambda _: self.end(WatchLoss.SILENT))
 
     def _read(self, data: bytes) -> None:
@@ -150,7 +150,7 @@
         if self.over:
             return
         self.over = True
-        self.discovery.clock.deadlines.drop(self.silence)
+        self.discovery.clock.deadlines.cancel(self.silence)
         if self.transport is not None:
             self.transport.abortConnection()
         elif self.connector is not None:
@@ -198,7 +198,7 @@
         d = host.deployment
         within = d.poll_interval_ms or ASK_WITHIN_MS
         self.poll_schedule = PollSchedule(
-            clock.now(), d.nodes, within, draws(d.seed, "ask"), not d.polling_required
+            clock.now(), d.nodes, within, seeded_random(d.seed, "ask"), not d.polling_required
         )
         self.due: Deadline | None = None
         self.first: Callable[[], None] | None = None  # called once a list has come
@@ -210,7 +210,7 @@
 
     def begin(self) -> None:
         """From now on it asks when its time has come."""
-        self.clock.deadlines.drop(self.due)
+        self.clock.deadlines.cancel(self.due)
         self.due = (
             self.clock.deadlines.add(self.poll_schedule.at, self._due)
             if self.poll_schedule.at < FAR
--- a/hookpitch/net/loop_monitor.py
+++ b/hookpitch/net/loop_monitor.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 
-from hookpitch.core.admission import AWAY
 from hookpitch.core.host import Host
 from hookpitch.net.clock import Clock
 
@@ -21,10 +20,10 @@
 
     def reconfigured(self) -> None:
         """How late counts as away, by the settings' shortest soft deadline."""
-        self.clock.late_ms = AWAY * self.host.admission.aim
+        self.clock.late_ms = self.host.admission.pause_threshold_ms
 
     def _next(self) -> None:
-        due = self.clock.now() + self.host.admission.window
+        due = self.clock.now() + self.host.admission.window_ms
         self.clock.deadlines.add(due, lambda now: self._beat(now, now - due))
 
     def _beat(self, now: float, late: float) -> None:
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -70,7 +70,7 @@
         self.pools = BackendPools(reactor, clock, self.host, servers, OriginConnection)
         room = config.sockets - servers - guests - own
         self.clients = Clients(self.host, clock, third, config.memory_mb << 19, room, guests)
-        self.host.value_budget.most = config.memory_mb << 18  # a quarter of the memory
+        self.host.value_budget.limit = config.memory_mb << 18  # a quarter of the memory
         self.loop_monitor = LoopMonitor(clock, self.host, cpu)
         self.discovery = Discovery(
             reactor, clock, self.host, config.discovery, config.seq, config.memory_mb << 15
@@ -90,7 +90,7 @@
             None  # of a snapshot, where the operator's file has one
         )
         self.processes, self._look = 1, False  # of this node, as last seen; whether to look again
-        self.whole = servers, room, self.host.value_budget.most  # what one process alone may hold
+        self.whole = servers, room, self.host.value_budget.limit  # what one process alone may hold
 
     def start(self) -> None:
         """Raises CannotListenError; then it may be called again."""
@@ -187,7 +187,7 @@
         members, out = self.host.endpoint_counts()
         more = [
             ("upstream_requests", counts.get("upstream_requests", 0)),
-            ("pending", self.host.open),
+            ("pending", self.host.pending_rpcs),
             ("members", members),
             ("members_unavailable", out),
             ("config_reloads", counts.get("config_reloads", 0)),
@@ -280,7 +280,7 @@
         # no more.
         self.pools.most = max(servers // processes, min(servers, self.pools.held))
         self.clients.room = max(room // processes, min(room, len(self.clients.open)))
-        self.host.value_budget.most = held // processes
+        self.host.value_budget.limit = held // processes
 
     def _catch_up(self) -> None:
         for verb, what in self.shared.news() if self.shared is not None else ():
@@ -345,7 +345,7 @@
         self.logger.info("leaving")
         if self.peers is not None:
             self.peers.leave()
-        longest = self.host.patience  # also of RPCs that came under settings of before
+        longest = self.host.stream_timeout_ms  # also of RPCs that came under settings of before
         # An inherited socket is heard by another process, or kept until there is one: nothing is
         # refused.
         serve_on = SERVE_ON_MS if self.config.inherited is None else 0.0
@@ -359,7 +359,7 @@
 
     def _give_up(self) -> None:
         """No time is left, whatever clients still do."""
-        self.host.give_up_all(self.clock.now())
+        self.host.fail_all(self.clock.now())
         self.clients.end_all()
 
     def _close(self) -> None:
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -13,8 +13,8 @@
 
 from hookpitch.balancer.interface import Outcome
 from hookpitch.core.host import Attempt
-from hookpitch.core.resp import VALUE_MOST
-from hookpitch.core.stream import MOST, ChunkedValue
+from hookpitch.core.resp import MAX_BULK_BYTES
+from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.backend_pools import BackendConnection, BackendPool
 
 
@@ -36,7 +36,7 @@
             method="PUT" if write else "GET", target="/" + quote(rpc.key, safe=""), headers=headers
         )
         parts = [self.http.send(request)]
-        large = rpc.value.parts if isinstance(rpc.value, ChunkedValue) else ()
+        large = rpc.value.chunks if isinstance(rpc.value, ChunkedValue) else ()
         for part in large or ((rpc.value,) if write else ()):
             parts.append(self.http.send(h11.Data(data=part)))
         parts.append(self.http.send(h11.EndOfMessage()))
@@ -75,7 +75,7 @@
                         return
                 elif isinstance(event, h11.Data):
                     self._data(bytes(event.data))
-                    if len(self.body) > MOST:
+                    if len(self.body) > MAX_STREAMED_BYTES:
                         return self.spoilt("a body too long")
                 elif isinstance(event, h11.EndOfMessage):
                     return self._whole()
@@ -87,12 +87,12 @@
     def _begin(self) -> bool:
         length = self.headers.get(b"content-length", b"")
         size = int(length) if self.status == 200 and length.isdigit() and len(length) < 20 else 0
-        if size > MOST:
+        if size > MAX_STREAMED_BYTES:
             self.spoilt("a body too long")
-        elif size > VALUE_MOST:
+        elif size > MAX_BULK_BYTES:
             self.passing = self.begun(size)
             return self.passing
-        return size <= MOST
+        return size <= MAX_STREAMED_BYTES
 
     def _data(self, data: bytes) -> None:
         if self.passing and self.attempt is not None:
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -151,9 +151,9 @@
         self.told, self.node, self.away = told, node, away
         self.path = told.path.replace("{name}", quote(node.config.name, safe=""))
         self.out, self._failing = False, False
-        from hookpitch.core.chance import draws
+        from hookpitch.core.seeded_random import seeded_random
 
-        self._chance = draws(node.config.deployment.seed, "keep")
+        self._chance = seeded_random(node.config.deployment.seed, "keep")
 
     def recall(self) -> None:
         """Called once, between the list told at the start and the first RPC."""
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -12,7 +12,7 @@
 from hookpitch.balancer.decisions import Router
 from hookpitch.balancer.deployment import deployment, report
 from hookpitch.balancer.interface import Endpoint, EndpointUpdate
-from hookpitch.core.chance import draws
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.simwire import codec
 from hookpitch.simwire.codec import WireError, flag, ms, outcome, seconds
 from hookpitch.startup.poll_schedule import FAR, PollSchedule, WatchLoss
@@ -127,7 +127,9 @@
             seat.kinds, seat.router = told.kinds, Router(now, told)
             if told.polling_required:
                 within = told.poll_interval_ms or 10000.0
-                seat.poll_schedule = PollSchedule(now, told.nodes, within, draws(told.seed, "ask"))
+                seat.poll_schedule = PollSchedule(
+                    now, told.nodes, within, seeded_random(told.seed, "ask")
+                )
             return
         name = rest.partition(" ")[0]
         if word == "PEERS_KNOWN":
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -13,7 +13,7 @@
 import random
 from collections.abc import Callable, Iterable
 
-from hookpitch.core.chance import draws
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.members.codec import Codec
 from hookpitch.members.state import Address, Members, State
 
@@ -49,7 +49,7 @@
     def start(self, name: str, after: float = 0.0) -> None:
         """A new process under that name and address: it knows its seeds alone."""
         self.starts += 1
-        chance = draws(self.starts * 7919 + self.rng.randrange(1 << 30), "members")
+        chance = seeded_random(self.starts * 7919 + self.rng.randrange(1 << 30), "members")
         tell = lambda text: self.logs.append((self.now, name, text))  # noqa: E731
         self.down.discard(name)
         m = self.members[name] = Members(
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -133,7 +133,7 @@
 
         machine.reactor.stopped = lambda: run.world.at(run.world.now, None, ended)
         old.leave()
-        run.world.at(run.world.now + old.host.patience / 1000 + ENDED_S, None, ended)
+        run.world.at(run.world.now + old.host.stream_timeout_ms / 1000 + ENDED_S, None, ended)
 
     def kill(self) -> None:
         self.run.history.add(self.run.now(), "stop", self.name)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -31,7 +31,7 @@
     Tenant,
 )
 from hookpitch.core.counters import Counters
-from hookpitch.core.resp import Fault, Parser, command
+from hookpitch.core.resp import ErrorReply, Parser, command
 from hookpitch.core.ring import Ring
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import read
@@ -710,7 +710,7 @@
     def answered(self, line: Line, answer: object) -> None:
         rpc = self.asked[id(line)].pop(0)
         assert rpc not in self.answers, "rule 1: a second answer"
-        if isinstance(answer, bytes) and not isinstance(answer, Fault):
+        if isinstance(answer, bytes) and not isinstance(answer, ErrorReply):
             assert answer.startswith(f"{rpc}:".encode()), "a value made for another RPC"
         self.answers[rpc] = answer
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -41,7 +41,7 @@
     """One connection, from the peer's side."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.parser = sock, Parser(Ring(), most=1 << 22)
+        self.sock, self.parser = sock, Parser(Ring(), max_value_bytes=1 << 22)
         sock.settimeout(WAIT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,7 +12,7 @@
 from test_start import TOLD
 
 from hookpitch.balancer.interface import Method, Tenant
-from hookpitch.core.admission import FAR, Admission
+from hookpitch.core.admission import UNLIMITED, Admission
 from hookpitch.net.prioritized_reactor import TURN_EVENTS, PrioritizedReactor, Server
 
 SOFT = 200.0  # ms: a soft deadline, and the CPU time of an RPC that is let in or turned away
@@ -26,7 +26,7 @@
         self.admission, self.now, self.cpu, self.again = Admission(0.0, SOFT), 0.0, 0.0, again
         self.room = room  # connections of all clients: so many wait at the most
         self.waiting: list[float] = []  # since when
-        self.due, self.beat, self.credit = 0.0, self.admission.window, 0.0
+        self.due, self.beat, self.credit = 0.0, self.admission.window_ms, 0.0
         self.let, self.came, self.waits = 0, 0, list[float]()
 
     def run(self, ms: float, per_ms: float, part: float = 1.0) -> float:
@@ -42,27 +42,31 @@
             busy = max(busy, self.now - 1.0)
             while busy < self.now and self.waiting:
                 came, self.came = self.waiting.pop(0), self.came + 1
-                a.read(max(0.0, busy - came))
-                self.credit += 1 - a.burden
+                a.record_arrival(max(0.0, busy - came))
+                self.credit += 1 - a.shed_fraction
                 serve = self.credit >= 1 and busy - came < 0.7 * SOFT  # as the decisions do
                 cost = TAKEN if serve else REFUSED
                 if serve:
                     self.credit, self.let = self.credit - 1, self.let + 1
                     self.waits.append(busy - came)
                 else:
-                    a.reject()
+                    a.record_rejected()
                     if self.again:
                         self.waiting.append(busy)
                 busy, self.cpu = busy + cost / part, self.cpu + cost
             if self.now >= self.beat:
                 a.end_window(self.now, 0.0, self.cpu)
-                self.beat = self.now + a.window
+                self.beat = self.now + a.window_ms
         return self.let / max(1, self.came)
 
 
 def test_what_the_node_can_do_is_all_let_in() -> None:
     q = Queue()
-    assert q.run(5000, 1.2) == 1.0 and q.admission.rate == FAR and q.admission.burden == 0.0
+    assert (
+        q.run(5000, 1.2) == 1.0
+        and q.admission.admitted_per_ms == UNLIMITED
+        and q.admission.shed_fraction == 0.0
+    )
 
 
 @pytest.mark.parametrize("part", [1.0, 0.5])
@@ -74,7 +78,7 @@
     assert max(q.waits) < 0.6 * SOFT
     assert q.let / 5000 > 0.5 / TAKEN * part  # over half of the core's time serves
     q.run(1500, 1.2 * part, part)  # the surge ends: in this time all are let in again
-    assert q.run(1000, 1.2 * part, part) == 1.0 and q.admission.rate == FAR
+    assert q.run(1000, 1.2 * part, part) == 1.0 and q.admission.admitted_per_ms == UNLIMITED
 
 
 def test_clients_that_try_again_at_once_do_not_turn_the_core_into_refusals() -> None:
@@ -89,14 +93,14 @@
     a = Admission(0.0, SOFT)
     a.end_window(50.0, 0.0, 20.0)
     assert (
-        a.paused(300.0, used=10.0)
-        and not a.paused(300.0, used=250.0)
-        and not a.paused(20.0, used=0.0)
+        a.detect_pause(300.0, cpu_ms=10.0)
+        and not a.detect_pause(300.0, cpu_ms=250.0)
+        and not a.detect_pause(20.0, cpu_ms=0.0)
     )
     for n in range(100):
-        a.read(3.0 * n)
+        a.record_arrival(3.0 * n)
     a.end_window(350.0, 300.0, 30.0)
-    assert a.burden == 0.0 and a.rate == FAR
+    assert a.shed_fraction == 0.0 and a.admitted_per_ms == UNLIMITED
 
 
 METHODS = (Method("low", 400.0, 1000.0, 1.0), Method("high", 400.0, 1000.0, 5.0))
@@ -187,7 +191,7 @@
     for n in range(20):
         c.say(get(f"r{n}"))
     assert c.take() == 20 * b"-BUSY\r\n" and s.counters.counts["rpcs.turned_away"] == 20
-    assert not len(s.node.host.rpcs) and not s.node.host.ids and not s.node.host.router.rpcs
+    assert not len(s.node.host.rpcs) and not s.node.host.rpc_ids and not s.node.host.router.rpcs
     assert len(s.clock.deadlines) == before
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hookpitch.balancer.interface import EndpointUpdate
-from hookpitch.core.chance import draws
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.net.discovery import retry_after
 from hookpitch.simwire.adapter import Seat
 from hookpitch.startup.poll_schedule import (
@@ -23,7 +23,10 @@
 
 
 def fleet(count: int, seed: int = 1) -> list[PollSchedule]:
-    return [PollSchedule(0.0, count, WITHIN, draws(seed * 1000 + n, "ask")) for n in range(count)]
+    return [
+        PollSchedule(0.0, count, WITHIN, seeded_random(seed * 1000 + n, "ask"))
+        for n in range(count)
+    ]
 
 
 def played(
@@ -52,7 +55,7 @@
 
 def test_draws_of_neighbouring_seeds_come_evenly() -> None:
     for n in (1, 2, 7):  # the first draw, the second, the seventh, of 300 nodes
-        of = [draws(seed, "ask") for seed in range(1000, 1300)]
+        of = [seeded_random(seed, "ask") for seed in range(1000, 1300)]
         values = [[d() for _ in range(n)][-1] for d in of]
         fifths = Counter(int(5 * v) for v in values)
         assert min(fifths.values()) >= 40 and max(fifths.values()) <= 80
@@ -163,7 +166,7 @@
     # Danger: what the agent has counts as told; a drain that it had at the start was heeded seconds
     # later.
     for n in range(40):
-        a = PollSchedule(700.0, 300, WITHIN, draws(n, "ask"), pushed=True)
+        a = PollSchedule(700.0, 300, WITHIN, seeded_random(n, "ask"), pushed=True)
         assert a.at == 700.0
         for how in (WatchLoss.REFUSED, WatchLoss.REFUSED, WatchLoss.ENDED, WatchLoss.SILENT):
             a.asked(a.at)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,8 +5,8 @@
 import pytest
 
 from hookpitch.core.deadlines import Deadlines
-from hookpitch.core.resp import Fault, Malformed, Parser, Plain, bulk, command
-from hookpitch.core.ring import SMALL, Ring
+from hookpitch.core.resp import ErrorReply, Parser, ProtocolError, SimpleString, bulk, command
+from hookpitch.core.ring import INITIAL_CAPACITY, Ring
 from hookpitch.core.slot_table import SlotTable
 
 
@@ -24,9 +24,9 @@
             model = model[count:]
         at = rng.randrange(len(model) + 1)
         assert len(ring) == len(model) and ring.peek(50, at) == model[at : at + 50]
-        assert ring.line_end(at) == model.find(b"\n", at)
+        assert ring.find_line_end(at) == model.find(b"\n", at)
     ring.read(len(ring))
-    assert ring.room <= 16 * SMALL
+    assert ring.capacity <= 16 * INITIAL_CAPACITY
 
 
 def parse(data: bytes, rng: random.Random, commands_only: bool = False) -> list[object]:
@@ -42,7 +42,7 @@
             if not found:
                 break
             values.append(value)
-    assert parser.between
+    assert parser.at_boundary
     return values
 
 
@@ -61,7 +61,7 @@
 
 def test_simple_strings_and_errors_are_told_apart() -> None:
     values = parse(b"+OK\r\n-OK\r\n", random.Random(1))
-    assert [type(v) for v in values] == [Plain, Fault]
+    assert [type(v) for v in values] == [SimpleString, ErrorReply]
 
 
 @pytest.mark.parametrize(
@@ -82,7 +82,7 @@
     ],
 )
 def test_what_is_no_command_is_malformed(data: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(ProtocolError):
         parse(data, random.Random(1), True)
 
 
@@ -99,7 +99,7 @@
             ring.write(bytes([byte]))
             while parser.next()[0]:
                 pass
-    except Malformed:
+    except ProtocolError:
         pass
 
 
@@ -110,7 +110,7 @@
     c = slots.add("c")
     assert (slots.get(a), slots.get(b), slots.get(c), len(slots)) == (None, "b", "c", 2)
     slots.free(a)
-    assert slots.get(c) == "c" and slots.all() == ["c", "b"]
+    assert slots.get(c) == "c" and slots.values() == ["c", "b"]
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -122,7 +122,7 @@
         at = rng.randrange(1000)
         held.append((deadlines.add(at, lambda now, n=n, at=at: ran.append((at, n))), at, n))
         if rng.random() < 0.6:
-            deadlines.drop(held.pop(rng.randrange(len(held)))[0])
+            deadlines.cancel(held.pop(rng.randrange(len(held)))[0])
     due = sorted((at, n) for _, at, n in held)
     assert len(deadlines) == len(due) and armed[-1] <= due[0][0]
     deadlines.run(500)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -9,7 +9,7 @@
 from fleet import get
 from peers import MISS, VALUE, Line, Real, method
 
-from hookpitch.core.resp import Fault, Plain, command
+from hookpitch.core.resp import ErrorReply, SimpleString, command
 
 METHODS = [
     method("read"),
@@ -27,7 +27,7 @@
 def knows(r: Real, client: Line) -> None:
     """The node has taken the client's connection."""
     client.say(PING)
-    assert client.value() == Plain(b"PONG")
+    assert client.value() == SimpleString(b"PONG")
 
 
 def asks_next(r: Real, line: Line, id: str) -> None:
@@ -71,7 +71,7 @@
         time.sleep(GONE_S)  # so long the node is held still: it has gone, whatever the node knows
         r.go_on()
         if how == "fin":  # it may still read
-            assert isinstance(client.value(), Fault)
+            assert isinstance(client.value(), ErrorReply)
         asks_next(r, line, "r2")
 
 
@@ -126,7 +126,7 @@
         other = r.client()
         other.say(command(b"OBJ.SET", b"k", b"w1", b"c=read,d=5000", b"x"))
         assert b"X-Request-Id: w1\r\n" in r.origin.accept().head(), "sent on for nobody"
-        assert isinstance(client.value(), Fault) and client.value() == Plain(b"PONG")
+        assert isinstance(client.value(), ErrorReply) and client.value() == SimpleString(b"PONG")
 
 
 @pytest.mark.parametrize("last", [QUIT, b"*1\r\n$x\r\n"])
@@ -141,7 +141,9 @@
         client.say(get("r2", wait=5000) * 3000)  # more than one look takes
         line.say(VALUE)
         r.go_on()
-        assert client.value() == b"v" and type(client.value()) is (Plain if last == QUIT else Fault)
+        assert client.value() == b"v" and type(client.value()) is (
+            SimpleString if last == QUIT else ErrorReply
+        )
         assert client.ended() == "fin"
         asks_next(r, line, "r3")
 
@@ -200,7 +202,7 @@
         )  # its time ends after the node's, 0.5 + 1.0 + 0.15 s
         client.say(text[30:])
         r.caches[0].accept().value()  # and no answer comes
-        assert isinstance(client.value(), Fault) and client.ended() == "fin"
+        assert isinstance(client.value(), ErrorReply) and client.ended() == "fin"
         assert r.left() == 0 and time.monotonic() < began + 2.2
 
 
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -10,7 +10,7 @@
 from fleet import get
 from peers import MISS, VALUE, Line, Real, method
 
-from hookpitch.core.resp import Fault
+from hookpitch.core.resp import ErrorReply
 
 METHODS = [
     method("read"),
@@ -49,7 +49,7 @@
         origin.say(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
         assert client.value() == b"v"
         client.say(get("r2", method="read"))  # nobody knows it any more
-        assert isinstance(client.value(), Fault)
+        assert isinstance(client.value(), ErrorReply)
         client.say(get("r3", method="other", wait=5000))
         assert line.value()[2] == b"r3"
         line.say(VALUE)
@@ -82,7 +82,7 @@
         if new.get("group") == "cell":  # nor is it asked where it cannot be
             r.caches[n].listener.close()
         line.reset()
-        assert isinstance(client.value(), Fault)
+        assert isinstance(client.value(), ErrorReply)
         assert r.count("upstream_requests") == 1 and not r.caches[1 - n].dialled(0)
 
 
@@ -91,7 +91,7 @@
         client, line = asked(r, "once")
         reload(r, methods=[method("read"), method("once")])  # it may run again, from now on
         line.reset()
-        assert isinstance(client.value(), Fault) and r.count("upstream_requests") == 1
+        assert isinstance(client.value(), ErrorReply) and r.count("upstream_requests") == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -12,7 +12,7 @@
 from fleet import get
 from peers import MISS, VALUE, Line, Real, Settings, method, tell
 
-from hookpitch.core.resp import Fault, command
+from hookpitch.core.resp import ErrorReply, command
 
 # The next SYN of a dial that found no room comes a second later.
 LIMITS = {"most_transmissions": 3, "cancelling": True, "dial_timeout_s": 4.0, "conn_idle_s": 60.0}
@@ -63,7 +63,7 @@
         r.until(lambda: any(cache.syn_sent() for cache in r.caches))
         began = time.monotonic()
         watch = r.watch(r.change(6, 0, **what))
-        assert isinstance(client.value(), Fault)  # there is no other cache
+        assert isinstance(client.value(), ErrorReply)  # there is no other cache
         assert time.monotonic() - began < 3.0, "it waited for the dial"
         assert r.count("tx.moot") == 1 and r.count("upstream_requests") == 0
         r.caches[0].empty()
@@ -98,7 +98,7 @@
         r.caches[0].accept().say(b"+hello\r\n")
         began = time.monotonic()
         r.go_on()
-        assert isinstance(client.value(), Fault) and time.monotonic() - began < 2.5, (
+        assert isinstance(client.value(), ErrorReply) and time.monotonic() - began < 2.5, (
             "it waited to its end"
         )
         assert r.count("connections.unclean") == r.count("tx.connect_failed") == 1
@@ -136,7 +136,7 @@
         r.until(r.caches[0].syn_sent)
         r.caches[0].empty()  # a second later: the window is over
         line = r.caches[0].accept()
-        assert isinstance(client.value(), Fault)
+        assert isinstance(client.value(), ErrorReply)
         assert r.count("tx.begun_too_late") == 1 and r.count("upstream_requests") == 1
         asks_next(r, line, "r2")
 
@@ -196,7 +196,7 @@
             line = r.caches[0].accept()
             line.value()
             getattr(line, end)()
-            assert client.value() == Fault(b"ERR failed")
+            assert client.value() == ErrorReply(b"ERR failed")
             client.say(get(f"{end}2"))
             line = r.caches[0].accept()
             line.value()
@@ -228,7 +228,7 @@
         getattr(line, how)()
         if together:
             r.go_on()
-        assert client.value() == (b"val" if how == "fin" else Fault(b"ERR failed"))
+        assert client.value() == (b"val" if how == "fin" else ErrorReply(b"ERR failed"))
 
 
 @pytest.mark.parametrize(
@@ -272,7 +272,7 @@
         while failed < 5:  # each makes the node rest for longer, down to its least
             assert cache.value()[2] == b"r%d" % n
             cache.say(MISS)
-            assert isinstance(client.value(), Fault)
+            assert isinstance(client.value(), ErrorReply)
             n, failed = n + 1, r.count("tx.connect_failed")
             client.say(get(f"r{n}", wait=900))
         r.origin.listener = socket.create_server(at)  # it is back just now
@@ -282,7 +282,7 @@
             cache.say(MISS)
             if r.origin.dialled(0.05):
                 break
-            assert isinstance(client.value(), Fault)
+            assert isinstance(client.value(), ErrorReply)
             assert time.monotonic() - began < 1.0, "it rests, and the origin is well"
             n += 1
             client.say(get(f"r{n}", wait=900))
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -15,7 +15,7 @@
 from peers import VALUE, Line, Real, method, tell
 from test_members_properties import SAME
 
-from hookpitch.core.resp import Fault
+from hookpitch.core.resp import ErrorReply
 from hookpitch.members.codec import BYTES_MOST, Codec
 from hookpitch.members.endpoint_exchange import (
     OLDEST_MS,
@@ -467,4 +467,4 @@
             assert member.wish() == (5, b"", 15)
         client: Line = r.client()
         client.say(get("r1", wait=300))
-        assert isinstance(client.value(), Fault)
+        assert isinstance(client.value(), ErrorReply)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,7 +8,7 @@
 
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.core.resp import bulk, command
-from hookpitch.core.stream import MOST
+from hookpitch.core.stream import MAX_STREAMED_BYTES
 from hookpitch.net import clients
 from hookpitch.net.wire import CHUNK
 
@@ -96,7 +96,7 @@
         (http(503, extra=never), b"-BUSY"),
         (http(504), b"-ERR"),
         (b"rubbish\r\n\r\n", b"-ERR"),
-        (http(200, b"x" * (MOST + 1)), b"-ERR"),
+        (http(200, b"x" * (MAX_STREAMED_BYTES + 1)), b"-ERR"),
     ]
     for answer, said in cases:
         s = Sockets()
@@ -336,7 +336,7 @@
     other.say(get("r1", "bb"))
     assert other.take().startswith(b"-ERR ") and len(serve(s)) == 1 and c.take() == bulk(b"v")
     other.say(get("r1", "bb"))
-    assert len(serve(s)) == 1 and other.take() == bulk(b"v") and not s.node.host.ids
+    assert len(serve(s)) == 1 and other.take() == bulk(b"v") and not s.node.host.rpc_ids
 
 
 def test_clients_that_say_nothing_or_half_of_a_command_are_closed_and_no_others() -> None:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -8,7 +8,7 @@
 
 from hookpitch.core.resp import Parser, bulk, command
 from hookpitch.core.ring import Ring
-from hookpitch.core.stream import HELD, MOST, ChunkedValue, Stream
+from hookpitch.core.stream import MAX_STREAMED_BYTES, TAIL_BYTES, ChunkedValue, Stream
 
 LARGE = 300_000
 VALUE = bytes(range(256)) * (LARGE // 256 + 1)
@@ -52,11 +52,11 @@
     server.say(VALUE[:1000])
     assert client.take() == b"$%d\r\n" % LARGE + VALUE[:1000]
     server.say(VALUE[1000:])
-    assert client.take() == VALUE[1000:-HELD]
+    assert client.take() == VALUE[1000:-TAIL_BYTES]
     server.say(b"\r\n" + REST[:-1])
     assert not client.take()
     server.say(REST[-1:])
-    assert client.take() == VALUE[-HELD:] + b"\r\n"
+    assert client.take() == VALUE[-TAIL_BYTES:] + b"\r\n"
 
 
 @pytest.mark.parametrize("end", [b"xx" + REST, b"\r\n!what\r\n", b"\r\n$9\r\nhit", None])
@@ -72,7 +72,7 @@
     s.pass_time(1)
     assert client.ended
     counts = s.counters.counts
-    assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.open
+    assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.pending_rpcs
 
 
 def test_no_deadline_cuts_off_what_the_server_still_gives_but_silence_does() -> None:
@@ -89,9 +89,9 @@
 def test_a_slow_reader_stops_the_server_and_a_dead_one_is_let_go() -> None:
     s, client, server = begun()
     client.reads = False
-    heads(server, MOST)
+    heads(server, MAX_STREAMED_BYTES)
     sent = 0
-    while not server.paused and sent < MOST:
+    while not server.paused and sent < MAX_STREAMED_BYTES:
         server.say(bytes(65536))
         sent += 65536
     room = s.node.clients.stream_room
@@ -139,7 +139,7 @@
     heads(server)
     client.end()
     s.pass_time(1)
-    assert server.ended and not s.node.host.open and not s.node.clients.streams
+    assert server.ended and not s.node.host.pending_rpcs and not s.node.clients.streams
 
 
 def test_a_large_body_of_the_origin_passes_and_one_cut_short_breaks() -> None:
@@ -155,7 +155,7 @@
         if not whole:
             o.end()
         s.pass_time(1)
-        assert len(client.take()) == LARGE - 5000 + (2 if whole else -HELD)
+        assert len(client.take()) == LARGE - 5000 + (2 if whole else -TAIL_BYTES)
         s.pass_time(1)
         assert client.ended is not whole
 
@@ -174,7 +174,7 @@
     for at in range(0, len(data), 3000):
         client.say(data[at : at + 3000])
     s.pass_time(1)
-    assert s.node.host.value_budget.now == LARGE
+    assert s.node.host.value_budget.used == LARGE
     (o,) = s.network.to(ORIGIN_PORT)
     server = h11.Connection(h11.SERVER)
     server.receive_data(o.take())
@@ -184,21 +184,21 @@
         body += bytes(event.data)
     assert body == VALUE and isinstance(event, h11.EndOfMessage)
     o.say(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
-    assert client.take() == bulk(b"ok") and s.node.host.value_budget.now == 0
+    assert client.take() == bulk(b"ok") and s.node.host.value_budget.used == 0
 
 
 def test_many_large_writes_are_refused_before_memory_is_gone() -> None:
     s = Sockets(memory_mb=32)
     clients = [s.client() for _ in range(6)]
     for n, client in enumerate(clients):
-        client.say(write(f"w{n}", bytes(MOST)))
+        client.say(write(f"w{n}", bytes(MAX_STREAMED_BYTES)))
     s.pass_time(1)
     said = [client.take() for client in clients]
     assert said.count(b"-BUSY\r\n") == 4 and s.counters.counts["rejected.read"] == 4
     for client in clients:
         client.end()
     s.pass_time(1)
-    assert s.node.host.value_budget.now == 0
+    assert s.node.host.value_budget.used == 0
 
 
 def test_a_write_that_comes_slowly_is_no_silent_client_and_one_that_stops_is() -> None:
@@ -210,7 +210,7 @@
         s.pass_time(1000)
     assert not client.ended
     s.pass_time(3000)
-    assert client.ended and s.node.host.value_budget.now == 0
+    assert client.ended and s.node.host.value_budget.used == 0
 
 
 @pytest.mark.parametrize(
@@ -229,28 +229,30 @@
     client.say(said)
     assert client.take().startswith(b"-ERR")
     s.pass_time(1)
-    assert client.ended and s.node.host.value_budget.now == 0
+    assert client.ended and s.node.host.value_budget.used == 0
 
 
 def test_what_passes_and_what_is_held_is_what_came() -> None:
-    for size in (1, HELD - 1, HELD, HELD + 1, 5000):
+    for size in (1, TAIL_BYTES - 1, TAIL_BYTES, TAIL_BYTES + 1, 5000):
         stream = Stream(None, LARGE, 0.0, 0.0)
-        out = b"".join(stream.piece(VALUE[at : at + size]) for at in range(0, LARGE, size))
-        assert out + stream.held == VALUE and len(stream.held) == HELD and not stream.left
+        out = b"".join(stream.feed(VALUE[at : at + size]) for at in range(0, LARGE, size))
+        assert (
+            out + stream.tail == VALUE and len(stream.tail) == TAIL_BYTES and not stream.remaining
+        )
     pieces = ChunkedValue()
     for at in range(0, LARGE, 7):
-        pieces.add(VALUE[at : at + 7])
-    assert b"".join(pieces.parts) == VALUE and len(pieces) == LARGE and len(pieces.parts) < 12
+        pieces.append(VALUE[at : at + 7])
+    assert b"".join(pieces.chunks) == VALUE and len(pieces) == LARGE and len(pieces.chunks) < 12
 
 
 def test_the_parser_tells_of_a_large_value_and_goes_on_behind_it() -> None:
     ring = Ring()
-    parser = Parser(ring, most=MOST)
+    parser = Parser(ring, max_value_bytes=MAX_STREAMED_BYTES)
     ring.write(b"*3\r\n" + bulk(VALUE) + REST + b"+OK\r\n")
-    assert parser.next() == (False, None) and parser.passing == LARGE
+    assert parser.next() == (False, None) and parser.body_remaining == LARGE
     got = b""
-    while parser.passing:
-        got += parser.part(65536)
+    while parser.body_remaining:
+        got += parser.read_body(65536)
     assert (
         got == VALUE and parser.next() == (True, [b"", b"hit", None]) and parser.next()[1] == b"OK"
     )
