--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -18,7 +18,7 @@
 
 import click
 
-from hookpitch.members.state import State
+from hookpitch.members.state import MemberState
 from hookpitch.testbed.membership_simulation import Net
 
 
@@ -43,7 +43,7 @@
     net = up(count, seed)
     gone = [f"m{n}" for n in range(1, count, max(1, round(1 / part)) if part else count)] or ["m1"]
     net.kill(gone)
-    some = lambda: any(net.think(gone[0], s) for s in (State.SUSPECTED, State.DEAD))  # noqa: E731
+    some = lambda: any(net.think(gone[0], s) for s in (MemberState.SUSPECTED, MemberState.DEAD))  # noqa: E731
     first = net.until(some, 30, 0.1)
     agreed = first + net.until(net.agreed, 60, 0.1)
     return first, agreed, float(called_dead(net) - len(gone))
--- a/hookpitch/cli/snapshot.py
+++ b/hookpitch/cli/snapshot.py
@@ -22,7 +22,7 @@
     import msgspec
 
     from hookpitch.net.snapshot_store import load
-    from hookpitch.startup.snapshot_state import HALF_MS
+    from hookpitch.startup.snapshot_state import HALF_LIFE_MS
 
     try:
         x = load(str(path))
@@ -33,26 +33,33 @@
         click.echo(msgspec.json.encode(x).decode())
         return
     now = time.time() * 1000
-    age = now - x.written
-    weight = 0.5 ** (max(0.0, age) / HALF_MS)
+    age = now - x.written_at_ms
+    weight = 0.5 ** (max(0.0, age) / HALF_LIFE_MS)
     click.echo(
         f"{path}: node {x.node} of fleet {x.fleet or '-'}, {age / 1000:.0f} s old: by {weight:.2f}"
     )
     click.echo(
-        f"list version {x.seq}, {len(x.listed)} servers; banned: {', '.join(x.bans) or 'none'}"
+        f"list version {x.version}, {len(x.endpoints)} servers; "
+        f"banned: {', '.join(x.banned_ids) or 'none'}"
     )
     click.echo(
-        f"{len(x.moved)} buckets moved; {len(x.heavy)} sighted often, of {x.sighted:.0f} RPCs"
+        f"{len(x.moved_buckets)} buckets moved; {len(x.hot_buckets)} sighted often, "
+        f"of {x.request_count:.0f} RPCs"
     )
     click.echo(f"{'server':24} {'limit':>7} {'answer ms':>9} {'failures':>8}  state")
-    for s in x.servers:
+    for s in x.backends:
         states = (
-            [f"off the path for {(s.off_until - now) / 1000:.1f} s more"]
-            if s.off_until > now
+            [f"off the path for {(s.ejected_until_ms - now) / 1000:.1f} s more"]
+            if s.ejected_until_ms > now
             else []
         )
         states += (
-            [f"cold for {(s.cold_until - now) / 1000:.1f} s more"] if s.cold_until > now else []
+            [f"cold for {(s.warmup_until_ms - now) / 1000:.1f} s more"]
+            if s.warmup_until_ms > now
+            else []
         )
         state = ", ".join(states) or "on the path"
-        click.echo(f"{s.id:24} {s.limit:7.2f} {s.latency:9.1f} {s.failures:8}  {state}")
+        click.echo(
+            f"{s.id:24} {s.concurrency_limit:7.2f} {s.latency_ms:9.1f} "
+            f"{s.consecutive_failures:8}  {state}"
+        )
--- a/hookpitch/members/codec.py
+++ b/hookpitch/members/codec.py
@@ -9,7 +9,7 @@
 to be trusted. A sign-in would fill the key, and nothing else would change here. Records and
 messages are
 arrays that later versions may make longer: what is behind the known fields is skipped. Invariants:
-`read(write(x))` is x; at most `BYTES_MOST` bytes, records that do not fit are left out, the last
+`read(write(x))` is x; at most `MAX_BYTES` bytes, records that do not fit are left out, the last
 first;
 whatever comes, `read` raises ValueError or gives a message whose fields have the bounds of
 `state.py`.
@@ -22,13 +22,21 @@
 
 import msgspec
 
-from hookpitch.members.state import DATA_MOST, FACT_MOST, MARKS, Message, Record, State
+from hookpitch.members.state import (
+    MAX_METADATA_BYTES,
+    MAX_PAYLOAD_BYTES,
+    PARTITIONS,
+    MemberState,
+    Message,
+    MessageKind,
+    Record,
+)
 
 MAGIC, FORMAT = b"HKM", 1
 HEAD = struct.Struct(">3sB8s8s")
-BYTES_MOST = 1200
-NAME_MOST = 100
-KINDS = ("probe", "answer", "ask", "news", "digest", "wish", "list")
+MAX_BYTES = 1200
+MAX_NAME_CHARS = 100
+KINDS = tuple(MessageKind)
 
 
 class Codec:
@@ -46,15 +54,24 @@
                 r.incarnation,
                 int(r.state),
                 r.accuser,
-                r.count,
-                r.fact,
+                r.metadata_version,
+                r.metadata,
             )
-            for r in m.news
+            for r in m.records
         ]
         while True:
-            fields = [KINDS.index(m.kind), m.sender, m.number, m.of, m.whole, news, m.marks, m.data]
+            fields = [
+                int(m.kind),
+                m.sender,
+                m.number,
+                m.of,
+                m.full_sync,
+                news,
+                m.partition_digests,
+                m.payload,
+            ]
             body = msgspec.msgpack.encode(fields)
-            if len(body) + HEAD.size <= BYTES_MOST or not news:
+            if len(body) + HEAD.size <= MAX_BYTES or not news:
                 return HEAD.pack(MAGIC, FORMAT, self.fleet, self._check(body)) + body
             news.pop()
 
@@ -78,23 +95,24 @@
             marks, data, *_ = *more, *((), b"")[len(more) :]  # earlier versions tell neither
             marks = tuple(marks)
             _fits(
-                len(marks) in (0, MARKS) and all(type(m) is int and 0 <= m < 1 << 16 for m in marks)
+                len(marks) in (0, PARTITIONS)
+                and all(type(m) is int and 0 <= m < 1 << 16 for m in marks)
             )
-            _fits(type(data) is bytes and len(data) <= DATA_MOST)
-            name = lambda x: type(x) is str and 0 < len(x) <= NAME_MOST  # noqa: E731
+            _fits(type(data) is bytes and len(data) <= MAX_PAYLOAD_BYTES)
+            name = lambda x: type(x) is str and 0 < len(x) <= MAX_NAME_CHARS  # noqa: E731
             count = lambda x: type(x) is int and 0 <= x < 1 << 62  # noqa: E731
             records = tuple(
-                Record(n, (h, p), i, State(s), a, c, f)
+                Record(n, (h, p), i, MemberState(s), a, c, f)
                 for n, h, p, i, s, a, c, f, *_ in news
                 if _fits(name(n) and name(h) and count(p) and p < 65536 and count(i) and count(c))
                 and _fits(
                     type(a) is str
-                    and len(a) <= NAME_MOST
+                    and len(a) <= MAX_NAME_CHARS
                     and type(f) is bytes
-                    and len(f) <= FACT_MOST
+                    and len(f) <= MAX_METADATA_BYTES
                 )
             )
-            _fits(name(sender) and count(number) and type(of) is str and len(of) <= NAME_MOST)
+            _fits(name(sender) and count(number) and type(of) is str and len(of) <= MAX_NAME_CHARS)
             _fits(type(whole) is bool and type(kind) is int and 0 <= kind < len(KINDS))
         except (msgspec.MsgspecError, ValueError, TypeError) as fault:
             raise ValueError("wrong") from fault
--- a/hookpitch/members/endpoint_exchange.py
+++ b/hookpitch/members/endpoint_exchange.py
@@ -13,14 +13,14 @@
 - nothing is asked for, and nothing taken, once discovery has told this process a list: its word
   goes first;
 - a list is told on only by a node whom discovery told it, and that heard discovery in the last
-  `OLDEST_MS`:
+  `MAX_LIST_AGE_MS`:
   one member's lie is not another's word. Of two lists the one of the higher version goes, not the
   younger;
 - a list is taken only if its version is higher than that of the one held, and it is whole: parts
   of two
-  lists never mix (a digest in each), and what unpacks to more than `PLAIN_MOST` bytes is none;
-- at most `ASKED` wishes each `AGAIN_MS`, and at most `PARTS_A_SECOND` parts told a second, whoever
-  asks.
+  lists never mix (a digest in each), and what unpacks to more than `MAX_LIST_BYTES` bytes is none;
+- at most `ASKED` wishes each `AGAIN_MS`, and at most `MAX_CHUNKS_PER_S` parts told a second,
+  whoever asks.
 
 A part is `[version, age in ms, digest, index, count, bytes]`, a wish `[version held, digest, mask
 of parts]`,
@@ -36,7 +36,7 @@
 
 import msgspec
 
-from hookpitch.members.state import Address, Message
+from hookpitch.members.state import Address, Message, MessageKind
 
 AGAIN_MS = 300.0  # between two wishes of one that has no list from anybody yet
 RARELY_MS = 2000.0  # the same, once it has one or has asked `SOON` times
@@ -44,17 +44,17 @@
 ASKED = 3  # members in one go; the first that answers is asked for what lacks
 TRIES = 3  # wishes in a row that bring no further part, before others are asked
 FIRST = 0xF  # the parts that one who knows of no list wishes for
-OLDEST_MS = 3600000.0  # since its teller last heard discovery: as old as a snapshot may be
+MAX_LIST_AGE_MS = 3600000.0  # since its teller last heard discovery: as old as a snapshot may be
 PART = 900  # bytes
 PARTS_MOST = 64
-PLAIN_MOST = 1 << 20  # bytes of a list
-PARTS_A_SECOND = 400
+MAX_LIST_BYTES = 1 << 20  # bytes of a list
+MAX_CHUNKS_PER_S = 400
 PACKED_MS = 1000.0  # a list that is told is packed anew after so long, or with a new version
 FAR = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ListStatus:
     """What this node holds, at one look. `told`: by discovery, to this process; `fresh`: it is
     heard now."""
 
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReceivedList:
     """A whole list: discovery's JSON, and from whom."""
 
     version: int
@@ -90,18 +90,18 @@
     text: bytes
 
 
-def digest(packed: bytes) -> bytes:
+def list_digest(packed: bytes) -> bytes:
     return blake2b(packed, digest_size=8).digest()
 
 
-class Lists:
+class EndpointExchange:
     """One node's asking and telling. `out` holds what is to be sent."""
 
     def __init__(
         self, now: float, name: str, chance: Callable[[], float], count: Callable[[str], None]
     ) -> None:
         self.name, self.chance, self.count = name, chance, count
-        self.out: list[tuple[Address, Message]] = []
+        self.outbox: list[tuple[Address, Message]] = []
         self._ask_at, self._asked = now, 0
         self._heard = -FAR  # discovery, as far as this node was looked at
         self._coming: _Coming | None = None
@@ -109,7 +109,7 @@
         self._second, self._told = 0, 0
         self._has = False  # a list was taken
 
-    def tick(self, now: float, held: Held, who: Sequence[Address]) -> float:
+    def tick(self, now: float, held: ListStatus, who: Sequence[Address]) -> float:
         """Ask, where it is time; the next is due at what is returned. `who`: those who may be
         asked."""
         if held.fresh:
@@ -135,22 +135,27 @@
     def _wish(self, to: Address, version: int, wanted: bytes, mask: int) -> None:
         self.count("members.lists_wished")
         data = msgspec.msgpack.encode((version, wanted, mask))
-        self.out.append((to, Message("wish", self.name, data=data)))
-
-    def wished(
-        self, now: float, source: Address, message: Message, held: Held, text: Callable[[], bytes]
+        self.outbox.append((to, Message(MessageKind.LIST_REQUEST, self.name, payload=data)))
+
+    def handle_request(
+        self,
+        now: float,
+        source: Address,
+        message: Message,
+        held: ListStatus,
+        text: Callable[[], bytes],
     ) -> None:
         """Another asks; `text` gives the list that is held, as discovery's JSON, and is called
         seldom."""
         try:
-            version, wanted, mask, *_ = msgspec.msgpack.decode(message.data)
+            version, wanted, mask, *_ = msgspec.msgpack.decode(message.payload)
             _fits(_count(version) and type(wanted) is bytes and _count(mask))
         except (msgspec.MsgspecError, ValueError, TypeError):
             self.count("members.lists_wrong")
             return
         self._heard = now if held.fresh else self._heard
         age = now - self._heard
-        if not held.told or age > OLDEST_MS or held.version <= version:
+        if not held.told or age > MAX_LIST_AGE_MS or held.version <= version:
             return
         if (
             self._packed is None
@@ -159,7 +164,7 @@
         ):
             self._packed = held.version, now, zlib.compress(text(), 6)
         packed = self._packed[2]
-        here, count = digest(packed), -(-len(packed) // PART)
+        here, count = list_digest(packed), -(-len(packed) // PART)
         if count > PARTS_MOST:
             self.count("members.lists_long")
             return
@@ -173,18 +178,20 @@
             # from RPCs.
             self._told = self._told + 1 if int(now // 1000) == self._second else 1
             self._second = int(now // 1000)
-            if self._told > PARTS_A_SECOND:
+            if self._told > MAX_CHUNKS_PER_S:
                 self.count("members.lists_busy")
                 return
             part = packed[n * PART : (n + 1) * PART]
             data = msgspec.msgpack.encode((held.version, max(0.0, age), here, n, count, part))
-            self.out.append((source, Message("list", self.name, data=data)))
+            self.outbox.append((source, Message(MessageKind.LIST_CHUNK, self.name, payload=data)))
             self.count("members.lists_told")
 
-    def came(self, now: float, source: Address, message: Message, held: Held) -> Taken | None:
+    def handle_chunk(
+        self, now: float, source: Address, message: Message, held: ListStatus
+    ) -> ReceivedList | None:
         """A part has come; the list, once it is whole."""
         try:
-            version, age, whole, n, count, part, *_ = msgspec.msgpack.decode(message.data)
+            version, age, whole, n, count, part, *_ = msgspec.msgpack.decode(message.payload)
             _fits(
                 _count(version) and type(age) in (int, float) and age >= 0 and type(whole) is bytes
             )
@@ -193,7 +200,7 @@
         except (msgspec.MsgspecError, ValueError, TypeError):
             self.count("members.lists_wrong")
             return None
-        if held.told or version <= held.version or age > OLDEST_MS:
+        if held.told or version <= held.version or age > MAX_LIST_AGE_MS:
             self.count("members.lists_old")
             return None
         coming = self._coming
@@ -216,15 +223,15 @@
         self._coming = None
         packed = b"".join(coming.parts[n] for n in range(count))
         try:
-            _fits(digest(packed) == whole)
+            _fits(list_digest(packed) == whole)
             plain = zlib.decompressobj()
-            text = plain.decompress(packed, PLAIN_MOST)
+            text = plain.decompress(packed, MAX_LIST_BYTES)
             _fits(plain.eof)  # else it is cut, or unpacks to more than any list
         except (zlib.error, ValueError):
             self.count("members.lists_wrong")
             return None
         self._has = True
-        return Taken(version, age + now - coming.begun, source, text)
+        return ReceivedList(version, age + now - coming.begun, source, text)
 
 
 def _count(x: object) -> bool:
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -32,11 +32,11 @@
 from hookpitch.balancer.interface import Endpoint, EndpointState
 from hookpitch.core.chance import draws
 from hookpitch.members.codec import Codec
-from hookpitch.members.endpoint_exchange import Held, Lists, Taken
-from hookpitch.members.state import Address, Members, State
+from hookpitch.members.endpoint_exchange import EndpointExchange, ListStatus, ReceivedList
+from hookpitch.members.state import Address, Membership, MemberState, MessageKind
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import STATES, read
-from hookpitch.startup.poll_schedule import FAR
+from hookpitch.startup.poll_schedule import NEVER
 
 RATE_MOST = 2000  # datagrams read a second: a flood costs no more than that
 AGAIN_MS = 500.0  # until the next try where the address is still held by the process before
@@ -101,7 +101,7 @@
         self.node = node
         self.log = lambda text: log("members", what=text)
         # Danger: processes of one node that draw alike. The moment of the start makes them differ.
-        self.members = Members(
+        self.members = Membership(
             clock.now(),
             name,
             told.listen,
@@ -109,7 +109,9 @@
             draws(seed ^ int(clock.now()), "members"),
             self.log,
         )
-        self.lists = Lists(clock.now(), name, draws(seed ^ int(clock.now()), "lists"), count)
+        self.lists = EndpointExchange(
+            clock.now(), name, draws(seed ^ int(clock.now()), "lists"), count
+        )
         self.version = 0  # of the list taken
         self.waiting: tuple[list[Endpoint], dict[str, str]] | None = (
             None  # taken, and not given yet
@@ -141,8 +143,8 @@
         self.clock.deadlines.add(max(due, now + 1.0), self.tick)
 
     def flush(self) -> None:
-        out, self.members.out = self.members.out + self.lists.out, []
-        self.lists.out = []
+        out, self.members.outbox = self.members.outbox + self.lists.outbox, []
+        self.lists.outbox = []
         for to, message in out:
             try:
                 self.transport.write(self.codec.write(message), self.told.dial.get(to, to))
@@ -165,29 +167,31 @@
             if self._odd <= ODD_LOGGED:
                 self.log(f"a datagram from {addr[0]}:{addr[1]} is {why}")
             return
-        self.members.heard(now, addr[:2], message)
-        if self.node is not None and message.kind == "wish":
-            self.lists.wished(now, addr[:2], message, self.held(), self._list)
-        elif self.node is not None and message.kind == "list":
-            taken = self.lists.came(now, addr[:2], message, self.held())
+        self.members.receive(now, addr[:2], message)
+        if self.node is not None and message.kind == MessageKind.LIST_REQUEST:
+            self.lists.handle_request(now, addr[:2], message, self.held(), self._list)
+        elif self.node is not None and message.kind == MessageKind.LIST_CHUNK:
+            taken = self.lists.handle_chunk(now, addr[:2], message, self.held())
             if taken is not None:
                 self._take(taken)
         self.flush()
 
     # ---- lists of cache servers
 
-    def held(self) -> Held:
+    def held(self) -> ListStatus:
         discovery, counts = self.node.discovery, self.node.host.counters.counts
         told = "lists.full" in counts or "lists.delta" in counts
         # Danger: a version that a member told, kept above discovery's own count once that has been
         # heard.
         version = discovery.seq if told else max(discovery.seq, self.version)
-        return Held(version, told, told and discovery.poll_schedule.at == FAR)
+        return ListStatus(version, told, told and discovery.poll_schedule.due_at == NEVER)
 
     def _others(self) -> list[Address]:
         """Who may be asked for a list: all that live, as others tell of them, and the seeds."""
         known = [
-            m.record.address for m in self.members.members.values() if m.record.state == State.ALIVE
+            m.record.address
+            for m in self.members.members.values()
+            if m.record.state == MemberState.ALIVE
         ]
         return [a for a in dict.fromkeys((*self.told.seeds, *known)) if a != self.told.listen]
 
@@ -214,7 +218,7 @@
         ]
         return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
 
-    def _take(self, taken: Taken) -> None:
+    def _take(self, taken: ReceivedList) -> None:
         try:
             d = self.node.host.deployment
             version, whole, entries, dials = read(taken.text, d.kinds)
@@ -265,8 +269,8 @@
         """The view for on-call staff: its version, then a line a member."""
         view, now = self.members.view, self.clock.now()
         found = [
-            f"view={view.version} members={len(view.members)} part={view.part:.2f} "
-            f"slow={self.members.slow}"
+            f"view={view.version} members={len(view.members)} part={view.visible_fraction:.2f} "
+            f"slow={self.members.health_penalty}"
         ]
         for name in sorted(self.members.members):
             m = self.members.members[name]
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -18,7 +18,7 @@
 from hookpitch.core.json_stream import JsonStream
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import Wire
-from hookpitch.startup.poll_schedule import FAR, SILENCE_TIMEOUT_MS, PollSchedule, WatchLoss
+from hookpitch.startup.poll_schedule import NEVER, SILENCE_TIMEOUT_MS, PollSchedule, WatchLoss
 
 ASK_WITHIN_MS = 10000.0  # a node asks so often, where nothing is told
 DIALS = 4  # times the time-out of a dial to a server, for one to discovery
@@ -99,7 +99,7 @@
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
         # Danger: a discovery cut off never answers, and a watch that hangs would tell of no loss.
-        self.wait(self.discovery.poll_schedule.response_timeout)
+        self.wait(self.discovery.poll_schedule.response_timeout_ms)
         host, port = self.discovery.address
         target = f"/v1/servers?follow=1&since={self.discovery.seq}"
         headers = [("Host", f"{host}:{port}")]
@@ -212,8 +212,8 @@
         """From now on it asks when its time has come."""
         self.clock.deadlines.drop(self.due)
         self.due = (
-            self.clock.deadlines.add(self.poll_schedule.at, self._due)
-            if self.poll_schedule.at < FAR
+            self.clock.deadlines.add(self.poll_schedule.due_at, self._due)
+            if self.poll_schedule.due_at < NEVER
             else None
         )
 
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -21,7 +21,7 @@
 from hookpitch.net.node_config import NodeConfig, ReloadedConfig
 from hookpitch.net.origin import OriginConnection
 from hookpitch.net.shared_state import SharedState
-from hookpitch.startup.phases import Phase, Seen, Start
+from hookpitch.startup.phases import Phase, StartupPhases, StartupProgress
 
 if TYPE_CHECKING:
     from hookpitch.net.snapshot_store import SnapshotStore
@@ -82,7 +82,7 @@
         self.entry: Any = None
         self.admin_server = AdminServer(clock, self, counters.add)
         self.shared: SharedState | None = None
-        self.phases = Start(clock.now())
+        self.phases = StartupPhases(clock.now())
         self.peers: Peers | None = (
             None  # its place among the members, where the operator's file has one
         )
@@ -149,13 +149,13 @@
         answered, known = sum(s.heard > 0 for s in asked), sum(s.heard >= ENOUGH for s in asked)
         counters, phases = self.host.counters, self.phases
         listed = any(name in counters.counts for name in ("lists.full", "lists.delta"))
-        if phases.look(now, Seen(listed, len(asked), answered, known)):
-            took = round(now - phases.begun)
-            if phases.lacked:
-                counters.add(f"start.{phases.lacked}")
-            elif phases.phase == Phase.DIALLING:
+        if phases.advance(now, StartupProgress(listed, len(asked), answered, known)):
+            took = round(now - phases.started_at)
+            if phases.missing:
+                counters.add(f"start.{phases.missing}")
+            elif phases.phase == Phase.CONNECTING:
                 counters.add("start.listed_ms", took)
-            lacked = phases.lacked or "nothing"
+            lacked = phases.missing or "nothing"
             self.logger.info("start", phase=phases.phase.name.lower(), ms=took, lacked=lacked)
         # Danger: a list of yesterday, in which every server is gone, served by for seconds.
         vain = (
@@ -163,9 +163,13 @@
             or sum(s.failures for s in caches) >= VAIN
             and not any(s.heard for s in caches)
         )
-        if phases.phase == Phase.KNOWN and vain and self.discovery.poll_schedule.expedite(now):
+        if (
+            phases.phase == Phase.AWAITING_ENDPOINTS
+            and vain
+            and self.discovery.poll_schedule.expedite(now)
+        ):
             self.discovery.begin()
-        if phases.phase != Phase.ORDINARY:
+        if phases.phase != Phase.STEADY:
             self.clock.deadlines.add(now + PHASE_MS, self._phase)
 
     # ---- operators
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -12,7 +12,7 @@
 and while
 one write is out no other begins. What cannot be read is told in one line, and left where it is
 until the
-next write. Invariants: at most one write is out; the file has at most `BYTES_MOST` bytes.
+next write. Invariants: at most one write is out; the file has at most `MAX_BYTES` bytes.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
 
 def load(path: str) -> Snapshot:
     """ValueError says in one line why there is none."""
-    from hookpitch.startup.snapshot_format import BYTES_MOST, HEAD, read
+    from hookpitch.startup.snapshot_format import HEAD, MAX_BYTES, decode
 
     try:
         held = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
@@ -82,15 +82,15 @@
         if not stat.S_ISREG(os.fstat(held).st_mode):
             raise ValueError("no regular file")
         data = b""
-        while part := os.read(held, BYTES_MOST + HEAD.size + 1 - len(data)):
+        while part := os.read(held, MAX_BYTES + HEAD.size + 1 - len(data)):
             data += part
     except OSError as fault:
         raise ValueError(fault.strerror or str(fault)) from None
     finally:
         os.close(held)
-    if len(data) > BYTES_MOST + HEAD.size:
-        raise ValueError(f"longer than {BYTES_MOST} bytes")
-    return read(data)
+    if len(data) > MAX_BYTES + HEAD.size:
+        raise ValueError(f"longer than {MAX_BYTES} bytes")
+    return decode(data)
 
 
 def store(path: str, data: bytes) -> None:
@@ -157,7 +157,7 @@
 
     def recall(self) -> None:
         """Called once, between the list told at the start and the first RPC."""
-        from hookpitch.startup.snapshot_state import entries, recalled
+        from hookpitch.startup.snapshot_state import endpoints, restore
 
         node, now = self.node, self.node.clock.now()
         try:
@@ -166,18 +166,16 @@
                 raise ValueError(f"of node {x.node!r} of fleet {x.fleet!r}")
             if x.kinds != node.config.deployment.kinds:
                 raise ValueError("of a fleet with other kinds of machines")
-            if not -EARLY_MS <= now - x.written <= self.told.oldest_s * 1000:
-                raise ValueError(f"{(now - x.written) / 1000:.0f} s old")
+            if not -EARLY_MS <= now - x.written_at_ms <= self.told.oldest_s * 1000:
+                raise ValueError(f"{(now - x.written_at_ms) / 1000:.0f} s old")
         except ValueError as fault:
             node.logger.info("no snapshot", path=self.path, why=str(fault))
             node.host.counters.add("snapshot.none")
         else:
-            listed, dials = entries(x)
-            if x.seq > node.discovery.seq and listed:
-                node.known(x.seq, listed, dials)
-            node.logger.info(
-                "snapshot", path=self.path, believed=recalled(node.host.router, now, x)
-            )
+            listed, dials = endpoints(x)
+            if x.version > node.discovery.seq and listed:
+                node.known(x.version, listed, dials)
+            node.logger.info("snapshot", path=self.path, believed=restore(node.host.router, now, x))
             node.host.counters.add("snapshot.recalled")
         # Danger: hundreds of nodes on one disk that write in the same moment.
         node.clock.deadlines.add(now + self.told.every_s * 1000 * self._chance(), self._turn)
@@ -188,16 +186,18 @@
         self.node.clock.deadlines.add(now + span, self._turn)
 
     def write(self) -> None:
-        from hookpitch.startup.snapshot_format import write
-        from hookpitch.startup.snapshot_state import taken
+        from hookpitch.startup.snapshot_format import encode
+        from hookpitch.startup.snapshot_state import capture
 
         node = self.node
         # Danger: a node without any list would write nothing over what it had learned.
         if self.out or not node.host.router.servers:
             return
         seq, dials = node.discovery.seq, node.pools.dials()
-        data = write(
-            taken(node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials)
+        data = encode(
+            capture(
+                node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials
+            )
         )
         self.out = True
         self.away(lambda: store(self.path, data), self._over)
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -15,7 +15,7 @@
 from hookpitch.core.chance import draws
 from hookpitch.simwire import codec
 from hookpitch.simwire.codec import WireError, flag, ms, outcome, seconds
-from hookpitch.startup.poll_schedule import FAR, PollSchedule, WatchLoss
+from hookpitch.startup.poll_schedule import NEVER, PollSchedule, WatchLoss
 
 HINT = 1  # the bit of a REQUEST's options that says that its cost is told
 WRITE = 4  # the bit of a REQUEST's options that marks a write
@@ -30,7 +30,7 @@
         self.kinds: tuple[str, ...] = ()
         self.fault = ""
         self.poll_schedule: PollSchedule | None = None  # where discovery has to be asked
-        self.armed = FAR
+        self.armed = NEVER
 
     def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
         self.out.append(f"RELAY {self.name} {rpc_id} {backend_id} {timeout_ms / 1000:.6f}")
@@ -53,12 +53,12 @@
         poll_schedule = self.poll_schedule
         if poll_schedule is None:
             return
-        if poll_schedule.at <= now:
+        if poll_schedule.due_at <= now:
             poll_schedule.poll_started(now)
             self.out.append(f"SUBSCRIBE {self.name} 1")
-        if poll_schedule.at < FAR and poll_schedule.at != self.armed:
-            self.armed = poll_schedule.at
-            self.schedule_wakeup(poll_schedule.at)
+        if poll_schedule.due_at < NEVER and poll_schedule.due_at != self.armed:
+            self.armed = poll_schedule.due_at
+            self.schedule_wakeup(poll_schedule.due_at)
 
     def listed(self, now: float, kind: EndpointUpdate) -> None:
         if self.poll_schedule is not None and kind == EndpointUpdate.FAILED:
--- a/hookpitch/startup/phases.py
+++ b/hookpitch/startup/phases.py
@@ -3,10 +3,10 @@
 
 | phase | what it has | ends when | goes on after |
 | --- | --- | --- | --- |
-| KNOWN | the list told at its start, or its snapshot's, or none | discovery has told one | LISTED_MS |
-| DIALLING | a list of now | half of the servers that it sent to have answered | ANSWERED_MS |
-| WARMING | connections | half of the servers that it sent to are known: `enough` answers each | KNOWN_MS |
-| ORDINARY | all that a node learns | | |
+| AWAITING_ENDPOINTS | the list told at its start, or its snapshot's, or none | discovery has told one | ENDPOINTS_TIMEOUT_MS |
+| CONNECTING | a list of now | half of the servers that it sent to have answered | CONNECT_TIMEOUT_MS |
+| WARMING_UP | connections | half of the servers that it sent to are known: `enough` answers each | WARMUP_TIMEOUT_MS |
+| STEADY | all that a node learns | | |
 
 It serves in every phase: a list of before is better than none. What a phase lacked when its time
 was over
@@ -21,53 +21,60 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-LISTED_MS, ANSWERED_MS, KNOWN_MS = 15000.0, 10000.0, 30000.0  # each since the phase began
-LACKS = ("unlisted", "unanswered", "unknown")
+ENDPOINTS_TIMEOUT_MS, CONNECT_TIMEOUT_MS, WARMUP_TIMEOUT_MS = (
+    15000.0,
+    10000.0,
+    30000.0,
+)  # each since the phase began
+MISSING = ("unlisted", "unanswered", "unknown")
 
 
 class Phase(IntEnum):
-    KNOWN = 0
-    DIALLING = 1
-    WARMING = 2
-    ORDINARY = 3
+    AWAITING_ENDPOINTS = 0
+    CONNECTING = 1
+    WARMING_UP = 2
+    STEADY = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class StartupProgress:
     """What is so far: whether discovery has told a list; cache servers that something was sent to,
     of these
     those that have answered, and those with enough answers to be known."""
 
-    listed: bool
-    asked: int
+    endpoints_received: bool
+    contacted: int
     answered: int
-    known: int
+    warmed_up: int
 
 
-class Start:
+class StartupPhases:
     """Told what is seen; tells the phase."""
 
-    __slots__ = ("begun", "phase", "since", "lacked")
+    __slots__ = ("started_at", "phase", "phase_started_at", "missing")
 
     def __init__(self, now: float) -> None:
-        self.begun = self.since = now
-        self.phase, self.lacked = Phase.KNOWN, ""  # lacked: what the last phase ended without
+        self.started_at = self.phase_started_at = now
+        self.phase, self.missing = (
+            Phase.AWAITING_ENDPOINTS,
+            "",
+        )  # lacked: what the last phase ended without
 
-    def look(self, now: float, seen: Seen) -> bool:
+    def advance(self, now: float, seen: StartupProgress) -> bool:
         """Whether a phase has ended; at most one a call."""
-        if self.phase == Phase.ORDINARY:
+        if self.phase == Phase.STEADY:
             return False
         over, bound = (
-            (seen.listed, LISTED_MS),
-            (0 < seen.asked <= 2 * seen.answered, ANSWERED_MS),
-            (0 < seen.asked <= 2 * seen.known, KNOWN_MS),
+            (seen.endpoints_received, ENDPOINTS_TIMEOUT_MS),
+            (0 < seen.contacted <= 2 * seen.answered, CONNECT_TIMEOUT_MS),
+            (0 < seen.contacted <= 2 * seen.warmed_up, WARMUP_TIMEOUT_MS),
         )[self.phase]
-        late = now - self.since >= bound
+        late = now - self.phase_started_at >= bound
         if not over and not late:
             return False
         idle = (
-            self.phase != Phase.KNOWN and not seen.asked
+            self.phase != Phase.AWAITING_ENDPOINTS and not seen.contacted
         )  # nobody asked anything: nothing is lacking
-        self.lacked = "" if over or idle else LACKS[self.phase]
-        self.phase, self.since = Phase(self.phase + 1), now
+        self.missing = "" if over or idle else MISSING[self.phase]
+        self.phase, self.phase_started_at = Phase(self.phase + 1), now
         return True
--- a/hookpitch/startup/poll_schedule.py
+++ b/hookpitch/startup/poll_schedule.py
@@ -46,7 +46,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-EACH_MS = 50.0  # of a span, for each node: twenty calls a second over the fleet
+SPACING_PER_NODE_MS = 50.0  # of a span, for each node: twenty calls a second over the fleet
 NOTIFY_LIMIT_MS = 6000.0  # after discovery had a change and could be reached, it counts as told
 MAX_POLL_GAP_MS = (
     4500.0  # from the beginning of one call to that of the next, where nothing has served
@@ -57,13 +57,13 @@
 SILENCE_TIMEOUT_MS = (
     3000.0  # half as long again as between two beats: a watch that says nothing for longer is lost
 )
-SPREAD_MS = (
+SILENT_WATCH_SPREAD_MS = (
     1000.0  # the widest span after a watch that fell silent, or a call that was long in failing
 )
-AGAIN_MS = 1500.0  # the widest span of nodes that go on after they were stopped
+RESUME_SPREAD_MS = 1500.0  # the widest span of nodes that go on after they were stopped
 AGENT_MS = 60.0, 180.0  # after a loss, where lists are pushed: by an agent of the node's own
-LATE_MS = 500.0  # a node so late with its call was stopped, or is very busy
-FAR = float("inf")
+STALL_THRESHOLD_MS = 500.0  # a node so late with its call was stopped, or is very busy
+NEVER = float("inf")
 
 
 class WatchLoss(IntEnum):
@@ -75,11 +75,11 @@
 
 
 class PollSchedule:
-    """One node's calls. `at`: when the next is due, in ms of the host's clock; FAR while a watch
-    is open."""
+    """One node's calls. `due_at`: when the next is due, in ms of the host's clock; NEVER while a
+    watch is open."""
 
     __slots__ = (
-        "at",
+        "due_at",
         "failures",
         "_within",
         "_nodes",
@@ -106,21 +106,23 @@
         self.failures, self._served, self._expedited = 0, False, False
         self._began = now  # the latest call
         spread = 0.0 if pushed else min(within_ms / 2, MAX_POLL_GAP_MS) * (1 - 1 / self._nodes)
-        self.at = now + spread * chance()
+        self.due_at = now + spread * chance()
 
     def reconfigure(self, nodes: int, within_ms: float, pushed: bool = False) -> None:
         """New settings; what is due stays due."""
         self._nodes, self._within, self._pushed = max(1, nodes), within_ms, pushed
 
     @property
-    def span(self) -> float:
+    def spread_ms(self) -> float:
         """Over which the whole fleet may ask once, in ms."""
         return (
-            0.0 if self._pushed else min(self._within / 2, self._nodes * EACH_MS, MAX_POLL_GAP_MS)
+            0.0
+            if self._pushed
+            else min(self._within / 2, self._nodes * SPACING_PER_NODE_MS, MAX_POLL_GAP_MS)
         )
 
     @property
-    def response_timeout(self) -> float:
+    def response_timeout_ms(self) -> float:
         """With a call that is not answered, in ms."""
         return min(self._within / 2, RESPONSE_TIMEOUT_MS)
 
@@ -128,9 +130,9 @@
         """Whether to ask now. Danger: nodes that were all stopped find their times past, and ask
         together as
         they go on: those draw anew, once."""
-        if now < self.at + LATE_MS:
-            return now >= self.at
-        self.at = now + min(self.span, AGAIN_MS) * self._chance()
+        if now < self.due_at + STALL_THRESHOLD_MS:
+            return now >= self.due_at
+        self.due_at = now + min(self.spread_ms, RESUME_SPREAD_MS) * self._chance()
         return False
 
     def expedite(self, now: float) -> bool:
@@ -141,32 +143,35 @@
         if self._expedited or self._served or self.failures:
             return False
         self._expedited = True
-        at = now + self.span * self._chance()
-        sooner = at < self.at
-        self.at = min(self.at, at)
+        at = now + self.spread_ms * self._chance()
+        sooner = at < self.due_at
+        self.due_at = min(self.due_at, at)
         return sooner
 
     def poll_started(self, now: float) -> None:
         """The call is made."""
         self._served, self._began = False, now
-        self.at = now + self._within / 2  # no answer by then: ask again
+        self.due_at = now + self._within / 2  # no answer by then: ask again
 
     def endpoints_received(self) -> None:
         """A list has come."""
-        self.failures, self._served, self.at = 0, True, FAR
+        self.failures, self._served, self.due_at = 0, True, NEVER
 
     def poll_failed(self, now: float, how: WatchLoss, after_ms: float = 0.0) -> float:
         """The watch or the call has ended; when the next call is due. `after_ms`: as discovery
         said."""
         if how == WatchLoss.REFUSED or not self._served:
-            first = max(self._within / 20, self.span)
-            most = max(self._within / 4, 2 * self.span)
+            first = max(self._within / 20, self.spread_ms)
+            most = max(self._within / 4, 2 * self.spread_ms)
             widest = 1.5 * min(most, first * 2 ** min(self.failures, 16))
             self.failures += 1
             if after_ms > 0:
                 widest = max(widest, 2 * min(after_ms, self._within))
             # Danger: a call that hung, and then a wait as after one that was refused at once.
-            widest = max(min(widest, self._began + MAX_POLL_GAP_MS - now), min(widest, SPREAD_MS))
+            widest = max(
+                min(widest, self._began + MAX_POLL_GAP_MS - now),
+                min(widest, SILENT_WATCH_SPREAD_MS),
+            )
             least = max(
                 widest / 3, min(after_ms, widest * 2 / 3)
             )  # all at once at its end is no better
@@ -180,8 +185,11 @@
             least = self._within / 40
             widest = least + max(
                 least,
-                min(self.span, SPREAD_MS if how == WatchLoss.SILENT else MAX_POLL_GAP_MS - least),
+                min(
+                    self.spread_ms,
+                    SILENT_WATCH_SPREAD_MS if how == WatchLoss.SILENT else MAX_POLL_GAP_MS - least,
+                ),
             )
         self._served = False
-        self.at = now + least + (widest - least) * self._chance()
-        return self.at
+        self.due_at = now + least + (widest - least) * self._chance()
+        return self.due_at
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -1,7 +1,7 @@
 """What is taken from a running node for its snapshot, and what of one a node that starts may
 believe.
 
-Each thing learned fades with its age a: it counts by 0.5 ** (a / HALF_MS), between what a node
+Each thing learned fades with its age a: it counts by 0.5 ** (a / HALF_LIFE_MS), between what a node
 that knows
 nothing begins with and what was learned. So a snapshot of an hour ago shuns nobody and trusts
 nobody:
@@ -38,11 +38,11 @@
     Snapshot,
 )
 
-HALF_MS = 60000.0  # what was learned so long ago counts by half
-MOVED_LEAST = 0.25  # the weight from which on a moved bucket stays where it was moved
+HALF_LIFE_MS = 60000.0  # what was learned so long ago counts by half
+MIN_WEIGHT = 0.25  # the weight from which on a moved bucket stays where it was moved
 
 
-def taken(
+def capture(
     router: Router, now: float, fleet: str, name: str, seq: int, dials: Mapping[str, str]
 ) -> Snapshot:
     """What is known at `now`; `seq` and `dials` as discovery has them. At most a few thousand
@@ -95,80 +95,88 @@
     )
 
 
-def entries(x: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
+def endpoints(snapshot: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
     """The list that it holds, and where its servers are dialled."""
     some = [
-        Endpoint(e.id, e.zone, e.cell, e.started, EndpointState(e.state), e.kind, e.size)
-        for e in x.listed
+        Endpoint(e.id, e.zone, e.cell, e.started_at_ms, EndpointState(e.state), e.kind, e.size)
+        for e in snapshot.endpoints
         if e.state in (EndpointState.READY, EndpointState.DRAINING)
     ]
-    return some, {e.id: e.dial for e in x.listed}
+    return some, {e.id: e.address for e in snapshot.endpoints}
 
 
-def recalled(router: Router, now: float, x: Snapshot) -> str:
+def restore(router: Router, now: float, snapshot: Snapshot) -> str:
     """Told to a node that has its first list and no RPC yet; says in a few words what was
     believed."""
-    age = max(0.0, now - x.written)
-    weight = 0.5 ** (age / HALF_MS)
+    age = max(0.0, now - snapshot.written_at_ms)
+    weight = 0.5 ** (age / HALF_LIFE_MS)
 
     def between(start: float, learned: float) -> float:
         return start + (learned - start) * weight
 
-    known = {k.id: k for k in x.servers}
+    known = {k.id: k for k in snapshot.backends}
     believed: list[tuple[Server, BackendSnapshot]] = []
     for s in router.servers.values():
         k = known.get(s.id)
         started = s.started if s.started > 0 else 0.0
         # Danger: what a process had earned, believed of the one after it, which is cold.
-        if k is not None and s.state == EndpointState.READY and started <= k.started:
+        if k is not None and s.state == EndpointState.READY and started <= k.started_at_ms:
             believed.append((s, k))
     for s, k in believed:
-        s.limit = max(s.least, between(s.limit, k.limit))
-        s.latency, s.usual = k.latency * (weight > MOVED_LEAST), k.usual * (weight > MOVED_LEAST)
-        cold = min(k.cold_until, now + router.slow_start_ms)
+        s.limit = max(s.least, between(s.limit, k.concurrency_limit))
+        s.latency, s.usual = (
+            k.latency_ms * (weight > MIN_WEIGHT),
+            k.baseline_latency_ms * (weight > MIN_WEIGHT),
+        )
+        cold = min(k.warmup_until_ms, now + router.slow_start_ms)
         if cold > max(now, s.cold_until) and s is not router.origin:
             s.cold_until, s.refilled, s.tokens, s.ok = cold, now, 0.0, False
     caches = [(s, k) for s, k in believed if s is not router.origin]
-    off = [(s, k) for s, k in caches if now < k.off_until]
+    off = [(s, k) for s, k in caches if now < k.ejected_until_ms]
     ready = sum(s.state == EndpointState.READY for s in router.caches)
     if (
         len(off) < ready
     ):  # Danger: all shunned for what one snapshot says; then no one answers at all.
         for s, k in off:
-            s.off, s.ok, s.limit, s.failures = True, False, min(s.limit, START_LIMIT), k.failures
-            s.backoff = min(8 * router.pause, between(router.pause, k.backoff))
-            s.off_until = now + min(k.off_until - now, s.backoff) * weight
+            s.off, s.ok, s.limit, s.failures = (
+                True,
+                False,
+                min(s.limit, START_LIMIT),
+                k.consecutive_failures,
+            )
+            s.backoff = min(8 * router.pause, between(router.pause, k.ejection_ms))
+            s.off_until = now + min(k.ejected_until_ms - now, s.backoff) * weight
     else:
         off = []
     router.work, router.warm_rate = (
-        x.work * (weight > MOVED_LEAST),
-        between(router.warm_rate, x.warm_rate),
+        snapshot.work_ms * (weight > MIN_WEIGHT),
+        between(router.warm_rate, snapshot.warm_rate_per_s),
     )
-    if x.idle > 0:
-        router.idle = min(router.held, max(x.idle, router.idle * (1 - weight)))
+    if snapshot.max_idle_ms > 0:
+        router.idle = min(router.held, max(snapshot.max_idle_ms, router.idle * (1 - weight)))
     places = {(m.kinds, m.zones) for m in router.methods.values()}
     heavy = 0
-    for h in x.heavy:
+    for h in snapshot.hot_buckets:
         if (h.kinds, h.zones) in places and 0 <= h.number < BUCKETS:
             b = router._bucket(h.number, h.kinds, h.zones)
-            b.seen += h.seen * weight
-    router.seen += x.sighted * weight
+            b.seen += h.request_count * weight
+    router.seen += snapshot.request_count * weight
     for b in list(router.buckets.values()):
         if b.seen > 0:
             router._heavy(b)
             heavy += b.wide > 0
     moved = 0
-    for m in x.moved if weight >= MOVED_LEAST else ():
-        to = router.servers.get(m.to)
+    for m in snapshot.moved_buckets if weight >= MIN_WEIGHT else ():
+        to = router.servers.get(m.backend_id)
         fits = (m.kinds, m.zones) in places and 0 <= m.number < BUCKETS
         if not fits or to is None or to.state != EndpointState.READY or to is router.origin:
             continue
         b = router._bucket(m.number, m.kinds, m.zones)
         if router._open(b, to):
             b.at, b.chain, moved = to, None, moved + 1
-    for id in x.bans:
+    for id in snapshot.banned_ids:
         router.set_banned(now, id, True)
     return (
         f"{len(believed)} servers known, {len(off)} off the path, {moved} buckets moved, {heavy} heavy, "  # noqa: E501
-        f"{len(x.bans)} banned, {age / 1000:.0f} s old"
+        f"{len(snapshot.banned_ids)} banned, {age / 1000:.0f} s old"
     )
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -15,7 +15,7 @@
 
 from hookpitch.core.chance import draws
 from hookpitch.members.codec import Codec
-from hookpitch.members.state import Address, Members, State
+from hookpitch.members.state import Address, Membership, MemberState
 
 DELAY_MS = (0.3, 2.0)
 
@@ -32,7 +32,7 @@
         self.down: set[str] = set()
         self.bytes: dict[str, int] = {}
         self.datagrams: dict[str, int] = {}
-        self.members: dict[str, Members] = {}
+        self.members: dict[str, Membership] = {}
         self.logs: list[tuple[float, str, str]] = []
         self.seeds = tuple(self.address(f"m{n}") for n in range(seeds))
         self.starts = 0
@@ -52,7 +52,7 @@
         chance = draws(self.starts * 7919 + self.rng.randrange(1 << 30), "members")
         tell = lambda text: self.logs.append((self.now, name, text))  # noqa: E731
         self.down.discard(name)
-        m = self.members[name] = Members(
+        m = self.members[name] = Membership(
             self.now + after, name, self.address(name), self.seeds, chance, tell
         )
         self.at(after, lambda: self.run(name, m))
@@ -61,7 +61,7 @@
         self.count += 1
         heapq.heappush(self.events, (self.now + after, self.count, call))
 
-    def run(self, name: str, m: Members) -> None:
+    def run(self, name: str, m: Membership) -> None:
         if self.members.get(name) is not m or name in self.down:
             return
         until = self.stopped.get(name, 0.0)
@@ -73,9 +73,9 @@
         self.flush(name, m)
         self.at(max(1.0, m.due - self.now), lambda: self.run(name, m))
 
-    def flush(self, name: str, m: Members) -> None:
-        out, m.out = m.out, []
-        for to, message in out:
+    def flush(self, name: str, m: Membership) -> None:
+        outbox, m.outbox = m.outbox, []
+        for to, message in outbox:
             data = self.codec.write(message)
             self.bytes[name] = self.bytes.get(name, 0) + len(data) + 28
             self.datagrams[name] = self.datagrams.get(name, 0) + 1
@@ -96,7 +96,7 @@
         if self.now < until:  # it stands unread in the socket
             self.at(until - self.now + 0.1, lambda: self.deliver(source, name, data))
             return
-        m.heard(self.now, self.address(source), self.codec.read(data))
+        m.receive(self.now, self.address(source), self.codec.read(data))
         self.flush(name, m)
 
     def go(self, seconds: float) -> None:
@@ -128,7 +128,7 @@
     def up(self) -> list[str]:
         return [n for n in self.members if n not in self.down]
 
-    def think(self, of: str, state: State) -> list[str]:
+    def think(self, of: str, state: MemberState) -> list[str]:
         """Who of those that run says so of that member."""
         return [n for n in self.up() if n != of and self.members[n].state_of(of) == state]
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -11,8 +11,8 @@
 from hookpitch.net.discovery import retry_after
 from hookpitch.simwire.adapter import Seat
 from hookpitch.startup.poll_schedule import (
-    FAR,
     MAX_POLL_GAP_MS,
+    NEVER,
     NOTIFY_LIMIT_MS,
     SILENCE_TIMEOUT_MS,
     PollSchedule,
@@ -32,21 +32,21 @@
     """Calls in each second, and when each node's list came last, with a discovery that takes so
     many calls
     a second; `events` happen at their ms. Steps of 10 ms."""
-    calls, listed, room = Counter[int](), [FAR] * len(nodes), 0.0
+    calls, listed, room = Counter[int](), [NEVER] * len(nodes), 0.0
     for now in range(0, int(until), 10):
         room = min(takes, room + takes / 100)
         for at in [at for at in events if at <= now]:
             events.pop(at)()
         for n, a in enumerate(nodes):
-            if a.at <= now:
-                a.asked(now)
+            if a.due_at <= now:
+                a.poll_started(now)
                 calls[now // 1000] += 1
                 if room >= 1:
                     room -= 1
-                    a.told()
+                    a.endpoints_received()
                     listed[n] = now
                 else:
-                    a.lost(now, WatchLoss.REFUSED)
+                    a.poll_failed(now, WatchLoss.REFUSED)
     return calls, listed
 
 
@@ -69,10 +69,10 @@
 def test_watches_that_are_lost_together_are_asked_for_over_a_span() -> None:
     nodes = fleet(300)
     for a in nodes:
-        a.told()
+        a.endpoints_received()
 
     def lose(how: WatchLoss) -> Callable[[], None]:
-        return lambda: [a.lost(1000.0, how) for a in nodes] and None
+        return lambda: [a.poll_failed(1000.0, how) for a in nodes] and None
 
     calls, listed = played(nodes, 1e9, 20000, {1000.0: lose(WatchLoss.ENDED)})
     assert max(calls.values()) <= 90 and max(listed) <= 1000 + WITHIN / 2 + 300
@@ -85,12 +85,12 @@
 
 def test_nodes_that_were_all_stopped_draw_anew_as_they_go_on() -> None:
     nodes = fleet(300)
-    late = [a for a in nodes if a.at < 2000.0]
+    late = [a for a in nodes if a.due_at < 2000.0]
     at = []
     for a in late:
-        assert not a.due(3000.0) and 3000.0 <= a.at <= 4500.0
-        assert a.due(a.at) and not a.due(a.at - 1)
-        at.append(a.at)
+        assert not a.due(3000.0) and 3000.0 <= a.due_at <= 4500.0
+        assert a.due(a.due_at) and not a.due(a.due_at - 1)
+        at.append(a.due_at)
     assert len(late) > 60 and max(at) - min(at) > 1000.0
 
 
@@ -98,18 +98,18 @@
     None
 ):
     few, many = fleet(12), fleet(300)
-    assert sum(a.hurried(300.0) for a in few) > 6 and max(a.at for a in few) <= 300 + 12 * 50
+    assert sum(a.expedite(300.0) for a in few) > 6 and max(a.due_at for a in few) <= 300 + 12 * 50
     for a in many:
-        a.hurried(300.0)
-        assert not a.hurried(300.0)
+        a.expedite(300.0)
+        assert not a.expedite(300.0)
     calls, _ = played(many, 1e9, 10000, {})
     assert max(calls.values()) <= 110
 
 
 def test_a_lone_nodes_lost_watch_is_asked_for_at_once() -> None:
     (a,) = fleet(1)
-    a.told()
-    assert a.lost(1000.0, WatchLoss.ENDED) <= 1000.0 + 2 * WITHIN / 40
+    a.endpoints_received()
+    assert a.poll_failed(1000.0, WatchLoss.ENDED) <= 1000.0 + 2 * WITHIN / 40
 
 
 def test_a_node_that_is_refused_asks_less_and_within_the_rules_time() -> None:
@@ -117,25 +117,25 @@
         (a, *_) = fleet(count)
         gaps, now = [], 0.0
         for _ in range(40):
-            a.asked(now)
-            gaps.append(a.lost(now, WatchLoss.REFUSED) - now)
-            now = a.at
+            a.poll_started(now)
+            gaps.append(a.poll_failed(now, WatchLoss.REFUSED) - now)
+            now = a.due_at
         assert max(gaps) <= MAX_POLL_GAP_MS < NOTIFY_LIMIT_MS - 1000 and min(gaps) >= WITHIN / 40
         assert sum(gaps[-10:]) > sum(gaps[:2])
-        a.told()
-        assert a.at == FAR and a.failures == 0
-        a.asked(now)
-        a.told()
-        a.lost(now, WatchLoss.ENDED)
+        a.endpoints_received()
+        assert a.due_at == NEVER and a.failures == 0
+        a.poll_started(now)
+        a.endpoints_received()
+        a.poll_failed(now, WatchLoss.ENDED)
         assert (
-            a.at - now <= WITHIN / 2 + 300
+            a.due_at - now <= WITHIN / 2 + 300
         )  # what was learnt of discovery's trouble does not stay
 
 
 def test_a_call_that_is_not_answered_has_failed_in_time() -> None:
     (a,) = fleet(1)
-    a.asked(500.0)
-    assert a.at == 500.0 + WITHIN / 2
+    a.poll_started(500.0)
+    assert a.due_at == 500.0 + WITHIN / 2
 
 
 @pytest.mark.parametrize("count", [1, 6, 60, 300, 5000])
@@ -147,15 +147,16 @@
     # once.
     for seed in range(40):
         (a, *_) = fleet(1, seed)
-        a.retimed(count, within)
-        a.asked(500.0)
-        assert a.at == 500.0 + within / 2
-        for failed in (500.0, 500.0 + a.patience):  # refused at once; never answered
-            a.asked(500.0)
+        a.reconfigure(count, within)
+        a.poll_started(500.0)
+        assert a.due_at == 500.0 + within / 2
+        for failed in (500.0, 500.0 + a.response_timeout_ms):  # refused at once; never answered
+            a.poll_started(500.0)
             a.failures = seed % 9
-            a.lost(failed, WatchLoss.REFUSED)
+            a.poll_failed(failed, WatchLoss.REFUSED)
             assert (
-                failed < a.at <= 500.0 + MAX_POLL_GAP_MS and a.at < 500.0 + NOTIFY_LIMIT_MS - 1000
+                failed < a.due_at <= 500.0 + MAX_POLL_GAP_MS
+                and a.due_at < 500.0 + NOTIFY_LIMIT_MS - 1000
             )
 
 
@@ -164,15 +165,15 @@
     # later.
     for n in range(40):
         a = PollSchedule(700.0, 300, WITHIN, draws(n, "ask"), pushed=True)
-        assert a.at == 700.0
+        assert a.due_at == 700.0
         for how in (WatchLoss.REFUSED, WatchLoss.REFUSED, WatchLoss.ENDED, WatchLoss.SILENT):
-            a.asked(a.at)
+            a.poll_started(a.due_at)
             if how != WatchLoss.REFUSED:
-                a.told()
-            assert 800.0 + 60 <= a.lost(800.0, how) <= 800.0 + 180
-        a.asked(800.0)
+                a.endpoints_received()
+            assert 800.0 + 60 <= a.poll_failed(800.0, how) <= 800.0 + 180
+        a.poll_started(800.0)
         assert (
-            a.lost(800.0, WatchLoss.REFUSED, 2000.0) >= 800.0 + 1500
+            a.poll_failed(800.0, WatchLoss.REFUSED, 2000.0) >= 800.0 + 1500
         )  # but discovery's own word is heeded
 
 
@@ -180,9 +181,9 @@
     nodes, at = fleet(300), []
     for a in nodes:
         for _ in range(5):
-            a.asked(0.0)
-            a.lost(0.0, WatchLoss.REFUSED)
-        at.append(a.at)
+            a.poll_started(0.0)
+            a.poll_failed(0.0, WatchLoss.REFUSED)
+        at.append(a.due_at)
     assert (
         max(Counter(int(t / 1000) for t in at).values()) <= 130
         and max(at) - min(at) > MAX_POLL_GAP_MS / 2
@@ -199,9 +200,9 @@
         (999999, late, MAX_POLL_GAP_MS),
     ):
         a = fleet(60)[7]
-        a.asked(0.0)
+        a.poll_started(0.0)
         after = retry_after([(b"server", b"x"), (b"Retry-After", b"%d" % seconds)])
-        assert least <= a.lost(0.0, WatchLoss.REFUSED, after) <= most
+        assert least <= a.poll_failed(0.0, WatchLoss.REFUSED, after) <= most
     assert (
         retry_after([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")]) == retry_after([]) == 0.0
     )
@@ -215,12 +216,12 @@
     assert len(out) == 1 and out[0].startswith("TIMER n1 ")
     seat.ask(0.0)
     assert len(out) == 1  # told once
-    at = seat.poll_schedule.at
+    at = seat.poll_schedule.due_at
     seat.ask(at)
     assert out[1] == "SUBSCRIBE n1 1"
     seat.listed(at, EndpointUpdate.FAILED)
-    assert at < seat.poll_schedule.at < at + WITHIN
+    assert at < seat.poll_schedule.due_at < at + WITHIN
     seat.listed(at, EndpointUpdate.CACHED)
-    assert seat.poll_schedule.at < FAR
+    assert seat.poll_schedule.due_at < NEVER
     seat.listed(at, EndpointUpdate.DELTA)
-    assert seat.poll_schedule.at == FAR
+    assert seat.poll_schedule.due_at == NEVER
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -12,7 +12,7 @@
     MAX_POLL_GAP_MS,
     RESPONSE_TIMEOUT_MS,
     SILENCE_TIMEOUT_MS,
-    SPREAD_MS,
+    SILENT_WATCH_SPREAD_MS,
 )
 
 RULES = {"cold_from": 0.2, "cold_s": 20.0, "tip_after_s": 1.5, "ask_within_s": 30.0}
@@ -50,9 +50,9 @@
         tell(watch, b"\n")
         began = time.monotonic()
         while not r.discovery.dialled(0.2):  # half of what it would tell, or a blank, now and then
-            assert since(began) < (SILENCE_TIMEOUT_MS + SPREAD_MS) / 1000 + 1 + EASE_S, (
-                "the silence was put off"
-            )
+            assert (
+                since(began) < (SILENCE_TIMEOUT_MS + SILENT_WATCH_SPREAD_MS) / 1000 + 1 + EASE_S
+            ), "the silence was put off"
             with suppress(OSError):  # it has given the watch up, and asks in a moment
                 if what:
                     tell(watch, what)
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -11,16 +11,16 @@
 import pytest
 
 from hookpitch.members.codec import Codec
-from hookpitch.members.endpoint_exchange import Held, Lists
-from hookpitch.members.state import MARKS, Message, Record, State
+from hookpitch.members.endpoint_exchange import EndpointExchange, ListStatus
+from hookpitch.members.state import PARTITIONS, MemberState, Message, MessageKind, Record
 from hookpitch.startup.snapshot_format import (
     BackendSnapshot,
     EndpointSnapshot,
     HotBucket,
     MovedBucket,
     Snapshot,
-    read,
-    write,
+    decode,
+    encode,
 )
 
 SNAPSHOT = bytes.fromhex(
@@ -39,29 +39,42 @@
 
 
 def test_a_snapshot_of_an_earlier_build_is_read_field_by_field() -> None:
-    found = read(SNAPSHOT)
+    found = decode(SNAPSHOT)
     assert (found.fleet, found.node, found.kinds) == ("sydney", "n1", ("small", "origin"))
-    assert (found.written, found.seq) == (1764757123456.5, 41)
-    cache, origin = found.listed
-    assert (cache.id, cache.zone, cache.cell, cache.dial) == ("s0", "east", 3, "10.0.0.1:7000")
-    assert (cache.started, cache.state, cache.kind, cache.size) == (1764750000000.0, 0, 0, 1.5)
-    assert (origin.id, origin.state, origin.kind, origin.dial) == ("o1", 1, 1, "10.0.0.9:7001")
-    backend, _ = found.servers
-    assert (backend.id, backend.started, backend.limit) == ("s0", 1764750000000.0, 9.25)
-    assert (backend.latency, backend.usual, backend.failures) == (12.5, 3.75, 2)
-    assert backend.backoff == 4000.0
-    assert (backend.off_until, backend.cold_until) == (1764757130000.0, 1764757140000.0)
-    (moved,) = found.moved
+    assert (found.written_at_ms, found.version) == (1764757123456.5, 41)
+    cache, origin = found.endpoints
+    assert (cache.id, cache.zone, cache.cell, cache.address) == ("s0", "east", 3, "10.0.0.1:7000")
+    assert (cache.started_at_ms, cache.state, cache.kind, cache.size) == (
+        1764750000000.0,
+        0,
+        0,
+        1.5,
+    )
+    assert (origin.id, origin.state, origin.kind, origin.address) == ("o1", 1, 1, "10.0.0.9:7001")
+    backend, _ = found.backends
+    assert (backend.id, backend.started_at_ms, backend.concurrency_limit) == (
+        "s0",
+        1764750000000.0,
+        9.25,
+    )
+    assert (backend.latency_ms, backend.baseline_latency_ms, backend.consecutive_failures) == (
+        12.5,
+        3.75,
+        2,
+    )
+    assert backend.ejection_ms == 4000.0
+    assert (backend.ejected_until_ms, backend.warmup_until_ms) == (1764757130000.0, 1764757140000.0)
+    (moved,) = found.moved_buckets
     assert (moved.number, moved.kinds, moved.zones) == (77, ("small",), ("east", "west"))
-    assert moved.to == "s0"
-    (hot,) = found.heavy
-    assert (hot.number, hot.kinds, hot.zones, hot.seen) == (4095, (), ("west",), 17.5)
-    assert (found.sighted, found.work, found.warm_rate) == (600.25, 4.5, 33.5)
-    assert (found.idle, found.bans) == (30000.0, ("s4", "s5"))
+    assert moved.backend_id == "s0"
+    (hot,) = found.hot_buckets
+    assert (hot.number, hot.kinds, hot.zones, hot.request_count) == (4095, (), ("west",), 17.5)
+    assert (found.request_count, found.work_ms, found.warm_rate_per_s) == (600.25, 4.5, 33.5)
+    assert (found.max_idle_ms, found.banned_ids) == (30000.0, ("s4", "s5"))
 
 
 def test_a_snapshot_is_written_byte_for_byte_as_an_earlier_build_wrote_it() -> None:
-    assert write(read(SNAPSHOT)) == SNAPSHOT
+    assert encode(decode(SNAPSHOT)) == SNAPSHOT
     made = Snapshot(
         "sydney",
         "n1",
@@ -86,31 +99,37 @@
         30000.0,
         ("s4", "s5"),
     )
-    assert made == read(SNAPSHOT)
-    assert write(made) == SNAPSHOT
+    assert made == decode(SNAPSHOT)
+    assert encode(made) == SNAPSHOT
 
 
 RECORDS = (
-    Record("n2", ("10.0.0.2", 7946), 311, State.SUSPECTED, "n9", 4, b"\x01fact"),
-    Record("n3", ("10.0.0.3", 7947), 96, State.DEAD),
+    Record("n2", ("10.0.0.2", 7946), 311, MemberState.SUSPECTED, "n9", 4, b"\x01fact"),
+    Record("n3", ("10.0.0.3", 7947), 96, MemberState.DEAD),
 )
 DATAGRAMS = [
     (
-        Message("probe", "n1", 77, "n2", RECORDS),
+        Message(MessageKind.PROBE, "n1", 77, "n2", RECORDS),
         "484b4d01313f19919011d5d4a4a8af09b3fc901a9800a26e314da26e32c29298a26e32a831302e302e302e32"
         "cd1f0acd013701a26e3904c405016661637498a26e33a831302e302e302e33cd1f0b6002a000c40090c400",
     ),
     (
-        Message("answer", "n1", 78, "n2"),
+        Message(MessageKind.ACK, "n1", 78, "n2"),
         "484b4d01313f19919011d5d49854b320e9848c9c9801a26e314ea26e32c29090c400",
     ),
     (
-        Message("ask", "n1", 79, "n3", RECORDS[1:]),
+        Message(MessageKind.PROBE_REQUEST, "n1", 79, "n3", RECORDS[1:]),
         "484b4d01313f19919011d5d4e9ba08b096297b879802a26e314fa26e33c29198a26e33a831302e302e302e33"
         "cd1f0b6002a000c40090c400",
     ),
     (
-        Message("news", "n1", news=RECORDS, whole=True, marks=tuple(range(1000, 1000 + MARKS))),
+        Message(
+            MessageKind.GOSSIP,
+            "n1",
+            records=RECORDS,
+            full_sync=True,
+            partition_digests=tuple(range(1000, 1000 + PARTITIONS)),
+        ),
         "484b4d01313f19919011d5d40224f4d05dde37879803a26e3100a0c39298a26e32a831302e302e302e32cd1f"
         "0acd013701a26e3904c405016661637498a26e33a831302e302e302e33cd1f0b6002a000c400dc0020cd03e8"
         "cd03e9cd03eacd03ebcd03eccd03edcd03eecd03efcd03f0cd03f1cd03f2cd03f3cd03f4cd03f5cd03f6cd03"
@@ -118,24 +137,24 @@
         "0406cd0407c400",
     ),
     (
-        Message("digest", "n1", 123456789, marks=tuple(range(65504, 65536))),
+        Message(MessageKind.DIGEST, "n1", 123456789, partition_digests=tuple(range(65504, 65536))),
         "484b4d01313f19919011d5d405f9dcd7a83a9a629804a26e31ce075bcd15a0c290dc0020cdffe0cdffe1cdff"
         "e2cdffe3cdffe4cdffe5cdffe6cdffe7cdffe8cdffe9cdffeacdffebcdffeccdffedcdffeecdffefcdfff0cd"
         "fff1cdfff2cdfff3cdfff4cdfff5cdfff6cdfff7cdfff8cdfff9cdfffacdfffbcdfffccdfffdcdfffecdffff"
         "c400",
     ),
     (
-        Message("wish", "n1", data=b"\x93\x05\xc4\x00\x0f"),
+        Message(MessageKind.LIST_REQUEST, "n1", payload=b"\x93\x05\xc4\x00\x0f"),
         "484b4d01313f19919011d5d46cb3954f33789f109805a26e3100a0c29090c4059305c4000f",
     ),
     (
-        Message("list", "n1", data=b"\x96\t"),
+        Message(MessageKind.LIST_CHUNK, "n1", payload=b"\x96\t"),
         "484b4d01313f19919011d5d4db44e3e0b310eead9806a26e3100a0c29090c4029609",
     ),
 ]
 
 
-@pytest.mark.parametrize(("message", "written"), DATAGRAMS, ids=[m.kind for m, _ in DATAGRAMS])
+@pytest.mark.parametrize(("message", "written"), DATAGRAMS, ids=[m.kind.name for m, _ in DATAGRAMS])
 def test_a_datagram_is_read_and_written_byte_for_byte_as_an_earlier_build_wrote_it(
     message: Message, written: str
 ) -> None:
@@ -155,21 +174,30 @@
 
 def test_the_exchange_of_endpoint_lists_speaks_the_bytes_of_an_earlier_build() -> None:
     counts: list[str] = []
-    asker = Lists(0.0, "n0", lambda: 0.5, counts.append)
-    asker.tick(10.0, Held(5, False, False), [HOLDER])
-    ((to, wish),) = asker.out
-    assert to == HOLDER and wish.data == WISH
-    holder = Lists(0.0, "n2", lambda: 0.5, counts.append)
-    holder.tick(100.0, Held(9, True, True), [])
-    holder.wished(
-        150.0, ASKER, Message("wish", "n0", data=WISH), Held(9, True, False), lambda: TEXT
+    asker = EndpointExchange(0.0, "n0", lambda: 0.5, counts.append)
+    asker.tick(10.0, ListStatus(5, False, False), [HOLDER])
+    ((to, wish),) = asker.outbox
+    assert to == HOLDER and wish.payload == WISH
+    holder = EndpointExchange(0.0, "n2", lambda: 0.5, counts.append)
+    holder.tick(100.0, ListStatus(9, True, True), [])
+    holder.handle_request(
+        150.0,
+        ASKER,
+        Message(MessageKind.LIST_REQUEST, "n0", payload=WISH),
+        ListStatus(9, True, False),
+        lambda: TEXT,
     )
-    ((to, part),) = holder.out
+    ((to, part),) = holder.outbox
     assert to == ASKER
     # The compressed bytes are the library's own; all before them is this program's.
-    sent, golden = msgspec.msgpack.decode(part.data), msgspec.msgpack.decode(PART)
+    sent, golden = msgspec.msgpack.decode(part.payload), msgspec.msgpack.decode(PART)
     assert [sent[i] for i in (0, 1, 3, 4)] == [golden[i] for i in (0, 1, 3, 4)] == [9, 50.0, 0, 1]
     assert zlib.decompress(sent[5]) == zlib.decompress(golden[5]) == TEXT
-    taken = asker.came(200.0, HOLDER, Message("list", "n2", data=PART), Held(5, False, False))
+    taken = asker.handle_chunk(
+        200.0,
+        HOLDER,
+        Message(MessageKind.LIST_CHUNK, "n2", payload=PART),
+        ListStatus(5, False, False),
+    )
     assert taken is not None and (taken.version, taken.source) == (9, HOLDER)
     assert taken.age == 50.0 and json.loads(taken.text)["seq"] == 9
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -16,20 +16,20 @@
 from test_members_properties import SAME
 
 from hookpitch.core.resp import Fault
-from hookpitch.members.codec import BYTES_MOST, Codec
+from hookpitch.members.codec import MAX_BYTES, Codec
 from hookpitch.members.endpoint_exchange import (
-    OLDEST_MS,
-    PARTS_A_SECOND,
-    PLAIN_MOST,
-    Held,
-    Lists,
-    Taken,
-    digest,
+    MAX_CHUNKS_PER_S,
+    MAX_LIST_AGE_MS,
+    MAX_LIST_BYTES,
+    EndpointExchange,
+    ListStatus,
+    ReceivedList,
+    list_digest,
 )
-from hookpitch.members.state import Message
+from hookpitch.members.state import Message, MessageKind
 
 A, B, C = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
-NOTHING = Held(0, False, False)
+NOTHING = ListStatus(0, False, False)
 SEED = 17  # whose draws put the first call to discovery late, of 400 nodes
 TEXT = json.dumps([random.Random(n).random() for n in range(2000)]).encode()  # many parts
 
@@ -37,12 +37,14 @@
 class Pair:
     """One that asks, and tellers by address; what is on its way stands in `flying`."""
 
-    def __init__(self, seed: int = 1, **tellers: tuple[Held, bytes]) -> None:
+    def __init__(self, seed: int = 1, **tellers: tuple[ListStatus, bytes]) -> None:
         self.rng, self.now, self.counts = random.Random(seed), 0.0, dict[str, int]()
-        self.asker = Lists(0.0, "n0", self.rng.random, self.count)
+        self.asker = EndpointExchange(0.0, "n0", self.rng.random, self.count)
         self.at = {A: tellers.get("a"), B: tellers.get("b")}
-        self.tellers = {at: Lists(0.0, f"n{at}", self.rng.random, self.count) for at in self.at}
-        self.held, self.taken = NOTHING, list[Taken]()
+        self.tellers = {
+            at: EndpointExchange(0.0, f"n{at}", self.rng.random, self.count) for at in self.at
+        }
+        self.held, self.taken = NOTHING, list[ReceivedList]()
         self.flying: list[tuple[tuple, tuple, Message]] = []  # from, to
 
     def count(self, name: str) -> None:
@@ -51,30 +53,30 @@
     def tick(self, ms: float = 1000.0) -> None:
         self.now += ms
         self.asker.tick(self.now, self.held, [at for at, told in self.at.items() if told])
-        self.flying += [(C, to, message) for to, message in self.asker.out]
-        self.asker.out = []
+        self.flying += [(C, to, message) for to, message in self.asker.outbox]
+        self.asker.outbox = []
 
     def come(self, n: int = 0, keep: bool = False) -> None:
         source, to, message = self.flying[n] if keep else self.flying.pop(n)
         data = Codec("f").write(message)
-        assert len(data) <= BYTES_MOST and Codec("f").read(data) == message
+        assert len(data) <= MAX_BYTES and Codec("f").read(data) == message
         if to == C:
-            taken = self.asker.came(self.now, source, message, self.held)
+            taken = self.asker.handle_chunk(self.now, source, message, self.held)
             if taken is not None:
                 self.taken.append(taken)
-                self.held = Held(taken.version, False, False)
+                self.held = ListStatus(taken.version, False, False)
             return
         told, text = self.at[to]
-        self.tellers[to].wished(self.now, source, message, told, lambda: text)
-        self.flying += [(to, source, m) for _, m in self.tellers[to].out]
-        self.tellers[to].out = []
+        self.tellers[to].handle_request(self.now, source, message, told, lambda: text)
+        self.flying += [(to, source, m) for _, m in self.tellers[to].outbox]
+        self.tellers[to].outbox = []
 
     def all(self) -> None:
         while self.flying:
             self.come()
 
 
-FRESH = Held(9, True, True)
+FRESH = ListStatus(9, True, True)
 STEPS = ["tick", "come", "lose", "twice", "newer", "told"]
 
 
@@ -100,7 +102,7 @@
 @pytest.mark.parametrize("loss", [0.0, 0.2, 0.5])
 def test_lists_come_over_lossy_links_in_any_order_and_more_than_once(loss: float) -> None:
     for seed in range(20):
-        p = Pair(seed, a=(FRESH, TEXT), b=(Held(9, True, True), TEXT))
+        p = Pair(seed, a=(FRESH, TEXT), b=(ListStatus(9, True, True), TEXT))
         for _ in range(300):
             p.tick(400.0)
             p.rng.shuffle(p.flying)
@@ -116,7 +118,7 @@
 
 
 def test_parts_of_two_lists_are_not_mixed_and_the_newer_goes() -> None:
-    p = Pair(a=(FRESH, TEXT), b=(Held(10, True, True), TEXT[::-1]))
+    p = Pair(a=(FRESH, TEXT), b=(ListStatus(10, True, True), TEXT[::-1]))
     p.tick(0.0)
     p.come()
     p.come()
@@ -130,7 +132,7 @@
     p = Pair(a=(FRESH, TEXT))
     p.tick(0.0)
     p.all()
-    p.at[A] = (Held(11, True, True), TEXT[::-1])
+    p.at[A] = (ListStatus(11, True, True), TEXT[::-1])
     for _ in range(4):
         p.tick()
         p.all()
@@ -140,12 +142,12 @@
 @pytest.mark.parametrize(
     ("there", "here"),
     [
-        (Held(9, False, False), NOTHING),  # it was told by no discovery
-        (FRESH, Held(9, False, False)),
-        (FRESH, Held(10, False, False)),  # what is held is as new
+        (ListStatus(9, False, False), NOTHING),  # it was told by no discovery
+        (FRESH, ListStatus(9, False, False)),
+        (FRESH, ListStatus(10, False, False)),  # what is held is as new
     ],
 )
-def test_what_is_hearsay_or_no_newer_is_not_told(there: Held, here: Held) -> None:
+def test_what_is_hearsay_or_no_newer_is_not_told(there: ListStatus, here: ListStatus) -> None:
     p = Pair(a=(there, TEXT))
     p.held = here
     p.tick(0.0)
@@ -158,17 +160,17 @@
 def test_a_list_whose_teller_has_long_not_heard_discovery_is_not_told() -> None:
     p = Pair(a=(FRESH, b"[]"))
     p.tellers[A].tick(0.0, FRESH, [])
-    p.at[A] = (Held(9, True, False), b"[]")
-    p.tick(OLDEST_MS - 1000.0)
+    p.at[A] = (ListStatus(9, True, False), b"[]")
+    p.tick(MAX_LIST_AGE_MS - 1000.0)
     p.all()
-    assert p.taken[0].age == OLDEST_MS - 1000.0
+    assert p.taken[0].age == MAX_LIST_AGE_MS - 1000.0
     p = Pair(a=(FRESH, b"[]"))
     p.tellers[A].tick(0.0, FRESH, [])
-    p.at[A] = (Held(9, True, False), b"[]")
-    p.tick(OLDEST_MS + 1000.0)
+    p.at[A] = (ListStatus(9, True, False), b"[]")
+    p.tick(MAX_LIST_AGE_MS + 1000.0)
     p.all()
     assert not p.taken
-    p = Pair(a=(Held(9, True, False), b"[]"))  # it was never seen to hear discovery
+    p = Pair(a=(ListStatus(9, True, False), b"[]"))  # it was never seen to hear discovery
     p.tick(1000.0)
     p.all()
     assert not p.taken
@@ -178,7 +180,7 @@
     p = Pair(a=(FRESH, b"[]"))
     p.tick(0.0)
     p.come()
-    p.held = Held(3, True, True)  # discovery came first
+    p.held = ListStatus(3, True, True)  # discovery came first
     p.all()
     p.tick(60000.0)
     assert not p.taken and not p.flying
@@ -192,11 +194,13 @@
         packs[0] += 1
         return TEXT
 
-    wish = Message("wish", "n9", data=msgspec.msgpack.encode((0, b"", (1 << 62) - 1)))
+    wish = Message(
+        MessageKind.LIST_REQUEST, "n9", payload=msgspec.msgpack.encode((0, b"", (1 << 62) - 1))
+    )
     for _ in range(3000):
-        p.tellers[A].wished(5000.0, B, wish, FRESH, text)
+        p.tellers[A].handle_request(5000.0, B, wish, FRESH, text)
     assert (
-        len(p.tellers[A].out) == PARTS_A_SECOND
+        len(p.tellers[A].outbox) == MAX_CHUNKS_PER_S
         and packs[0] == 1
         and p.counts["members.lists_busy"] > 2000
     )
@@ -210,14 +214,18 @@
     count: object = 1,
     part: object = b"x",
 ) -> Message:
-    whole = digest(part) if whole is None else whole
-    return Message("list", "n1", data=msgspec.msgpack.encode((version, age, whole, n, count, part)))
+    whole = list_digest(part) if whole is None else whole
+    return Message(
+        MessageKind.LIST_CHUNK,
+        "n1",
+        payload=msgspec.msgpack.encode((version, age, whole, n, count, part)),
+    )
 
 
 def test_what_is_torn_spoilt_or_unpacks_to_too_much_is_none() -> None:
-    bomb = zlib.compress(b"\0" * (PLAIN_MOST + 1), 9)
+    bomb = zlib.compress(b"\0" * (MAX_LIST_BYTES + 1), 9)
     for message in (
-        made(part=bomb[:900], whole=digest(bomb)),
+        made(part=bomb[:900], whole=list_digest(bomb)),
         made(part=zlib.compress(b"[]")[:-2]),
         made(),
         made(whole=b"12345678"),
@@ -229,16 +237,16 @@
         made(part=b""),
         made(part=b"x" * 901, whole=b"12345678"),
         made(age=float("nan")),
-        Message("list", "n1", data=b"\xff"),
-        Message("list", "n1"),
+        Message(MessageKind.LIST_CHUNK, "n1", payload=b"\xff"),
+        Message(MessageKind.LIST_CHUNK, "n1"),
     ):
         p = Pair()
-        assert p.asker.came(0.0, A, message, NOTHING) is None, message
+        assert p.asker.handle_chunk(0.0, A, message, NOTHING) is None, message
     p = Pair()
     parts = [bomb[n : n + 900] for n in range(0, len(bomb), 900)]
     for n, part in enumerate(parts):
-        m = made(part=part, n=n, count=len(parts), whole=digest(bomb))
-        assert p.asker.came(0.0, A, m, NOTHING) is None
+        m = made(part=part, n=n, count=len(parts), whole=list_digest(bomb))
+        assert p.asker.handle_chunk(0.0, A, m, NOTHING) is None
     assert p.counts["members.lists_wrong"] == 1
 
 
@@ -252,8 +260,10 @@
 )
 def test_a_wish_that_is_none_is_counted(data: bytes) -> None:
     p = Pair()
-    p.tellers[A].wished(0.0, B, Message("wish", "n9", data=data), FRESH, lambda: TEXT)
-    assert p.counts == {"members.lists_wrong": 1} and not p.tellers[A].out
+    p.tellers[A].handle_request(
+        0.0, B, Message(MessageKind.LIST_REQUEST, "n9", payload=data), FRESH, lambda: TEXT
+    )
+    assert p.counts == {"members.lists_wrong": 1} and not p.tellers[A].outbox
 
 
 @SAME
@@ -264,16 +274,16 @@
     steps: list[tuple[str, int]], seed: int
 ) -> None:
     texts = {9: TEXT, 10: TEXT[::-1]}
-    p = Pair(seed, a=(FRESH, TEXT), b=(Held(10, True, True), TEXT[::-1]))
+    p = Pair(seed, a=(FRESH, TEXT), b=(ListStatus(10, True, True), TEXT[::-1]))
     for what, n in steps:
         if what == "tick":
             p.tick(100.0 * n)
         elif what == "newer":
             version = p.at[A][0].version + 1
             texts[version] = TEXT[n:]
-            p.at[A] = (Held(version, True, True), texts[version])
+            p.at[A] = (ListStatus(version, True, True), texts[version])
         elif what == "told":
-            p.held = Held(p.held.version, n > 25 or p.held.told, False)
+            p.held = ListStatus(p.held.version, n > 25 or p.held.told, False)
         elif p.flying:
             at = n % len(p.flying)
             before = len(p.taken)
@@ -308,19 +318,21 @@
         while True:
             data, self.node = self.sock.recvfrom(65536)
             message = self.codec.read(data)
-            if message.kind == "wish":
-                return tuple(msgspec.msgpack.decode(message.data))
+            if message.kind == MessageKind.LIST_REQUEST:
+                return tuple(msgspec.msgpack.decode(message.payload))
 
     def ask(self, version: int) -> None:
-        wish = Message("wish", "n9", data=msgspec.msgpack.encode((version, b"", 1)))
+        wish = Message(
+            MessageKind.LIST_REQUEST, "n9", payload=msgspec.msgpack.encode((version, b"", 1))
+        )
         self.sock.sendto(self.codec.write(wish), self.node)
 
     def part(self) -> tuple:
         """The next part of a list."""
         while True:
             message = self.codec.read(self.sock.recvfrom(65536)[0])
-            if message.kind == "list":
-                return tuple(msgspec.msgpack.decode(message.data))
+            if message.kind == MessageKind.LIST_CHUNK:
+                return tuple(msgspec.msgpack.decode(message.payload))
 
     def tell(self, text: dict, version: int | None = None, age: float = 0.0) -> None:
         packed = zlib.compress(json.dumps(text).encode())
@@ -329,12 +341,12 @@
             whole = (
                 text["seq"] if version is None else version,
                 age,
-                digest(packed),
+                list_digest(packed),
                 n,
                 len(parts),
                 part,
             )
-            message = Message("list", "n9", data=msgspec.msgpack.encode(whole))
+            message = Message(MessageKind.LIST_CHUNK, "n9", payload=msgspec.msgpack.encode(whole))
             self.sock.sendto(self.codec.write(message), self.node)
 
 
@@ -401,7 +413,7 @@
         member.ask(3)
         version, _, whole, n, count, part = member.part()
         text = zlib.decompress(part)
-        assert (version, n, count, whole) == (8, 0, 1, digest(part)), (
+        assert (version, n, count, whole) == (8, 0, 1, list_digest(part)), (
             "it tells what discovery told it"
         )
         assert {h["host"] for h in json.loads(text)["hosts"]} == {"s1", "o1"}
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,18 +19,19 @@
 from fleet import Sockets
 
 from hookpitch.cli import main
-from hookpitch.members.codec import BYTES_MOST, Codec
+from hookpitch.members.codec import MAX_BYTES, Codec
 from hookpitch.members.port import attach, settings
 from hookpitch.members.state import (
-    MARKS,
-    MEMBERS_MOST,
-    PERIOD_MS,
-    VAIN,
+    MAX_MEMBERS,
+    MAX_UNCONFIRMED,
+    PARTITIONS,
+    PROBE_PERIOD_MS,
     Member,
-    Members,
+    Membership,
+    MemberState,
     Message,
+    MessageKind,
     Record,
-    State,
 )
 from hookpitch.testbed.experiment import load
 from hookpitch.testbed.membership_simulation import Net
@@ -62,9 +63,9 @@
     net = up(count)
     net.kill(["m1"])
     first = net.until(
-        lambda: net.think("m1", State.SUSPECTED) or net.think("m1", State.DEAD), 20, 0.1
+        lambda: net.think("m1", MemberState.SUSPECTED) or net.think("m1", MemberState.DEAD), 20, 0.1
     )
-    agreed = first + net.until(lambda: len(net.think("m1", State.DEAD)) == count - 1, 30, 0.1)
+    agreed = first + net.until(lambda: len(net.think("m1", MemberState.DEAD)) == count - 1, 30, 0.1)
     assert first < 3.5 and agreed < 9.0 and deaths(net) == {"m1"}
 
 
@@ -86,12 +87,12 @@
     net.go(1)
     # Its machine's clock is an hour behind now: nothing that others hold is told by clocks.
     behind = 3600000.0
-    m = Members(net.now - behind, "m2", net.address("m2"), net.seeds, net.rng.random)
+    m = Membership(net.now - behind, "m2", net.address("m2"), net.seeds, net.rng.random)
     assert m is not old
     net.members["m2"] = m
     net.down.discard("m2")
-    heard, tick = m.heard, m.tick
-    m.heard = lambda now, source, message: heard(now - behind, source, message)  # type: ignore[method-assign]
+    receive, tick = m.receive, m.tick
+    m.receive = lambda now, source, message: receive(now - behind, source, message)  # type: ignore[method-assign]
 
     def run() -> None:
         tick(net.now - behind)
@@ -131,25 +132,29 @@
     assert net.agreed() and deaths(net) == set(gone)
     for n in net.up():
         view = net.members[n].view
-        assert view.version - before[n] <= 3 and len(view.members) == 20 and 0.6 < view.part < 0.7
+        assert (
+            view.version - before[n] <= 3
+            and len(view.members) == 20
+            and 0.6 < view.visible_fraction < 0.7
+        )
 
 
 @pytest.mark.parametrize("first", ["settling", "change"])
 def test_a_change_in_the_moment_in_which_a_view_settles_is_in_a_view(first: str) -> None:
     net = up(4)
     m = net.members["m0"]
-    dead = replace(m.members["m1"].record, state=State.DEAD)
-    back = replace(dead, state=State.ALIVE, incarnation=dead.incarnation + 1)
+    dead = replace(m.members["m1"].record, state=MemberState.DEAD)
+    back = replace(dead, state=MemberState.ALIVE, incarnation=dead.incarnation + 1)
     now = net.now
-    m.heard(now, net.address("m2"), Message("news", "m2", news=(dead,)))
+    m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(dead,)))
     now += 1000.0  # quiet for so long
     if first == "change":
-        m.heard(now, net.address("m2"), Message("news", "m2", news=(back,)))
+        m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
         m._settle(now)
     else:
         m._settle(now)
         assert "m1" not in m.view.members
-        m.heard(now, net.address("m2"), Message("news", "m2", news=(back,)))
+        m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
     m._settle(now + 1000.0)
     assert m.view.members == ("m0", "m1", "m2", "m3")
 
@@ -159,8 +164,10 @@
     m, now = net.members["m0"], net.now + 60000.0
     before = m.view.version
     for n in (1, 2, 3):
-        gone = replace(m.members[f"m{n}"].record, state=State.DEAD)
-        m.heard(now + 200 * n, net.address("m4"), Message("news", "m4", news=(gone,)))
+        gone = replace(m.members[f"m{n}"].record, state=MemberState.DEAD)
+        m.receive(
+            now + 200 * n, net.address("m4"), Message(MessageKind.GOSSIP, "m4", records=(gone,))
+        )
         m._settle(now + 200 * n + 50)
     assert m.view.version == before
     m._settle(now + 1600.0)
@@ -181,7 +188,7 @@
     before = net.members["m7"].members["m7"].record.incarnation
     net.stop(["m7"], 20.0)
     net.go(15)
-    assert len(net.think("m7", State.DEAD)) == 19
+    assert len(net.think("m7", MemberState.DEAD)) == 19
     assert net.until(net.agreed, 30) < 15
     assert deaths(net) == {"m7"}  # and it has not taken the others for dead meanwhile
     assert all(net.members[n].members["m7"].record.incarnation > before for n in net.up())
@@ -218,22 +225,31 @@
 def test_who_accuses_by_old_news_is_told_what_is_known_since() -> None:
     net = up(6)
     m, now = net.members["m0"].members["m1"].record, net.now
-    old = replace(m, incarnation=m.incarnation - 1, state=State.SUSPECTED, accuser="m2")
-    net.members["m0"].heard(now, net.address("m2"), Message("news", "m2", news=(old,)))
-    ((to, said),) = net.members["m0"].out
-    assert to == net.address("m2") and m in said.news
+    old = replace(m, incarnation=m.incarnation - 1, state=MemberState.SUSPECTED, accuser="m2")
+    net.members["m0"].receive(
+        now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(old,))
+    )
+    ((to, said),) = net.members["m0"].outbox
+    assert to == net.address("m2") and m in said.records
 
 
 def test_of_what_two_know_only_parts_that_differ_are_told() -> None:
     net = up(60)
     a, b = net.members["m0"], net.members["m1"]
-    assert a.marks() == b.marks() and len(set(a.marks())) > MARKS // 2
-    a.hang(b"news")
-    a.out, b.out = [], []
-    b.heard(net.now, a.address, Message("digest", "m0", a.digest(), marks=a.marks()))
-    told = [r.name for _, message in b.out for r in message.news]
+    assert (
+        a.partition_digests() == b.partition_digests()
+        and len(set(a.partition_digests())) > PARTITIONS // 2
+    )
+    a.set_metadata(b"news")
+    a.outbox, b.outbox = [], []
+    b.receive(
+        net.now,
+        a.address,
+        Message(MessageKind.DIGEST, "m0", a.digest(), partition_digests=a.partition_digests()),
+    )
+    told = [r.name for _, message in b.outbox for r in message.records]
     assert "m0" in told and len(told) <= 60 // 4
-    assert sum(message.whole for _, message in b.out) == 1
+    assert sum(message.full_sync for _, message in b.outbox) == 1
 
 
 def test_one_sided_cuts_between_one_and_some_kill_nobody() -> None:
@@ -253,7 +269,7 @@
     m = net.members["m3"]
     before = m.counts["accusations"]
     net.go(240)  # one in `SPARED_MS` of each at the most; it would be one in 47 s
-    assert m.counts.get("held_back", 0) > 0 and before <= (VAIN + 1) * len(others)
+    assert m.counts.get("held_back", 0) > 0 and before <= (MAX_UNCONFIRMED + 1) * len(others)
     assert m.counts["accusations"] - before <= 2 * len(others) and not deaths(net)
 
 
@@ -272,10 +288,10 @@
 def test_a_member_that_is_accused_from_one_place_alone_is_found_dead_by_the_others() -> None:
     net = up(8)
     m = net.members["m3"]
-    m.members["m5"].cleared.extend([net.now - 2000.0, net.now - 1000.0, net.now])
+    m.members["m5"].unconfirmed_at.extend([net.now - 2000.0, net.now - 1000.0, net.now])
     net.kill(["m5"])
     net.go(12)
-    assert len(net.think("m5", State.DEAD)) == 7
+    assert len(net.think("m5", MemberState.DEAD)) == 7
 
 
 def test_a_rack_that_is_cut_off_says_which_part_it_sees_and_comes_back() -> None:
@@ -284,11 +300,12 @@
     net.cuts(rack, rest)
     net.go(60)
     assert (
-        net.members["m0"].view.members == tuple(sorted(rack)) and net.members["m0"].view.part < 0.4
+        net.members["m0"].view.members == tuple(sorted(rack))
+        and net.members["m0"].view.visible_fraction < 0.4
     )
     assert (
         net.members["m9"].view.members == tuple(sorted(rest))
-        and 0.6 < net.members["m9"].view.part < 0.7
+        and 0.6 < net.members["m9"].view.visible_fraction < 0.7
     )
     net.cut.clear()
     assert net.until(net.agreed, 60) < 40
@@ -307,7 +324,7 @@
 
 def test_two_members_of_one_name_are_told_and_one_falls_silent() -> None:
     net = up(6)
-    net.members["m9"] = Members(
+    net.members["m9"] = Membership(
         net.now,
         "m2",
         net.address("m9"),
@@ -317,7 +334,7 @@
     )
     net.run("m9", net.members["m9"])
     net.go(30)
-    silent = [n for n in ("m2", "m9") if net.members[n].silent]
+    silent = [n for n in ("m2", "m9") if net.members[n].silenced]
     assert len(silent) == 1 and any("another member is named m2" in text for _, _, text in net.logs)
     last = max(m.members["m2"].record.incarnation for m in net.members.values())
     net.go(30)
@@ -351,17 +368,17 @@
     net.flush("m3", m)
     net.kill(["m3"])
     net.go(4)
-    assert len(net.think("m3", State.LEFT)) == 11 and not deaths(net)
+    assert len(net.think("m3", MemberState.LEFT)) == 11 and not deaths(net)
 
 
 def test_a_fact_reaches_all_and_the_last_one_goes() -> None:
     net = up(12)
-    net.members["m2"].hang(b"first")
-    net.members["m2"].hang(b"second")
+    net.members["m2"].set_metadata(b"first")
+    net.members["m2"].set_metadata(b"second")
     net.go(8)
-    assert {net.members[n].members["m2"].record.fact for n in net.up()} == {b"second"}
+    assert {net.members[n].members["m2"].record.metadata for n in net.up()} == {b"second"}
     with pytest.raises(ValueError):
-        net.members["m2"].hang(b"x" * 65)
+        net.members["m2"].set_metadata(b"x" * 65)
 
 
 def test_what_a_member_sends_does_not_grow_with_the_fleet() -> None:
@@ -378,14 +395,14 @@
 def test_old_and_forged_news_move_nothing() -> None:
     net = up(6)
     m = net.members["m0"]
-    m.members["m1"].record = Record("m1", net.address("m1"), 5, State.ALIVE)
+    m.members["m1"].record = Record("m1", net.address("m1"), 5, MemberState.ALIVE)
     m.counts.clear()
     before = dict(m.members)
-    for state in State:
-        m.heard(
+    for state in MemberState:
+        m.receive(
             net.now,
             net.address("m2"),
-            Message("news", "m2", news=(Record("m1", ("x", 1), 4, state),)),
+            Message(MessageKind.GOSSIP, "m2", records=(Record("m1", ("x", 1), 4, state),)),
         )
     assert m.members["m1"].record.incarnation == 5 and m.counts["stale"] == 4
     assert set(m.members) == set(before)
@@ -394,18 +411,16 @@
 def test_forged_names_take_a_bounded_memory_and_no_members_place() -> None:
     net = up(6)
     m = net.members["m0"]
-    for n in range(3 * MEMBERS_MOST):
-        state = State(n % 4)
-        m.heard(
+    for n in range(3 * MAX_MEMBERS):
+        state = MemberState(n % 4)
+        m.receive(
             net.now,
             ("10.9.0.1", 7),
-            Message("news", "m1", news=(Record(f"x{n}", ("x", 1), 1, state),)),
+            Message(MessageKind.GOSSIP, "m1", records=(Record(f"x{n}", ("x", 1), 1, state),)),
         )
-    m.out.clear()
-    assert (
-        len(m.members) == MEMBERS_MOST and len(m._news) <= MEMBERS_MOST and m.counts["crowded"] > 0
-    )
-    assert all(m.state_of(f"m{n}") == State.ALIVE for n in range(6))
+    m.outbox.clear()
+    assert len(m.members) == MAX_MEMBERS and len(m._news) <= MAX_MEMBERS and m.counts["crowded"] > 0
+    assert all(m.state_of(f"m{n}") == MemberState.ALIVE for n in range(6))
 
 
 # ---- the state machine, explored
@@ -430,12 +445,12 @@
         at = {f"m{n}": (f"10.0.0.{n}", 7) for n in range(count)}
         self.at, self.flying = at, list[tuple[str, str, Message]]()
         self.members = {
-            n: Members(0.0, n, a, (at["m0"],), Chance(ord(n[1]))) for n, a in at.items()
+            n: Membership(0.0, n, a, (at["m0"],), Chance(ord(n[1]))) for n, a in at.items()
         }
         for n, m in self.members.items():
             for other, address in at.items():
                 if other != n:
-                    m.members[other] = Member(Record(other, address, 1, State.ALIVE), 0.0)
+                    m.members[other] = Member(Record(other, address, 1, MemberState.ALIVE), 0.0)
             m._change(0.0)  # its view has them from the first quiet second on
         self.highest = {
             n: m.members[n].record.incarnation for n, m in self.members.items()
@@ -459,7 +474,7 @@
             ].due = self.now  # it was due just now; the others stood still or not
             self.members[what[1]].tick(self.now)
         elif what[0] == "restart":
-            self.members[what[1]] = Members(
+            self.members[what[1]] = Membership(
                 self.now, what[1], self.at[what[1]], (self.at["m0"],), Chance(99)
             )
             self.seen = {k: v for k, v in self.seen.items() if k[0] != what[1]}
@@ -469,13 +484,13 @@
             if what[0] != "twice":
                 del self.flying[what[1]]
             if what[0] != "lose":
-                self.members[to].heard(self.now, self.at[source], message)
+                self.members[to].receive(self.now, self.at[source], message)
         for n, m in self.members.items():
             names = {a: o for o, a in self.at.items()}
             self.flying += [
-                (n, names[to], message) for to, message in m.out if names.get(to, n) != n
+                (n, names[to], message) for to, message in m.outbox if names.get(to, n) != n
             ]
-            m.out = []
+            m.outbox = []
         del self.flying[:-8]  # the oldest are lost
         self.check()
 
@@ -485,7 +500,7 @@
         held dead after `HEALED_MS`, and all views are one after `SAME_MS`."""
         begun = self.now
         for m in self.members.values():
-            m.due = min(m.due, self.now + PERIOD_MS)
+            m.due = min(m.due, self.now + PROBE_PERIOD_MS)
         while self.now < begun + SAME_MS:
             self.now += 250.0
             for n, m in self.members.items():
@@ -497,7 +512,7 @@
                 self.step(("come", 0))
             if self.now >= begun + HEALED_MS:
                 for n, m in self.members.items():
-                    dead = [o for o, x in m.members.items() if x.record.state >= State.DEAD]
+                    dead = [o for o, x in m.members.items() if x.record.state >= MemberState.DEAD]
                     assert not dead, f"{n} holds {dead} for dead"
         views = {m.view.members for m in self.members.values()}
         assert views == {tuple(sorted(self.members))}, f"views differ: {views}"
@@ -511,10 +526,10 @@
                 assert r.incarnation >= self.seen.get((n, other), 0), "an incarnation went back"
                 self.seen[n, other] = r.incarnation
                 assert r.incarnation <= self.highest[other], "raised by another than its owner"
-                if r.state == State.DEAD:
+                if r.state == MemberState.DEAD:
                     self.dead[n, other] = r.incarnation
                 dead = self.dead.get((n, other), 0)
-                assert r.state >= State.DEAD or r.incarnation > dead, "the dead returned"
+                assert r.state >= MemberState.DEAD or r.incarnation > dead, "the dead returned"
 
     def key(self) -> str:
         known = [
@@ -525,7 +540,9 @@
             )
             for n, m in self.members.items()
         ]
-        return repr((known, [(a, b, m.kind, m.news) for a, b, m in self.flying], self.now // 2000))
+        return repr(
+            (known, [(a, b, m.kind, m.records) for a, b, m in self.flying], self.now // 2000)
+        )
 
 
 def explored(depth: int, most: int, count: int = 3) -> int:
@@ -582,7 +599,7 @@
 
 
 def _once(right: Callable) -> Callable:
-    def wrong(self: Members, now: float) -> None:
+    def wrong(self: Membership, now: float) -> None:
         if self.view.version < 1:
             right(self, now)
 
@@ -604,16 +621,16 @@
     wrong: dict[str, Callable], said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for method, made in wrong.items():
-        monkeypatch.setattr(Members, method, made(getattr(Members, method)))
+        monkeypatch.setattr(Membership, method, made(getattr(Membership, method)))
     with pytest.raises(AssertionError, match=said):
         for seed in range(12):
             walked(seed, 120).settle()
 
 
 def _raise_another(right: Callable) -> Callable:
-    def wrong(self: Members, now: float, name: str, asked: tuple[str, ...] = ()) -> None:
+    def wrong(self: Membership, now: float, name: str, asked: tuple[str, ...] = ()) -> None:
         m = self.members.get(name)
-        if m is not None and m.record.state == State.ALIVE:
+        if m is not None and m.record.state == MemberState.ALIVE:
             m.record = replace(m.record, incarnation=m.record.incarnation + 1)
         right(self, now, name, asked)
 
@@ -621,7 +638,7 @@
 
 
 def _take_all(right: Callable) -> Callable:
-    def wrong(self: Members, now: float, r: Record) -> None:
+    def wrong(self: Membership, now: float, r: Record) -> None:
         if r.name in self.members and r.name != self.name:
             self.members[r.name].record = r
         else:
@@ -640,7 +657,7 @@
 def test_a_fault_put_in_on_purpose_breaks_an_invariant(
     method: str, wrong: Callable, said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Members, method, wrong(getattr(Members, method)))
+    monkeypatch.setattr(Membership, method, wrong(getattr(Membership, method)))
     with pytest.raises(AssertionError, match=said):
         for seed in range(40):
             walked(seed, 150)
@@ -652,11 +669,12 @@
 def test_a_datagram_is_read_as_it_was_written_and_nothing_else_is() -> None:
     codec, rng = Codec("f"), random.Random(3)
     news = tuple(
-        Record(f"m{n}", ("10.0.0.1", 7946), n, State(n % 4), "m2", n, b"\x00" * n) for n in range(8)
+        Record(f"m{n}", ("10.0.0.1", 7946), n, MemberState(n % 4), "m2", n, b"\x00" * n)
+        for n in range(8)
     )
-    m = Message("ask", "m1", 77, "m2", news, True)
+    m = Message(MessageKind.PROBE_REQUEST, "m1", 77, "m2", news, True)
     data = codec.write(m)
-    assert codec.read(data) == m and len(data) <= BYTES_MOST
+    assert codec.read(data) == m and len(data) <= MAX_BYTES
     for at in range(len(data)):
         turned = bytearray(data)
         turned[at] ^= 1 << rng.randrange(8)
@@ -666,8 +684,8 @@
     for other, said in ((Codec("g"), "foreign"), (Codec("f", b"key"), "torn")):
         with pytest.raises(ValueError, match=said):
             other.read(data)
-    many = Message("news", "m1", news=news * 40)
-    assert len(codec.write(many)) <= BYTES_MOST and codec.read(codec.write(many)).news[:8] == news
+    many = Message(MessageKind.GOSSIP, "m1", records=news * 40)
+    assert len(codec.write(many)) <= MAX_BYTES and codec.read(codec.write(many)).records[:8] == news
 
 
 def test_what_a_later_version_adds_is_skipped_and_what_is_wrong_inside_is_refused() -> None:
@@ -677,18 +695,19 @@
 
     def made(body: object) -> bytes:
         raw = msgspec.msgpack.encode(body)
-        return codec.write(Message("news", "m"))[:12] + codec._check(raw) + raw
+        return codec.write(Message(MessageKind.GOSSIP, "m"))[:12] + codec._check(raw) + raw
 
     record = ["m1", "10.0.0.1", 7946, 1, 0, "", 0, b""]
-    good = [3, "m1", 0, "", False, [[*record, "more", 2]], [7] * MARKS, b"data", {"later": 1}]
+    good = [3, "m1", 0, "", False, [[*record, "more", 2]], [7] * PARTITIONS, b"data", {"later": 1}]
     assert (
-        codec.read(made(good)).news[0].name == "m1" and codec.read(made(good)).marks == (7,) * MARKS
+        codec.read(made(good)).records[0].name == "m1"
+        and codec.read(made(good)).partition_digests == (7,) * PARTITIONS
     )
-    assert codec.read(made(good)).data == b"data"
-    assert codec.read(made(good[:6])).marks == ()  # an earlier version tells none
-    assert codec.read(made(good[:7])).data == b""  # nor of this
-    few = [7] * (MARKS - 1)
-    bad = ((6, few), (6, [*few, 1 << 16]), (6, [*few, -1]), (6, 5), (6, ["x"] * MARKS))
+    assert codec.read(made(good)).payload == b"data"
+    assert codec.read(made(good[:6])).partition_digests == ()  # an earlier version tells none
+    assert codec.read(made(good[:7])).payload == b""  # nor of this
+    few = [7] * (PARTITIONS - 1)
+    bad = ((6, few), (6, [*few, 1 << 16]), (6, [*few, -1]), (6, 5), (6, ["x"] * PARTITIONS))
     bad += ((7, "text"), (7, b"x" * 1001))
     for at, value in ((0, 9), (1, ""), (1, 5), (2, -1), (4, 1), (5, [record[:5]]), (5, 7), *bad):
         with pytest.raises(ValueError, match="wrong"):
@@ -719,7 +738,7 @@
     s = Sockets(1)
     assert s.node.admin_server.answer(b"MEMBERS") == b"NO no members here"
     port = attach(settings({"listen": "10.0.0.1:7946"}), s.node)
-    suspect = Record("n2", ("10.0.0.2", 7946), 3, State.SUSPECTED, "n9")
+    suspect = Record("n2", ("10.0.0.2", 7946), 3, MemberState.SUSPECTED, "n9")
     port.members.members["n2"] = Member(suspect, s.node.clock.now())
     lines = s.node.admin_server.answer(b"MEMBERS").decode().splitlines()
     assert lines[0].startswith("view=0 members=1") and lines[-1] == "END"
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -15,33 +15,42 @@
 )
 from test_members import World
 
-from hookpitch.members.codec import BYTES_MOST, HEAD, KINDS, NAME_MOST, Codec
-from hookpitch.members.state import FACT_MOST, GOSSIP_MOST, MARKS, Members, Message, Record, State
+from hookpitch.members.codec import HEAD, KINDS, MAX_BYTES, MAX_NAME_CHARS, Codec
+from hookpitch.members.state import (
+    MAX_METADATA_BYTES,
+    MAX_RECORDS_PER_DATAGRAM,
+    PARTITIONS,
+    Membership,
+    MemberState,
+    Message,
+    MessageKind,
+    Record,
+)
 
 # The same examples each time: a run that finds something finds it again.
 SAME = settings(
     derandomize=True, database=None, deadline=None, suppress_health_check=list(HealthCheck)
 )
-NAMES = st.text(min_size=1, max_size=NAME_MOST)
+NAMES = st.text(min_size=1, max_size=MAX_NAME_CHARS)
 COUNTS = st.integers(0, (1 << 62) - 1)
 RECORDS = st.builds(
     Record,
     NAMES,
     st.tuples(NAMES, st.integers(0, 65535)),
     COUNTS,
-    st.sampled_from(State),
-    st.text(max_size=NAME_MOST),
+    st.sampled_from(MemberState),
+    st.text(max_size=MAX_NAME_CHARS),
     COUNTS,
-    st.binary(max_size=FACT_MOST),
+    st.binary(max_size=MAX_METADATA_BYTES),
 )
-MARKED = st.one_of(st.just(()), st.tuples(*[st.integers(0, 65535)] * MARKS))
+MARKED = st.one_of(st.just(()), st.tuples(*[st.integers(0, 65535)] * PARTITIONS))
 MESSAGES = st.builds(
     Message,
     st.sampled_from(KINDS),
     NAMES,
     COUNTS,
-    st.text(max_size=NAME_MOST),
-    st.lists(RECORDS, max_size=GOSSIP_MOST).map(tuple),
+    st.text(max_size=MAX_NAME_CHARS),
+    st.lists(RECORDS, max_size=MAX_RECORDS_PER_DATAGRAM).map(tuple),
     st.booleans(),
     MARKED,
     st.binary(max_size=300),
@@ -53,12 +62,13 @@
 def test_what_is_written_is_read_and_has_its_bounds(message: Message) -> None:
     data = Codec("f").write(message)
     back = Codec("f").read(data)
-    assert len(data) <= BYTES_MOST
+    assert len(data) <= MAX_BYTES
     assert (
-        back.news == message.news[: len(back.news)] and replace(back, news=message.news) == message
+        back.records == message.records[: len(back.records)]
+        and replace(back, records=message.records) == message
     )
-    if len(back.news) < len(message.news):  # left out: the next would not have fitted
-        one_more = replace(message, news=message.news[: len(back.news) + 1])
+    if len(back.records) < len(message.records):  # left out: the next would not have fitted
+        one_more = replace(message, records=message.records[: len(back.records) + 1])
         assert len(Codec("f").write(one_more)) == len(data)
 
 
@@ -89,12 +99,21 @@
             true[data.draw(st.integers(0, len(true) - 1))] = data.draw(st.integers(0, 255))
         body = bytes(true)
     try:
-        m = codec.read(codec.write(Message("news", "m"))[:12] + codec._check(body) + body)
+        m = codec.read(
+            codec.write(Message(MessageKind.GOSSIP, "m"))[:12] + codec._check(body) + body
+        )
     except ValueError as fault:
         assert str(fault) == "wrong"
         return
-    assert m.kind in KINDS and 0 < len(m.sender) <= NAME_MOST and len(m.marks) in (0, MARKS)
-    assert all(0 < len(r.name) <= NAME_MOST and len(r.fact) <= FACT_MOST for r in m.news)
+    assert (
+        m.kind in KINDS
+        and 0 < len(m.sender) <= MAX_NAME_CHARS
+        and len(m.partition_digests) in (0, PARTITIONS)
+    )
+    assert all(
+        0 < len(r.name) <= MAX_NAME_CHARS and len(r.metadata) <= MAX_METADATA_BYTES
+        for r in m.records
+    )
 
 
 class Any(RuleBasedStateMachine):
@@ -123,7 +142,7 @@
     @invariant()
     def what_is_sent_is_bounded(self) -> None:
         for _, _, message in self.world.flying:
-            assert len(Codec("f").write(message)) <= BYTES_MOST
+            assert len(Codec("f").write(message)) <= MAX_BYTES
 
 
 class Settles(Any):
@@ -146,14 +165,14 @@
 
 
 def test_a_fault_put_in_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = Members._take
+    right = Membership._take
 
-    def wrong(self: Members, now: float, r: Record) -> None:
+    def wrong(self: Membership, now: float, r: Record) -> None:
         if r.name in self.members and r.name != self.name:
             self.members[r.name].record = r  # old news, too
         right(self, now, r)
 
-    monkeypatch.setattr(Members, "_take", wrong)
+    monkeypatch.setattr(Membership, "_take", wrong)
     with pytest.raises(AssertionError, match="an incarnation went back|the dead returned"):
         # Found is enough: it need not be the shortest history, nor the only fault.
         found = settings(
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -16,17 +16,17 @@
 from hookpitch.net import snapshot_store
 from hookpitch.net.operator_settings import load as load_operator
 from hookpitch.startup.snapshot_format import (
-    BYTES_MOST,
     FORMAT,
     HEAD,
+    MAX_BYTES,
     BackendSnapshot,
     HotBucket,
     MovedBucket,
     Snapshot,
-    read,
-    write,
+    decode,
+    encode,
 )
-from hookpitch.startup.snapshot_state import entries, recalled, taken
+from hookpitch.startup.snapshot_state import capture, endpoints, restore
 from hookpitch.testbed.experiment import read as read_experiment
 from hookpitch.testbed.run import Run
 
@@ -55,22 +55,22 @@
 
 
 def learned(f: Fleet, **changes: object) -> Snapshot:
-    return msgspec.structs.replace(taken(f.router, f.now, "fleet", "n1", 41, DIALS), **changes)
+    return msgspec.structs.replace(capture(f.router, f.now, "fleet", "n1", 41, DIALS), **changes)
 
 
 def begun(x: Snapshot, later_ms: float, servers: list = SERVERS) -> Fleet:
     """A node that starts so much later and recalls it."""
     f = Fleet(deployment(nodes=1, slow_start_ms=20000.0))
-    f.now = x.written + later_ms
+    f.now = x.written_at_ms + later_ms
     f.router = type(f.router)(f.now, f.d)
     f.listed(servers, EndpointUpdate.CACHED)
-    recalled(f.router, f.now, x)
+    restore(f.router, f.now, x)
     return f
 
 
 def test_what_was_learned_comes_back_and_fades_with_its_age() -> None:
     f = busy()
-    x = read(write(learned(f)))
+    x = decode(encode(learned(f)))
     assert x == learned(f)
     best = max((s for s in f.router.caches if not s.off), key=lambda s: s.limit)
     limits = [begun(x, ms).router.servers[best.id].limit for ms in (0.0, 60000.0, 3600000.0)]
@@ -97,26 +97,27 @@
         BackendSnapshot(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0)
         for e in SERVERS
     )
-    new = begun(learned(f, servers=known), 100.0)
+    new = begun(learned(f, backends=known), 100.0)
     assert not any(s.off for s in new.router.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
-    new = begun(learned(f, servers=known), 100.0, alone)
+    new = begun(learned(f, backends=known), 100.0, alone)
     assert not new.router.servers["s3"].off and new.txs[new.arrive("k")]
-    assert begun(learned(f, servers=known[:2]), 100.0).router.servers["s0"].off
+    assert begun(learned(f, backends=known[:2]), 100.0).router.servers["s0"].off
 
 
 def test_a_server_that_started_since_is_cold_whatever_the_snapshot_says() -> None:
     f = busy()
     x = learned(f)
-    fresh = [replace(e, started_ms=x.written + 500.0) if e.id == "s1" else e for e in SERVERS]
+    fresh = [replace(e, started_ms=x.written_at_ms + 500.0) if e.id == "s1" else e for e in SERVERS]
     new = begun(x, 1000.0, fresh)
     s = new.router.servers["s1"]
     assert s.cold_until > new.now and s.limit <= 2.0 and not s.ok
     # And one that was cold as it was written is so for the rest of its time, no longer.
     cold = tuple(
-        replace_known(k, cold_until=x.written + 9e9) if k.id == "s1" else k for k in x.servers
+        replace_known(k, warmup_until_ms=x.written_at_ms + 9e9) if k.id == "s1" else k
+        for k in x.backends
     )
-    new = begun(msgspec.structs.replace(x, servers=cold), 1000.0)
+    new = begun(msgspec.structs.replace(x, backends=cold), 1000.0)
     assert new.now < new.router.servers["s1"].cold_until <= new.now + 20000.0
 
 
@@ -130,7 +131,7 @@
     to = next(s.id for s in f.router.caches if s is not b.home)
     x = learned(
         f,
-        moved=(
+        moved_buckets=(
             MovedBucket(77, (), (), to),
             MovedBucket(78, ("other",), (), to),
             MovedBucket(10**9, (), (), to),
@@ -152,34 +153,34 @@
 
 
 def test_what_is_cut_or_turned_at_any_byte_is_never_taken() -> None:
-    data = write(learned(busy()))
+    data = encode(learned(busy()))
     for end in range(len(data)):
         with pytest.raises(ValueError):
-            read(data[:end])
+            decode(data[:end])
     rng = random.Random(4)
     for at in range(len(data)):
         turned = bytearray(data)
         turned[at] ^= 1 << rng.randrange(8)
         with pytest.raises(ValueError):
-            read(bytes(turned))
+            decode(bytes(turned))
     with pytest.raises(ValueError, match="torn"):
-        read(data + b"x")
+        decode(data + b"x")
 
 
 def test_a_newer_version_is_told_and_unknown_fields_are_skipped() -> None:
     from hashlib import blake2b
 
-    data = write(learned(fleet()))
+    data = encode(learned(fleet()))
     newer = HEAD.pack(b"HKPS", FORMAT + 1, *HEAD.unpack_from(data)[2:]) + data[HEAD.size :]
     with pytest.raises(ValueError, match="newer version"):
-        read(newer)
+        decode(newer)
     body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {"later": [1, 2]})
     check = blake2b(body, digest_size=16).digest()
-    assert read(HEAD.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
+    assert decode(HEAD.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
     for field, value in (("written", float("nan")), ("sighted", -1.0), ("seq", "x")):
         body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {field: value})
         with pytest.raises(ValueError):
-            read(
+            decode(
                 HEAD.pack(b"HKPS", FORMAT, len(body), blake2b(body, digest_size=16).digest()) + body
             )
 
@@ -193,8 +194,8 @@
         MovedBucket(n % 4096, ("kind" * 20,), ("zone" * 20,), "s" * 200) for n in range(9000)
     )
     heavy = tuple(HotBucket(n, (), (), 9.0) for n in range(4096))
-    data = write(learned(fleet(), servers=many, moved=moved, heavy=heavy))
-    assert len(data) <= BYTES_MOST and read(data).heavy[0] == heavy[0]
+    data = encode(learned(fleet(), backends=many, moved_buckets=moved, hot_buckets=heavy))
+    assert len(data) <= MAX_BYTES and decode(data).hot_buckets[0] == heavy[0]
 
 
 # ---- on a disk
@@ -215,7 +216,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "n.snapshot"
-    old, new = write(learned(fleet(), seq=1)), write(learned(fleet(), seq=2))
+    old, new = encode(learned(fleet(), version=1)), encode(learned(fleet(), version=2))
     snapshot_store.store(str(path), old)
     real, left = os.write, [0]
 
@@ -233,10 +234,10 @@
         left[0] = end
         with pytest.raises(OSError):
             snapshot_store.store(str(path), new)
-        assert snapshot_store.load(str(path)).seq == 1
+        assert snapshot_store.load(str(path)).version == 1
     left[0] = len(new)
     snapshot_store.store(str(path), new)
-    assert snapshot_store.load(str(path)).seq == 2
+    assert snapshot_store.load(str(path)).version == 2
 
 
 def test_a_node_recalls_what_the_process_before_it_wrote(tmp_path: Path) -> None:
@@ -245,7 +246,9 @@
     assert s.counters.counts["snapshot.none"] == 1
     s.node.discovery.seq = 77
     s.pass_time(11000)
-    assert s.counters.counts["snapshot.written"] >= 1 and snapshot_store.load(str(path)).seq == 77
+    assert (
+        s.counters.counts["snapshot.written"] >= 1 and snapshot_store.load(str(path)).version == 77
+    )
     again = node(path)
     assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.seq == 77
     c = again.client()
@@ -303,7 +306,7 @@
 
 def test_no_device_or_link_is_read_in_its_place(tmp_path: Path) -> None:
     target = tmp_path / "real"
-    target.write_bytes(write(learned(fleet())))
+    target.write_bytes(encode(learned(fleet())))
     (tmp_path / "link").symlink_to(target)
     os.mkfifo(tmp_path / "pipe")
     for name in ("link", "pipe"):
@@ -333,7 +336,7 @@
 
 def test_on_call_staff_can_read_one(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
-    path.write_bytes(write(learned(busy())))
+    path.write_bytes(encode(learned(busy())))
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
     assert said.exit_code == 0 and "node n1 of fleet fleet" in said.output and "s2" in said.output
     said = CliRunner().invoke(main, ["snapshot", "show", "--json", str(path)])
@@ -363,5 +366,5 @@
 
 
 def test_a_list_of_before_is_dialled_where_it_says() -> None:
-    some, dials = entries(learned(fleet()))
+    some, dials = endpoints(learned(fleet()))
     assert {e.id for e in some} == set(DIALS) and dials == DIALS
