--- a/hookpitch/__main__.py
+++ b/hookpitch/__main__.py
@@ -27,25 +27,31 @@
     try:
         told, sections = load_node_config(os.environ), {}
         if os.environ.get("HOOKPITCH_CONFIG"):  # what is off is not even imported
-            from hookpitch.net.operator_settings import house
+            from hookpitch.net.operator_settings import operator_settings_from
 
-            sections = house(os.environ).sections
+            sections = operator_settings_from(os.environ).sections
     except ValueError as fault:
         print(f"hookpitch: cannot start: {fault}", file=sys.stderr)
         return 2
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = told.sockets if hard == resource.RLIM_INFINITY else min(told.sockets, hard)
+    most = (
+        told.descriptor_limit
+        if hard == resource.RLIM_INFINITY
+        else min(told.descriptor_limit, hard)
+    )
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
     # Danger: Twisted's timers go by the wall clock, and one set back would hold up every deadline.
     counters = Counters()
     reactor = prioritized_reactor.install()
     reactor.seconds = time.monotonic
-    logger = log.start(told.name, counters)
+    logger = log.start_logging(told.name, counters)
     node = SocketNode(reactor, Clock(reactor), told, counters, logger)
     if "snapshot" in sections:
-        from hookpitch.net.snapshot_store import SnapshotStore, in_thread
+        from hookpitch.net.snapshot_store import SnapshotStore, run_in_thread
 
-        node.snapshot_store = SnapshotStore(sections["snapshot"], node, partial(in_thread, reactor))
+        node.snapshot_store = SnapshotStore(
+            sections["snapshot"], node, partial(run_in_thread, reactor)
+        )
     if "members" in sections:
         from hookpitch.members.port import attach
 
@@ -54,7 +60,7 @@
     reload = partial(node.reload, partial(load_reloaded_config, os.environ))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload))
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(node.leave))
+        signal.signal(number, lambda *_: reactor.callFromThread(node.shut_down))
     for tries in range(LISTEN_TRIES):
         try:
             node.start()
--- a/hookpitch/cli/node.py
+++ b/hookpitch/cli/node.py
@@ -42,7 +42,7 @@
             from hookpitch.net.node_config import load_node_config
 
             told = load_node_config({"PROXY_CONFIG": str(path)})
-            click.echo(f"{path}: node {told.name}, {len(told.known)} servers known")
+            click.echo(f"{path}: node {told.name}, {len(told.initial_endpoints)} servers known")
         else:
             text = path.read_text(encoding="utf-8")
             if "[lab]" in text or "\n[[fault]]" in text or text.startswith("name ="):
@@ -53,9 +53,9 @@
                     f"{path}: experiment {x.name}, {len(x.fault)} faults, {len(x.expect)} expectations"  # noqa: E501
                 )
             else:
-                from hookpitch.net.operator_settings import load
+                from hookpitch.net.operator_settings import load_operator_settings
 
-                click.echo(f"{path}: {load(path).told()}")
+                click.echo(f"{path}: {load_operator_settings(path).summary()}")
     except (ValueError, OSError) as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
--- a/hookpitch/cli/snapshot.py
+++ b/hookpitch/cli/snapshot.py
@@ -21,11 +21,11 @@
     """Print what FILE holds, without changing it."""
     import msgspec
 
-    from hookpitch.net.snapshot_store import load
+    from hookpitch.net.snapshot_store import load_snapshot
     from hookpitch.startup.snapshot_state import HALF_MS
 
     try:
-        x = load(str(path))
+        x = load_snapshot(str(path))
     except ValueError as fault:
         click.echo(f"{path}: {fault}", err=True)
         sys.exit(2)
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -251,7 +251,7 @@
             return
         (entries, dials), self.waiting = self.waiting, None
         if not self.held().told:
-            self.node.known(0, entries, dials)
+            self.node.apply_cached_endpoints(0, entries, dials)
 
     def leave(self) -> None:
         """Say goodbye; datagrams that come are heard no more."""
@@ -286,5 +286,5 @@
     port = Port(
         told, node.config.name, d.seed, node.clock, node.logger.info, node.host.counters.add, node
     )
-    node.peers = port
+    node.membership = port
     return port
--- a/hookpitch/net/clock.py
+++ b/hookpitch/net/clock.py
@@ -23,8 +23,8 @@
         self._offset = unix() - monotonic()
         self._call: Any = None
         self.deadlines = Deadlines(self._arm)
-        self.late: Callable[[float, float], None] | None = None  # told the time and by how much
-        self.late_ms = float("inf")
+        self.on_late: Callable[[float, float], None] | None = None  # told the time and by how much
+        self.late_threshold_ms = float("inf")
 
     def now(self) -> float:
         return (self._monotonic() + self._offset) * 1000
@@ -40,10 +40,10 @@
         self._call = None
         now = self.now()
         by = now - self.deadlines.first
-        if by > self.late_ms and self.late is not None:
+        if by > self.late_threshold_ms and self.on_late is not None:
             # Danger: after a pause, what came in time stands unread, and its deadline would be seen
             # first.
-            self.late(now, by)
+            self.on_late(now, by)
             self._call = self._reactor.callLater(0, self._run_all)
             return
         self.deadlines.run(now)
--- a/hookpitch/net/log.py
+++ b/hookpitch/net/log.py
@@ -12,7 +12,7 @@
 
 from hookpitch.core.counters import Counters
 
-LINES_MOST = 64  # of faults in full; further ones are only counted
+MAX_FAULT_LINES = 64  # of faults in full; further ones are only counted
 
 
 class _Sink:
@@ -33,7 +33,7 @@
         pass
 
 
-def start(name: str, counters: Counters) -> Any:  # noqa: ANN401
+def start_logging(name: str, counters: Counters) -> Any:  # noqa: ANN401
     """The node's logger. Faults that Twisted catches go there as well, and are counted."""
     structlog.configure(
         processors=[
@@ -48,7 +48,7 @@
     def observe(event: dict[str, Any]) -> None:
         if event.get("log_level") in (LogLevel.error, LogLevel.critical):
             counters.add("faults")
-            if counters.counts["faults"] <= LINES_MOST:
+            if counters.counts["faults"] <= MAX_FAULT_LINES:
                 failure = event.get("log_failure")
                 text = failure.getTraceback() if failure else str(event.get("log_format"))
                 logger.error("fault", text=text)
--- a/hookpitch/net/loop_monitor.py
+++ b/hookpitch/net/loop_monitor.py
@@ -15,13 +15,13 @@
     def __init__(self, clock: Clock, host: Host, cpu: Callable[[], float]) -> None:
         """`cpu` tells the process's CPU time in seconds."""
         self.clock, self.host, self._cpu, self._used = clock, host, cpu, cpu()
-        clock.late = self._late
+        clock.on_late = self._late
         self.reconfigured()
         self._next()
 
     def reconfigured(self) -> None:
         """How late counts as away, by the settings' shortest soft deadline."""
-        self.clock.late_ms = AWAY * self.host.admission.aim
+        self.clock.late_threshold_ms = AWAY * self.host.admission.aim
 
     def _next(self) -> None:
         due = self.clock.now() + self.host.admission.window
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -12,7 +12,7 @@
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate
 from hookpitch.core.counters import Counters
 from hookpitch.core.host import Host
-from hookpitch.net.admin import CALLERS, SPARE, AdminServer
+from hookpitch.net.admin import MAX_CALLERS, MAX_CLOSING, AdminServer
 from hookpitch.net.backend_pools import BackendPools
 from hookpitch.net.clients import Clients
 from hookpitch.net.clock import Clock
@@ -26,9 +26,11 @@
 if TYPE_CHECKING:
     from hookpitch.net.snapshot_store import SnapshotStore
 
-BACKLOG = 4096
+LISTEN_BACKLOG = 4096
 OWN = 14  # descriptors: standard ones, the poller's, discovery's two, Twisted's reserve
-ADMIN_DESCRIPTORS = CALLERS + SPARE + 4  # the door's, the inherited socket's and the shared files'
+ADMIN_DESCRIPTORS = (
+    MAX_CALLERS + MAX_CLOSING + 4
+)  # the door's, the inherited socket's and the shared files'
 FIRST_LIST_MS = 1500.0  # a process with an inherited socket waits so long for its first list
 FOLLOW_MS = 200.0  # between two looks at what the node's other process was told
 PARTING_MS = 400.0  # over which a process that another follows closes what is idle
@@ -41,7 +43,7 @@
 ARRIVE_MS = 40.0  # of it for them to arrive, before the process's end resets what has bytes unread
 
 
-class Peers(Protocol):
+class Membership(Protocol):
     """A node's place among the others (`members/port.py`)."""
 
     def start(self, reactor: Any) -> None: ...  # noqa: ANN401
@@ -64,56 +66,71 @@
         self.host = Host(clock.now(), config.deployment, clock.deadlines, counters, logger)
         # Half of the descriptors for servers, the rest for clients; some for the log, discovery and
         # the like, and some for clients that are only told that there is no room.
-        own = OWN + (ADMIN_DESCRIPTORS if config.management is not None else 0)
-        third, guests = config.sockets // 3, max(4, config.sockets // 32)
-        servers = min(config.sockets // 2, config.sockets - third - guests - own)
+        own = OWN + (ADMIN_DESCRIPTORS if config.admin_address is not None else 0)
+        third, guests = config.descriptor_limit // 3, max(4, config.descriptor_limit // 32)
+        servers = min(config.descriptor_limit // 2, config.descriptor_limit - third - guests - own)
         self.pools = BackendPools(reactor, clock, self.host, servers, OriginConnection)
-        room = config.sockets - servers - guests - own
+        room = config.descriptor_limit - servers - guests - own
         self.clients = Clients(self.host, clock, third, config.memory_mb << 19, room, guests)
         self.host.value_budget.most = config.memory_mb << 18  # a quarter of the memory
         self.loop_monitor = LoopMonitor(clock, self.host, cpu)
         self.discovery = Discovery(
-            reactor, clock, self.host, config.discovery, config.seq, config.memory_mb << 15
+            reactor,
+            clock,
+            self.host,
+            config.discovery_address,
+            config.endpoints_version,
+            config.memory_mb << 15,
         )
         self.host.transport = self.pools
-        self.leaving = self.paused = self.up = self.parted = False
+        self.shutting_down = self.paused = self.serving = self.parted = False
         self.pauses = 0  # so far; a drain's later steps are its own
-        self.port: Any = None
-        self.entry: Any = None
+        self.listening_port: Any = None
+        self.admin_port: Any = None
         self.admin_server = AdminServer(clock, self, counters.add)
-        self.shared: SharedState | None = None
-        self.phases = Start(clock.now())
-        self.peers: Peers | None = (
+        self.shared_state: SharedState | None = None
+        self.start_phases = Start(clock.now())
+        self.membership: Membership | None = (
             None  # its place among the members, where the operator's file has one
         )
         self.snapshot_store: SnapshotStore | None = (
             None  # of a snapshot, where the operator's file has one
         )
-        self.processes, self._look = 1, False  # of this node, as last seen; whether to look again
+        self.process_count, self._look = (
+            1,
+            False,
+        )  # of this node, as last seen; whether to look again
         self.whole = servers, room, self.host.value_budget.most  # what one process alone may hold
 
     def start(self) -> None:
         """Raises CannotListenError; then it may be called again."""
-        address, port = self.config.listen
-        if self.config.management is not None and self.entry is None:
+        address, port = self.config.listen_address
+        if self.config.admin_address is not None and self.admin_port is None:
             # Danger: an operator's call that waits behind hundreds of clients.
             listen = getattr(self.reactor, "listenFirst", self.reactor.listenTCP)
-            self.entry = listen(
-                self.config.management[1], self.admin_server, CALLERS, self.config.management[0]
+            self.admin_port = listen(
+                self.config.admin_address[1],
+                self.admin_server,
+                MAX_CALLERS,
+                self.config.admin_address[0],
             )
-        if self.config.inherited is None:
-            self.port = self.reactor.listenTCP(
-                port, self.clients, backlog=BACKLOG, interface=address
+        if self.config.inherited_descriptor is None:
+            self.listening_port = self.reactor.listenTCP(
+                port, self.clients, backlog=LISTEN_BACKLOG, interface=address
             )
-        self.known(self.config.seq, list(self.config.known), self.config.dials)
+        self.apply_cached_endpoints(
+            self.config.endpoints_version,
+            list(self.config.initial_endpoints),
+            self.config.addresses,
+        )
         if self.snapshot_store is not None:
-            self.snapshot_store.recall()
+            self.snapshot_store.restore()
         self.clock.deadlines.add(self.clock.now() + PHASE_MS, self._phase)
-        if self.peers is not None:
-            self.peers.start(self.reactor)
-        if self.config.management is not None and self.config.shared:
+        if self.membership is not None:
+            self.membership.start(self.reactor)
+        if self.config.admin_address is not None and self.config.shared_directory:
             self._share()
-        if self.config.inherited is None:
+        if self.config.inherited_descriptor is None:
             self.discovery.begin()
             self._serve()
             return
@@ -123,7 +140,9 @@
         self.discovery.watch(self.clock.now())
         self.clock.deadlines.add(self.clock.now() + FIRST_LIST_MS, lambda _: self._serve())
 
-    def known(self, seq: int, entries: list[Endpoint], dials: Mapping[str, str]) -> None:
+    def apply_cached_endpoints(
+        self, seq: int, entries: list[Endpoint], dials: Mapping[str, str]
+    ) -> None:
         """The list of before, until discovery tells one."""
         self.discovery.seq = seq
         self.host.update_endpoints(self.clock.now(), EndpointUpdate.CACHED, entries, dials)
@@ -131,23 +150,27 @@
     def _serve(self) -> None:
         """Clients are taken from now on."""
         self.discovery.first = None
-        if self.up or self.leaving:
+        if self.serving or self.shutting_down:
             return
-        self.up = True
-        if self.config.inherited is not None:
+        self.serving = True
+        if self.config.inherited_descriptor is not None:
             # Danger: the socket is shared with other processes. It is adopted as it is, and only
             # closed here.
-            os.set_blocking(self.config.inherited, False)
-            family = socket.AF_INET6 if ":" in self.config.listen[0] else socket.AF_INET
-            self.port = self.reactor.adoptStreamPort(self.config.inherited, family, self.clients)
-        address, port = self.config.listen
-        self.logger.info("serving", listen=f"{address}:{port}", servers=len(self.config.known))
+            os.set_blocking(self.config.inherited_descriptor, False)
+            family = socket.AF_INET6 if ":" in self.config.listen_address[0] else socket.AF_INET
+            self.listening_port = self.reactor.adoptStreamPort(
+                self.config.inherited_descriptor, family, self.clients
+            )
+        address, port = self.config.listen_address
+        self.logger.info(
+            "serving", listen=f"{address}:{port}", servers=len(self.config.initial_endpoints)
+        )
 
     def _phase(self, now: float) -> None:
         caches = [s for s in self.host.router.caches if s.state == EndpointState.READY]
         asked = [s for s in caches if s.sent or s.rate or s.heard]
         answered, known = sum(s.heard > 0 for s in asked), sum(s.heard >= ENOUGH for s in asked)
-        counters, phases = self.host.counters, self.phases
+        counters, phases = self.host.counters, self.start_phases
         listed = any(name in counters.counts for name in ("lists.full", "lists.delta"))
         if phases.look(now, Seen(listed, len(asked), answered, known)):
             took = round(now - phases.begun)
@@ -170,14 +193,14 @@
 
     # ---- operators
 
-    def ready(self) -> str:
-        if self.leaving or self.paused:
-            return "leaving" if self.leaving else "draining"
-        if self.up and not self.host.router.servers:
+    def not_ready_reason(self) -> str:
+        if self.shutting_down or self.paused:
+            return "leaving" if self.shutting_down else "draining"
+        if self.serving and not self.host.router.servers:
             return "no list of servers yet"
-        return "" if self.up else "starting"
+        return "" if self.serving else "starting"
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         counts = self.host.counters.counts
         by_method = [
             (f"{name}.{m.name}", counts.get(f"{name}.{m.name}", 0))
@@ -193,12 +216,12 @@
             ("config_reloads", counts.get("config_reloads", 0)),
             ("config_reload_errors", counts.get("config_reload_errors", 0)),
             ("config_changes", counts.get("config_changes", 0)),
-            ("start_phase", int(self.phases.phase)),
+            ("start_phase", int(self.start_phases.phase)),
         ]
         return by_method + more
 
-    def told(self) -> list[str]:
-        return self.peers.lines() if self.peers is not None else []
+    def membership_lines(self) -> list[str]:
+        return self.membership.lines() if self.membership is not None else []
 
     def suspend(self, id: str) -> str:
         if not self.host.bannable(id):
@@ -213,13 +236,13 @@
         return ""
 
     def pause(self) -> str:
-        if self.leaving:
+        if self.shutting_down:
             return "leaving"
         self._do("PAUSE", "")
         return ""
 
     def resume(self) -> str:
-        if self.leaving:
+        if self.shutting_down:
             return "leaving"
         self._do("RESUME", "")
         return ""
@@ -227,7 +250,7 @@
     def _do(self, verb: str, what: str) -> None:
         """A call, here and in the node's other process, in the order of the file that they
         share."""
-        if self.shared is None or not self.shared.tell(verb, what):
+        if self.shared_state is None or not self.shared_state.append(verb, what):
             self._carry_out(verb, what)
         else:
             self._catch_up()
@@ -251,29 +274,32 @@
             number = self.pauses
             at = self.clock.now() + SERVE_ON_MS
             self.clock.deadlines.add(at, lambda _: number == self.pauses and self.clients.drain())
-        elif not self.leaving:
+        elif not self.shutting_down:
             self.clients.draining = False
 
     def _share(self) -> None:
         try:
-            self.shared = SharedState(
-                self.config.shared, self.config.name, self.logger.info, self.config.process
+            self.shared_state = SharedState(
+                self.config.shared_directory,
+                self.config.name,
+                self.logger.info,
+                self.config.process_id,
             )
         except OSError as fault:
             # Danger: without the file a ban does not outlast this process. That is told, and the
             # node serves.
             self.logger.info(f"nothing is shared with another process of this node: {fault}")
             return
-        if not self.shared.others:
+        if not self.shared_state.other_processes:
             # A drain is a process's: one that starts alone begins without it. Bans last.
-            self.shared.tell("RESUME")
+            self.shared_state.append("RESUME")
         self._follow(self.clock.now())
 
     def _among(self, processes: int) -> None:
         """So many processes are this node: together they hold what one may."""
-        if processes == self.processes:
+        if processes == self.process_count:
             return
-        self.processes, (servers, room, held) = processes, self.whole
+        self.process_count, (servers, room, held) = processes, self.whole
         self.logger.info("processes of this node", count=processes)
         self.host.router.set_process_count(self.clock.now(), processes)
         # Danger: what is open already stays, or clients would be turned back unheard; it only grows
@@ -283,20 +309,20 @@
         self.host.value_budget.most = held // processes
 
     def _catch_up(self) -> None:
-        for verb, what in self.shared.news() if self.shared is not None else ():
+        for verb, what in self.shared_state.read_new() if self.shared_state is not None else ():
             self._carry_out(verb, what)
 
     def _follow(self, now: float) -> None:
-        if self.shared is None:
+        if self.shared_state is None:
             return
         self._catch_up()
         if self._look:
-            self._among(1 + len(self.shared.look()))
-            self._look = self.processes > 1
+            self._among(1 + len(self.shared_state.find_other_processes()))
+            self._look = self.process_count > 1
         calls = [("SUSPEND", id) for id in self.host.router.bans] + (
             [("PAUSE", "")] if self.paused else []
         )
-        self.shared.shorten(calls)
+        self.shared_state.compact(calls)
         self.clock.deadlines.add(now + FOLLOW_MS, self._follow)
 
     def reload(self, read: Callable[[], ReloadedConfig]) -> None:
@@ -310,8 +336,8 @@
             self.host.counters.add("config_reload_errors")
             return
         self.host.counters.add("config_reloads")
-        for name, value in told.fixed.items():
-            if value != self.config.fixed.get(name):
+        for name, value in told.restart_only.items():
+            if value != self.config.restart_only.get(name):
                 self.logger.info("stays until a restart", what=name)
         before, d = self.host.deployment, told.deployment
         changed = (
@@ -331,24 +357,25 @@
             self.loop_monitor.reconfigured()
             self.discovery.reconfigured()
             self.host.counters.add("config_changes")
-        address = f"{told.discovery[0]}:{told.discovery[1]}"
+        address = f"{told.discovery_address[0]}:{told.discovery_address[1]}"
         self.logger.info("reloaded", discovery=address, changed=",".join(changed) or "nothing")
         self.discovery.move(
-            told.discovery, bool({"kinds", "origin_kind", "weights_reflect_load"} & set(changed))
+            told.discovery_address,
+            bool({"kinds", "origin_kind", "weights_reflect_load"} & set(changed)),
         )
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Serve on for a while, then listen no more, answer what was taken, and end."""
-        if self.leaving:
+        if self.shutting_down:
             return
-        self.leaving = True
+        self.shutting_down = True
         self.logger.info("leaving")
-        if self.peers is not None:
-            self.peers.leave()
+        if self.membership is not None:
+            self.membership.leave()
         longest = self.host.patience  # also of RPCs that came under settings of before
         # An inherited socket is heard by another process, or kept until there is one: nothing is
         # refused.
-        serve_on = SERVE_ON_MS if self.config.inherited is None else 0.0
+        serve_on = SERVE_ON_MS if self.config.inherited_descriptor is None else 0.0
         until, deadlines = self.clock.now() + serve_on, self.clock.deadlines
         deadlines.add(until, lambda _: self._close())
         # Danger: what parts by turns may still ask just before its turn, and is owed its whole
@@ -363,31 +390,31 @@
         self.clients.end_all()
 
     def _close(self) -> None:
-        if self.config.inherited is None:
+        if self.config.inherited_descriptor is None:
             # Danger: the kernel has taken connections that a busy loop has not; they would be
             # reset.
             sessions = -1
-            while sessions != getattr(self.port, "sessionno", -1):
-                sessions = self.port.sessionno
-                self.port.doRead()
-        if self.port is not None:
-            self.port.stopListening()
+            while sessions != getattr(self.listening_port, "sessionno", -1):
+                sessions = self.listening_port.sessionno
+                self.listening_port.doRead()
+        if self.listening_port is not None:
+            self.listening_port.stopListening()
         self.clients.leave(self._end, self._parting())
 
     def _parting(self) -> float:
-        return 0.0 if self.config.inherited is None else PARTING_MS
+        return 0.0 if self.config.inherited_descriptor is None else PARTING_MS
 
     def _end(self) -> None:
         if self.snapshot_store is not None and not self.parted:
             # Danger: what was learned since the last turn is lost; a disk that stalls holds the end
             # up.
             self.parted = True
-            self.snapshot_store.write()
-            wait = LAST_MS if self.snapshot_store.out else 0.0
+            self.snapshot_store.save()
+            wait = LAST_MS if self.snapshot_store.writing else 0.0
             self.clock.deadlines.add(self.clock.now() + wait, lambda _: self._end())
             return
-        if self.shared is not None:
-            self.shared.close()
-            self.shared = None
+        if self.shared_state is not None:
+            self.shared_state.close()
+            self.shared_state = None
         if self.reactor.running:
             self.reactor.stop()
--- a/hookpitch/net/node_config.py
+++ b/hookpitch/net/node_config.py
@@ -13,9 +13,9 @@
 from hookpitch.balancer.interface import Deployment, Endpoint
 from hookpitch.net.discovery import read
 
-FIXED = ("name", "listen", "management", "seed", "limits")  # a running node keeps these
-SOCKETS_LEAST = 64
-MEMORY_LEAST = 32  # MB
+RESTART_ONLY = ("name", "listen", "management", "seed", "limits")  # a running node keeps these
+MIN_DESCRIPTORS = 64
+MIN_MEMORY_MB = 32  # MB
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,30 +23,32 @@
     """One node's place in the deployment."""
 
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
-    sockets: int
+    listen_address: tuple[str, int]
+    discovery_address: tuple[str, int]
+    descriptor_limit: int
     memory_mb: int
     deployment: Deployment
-    seq: int
-    known: tuple[Endpoint, ...]
-    dials: Mapping[str, str]
-    management: tuple[str, int] | None = (
+    endpoints_version: int
+    initial_endpoints: tuple[Endpoint, ...]
+    addresses: Mapping[str, str]
+    admin_address: tuple[str, int] | None = (
         None  # the operators' door; None where neither place names one
     )
-    inherited: int | None = None  # the descriptor of the clients' listening socket, if inherited
-    shared: str = ""  # a folder that this node's processes share
-    process: str = (
+    inherited_descriptor: int | None = (
+        None  # the descriptor of the clients' listening socket, if inherited
+    )
+    shared_directory: str = ""  # a folder that this node's processes share
+    process_id: str = (
         ""  # what tells this process from the node's others; its number, where nothing is said
     )
-    fixed: Mapping[str, Any] = field(
+    restart_only: Mapping[str, Any] = field(
         default_factory=dict
     )  # as the file had what only a restart changes
 
 
 def load_node_config(environment: Mapping[str, str]) -> NodeConfig:
     """ValueError says in one line what is wrong."""
-    return parse_node_config(_file(environment), environment)
+    return parse_node_config(_read_file(environment), environment)
 
 
 def parse_node_config(top: Mapping[str, Any], environment: Mapping[str, str]) -> NodeConfig:
@@ -63,25 +65,25 @@
         raise ValueError("limits is no JSON object")
     d = _deployment(number, top.get("settings"))
     known = top.get("known")
-    seq, _, entries, dials = read(
+    version, _, endpoints, addresses = read(
         {"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds
     )
     return NodeConfig(
         name=told("name"),
-        listen=_address(told("listen"), "listen"),
-        discovery=_address(told("discovery"), "discovery"),
-        sockets=_whole(limits.get("sockets", 1024), "limits.sockets", SOCKETS_LEAST),
-        memory_mb=_whole(limits.get("memory_mb", 192), "limits.memory_mb", MEMORY_LEAST),
+        listen_address=_address(told("listen"), "listen"),
+        discovery_address=_address(told("discovery"), "discovery"),
+        descriptor_limit=_integer(limits.get("sockets", 1024), "limits.sockets", MIN_DESCRIPTORS),
+        memory_mb=_integer(limits.get("memory_mb", 192), "limits.memory_mb", MIN_MEMORY_MB),
         deployment=d,
-        seq=seq,
-        known=tuple(entries),
-        dials=dials,
-        management=_door(environment.get("PROXY_MANAGEMENT") or top.get("management")),
-        inherited=_inherited(
+        endpoints_version=version,
+        initial_endpoints=tuple(endpoints),
+        addresses=addresses,
+        admin_address=_admin_address(environment.get("PROXY_MANAGEMENT") or top.get("management")),
+        inherited_descriptor=check_inherited_descriptor(
             environment.get("PROXY_INHERITED_FD"), _address(told("listen"), "listen")
         ),
-        shared=environment.get("TMPDIR", ""),
-        fixed={name: top[name] for name in FIXED if name in top},
+        shared_directory=environment.get("TMPDIR", ""),
+        restart_only={name: top[name] for name in RESTART_ONLY if name in top},
     )
 
 
@@ -89,16 +91,16 @@
 class ReloadedConfig:
     """What a running node takes from its file when it is read anew."""
 
-    discovery: tuple[str, int]
+    discovery_address: tuple[str, int]
     deployment: Deployment | None  # None where the file has no settings: those that act stay
-    fixed: Mapping[str, Any]  # what only a restart changes, as the file has it
+    restart_only: Mapping[str, Any]  # what only a restart changes, as the file has it
 
 
 def load_reloaded_config(environment: Mapping[str, str]) -> ReloadedConfig:
     """The file, read and checked whole. ValueError says in one line what is wrong; the environment
     is as old
     as the process, so here the file alone counts."""
-    top = _file(environment)
+    top = _read_file(environment)
     value = top.get("discovery")
     if not isinstance(value, str):
         raise ValueError("discovery is missing")
@@ -106,7 +108,7 @@
     d = None if settings is None else _deployment(_seed(top), settings)
     if d is not None and not d.methods:
         raise ValueError("settings have no methods")
-    fixed = {name: top[name] for name in FIXED if name in top}
+    fixed = {name: top[name] for name in RESTART_ONLY if name in top}
     return ReloadedConfig(_address(value, "discovery"), d, fixed)
 
 
@@ -119,10 +121,10 @@
 
 def _seed(top: Mapping[str, Any]) -> int:
     seed = top.get("seed", 0)
-    return _whole(int(seed, 16) if isinstance(seed, str) and _hex(seed) else seed, "seed", 0)
+    return _integer(int(seed, 16) if isinstance(seed, str) and _hex(seed) else seed, "seed", 0)
 
 
-def _file(environment: Mapping[str, str]) -> dict[str, Any]:
+def _read_file(environment: Mapping[str, str]) -> dict[str, Any]:
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ValueError("PROXY_CONFIG names no file")
@@ -140,7 +142,7 @@
     return 0 < len(text) <= 64 and all(c in "0123456789abcdefABCDEF" for c in text)
 
 
-def _door(value: Any) -> tuple[str, int] | None:  # noqa: ANN401
+def _admin_address(value: Any) -> tuple[str, int] | None:  # noqa: ANN401
     if value is None or value == "":
         return None
     if not isinstance(value, str):
@@ -148,7 +150,7 @@
     return _address(value, "management")
 
 
-def _inherited(text: str | None, listen: tuple[str, int]) -> int | None:
+def check_inherited_descriptor(text: str | None, listen: tuple[str, int]) -> int | None:
     """A descriptor that holds the clients' listening socket, checked and left as it is."""
     if not text:
         return None
@@ -172,7 +174,7 @@
     return number
 
 
-def _whole(value: Any, name: str, least: int) -> int:  # noqa: ANN401
+def _integer(value: Any, name: str, least: int) -> int:  # noqa: ANN401
     if not isinstance(value, int | float) or not least <= value < float("inf"):
         raise ValueError(f"{name} is no number from {least} up")
     return int(value)
--- a/hookpitch/net/operator_settings.py
+++ b/hookpitch/net/operator_settings.py
@@ -19,7 +19,7 @@
 # By name: what reads and checks a section, `module:function`, imported where a file has it.
 # ValueError says what is wrong.
 SECTIONS = {
-    "snapshot": "hookpitch.net.snapshot_store:settings",
+    "snapshot": "hookpitch.net.snapshot_store:parse_settings",
     "members": "hookpitch.members.port:settings",
 }
 
@@ -30,11 +30,11 @@
 
     sections: Mapping[str, Any] = field(default_factory=dict)
 
-    def told(self) -> str:
+    def summary(self) -> str:
         return f"sections {', '.join(self.sections)}" if self.sections else "nothing is turned on"
 
 
-def load(path: Path) -> OperatorSettings:
+def load_operator_settings(path: Path) -> OperatorSettings:
     """ValueError says in one line what is wrong, and where."""
     try:
         top = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -55,7 +55,7 @@
     return OperatorSettings(sections)
 
 
-def house(environment: Mapping[str, str]) -> OperatorSettings:
+def operator_settings_from(environment: Mapping[str, str]) -> OperatorSettings:
     """Where the environment names no file: nothing is on."""
     path = environment.get("HOOKPITCH_CONFIG")
-    return load(Path(path)) if path else OperatorSettings()
+    return load_operator_settings(Path(path)) if path else OperatorSettings()
--- a/hookpitch/net/prioritized_reactor.py
+++ b/hookpitch/net/prioritized_reactor.py
@@ -16,10 +16,10 @@
 from twisted.internet.tcp import Port, Server
 from twisted.python import log
 
-TURN_EVENTS = (
+EVENTS_PER_TURN = (
     48  # looked at between two looks at the deadlines; the kernel gives those left over next time
 )
-ACCEPTS = 16  # new connections taken in one turn
+ACCEPTS_PER_TURN = 16  # new connections taken in one turn
 LATER = (Server, Port)  # clients and their door
 
 
@@ -42,7 +42,7 @@
         """One turn. Danger: hundreds of ready clients in one turn hold up every deadline and every
         answer."""
         try:
-            found = self._poller.poll(-1 if timeout is None else timeout, TURN_EVENTS)
+            found = self._poller.poll(-1 if timeout is None else timeout, EVENTS_PER_TURN)
         except OSError as fault:
             if fault.errno == errno.EINTR:
                 return
@@ -58,9 +58,9 @@
             selectable = selectables.get(fd)  # what came before may have closed it
             if selectable is not None:
                 self._act(selectable, fd, event)
-                if isinstance(selectable, Port) and selectable.numberAccepts > ACCEPTS:
+                if isinstance(selectable, Port) and selectable.numberAccepts > ACCEPTS_PER_TURN:
                     # Danger: Twisted takes ever more at a time while a burst lasts.
-                    selectable.numberAccepts = ACCEPTS
+                    selectable.numberAccepts = ACCEPTS_PER_TURN
 
     def _act(self, selectable: Any, fd: int, event: int) -> None:  # noqa: ANN401
         if event != EPOLLIN:
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -29,13 +29,13 @@
 READ_MOST = 1 << 20  # bytes of a file that are read at all
 
 
-def line(verb: str, what: str) -> bytes:
+def encode_command(verb: str, what: str) -> bytes:
     """One call as it stands in the file."""
     body = f"{VERSION} {verb} {quote(what, safe='') or '-'}"
     return f"{body} {crc32(body.encode()):08x}\n".encode()
 
 
-def read(text: bytes) -> tuple[str, str] | None:
+def decode_command(text: bytes) -> tuple[str, str] | None:
     """The call of one line without its end; None where it is none of ours."""
     body, _, check = text.rpartition(b" ")
     words = body.split(b" ")
@@ -57,13 +57,15 @@
         self._stem = Path(folder) / f"hookpitch-{quote(name, safe='')}"
         self._file = _open(f"{self._stem}.calls", os.O_RDWR | os.O_CREAT | os.O_APPEND)
         self._at, self._told = 0, False
-        self.others: list[str] = []  # processes of this node that were alive at the last look
+        self.other_processes: list[
+            str
+        ] = []  # processes of this node that were alive at the last look
         self._alive = _open(f"{self._stem}.{self._me}.live", os.O_RDWR | os.O_CREAT)
         fcntl.flock(self._alive, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        self.look()
-        self.tell("START", self._me)
+        self.find_other_processes()
+        self.append("START", self._me)
 
-    def news(self) -> Iterator[tuple[str, str]]:
+    def read_new(self) -> Iterator[tuple[str, str]]:
         """All calls since the last time, in order, those of this process among them."""
         try:
             size = os.fstat(self._file).st_size
@@ -81,20 +83,20 @@
         self._at += whole
         for part in text[:whole].split(b"\n"):
             if part:
-                call = read(part)
+                call = decode_command(part)
                 if call is None:
                     self._odd(f"a line that is none: {part[:80]!r}")
                 else:
                     yield call
 
-    def tell(self, verb: str, what: str = "") -> bool:
+    def append(self, verb: str, what: str = "") -> bool:
         """Append a call; False where that failed, and it holds in this process alone."""
         try:
             with _locked(self._file):
                 size = os.fstat(self._file).st_size
                 # Danger: what a process began to write as it was killed would spoil the next line.
                 torn = size > 0 and os.pread(self._file, 1, size - 1) != b"\n"
-                data = (b"\n" if torn else b"") + line(verb, what)
+                data = (b"\n" if torn else b"") + encode_command(verb, what)
                 if os.write(self._file, data) != len(data):
                     raise OSError("no room")
             return True
@@ -102,19 +104,19 @@
             self._odd(str(fault))
             return False
 
-    def shorten(self, calls: list[tuple[str, str]]) -> None:
+    def compact(self, calls: list[tuple[str, str]]) -> None:
         """Where no other process reads it and it has grown, the file holds just these calls from
         now on."""
         with contextlib.suppress(OSError), _locked(self._file):
-            if os.fstat(self._file).st_size > FILE_MOST and not self.look():
-                data = b"".join(line(*call) for call in calls)
+            if os.fstat(self._file).st_size > FILE_MOST and not self.find_other_processes():
+                data = b"".join(encode_command(*call) for call in calls)
                 os.ftruncate(self._file, 0)
                 os.write(self._file, data)
                 self._at = len(data)
 
-    def look(self) -> list[str]:
+    def find_other_processes(self) -> list[str]:
         """The other processes of this node that live."""
-        self.others = []
+        self.other_processes = []
         for path in sorted(self._stem.parent.glob(f"{self._stem.name}.*.live")):
             who = path.name.rsplit(".", 2)[1]
             if who == self._me:
@@ -127,10 +129,10 @@
                 fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 path.unlink(missing_ok=True)
             except OSError:
-                self.others.append(who)
+                self.other_processes.append(who)
             finally:
                 os.close(held)
-        return self.others
+        return self.other_processes
 
     def close(self) -> None:
         with contextlib.suppress(OSError):
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -34,18 +34,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class SnapshotSettings:
     path: str
     fleet: str = ""
     every_s: float = 10.0
     oldest_s: float = 3600.0
 
 
-def settings(table: Mapping[str, Any]) -> Settings:
+def parse_settings(table: Mapping[str, Any]) -> SnapshotSettings:
     """The operator's section, checked; ValueError begins with the name that is wrong."""
     for name in table:
-        if name not in Settings.__slots__:
-            raise ValueError(f"{name}: no such setting; known are {', '.join(Settings.__slots__)}")
+        if name not in SnapshotSettings.__slots__:
+            raise ValueError(
+                f"{name}: no such setting; known are {', '.join(SnapshotSettings.__slots__)}"
+            )
     path, fleet = table.get("path"), table.get("fleet", "")
     if not isinstance(path, str) or not path or "\0" in path:
         raise ValueError("path: wants a file's name")
@@ -53,7 +55,7 @@
         raise ValueError("fleet: wants a name")
     spans = {}
     for name, least, most in (("every_s", EVERY_LEAST_S, EVERY_MOST_S), ("oldest_s", 1.0, 1e9)):
-        value = table.get(name, getattr(Settings(""), name))
+        value = table.get(name, getattr(SnapshotSettings(""), name))
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
@@ -67,10 +69,10 @@
         raise ValueError(
             "path: snapshots need msgspec, which comes with hookpitch[snapshot]"
         ) from None
-    return Settings(path, fleet, **spans)
+    return SnapshotSettings(path, fleet, **spans)
 
 
-def load(path: str) -> Snapshot:
+def load_snapshot(path: str) -> Snapshot:
     """ValueError says in one line why there is none."""
     from hookpitch.startup.snapshot_format import BYTES_MOST, HEAD, read
 
@@ -93,7 +95,7 @@
     return read(data)
 
 
-def store(path: str, data: bytes) -> None:
+def replace_file(path: str, data: bytes) -> None:
     """The old file or the new one, never a part. Raises OSError."""
     beside = f"{path}.new"
     with suppress(FileNotFoundError):  # of a process that died as it wrote
@@ -116,19 +118,19 @@
         os.close(folder)
 
 
-def in_thread(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:  # noqa: ANN401
+def run_in_thread(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:  # noqa: ANN401
     """The work in a thread of its own; then `then` on the reactor's."""
     from threading import Thread
 
     def both() -> None:
-        why = done(work)
+        why = failure_of(work)
         reactor.callFromThread(then, why)
 
     # Danger: a process that cannot end, as its disk does not answer: the thread does not hold it.
     Thread(target=both, name="snapshot", daemon=True).start()
 
 
-def done(work: Callable[[], None]) -> str:
+def failure_of(work: Callable[[], None]) -> str:
     """Why it failed, or nothing."""
     try:
         work()
@@ -142,26 +144,26 @@
 
     def __init__(
         self,
-        told: Settings,
+        told: SnapshotSettings,
         node: SocketNode,
-        away: Callable[[Callable[[], None], Callable[[str], None]], None],
+        run_elsewhere: Callable[[Callable[[], None], Callable[[str], None]], None],
     ) -> None:
-        """`away(work, then)` does the work elsewhere and calls `then` here with why it failed, or
-        nothing."""
-        self.told, self.node, self.away = told, node, away
+        """`run_elsewhere(work, then)` does the work elsewhere and calls `then` here with why it
+        failed, or nothing."""
+        self.told, self.node, self.run_elsewhere = told, node, run_elsewhere
         self.path = told.path.replace("{name}", quote(node.config.name, safe=""))
-        self.out, self._failing = False, False
+        self.writing, self._failing = False, False
         from hookpitch.core.chance import draws
 
         self._chance = draws(node.config.deployment.seed, "keep")
 
-    def recall(self) -> None:
+    def restore(self) -> None:
         """Called once, between the list told at the start and the first RPC."""
         from hookpitch.startup.snapshot_state import entries, recalled
 
         node, now = self.node, self.node.clock.now()
         try:
-            x = load(self.path)
+            x = load_snapshot(self.path)
             if (x.fleet, x.node) != (self.told.fleet, node.config.name):
                 raise ValueError(f"of node {x.node!r} of fleet {x.fleet!r}")
             if x.kinds != node.config.deployment.kinds:
@@ -174,7 +176,7 @@
         else:
             listed, dials = entries(x)
             if x.seq > node.discovery.seq and listed:
-                node.known(x.seq, listed, dials)
+                node.apply_cached_endpoints(x.seq, listed, dials)
             node.logger.info(
                 "snapshot", path=self.path, believed=recalled(node.host.router, now, x)
             )
@@ -183,27 +185,27 @@
         node.clock.deadlines.add(now + self.told.every_s * 1000 * self._chance(), self._turn)
 
     def _turn(self, now: float) -> None:
-        self.write()
+        self.save()
         span = self.told.every_s * 1000 * (0.9 + 0.2 * self._chance())
         self.node.clock.deadlines.add(now + span, self._turn)
 
-    def write(self) -> None:
+    def save(self) -> None:
         from hookpitch.startup.snapshot_format import write
         from hookpitch.startup.snapshot_state import taken
 
         node = self.node
         # Danger: a node without any list would write nothing over what it had learned.
-        if self.out or not node.host.router.servers:
+        if self.writing or not node.host.router.servers:
             return
         seq, dials = node.discovery.seq, node.pools.dials()
         data = write(
             taken(node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials)
         )
-        self.out = True
-        self.away(lambda: store(self.path, data), self._over)
+        self.writing = True
+        self.run_elsewhere(lambda: replace_file(self.path, data), self._over)
 
     def _over(self, why: str) -> None:
-        self.out = False
+        self.writing = False
         self.node.host.counters.add("snapshot.failed" if why else "snapshot.written")
         if bool(why) != self._failing:  # Danger: a disk that is full told of at each turn
             self._failing = bool(why)
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -12,9 +12,9 @@
 from hookpitch.members.port import Settings as MemberSettings
 from hookpitch.members.port import attach
 from hookpitch.net.clock import Clock
-from hookpitch.net.node import BACKLOG, SocketNode
+from hookpitch.net.node import LISTEN_BACKLOG, SocketNode
 from hookpitch.net.node_config import load_reloaded_config, parse_node_config
-from hookpitch.net.snapshot_store import Settings, SnapshotStore, done
+from hookpitch.net.snapshot_store import SnapshotSettings, SnapshotStore, failure_of
 from hookpitch.testbed.simulation import Machine
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
         # Where an upgrade is due, the socket is the platform's and every process inherits it.
         self.upgraded = any(f.what == "node_upgrade" and f.whom == name for f in run.x.fault)
         if self.upgraded:
-            self.machine.hand_down(run.descriptor, NODE_PORT, BACKLOG)
+            self.machine.hand_down(run.descriptor, NODE_PORT, LISTEN_BACKLOG)
         self.door = DOOR_PORT
 
     def start(self) -> None:
@@ -66,13 +66,18 @@
         told = parse_node_config(top | {"management": f"{self.address}:{self.door}"}, {})
         if self.upgraded:
             process = f"{self.starts}"
-            told = replace(told, inherited=run.descriptor, shared=run.folder.name, process=process)
+            told = replace(
+                told,
+                inherited_descriptor=run.descriptor,
+                shared_directory=run.folder.name,
+                process_id=process,
+            )
         world, self.counters = run.world, Counters()
         clock = Clock(reactor, reactor.seconds, lambda: world.epoch + world.now)
         log = _Log(run, self.name)
         self.node = SocketNode(reactor, clock, told, self.counters, log, lambda: machine.used)
         if run.x.nodes.snapshot_s:
-            kept = Settings(
+            kept = SnapshotSettings(
                 f"{run.folder.name}/{{name}}.snapshot", run.x.name, run.x.nodes.snapshot_s
             )
             self.node.snapshot_store = SnapshotStore(kept, self.node, partial(self._away, reactor))
@@ -85,7 +90,7 @@
     @staticmethod
     def _away(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:  # noqa: ANN401
         # A disk that takes a moment: what is killed meanwhile has written nothing.
-        reactor.callLater(DISK_S, lambda: then(done(work)))
+        reactor.callLater(DISK_S, lambda: then(failure_of(work)))
 
     def upgrade(self) -> None:
         """A second process beside the first, which gets SIGTERM once the new one says yes."""
@@ -105,8 +110,8 @@
         self.start()
         self.run.counted(self, self.counters)
         self.machine.kill()
-        if self.node.shared is not None:  # the kernel lets go of a dead process's locks
-            self.node.shared.close()
+        if self.node.shared_state is not None:  # the kernel lets go of a dead process's locks
+            self.node.shared_state.close()
         self.node, self.machine, self.counters, self.door = old, machine, counters, door
 
     def _when_ready(
@@ -115,7 +120,7 @@
         run = self.run
         if self.node is None:
             return
-        if self.node.ready():
+        if self.node.not_ready_reason():
             if run.now() > latest:
                 run.history.add(
                     run.now(), "call", self.name, what="late: a new process says no for 6 s"
@@ -132,7 +137,7 @@
                 machine.kill()
 
         machine.reactor.stopped = lambda: run.world.at(run.world.now, None, ended)
-        old.leave()
+        old.shut_down()
         run.world.at(run.world.now + old.host.patience / 1000 + ENDED_S, None, ended)
 
     def kill(self) -> None:
@@ -157,7 +162,7 @@
     def leave(self) -> None:
         """SIGTERM."""
         if self.node is not None:
-            self.node.leave()
+            self.node.shut_down()
 
     def at_door(self) -> tuple[str, int]:
         return self.address, self.door
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,7 @@
 
 from hookpitch.balancer.interface import Method, Tenant
 from hookpitch.core.admission import FAR, Admission
-from hookpitch.net.prioritized_reactor import TURN_EVENTS, PrioritizedReactor, Server
+from hookpitch.net.prioritized_reactor import EVENTS_PER_TURN, PrioritizedReactor, Server
 
 SOFT = 200.0  # ms: a soft deadline, and the CPU time of an RPC that is let in or turned away
 TAKEN, REFUSED = 0.5, 0.06
@@ -244,8 +244,8 @@
         def stopListening(self) -> None:  # noqa: N802
             pass
 
-    s.node.port = Port()
-    s.node.leave()
+    s.node.listening_port = Port()
+    s.node.shut_down()
     s.pass_time(501)
     for _ in range(20):
         serve(s)
@@ -275,18 +275,18 @@
 
 def test_turns_are_short_and_servers_go_first() -> None:
     reactor, order = PrioritizedReactor(), list[str]()
-    made = [FromClient(order, "client") for _ in range(3 * TURN_EVENTS)] + [
+    made = [FromClient(order, "client") for _ in range(3 * EVENTS_PER_TURN)] + [
         Selectable(order, "server")
     ]
     for one in made:
         reactor.addReader(one)
     reactor.doPoll(0)
-    assert 0 < len(order) <= TURN_EVENTS
+    assert 0 < len(order) <= EVENTS_PER_TURN
     for _ in range(3):
         reactor.doPoll(0)
-    assert order.count("server") >= 1 and len(order) >= 3 * TURN_EVENTS, "each had its turn"
+    assert order.count("server") >= 1 and len(order) >= 3 * EVENTS_PER_TURN, "each had its turn"
     begun = order.index("server")
-    turn = order[begun // TURN_EVENTS * TURN_EVENTS :]
+    turn = order[begun // EVENTS_PER_TURN * EVENTS_PER_TURN :]
     assert turn[0] == "server" or begun < 3, "before the clients of its turn"
     for one in made:
         reactor.removeReader(one)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -274,7 +274,7 @@
     [
         (
             SharedState,
-            "news",
+            "read_new",
             lambda self: iter(()),
             {"rule 3"},
         ),  # the new process knows nothing of the ban
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,9 +8,9 @@
 from fleet import Fleet, Line, Sockets, deployment, entry, get, listed_host
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
-from hookpitch.net.admin import CALL_MS, CALLERS, SPARE
-from hookpitch.net.node_config import _inherited
-from hookpitch.net.shared_state import SharedState, line, read
+from hookpitch.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, MAX_CLOSING
+from hookpitch.net.node_config import check_inherited_descriptor
+from hookpitch.net.shared_state import SharedState, decode_command, encode_command
 
 
 def call(s: Sockets, text: bytes) -> bytes:
@@ -18,7 +18,7 @@
     caller.say(text)
     got = caller.take()
     s.pass_time(0)
-    assert caller.ended and caller.protocol not in s.node.admin_server.open
+    assert caller.ended and caller.protocol not in s.node.admin_server.waiting
     return got
 
 
@@ -63,16 +63,16 @@
 
 def test_callers_that_say_nothing_are_bounded_and_delay_nobody() -> None:
     s = Sockets()
-    mute = [Line(s.network, s.node.admin_server.buildProtocol(None), 0) for _ in range(CALLERS)]
+    mute = [Line(s.network, s.node.admin_server.buildProtocol(None), 0) for _ in range(MAX_CALLERS)]
     mute[0].say(b"STAT")
     assert (
-        call(s, b"STATUS\n") == b"YES\n" and s.node.admin_server.held == CALLERS - 1
+        call(s, b"STATUS\n") == b"YES\n" and s.node.admin_server.connections == MAX_CALLERS - 1
     )  # the oldest gave way
     while (protocol := s.node.admin_server.buildProtocol(None)) is not None:
         Line(s.network, protocol, 0)
-    assert s.node.admin_server.held == CALLERS + SPARE
-    s.pass_time(CALL_MS + 1)
-    assert s.node.admin_server.held == 0 and not s.node.admin_server.open
+    assert s.node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
+    s.pass_time(CALL_TIMEOUT_MS + 1)
+    assert s.node.admin_server.connections == 0 and not s.node.admin_server.waiting
 
 
 # ---- figures
@@ -198,7 +198,7 @@
     assert busy.take() == late.take() == b"$1\r\nv\r\n" and busy.ended and late.ended
     mute = s.client()
     s.pass_time(1500)
-    assert mute.ended and not s.node.leaving
+    assert mute.ended and not s.node.shutting_down
     assert call(s, b"RESUME\n") == b"YES\n"
     back = s.client()
     back.say(b"*1\r\n$4\r\nPING\r\n")
@@ -224,46 +224,46 @@
 
 
 def news(process: SharedState) -> list[tuple[str, str]]:
-    return [call for call in process.news() if call[0] != "START"]
+    return [call for call in process.read_new() if call[0] != "START"]
 
 
 def test_calls_are_seen_by_both_in_one_order(tmp_path: Path) -> None:
     one, told = handover(tmp_path, []), []
-    one.tell("SUSPEND", "s 1/é")
-    one.tell("PAUSE")
+    one.append("SUSPEND", "s 1/é")
+    one.append("PAUSE")
     file = os.open(next(tmp_path.glob("*.calls")), os.O_RDWR | os.O_APPEND)
-    os.write(file, line("RESTORE", "s2")[:9])  # killed as it wrote
-    one.tell("RESUME")
+    os.write(file, encode_command("RESTORE", "s2")[:9])  # killed as it wrote
+    one.append("RESUME")
     two = SharedState(str(tmp_path), "n/0", told.append, "2")
-    assert two.others and one.look() == ["2"]
+    assert two.other_processes and one.find_other_processes() == ["2"]
     calls = [("SUSPEND", "s 1/é"), ("PAUSE", ""), ("RESUME", "")]
     assert news(one) == calls and news(one) == []
     assert news(two) == calls and len(told) == 1
     two.close()
-    assert one.look() == []
+    assert one.find_other_processes() == []
     os.close(file)
 
 
 @pytest.mark.parametrize("verb", ["SUSPEND", "PAUSE"])
 def test_a_record_cut_or_changed_at_any_byte_is_none(verb: str) -> None:
-    whole = line(verb, "s-5be2a07c" if verb == "SUSPEND" else "").rstrip(b"\n")
-    assert read(whole) is not None
+    whole = encode_command(verb, "s-5be2a07c" if verb == "SUSPEND" else "").rstrip(b"\n")
+    assert decode_command(whole) is not None
     for n in range(len(whole)):
-        assert read(whole[:n]) is None
-        assert read(whole[:n] + bytes([whole[n] ^ 1]) + whole[n + 1 :]) is None
-    assert read(whole.replace(b"1 ", b"2 ", 1)) is None
+        assert decode_command(whole[:n]) is None
+        assert decode_command(whole[:n] + bytes([whole[n] ^ 1]) + whole[n + 1 :]) is None
+    assert decode_command(whole.replace(b"1 ", b"2 ", 1)) is None
 
 
 def test_a_file_that_grew_is_written_anew_only_where_nobody_else_reads_it(tmp_path: Path) -> None:
     one = handover(tmp_path, [])
     for _ in range(1500):
-        one.tell("SUSPEND", "s1")
-        one.tell("RESTORE", "s1")
+        one.append("SUSPEND", "s1")
+        one.append("RESTORE", "s1")
     assert len(news(one)) == 3000
-    one.shorten([("SUSPEND", "s2")])
-    assert not list(one.news())
+    one.compact([("SUSPEND", "s2")])
+    assert not list(one.read_new())
     one._at = 0
-    assert list(one.news()) == [("SUSPEND", "s2")]
+    assert list(one.read_new()) == [("SUSPEND", "s2")]
 
 
 def test_a_folder_that_cannot_be_used_is_told_and_the_node_serves(tmp_path: Path) -> None:
@@ -279,40 +279,44 @@
     s.pass_time(300)
     servers, room = s.node.pools.most, s.node.clients.room
     other = SharedState(str(tmp_path), "n0", s.logs.append, "2")
-    other.tell("SUSPEND", "s1")
+    other.append("SUSPEND", "s1")
     s.pass_time(250)
     assert (
-        s.node.processes == 2
+        s.node.process_count == 2
         and s.node.pools.most == servers // 2
         and s.node.clients.room == room // 2
     )
     assert s.node.host.router.part == 0.5 and figures(s)["members_unavailable"] == 1
     call(s, b"PAUSE\n")
     call(s, b"RESTORE s1\n")
-    assert [verb for verb, _ in other.news()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
+    assert [verb for verb, _ in other.read_new()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
     other.close()
     s.pass_time(250)
-    assert s.node.processes == 1 and s.node.pools.most == servers and s.node.host.router.part == 1.0
-    s.node.shared.close()
+    assert (
+        s.node.process_count == 1
+        and s.node.pools.most == servers
+        and s.node.host.router.part == 1.0
+    )
+    s.node.shared_state.close()
 
 
 def test_a_process_that_starts_beside_another_has_its_bans_and_its_drain_and_one_alone_its_bans(
     tmp_path: Path,
 ) -> None:
     other = SharedState(str(tmp_path), "n0", print, "2")
-    other.tell("SUSPEND", "s1")
-    other.tell("PAUSE")
+    other.append("SUSPEND", "s1")
+    other.append("PAUSE")
     beside = Sockets(shared=str(tmp_path))
     assert (
         call(beside, b"STATUS\n") == b"NO draining\n"
         and figures(beside)["members_unavailable"] == 1
     )
-    beside.node.shared.close()
-    beside.node.shared = None
+    beside.node.shared_state.close()
+    beside.node.shared_state = None
     other.close()
     alone = Sockets(shared=str(tmp_path))
     assert call(alone, b"STATUS\n") == b"YES\n" and figures(alone)["members_unavailable"] == 1
-    alone.node.shared.close()
+    alone.node.shared_state.close()
 
 
 # ---- the inherited socket
@@ -327,14 +331,14 @@
         held.bind(("127.0.0.1", 0))
         held.listen()
         address = held.getsockname()
-        assert _inherited(str(held.fileno()), address) == held.fileno()
-        assert _inherited(None, address) is None and held.fileno() >= 0
+        assert check_inherited_descriptor(str(held.fileno()), address) == held.fileno()
+        assert check_inherited_descriptor(None, address) is None and held.fileno() >= 0
         wrong = ["x", "-1", "4" * 12, "900", str(plain.fileno()), str(other.fileno())]
         for text in wrong:
             with pytest.raises(ValueError, match="inherited_fd"):
-                _inherited(text, address)
+                check_inherited_descriptor(text, address)
         with pytest.raises(ValueError, match="not at"):
-            _inherited(str(held.fileno()), ("127.0.0.1", 1))
+            check_inherited_descriptor(str(held.fileno()), ("127.0.0.1", 1))
 
 
 # ---- a crowd
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -14,7 +14,7 @@
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
 from hookpitch.net import snapshot_store
-from hookpitch.net.operator_settings import load as load_operator
+from hookpitch.net.operator_settings import load_operator_settings as load_operator
 from hookpitch.startup.snapshot_format import (
     BYTES_MOST,
     FORMAT,
@@ -203,11 +203,11 @@
 def node(path: Path, **told: object) -> Sockets:
     """A node that is up, with its snapshot there."""
     s = Sockets(1)
-    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **told})
+    kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **told})
     s.node.snapshot_store = snapshot_store.SnapshotStore(
-        kept, s.node, lambda work, then: then(snapshot_store.done(work))
+        kept, s.node, lambda work, then: then(snapshot_store.failure_of(work))
     )
-    s.node.snapshot_store.recall()
+    s.node.snapshot_store.restore()
     return s
 
 
@@ -216,7 +216,7 @@
 ) -> None:
     path = tmp_path / "n.snapshot"
     old, new = write(learned(fleet(), seq=1)), write(learned(fleet(), seq=2))
-    snapshot_store.store(str(path), old)
+    snapshot_store.replace_file(str(path), old)
     real, left = os.write, [0]
 
     def some(held: int, data: bytes) -> int:
@@ -232,11 +232,11 @@
     for end in range(len(new)):
         left[0] = end
         with pytest.raises(OSError):
-            snapshot_store.store(str(path), new)
-        assert snapshot_store.load(str(path)).seq == 1
+            snapshot_store.replace_file(str(path), new)
+        assert snapshot_store.load_snapshot(str(path)).seq == 1
     left[0] = len(new)
-    snapshot_store.store(str(path), new)
-    assert snapshot_store.load(str(path)).seq == 2
+    snapshot_store.replace_file(str(path), new)
+    assert snapshot_store.load_snapshot(str(path)).seq == 2
 
 
 def test_a_node_recalls_what_the_process_before_it_wrote(tmp_path: Path) -> None:
@@ -245,7 +245,10 @@
     assert s.counters.counts["snapshot.none"] == 1
     s.node.discovery.seq = 77
     s.pass_time(11000)
-    assert s.counters.counts["snapshot.written"] >= 1 and snapshot_store.load(str(path)).seq == 77
+    assert (
+        s.counters.counts["snapshot.written"] >= 1
+        and snapshot_store.load_snapshot(str(path)).seq == 77
+    )
     again = node(path)
     assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.seq == 77
     c = again.client()
@@ -270,7 +273,7 @@
     before = b""
     if told != "":
         s = node(path)
-        s.node.snapshot_store.write()
+        s.node.snapshot_store.save()
         before = path.read_bytes()
         before = before[:-1] if told is None else before
         path.write_bytes(before)
@@ -279,11 +282,11 @@
     s.node.logger = type(
         "Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")}
     )()
-    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **(told or {})})
+    kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **(told or {})})
     s.node.snapshot_store = snapshot_store.SnapshotStore(kept, s.node, lambda *_: None)
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
-    s.node.snapshot_store.recall()
+    s.node.snapshot_store.restore()
     assert len(lines) == 1 and said in lines[0]
     assert not before or path.read_bytes() == before
     assert s.node.host.router.servers["s0"].state == EndpointState.READY
@@ -294,9 +297,9 @@
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
     s = node(tmp_path / "n.snapshot", every_s=0.5)
-    s.node.snapshot_store.away = lambda work, then: None  # it never answers
+    s.node.snapshot_store.run_elsewhere = lambda work, then: None  # it never answers
     s.pass_time(5000)
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(3000)
     assert s.network.hasStopped  # the node ends nevertheless
 
@@ -308,9 +311,9 @@
     os.mkfifo(tmp_path / "pipe")
     for name in ("link", "pipe"):
         with pytest.raises(ValueError):
-            snapshot_store.load(str(tmp_path / name))
+            snapshot_store.load_snapshot(str(tmp_path / name))
     with pytest.raises(ValueError):
-        snapshot_store.load("/dev/zero")
+        snapshot_store.load_snapshot("/dev/zero")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -648,7 +648,7 @@
 def test_a_node_that_leaves_serves_on_then_answers_what_it_took() -> None:
     s = Sockets()
     idle, busy, halfway = s.client(), s.client(), s.client()
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(400)
     assert not idle.ended
     busy.say(get("r1"))
@@ -667,7 +667,7 @@
     c = s.client()
     unread = [get("r1")]
     c.doRead = lambda: c.say(unread.pop()) if unread else None
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(501)
     serve(s)
     assert c.take() == bulk(b"v")
@@ -678,7 +678,7 @@
 def test_a_node_that_leaves_ends_in_time_whatever_its_clients_do() -> None:
     s = Sockets()
     s.client().say(b"*4\r\n")
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(1649)
     assert not s.network.hasStopped
     s.pass_time(2)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -39,7 +39,14 @@
 
 def test_all_that_is_told_is_read(tmp_path: Path) -> None:
     p = start(tmp_path, TOLD, PROXY_LISTEN="[::1]:7777")
-    assert (p.name, p.listen, p.discovery, p.sockets, p.memory_mb, p.seq) == (
+    assert (
+        p.name,
+        p.listen_address,
+        p.discovery_address,
+        p.descriptor_limit,
+        p.memory_mb,
+        p.endpoints_version,
+    ) == (
         "n3",
         ("::1", 7777),
         ("127.0.0.2", 8500),
@@ -56,8 +63,8 @@
         p.deployment.connect_timeout_ms == 250.0
         and p.deployment.connection_idle_timeout_ms == 60000.0
     )
-    (e,) = p.known
-    assert (e.id, e.kind, e.cell, e.started_ms, p.dials) == (
+    (e,) = p.initial_endpoints
+    assert (e.id, e.kind, e.cell, e.started_ms, p.addresses) == (
         "s0",
         0,
         3,
@@ -113,7 +120,7 @@
                 break
             table = table[key]
     try:
-        assert start(tmp_path, told).listen
+        assert start(tmp_path, told).listen_address
     except ValueError as fault:
         assert "\n" not in str(fault)
 
@@ -191,7 +198,8 @@
         "hedging_allowed",
     )
     assert (
-        s.node.host.deployment.seed == s.config.deployment.seed and s.node.config.listen[1] == 6379
+        s.node.host.deployment.seed == s.config.deployment.seed
+        and s.node.config.listen_address[1] == 6379
     )
     reload()
     assert said[-1] == ("reloaded", "nothing") and s.counters.counts["config_changes"] == 1
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -122,9 +122,11 @@
 
 def test_how_late_counts_as_away_goes_by_the_new_deadlines() -> None:
     s = Sockets()
-    before = s.clock.late_ms
+    before = s.clock.late_threshold_ms
     methods = [m | {"soft_deadline_s": 0.1} for m in SETTINGS["methods"]]
     s.node.reload(
-        lambda: ReloadedConfig(s.config.discovery, told(SETTINGS | {"methods": methods}), {})
+        lambda: ReloadedConfig(
+            s.config.discovery_address, told(SETTINGS | {"methods": methods}), {}
+        )
     )
-    assert s.clock.late_ms == pytest.approx(before / 4)
+    assert s.clock.late_threshold_ms == pytest.approx(before / 4)
