--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -35,13 +35,13 @@
 from hookpitch.members.endpoint_exchange import Held, Lists, Taken
 from hookpitch.members.state import Address, Members, State
 from hookpitch.net.clock import Clock
-from hookpitch.net.discovery import STATES, read
+from hookpitch.net.endpoint_list import ENDPOINT_STATES, parse_endpoint_list
 from hookpitch.startup.poll_schedule import FAR
 
 RATE_MOST = 2000  # datagrams read a second: a flood costs no more than that
 AGAIN_MS = 500.0  # until the next try where the address is still held by the process before
 ODD_LOGGED = 3
-HEALTH = {state: word for word, state in STATES.items()}  # as discovery has it
+HEALTH = {state: word for word, state in ENDPOINT_STATES.items()}  # as discovery has it
 
 
 @dataclass(frozen=True, slots=True)
@@ -181,7 +181,7 @@
         told = "lists.full" in counts or "lists.delta" in counts
         # Danger: a version that a member told, kept above discovery's own count once that has been
         # heard.
-        version = discovery.seq if told else max(discovery.seq, self.version)
+        version = discovery.version if told else max(discovery.version, self.version)
         return Held(version, told, told and discovery.poll_schedule.at == FAR)
 
     def _others(self) -> list[Address]:
@@ -195,7 +195,7 @@
         """What this node holds, in discovery's own words."""
         host, dials, kinds = (
             self.node.host,
-            self.node.pools.dials(),
+            self.node.pools.addresses(),
             self.node.host.deployment.kinds,
         )
         hosts = [
@@ -212,12 +212,14 @@
             for s in host.router.servers.values()
             if s.id in dials and s.listed != EndpointState.REMOVED
         ]
-        return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
+        return json.dumps(
+            {"seq": self.node.discovery.version, "whole": True, "hosts": hosts}
+        ).encode()
 
     def _take(self, taken: Taken) -> None:
         try:
             d = self.node.host.deployment
-            version, whole, entries, dials = read(taken.text, d.kinds)
+            version, whole, entries, dials = parse_endpoint_list(taken.text, d.kinds)
             ready = any(e.state == EndpointState.READY and e.kind != d.origin_kind for e in entries)
             if version != taken.version or not whole or not ready:
                 raise ValueError("no list to begin with")
@@ -247,7 +249,7 @@
         # Danger: a call that is out asked for changes since the list of before; they would be put
         # on this one, and what it has wrong would stay. Once it has failed, the next asks for the
         # whole.
-        if self.waiting is None or self.node.discovery.current is not None:
+        if self.waiting is None or self.node.discovery.current_watch is not None:
             return
         (entries, dials), self.waiting = self.waiting, None
         if not self.held().told:
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -17,13 +17,13 @@
 from hookpitch.core.host import NO_REPORT, Attempt, Host
 from hookpitch.core.resp import Fault, Malformed, Parser, Value, command
 from hookpitch.core.stream import MOST, ChunkedValue
+from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES, BufferedProtocol
 from hookpitch.net.clock import Clock
-from hookpitch.net.wire import CHUNK, Wire
 
 IDLE_SHARE = 0.9  # of the time after which a server closes an idle connection: it is not used again
 
 
-class BackendConnection(Wire):
+class BackendConnection(BufferedProtocol):
     """One connection to a server, with at most one transmission on it."""
 
     def __init__(self, pool: BackendPool) -> None:
@@ -41,9 +41,9 @@
     def begin(self, attempt: Attempt) -> None:
         self.attempt, attempt.holder, attempt.written = attempt, self, True
         head, *more = self.request(attempt)
-        self.put(head)
+        self.send(head)
         if more:
-            self.put_behind(more)
+            self.send_chunks(more)
         if not self._flowing:
             self.whole()
 
@@ -76,7 +76,7 @@
         """The request stands whole in the kernel."""
         self.pool.pools.host.counters.add("upstream_requests")
 
-    def drained(self) -> None:
+    def all_written(self) -> None:
         if self.attempt is not None:
             self.whole()
 
@@ -92,10 +92,10 @@
         else:
             # Danger: an answer without an end is out as long as its connection, beside the next
             # copy.
-            self.abort_now()
+            self.reset_now()
         if attempt is None:
             return
-        age = self.age() if not self.lost else 0.0
+        age = self.unread_age_ms() if not self.lost else 0.0
         values = NO_REPORT
         if load:
             try:
@@ -158,7 +158,7 @@
                 return
         super().rawDataReceived(data)
 
-    def came(self) -> None:
+    def bytes_received(self) -> None:
         while not self.paused:
             try:
                 found, reply = self.parser.next()
@@ -177,7 +177,7 @@
             if self.paused or not len(self.inward):
                 return
             self.pool.pools.host.stream_chunk(
-                self.pool.pools.clock.now(), self.attempt, self.parser.part(CHUNK)
+                self.pool.pools.clock.now(), self.attempt, self.parser.part(WRITE_CHUNK_BYTES)
             )
 
     def _reply(self, reply: Value, alone: bool) -> None:
@@ -256,7 +256,7 @@
 
     def _clean(self, connection: BackendConnection) -> bool:
         """Danger: bytes that came since the last answer would be the next RPC's value."""
-        if connection.unread():
+        if connection.has_unread_bytes():
             self.pools.host.counters.add("connections.unclean")
             connection.transport.abortConnection()
             return False
@@ -264,15 +264,15 @@
 
     def _dial(self) -> bool:
         pools = self.pools
-        if not pools.room():
+        if not pools.reserve_descriptor():
             pools.host.counters.add("dials.no_room")
             return False
-        pools.held += 1
+        pools.descriptors_used += 1
         pools.host.counters.add("dials")
         dial = _Dial(self)
         self.dials[dial] = None
         dial.connector = pools.reactor.connectTCP(*self.address, dial, timeout=None)
-        until = pools.clock.now() + pools.dial_ms
+        until = pools.clock.now() + pools.connect_timeout_ms
         dial.deadline = pools.clock.deadlines.add(until, lambda _: dial.connector.disconnect())
         return True
 
@@ -282,7 +282,7 @@
         pools.clock.deadlines.drop(dial.deadline)
         if up:
             return
-        pools.held -= 1
+        pools.descriptors_used -= 1
         own = outcome != Outcome.CONNECT_FAILED
         how = "given_up" if dial.vain else "no_descriptor" if own else "failed"
         pools.host.counters.add(f"dials.{how}")
@@ -344,12 +344,12 @@
     def _expire(self) -> None:
         """One deadline for all that are idle: that of the longest idle one."""
         if self.expiry is None and self.idle:
-            until = self.idle[0].since + self.pools.idle_ms
+            until = self.idle[0].since + self.pools.idle_timeout_ms
             self.expiry = self.pools.clock.deadlines.add(until, self._expired)
 
     def _expired(self, now: float) -> None:
         self.expiry = None
-        while self.idle and self.idle[0].since + self.pools.idle_ms <= now:
+        while self.idle and self.idle[0].since + self.pools.idle_timeout_ms <= now:
             self.shut(self.idle[0])
         self._expire()
 
@@ -357,7 +357,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
             if at_once:
-                connection.end_now()
+                connection.close_now()
             else:
                 connection.transport.loseConnection()
 
@@ -366,7 +366,7 @@
             self.shut(connection)
 
     def gone(self, connection: BackendConnection) -> None:
-        self.pools.held -= 1
+        self.pools.descriptors_used -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -382,7 +382,7 @@
         most: int,  # noqa: ANN401
         origin: Callable[[BackendPool], BackendConnection],
     ) -> None:
-        self.reactor, self.clock, self.host, self.most, self.origin = (
+        self.reactor, self.clock, self.host, self.max_descriptors, self.origin = (
             reactor,
             clock,
             host,
@@ -390,23 +390,23 @@
             origin,
         )
         self.reconfigured()
-        self.pools: dict[str, BackendPool] = {}
-        self.held = 0
+        self.by_backend: dict[str, BackendPool] = {}
+        self.descriptors_used = 0
 
     def reconfigured(self) -> None:
         """The settings' times, for dials and idle connections from now on."""
-        self.dial_ms = self.host.deployment.connect_timeout_ms
-        self.idle_ms = IDLE_SHARE * self.host.deployment.connection_idle_timeout_ms
+        self.connect_timeout_ms = self.host.deployment.connect_timeout_ms
+        self.idle_timeout_ms = IDLE_SHARE * self.host.deployment.connection_idle_timeout_ms
 
     def dispatch(self, now: float, attempt: Attempt) -> bool:
-        pool = self.pools.get(attempt.server)
+        pool = self.by_backend.get(attempt.server)
         return pool is not None and pool.dispatch(attempt)
 
     def cancel(self, now: float, attempt: Attempt) -> None:
         connection = attempt.holder
         if isinstance(connection, BackendConnection) and connection.attempt is attempt:
             connection.attempt = None
-            connection.abort_now()
+            connection.reset_now()
         elif isinstance(connection, BackendPool) and attempt in connection.waiting:
             connection.waiting.remove(attempt)
 
@@ -415,44 +415,46 @@
         if (
             isinstance(connection, BackendConnection)
             and connection.attempt is attempt
-            and connection.kernel()
+            and connection.has_kernel_bytes()
         ):
             getattr(connection.transport, "doRead", lambda: None)()
         return attempt.done
 
-    def dials(self) -> dict[str, str]:
+    def addresses(self) -> dict[str, str]:
         """Where each server is dialled."""
         return {
             id: f"{host}:{port}"
-            for id, pool in self.pools.items()
+            for id, pool in self.by_backend.items()
             for host, port in (pool.address,)
         }
 
     def stop_sending(self, backend_id: str) -> None:
         """Nothing new may be sent to it, by an operator's word."""
-        if backend_id in self.pools:
-            self.pools[backend_id].stop()
+        if backend_id in self.by_backend:
+            self.by_backend[backend_id].stop()
 
     def close_idle(self, backend_id: str) -> None:
-        if backend_id in self.pools:
-            self.pools[backend_id].shut_idle()
+        if backend_id in self.by_backend:
+            self.by_backend[backend_id].shut_idle()
 
-    def room(self) -> bool:
+    def reserve_descriptor(self) -> bool:
         """Danger: out of descriptors, a node takes no clients. Idle connections go first."""
-        for pool in self.pools.values() if self.held >= self.most else ():
+        for pool in (
+            self.by_backend.values() if self.descriptors_used >= self.max_descriptors else ()
+        ):
             for connection in pool.idle:
                 if not connection.reading:
                     # Danger: closed a turn later, it holds a descriptor beside the one that takes
                     # its place.
                     pool.shut(connection, at_once=True)
                     return True
-        return self.held < self.most
+        return self.descriptors_used < self.max_descriptors
 
     def update_endpoints(
         self, kind: EndpointUpdate, entries: Sequence[Endpoint], dials: Mapping[str, str]
     ) -> None:
         for e in entries:
-            old = self.pools.get(e.id)
+            old = self.by_backend.get(e.id)
             host, _, port = dials[e.id].rpartition(":")
             address = (host.strip("[]"), int(port))
             if e.state != EndpointState.READY:
@@ -468,19 +470,19 @@
                 if old is not None:
                     old.retired = True
                     old.stop()
-                self.pools[e.id] = new
+                self.by_backend[e.id] = new
             elif old.started != e.started_ms:
                 # Danger: connections to the process before, silent if its machine vanished.
                 old.stop()
-            self.pools[e.id].started, self.pools[e.id].retired = e.started_ms, False
+            self.by_backend[e.id].started, self.by_backend[e.id].retired = e.started_ms, False
         if kind != EndpointUpdate.DELTA:
             listed = {e.id for e in entries}
-            for id in [id for id in self.pools if id not in listed]:
+            for id in [id for id in self.by_backend if id not in listed]:
                 self._forget(id)
 
     def _forget(self, id: str) -> None:
         """Danger: with servers ever new, their pools would pile up. What is out there ends by
         itself."""
-        pool = self.pools.pop(id)
+        pool = self.by_backend.pop(id)
         pool.retired = True
         pool.stop()
--- a/hookpitch/net/wire.py
+++ b/hookpitch/net/buffered_protocol.py
@@ -15,7 +15,9 @@
 
 from hookpitch.core.ring import Ring
 
-CHUNK = 65536  # bytes handed to the transport at a time, once it has written those before
+WRITE_CHUNK_BYTES = (
+    65536  # bytes handed to the transport at a time, once it has written those before
+)
 ENDED = (
     6,
     7,
@@ -32,17 +34,17 @@
 class _Outflow:
     """Feeds the transport from the ring as fast as the peer reads."""
 
-    def __init__(self, wire: Wire) -> None:
+    def __init__(self, wire: BufferedProtocol) -> None:
         self._wire = wire
 
     def resumeProducing(self) -> None:  # noqa: N802
-        self._wire.flow()
+        self._wire.resume_writing()
 
     def stopProducing(self) -> None:  # noqa: N802
         pass
 
 
-class Wire(LineReceiver):
+class BufferedProtocol(LineReceiver):
     line_mode = 0  # RESP2's lines are cut by the core's parser, straight from the ring
 
     def __init__(self) -> None:
@@ -71,9 +73,9 @@
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
         self.inward.write(data)
-        self.came()
+        self.bytes_received()
 
-    def age(self) -> float:
+    def unread_age_ms(self) -> float:
         """Milliseconds since the newest byte came to this machine; 0 where that cannot be known."""
         socket = getattr(self.transport, "socket", None)
         if socket is None:
@@ -98,15 +100,15 @@
         except OSError:
             return True
 
-    def came(self) -> None:
+    def bytes_received(self) -> None:
         """More stands in the inward ring."""
         raise NotImplementedError
 
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether bytes of the peer, or its end, stand unread, here or in the kernel."""
-        return len(self.inward) > 0 or self.kernel()
+        return len(self.inward) > 0 or self.has_kernel_bytes()
 
-    def kernel(self) -> bool:
+    def has_kernel_bytes(self) -> bool:
         """The same of the kernel alone."""
         socket = getattr(self.transport, "socket", None)
         if socket is None:
@@ -119,7 +121,7 @@
             pass
         return True
 
-    def put(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if not self._flowing:
             plain = self._plain
             if plain is not None and plain.connected and not plain.disconnecting:
@@ -137,7 +139,7 @@
             self._flowing = True
             self.transport.registerProducer(_Outflow(self), False)
 
-    def put_behind(self, pieces: Iterable[bytes]) -> None:
+    def send_chunks(self, pieces: Iterable[bytes]) -> None:
         """More to be written, without a copy. Nothing else may be put until it is."""
         self._behind.extend(pieces)
         if not self._flowing:
@@ -149,17 +151,17 @@
         """Whether something still waits here to be written."""
         return len(self.outward) > 0 or len(self._behind) > 0
 
-    def flow(self) -> None:
+    def resume_writing(self) -> None:
         if len(self.outward):
-            self.transport.write(self.outward.read(CHUNK))
+            self.transport.write(self.outward.read(WRITE_CHUNK_BYTES))
         elif self._behind:
             self.transport.write(self._behind.popleft())
         elif self._flowing:
             self._flowing = False
             self.transport.unregisterProducer()
-            self.drained()
+            self.all_written()
 
-    def end_now(self) -> None:
+    def close_now(self) -> None:
         """Close in this very turn; not to be called while the transport is being read."""
         # Danger: Twisted closes in a later turn, and what comes in between is lost with the
         # connection.
@@ -168,7 +170,7 @@
         else:
             self.transport.loseConnection()
 
-    def end_sending(self) -> bool:
+    def shutdown_write(self) -> bool:
         """Tell the peer in this very turn that no more comes, and read no more; False where it
         can't be."""
         if self._plain is None or not self._plain.connected or self._flowing:
@@ -180,7 +182,7 @@
         self.pauseProducing()
         return True
 
-    def abort_now(self) -> None:
+    def reset_now(self) -> None:
         """Reset in this very turn. The transport may be in the middle of a read: it sees that it
         is over."""
         # Danger: Twisted resets in a later turn, and until then what is sent elsewhere is a second
@@ -190,5 +192,5 @@
         if lost is not None:
             lost(Failure(ConnectionAborted()))
 
-    def drained(self) -> None:
+    def all_written(self) -> None:
         """All that was put has been written."""
--- a/hookpitch/net/clients.py
+++ b/hookpitch/net/client_registry.py
@@ -17,8 +17,8 @@
 from hookpitch.core.reply_slot import ReplySlot
 from hookpitch.core.resp import Malformed, Parser, bulk
 from hookpitch.core.stream import MOST, ROOM, ChunkedValue, Stream
+from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES, BufferedProtocol
 from hookpitch.net.clock import Clock
-from hookpitch.net.wire import CHUNK, Wire
 
 WORDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
 # Danger: what stands unread in the kernel is taken all the same, and its time runs. Read late, it
@@ -45,8 +45,8 @@
 
 
 @implementer(IHalfCloseableProtocol)
-class Client(Wire):
-    def __init__(self, clients: Clients) -> None:
+class Client(BufferedProtocol):
+    def __init__(self, clients: ClientRegistry) -> None:
         super().__init__()
         self.clients, self.host = clients, clients.host
         self.parser = Parser(self.inward, commands_only=True, most=MOST)
@@ -71,7 +71,7 @@
         super().connectionMade()
         self.number = self.host.connections.add(self)
         self.since = self.heard = self.clients.clock.now()
-        self.clients.open[self] = self.clients.quiet[self] = None
+        self.clients.connections[self] = self.clients.quiet[self] = None
         self.host.counters.add("clients.connected")
         self.clients.make_room(self)
 
@@ -108,12 +108,12 @@
             self.host.value_budget.give_back(self.value.length + self.parser.passing)
         self.value = None
 
-    def came(self) -> None:
+    def bytes_received(self) -> None:
         if self._taking or self.lost:
             return
         self._taking = True
         try:
-            age = self.age()
+            age = self.unread_age_ms()
             # Danger: what was read too late is sent for a client that has gone.
             self.parted = age > LEFT_MS and self.peer_ended()
             self._take(age)
@@ -158,7 +158,7 @@
                 return
             found, words = self.parser.next()
             if not found and self.parser.passing and len(self.inward):
-                self._piece(self.parser.part(CHUNK))
+                self._piece(self.parser.part(WRITE_CHUNK_BYTES))
                 continue
             if not found:
                 return
@@ -170,7 +170,7 @@
                     self.pauseProducing()
         # Danger: hundreds of commands that came at once keep all deadlines waiting until each was
         # decided.
-        self.clients.clock.deadlines.add(self.clients.clock.now(), lambda _: self.came())
+        self.clients.clock.deadlines.add(self.clients.clock.now(), lambda _: self.bytes_received())
 
     def _say(self, answer: bytes) -> None:
         self.due.append(ReplySlot(answer))
@@ -181,7 +181,7 @@
             slot = ReplySlot()
             self.due.append(slot)
             rpc = None
-            if self.parted or self.clients.over:
+            if self.parted or self.clients.fails_new_requests:
                 self.host.counters.add("rpcs.client_left")
                 slot.answer = b"-ERR failed\r\n"
             elif self.guest:
@@ -208,7 +208,7 @@
             elif rpc.open:
                 self.rpcs[id(slot)] = rpc
         elif name == b"PING":
-            if self.clients.paused:
+            if self.clients.reports_draining:
                 self._say(b"-ERR draining\r\n")
             else:
                 self._say(bulk(words[1]) if len(words) > 1 else b"+PONG\r\n")
@@ -228,7 +228,7 @@
         slot.answer = answer
         self.rpcs.pop(id(slot), None)
         if self.streams.pop(id(slot), None) is not None:
-            self.clients.streams -= 1
+            self.clients.active_streams -= 1
             self.head = None  # the end of what has passed
         if not self.lost:
             self._flush()
@@ -237,7 +237,7 @@
 
     def stream_started(self, slot: ReplySlot, stream: Stream) -> None:
         self.streams[id(slot)] = stream
-        self.clients.streams += 1
+        self.clients.active_streams += 1
         if self.lost or self.due[0] is not slot:
             stream.source.hold()  # those before it go first
         else:
@@ -245,27 +245,27 @@
 
     def _begin(self, stream: Stream) -> None:
         self.head = stream
-        self.put(b"$%d\r\n" % stream.length)
+        self.send(b"$%d\r\n" % stream.length)
         stream.source.go()
 
     def stream_chunk(self, slot: ReplySlot, data: bytes) -> None:
-        self.put(data)
+        self.send(data)
         # Danger: a server that gives faster than the client reads; the value would be held here.
-        if len(self.outward) > self.clients.stream_room and self.head is not None:
+        if len(self.outward) > self.clients.stream_buffer_bytes and self.head is not None:
             self.head.source.hold()
 
-    def flow(self) -> None:
-        super().flow()
+    def resume_writing(self) -> None:
+        super().resume_writing()
         if self.head is not None:
             self.head.moved = self.clients.clock.now()
-            if 2 * len(self.outward) <= self.clients.stream_room:
+            if 2 * len(self.outward) <= self.clients.stream_buffer_bytes:
                 self.head.source.go()
 
     def stream_aborted(self, slot: ReplySlot) -> None:
         self.rpcs.pop(id(slot), None)
         stream = self.streams.pop(id(slot), None)
         if stream is not None:
-            self.clients.streams -= 1
+            self.clients.active_streams -= 1
         if self.head is not stream:
             slot.answer = b"-ERR failed\r\n"  # nothing of it has passed
         else:
@@ -278,7 +278,7 @@
 
     def _flush(self) -> None:
         while self.due and self.due[0].answer is not None:
-            self.put(self.due.popleft().answer)
+            self.send(self.due.popleft().answer)
             self.clients.touch(self)
         if (
             self.due
@@ -299,13 +299,13 @@
         eased = 2 * len(self.outward) <= UNREAD_MOST and 2 * len(self.due) <= DUE_MOST
         if self.paused and eased and not self.ending and not self.lost:
             self.resumeProducing()
-            self.came()  # what was read before the pause
+            self.bytes_received()  # what was read before the pause
 
     def disconnected(self) -> bool:
         """Whether the client has closed its connection, or ended its sending, read or not."""
         return self.lost or self.peer_ended()
 
-    def drained(self) -> None:
+    def all_written(self) -> None:
         if self.clients.draining and not self.lost and not self.ending:
             # Danger: a request that stands unread in the kernel counts as taken.
             getattr(self.transport, "doRead", lambda: None)()
@@ -334,13 +334,13 @@
         """The turn of an idle connection has come; one that is in use is closed once it is
         answered."""
         self.parting = False
-        self.drained()
+        self.all_written()
 
     def _part(self, now: float) -> None:
         self.parting = False
         if not self.lost and self.idle and self.clients.draining:
             # Danger: an RPC that comes between the last look and the close is lost.
-            if self.kernel():
+            if self.has_kernel_bytes():
                 getattr(self.transport, "doRead", lambda: None)()
             if not self.lost and self.idle:
                 self.finish()
@@ -353,9 +353,9 @@
         if self.finished or (self._flowing and self._plain is not None):
             return  # what waits to be written goes first
         self.finished = True
-        if not self.peer_done and self.end_sending():
+        if not self.peer_done and self.shutdown_write():
             until = self.clients.clock.now() + LINGER_MS
-            self.clients.clock.deadlines.add(until, lambda _: self.lost or self.end_now())
+            self.clients.clock.deadlines.add(until, lambda _: self.lost or self.close_now())
         else:
             self.transport.loseConnection()
 
@@ -379,21 +379,21 @@
         self.lost = True
         self._let_go()
         self.host.connections.free(self.number)
-        self.clients.open.pop(self, None)
+        self.clients.connections.pop(self, None)
         self.clients.idle.pop(self, None)
         self.clients.quiet.pop(self, None)
         self.due.clear()
         self.head = None
-        self.clients.streams -= len(self.streams)
+        self.clients.active_streams -= len(self.streams)
         self.streams.clear()
         self.host.client_disconnected(
             self.clients.clock.now(), list(self.rpcs.values()), reads=False
         )
         self.rpcs.clear()
-        self.clients.left()
+        self.clients.connection_closed()
 
 
-class Clients(Factory):
+class ClientRegistry(Factory):
     noisy = False
 
     def __init__(
@@ -402,40 +402,46 @@
         """From `most` connections on idle ones give way; beyond `room` newcomers are guests, so
         many at once.
         `memory`: bytes that unread answers may hold."""
-        self.host, self.clock, self.most, self.memory, self.room = host, clock, most, memory, room
-        self.open: dict[Client, None] = {}  # the one that was answered last stands last
+        self.host, self.clock, self.most, self.max_reply_bytes, self.max_connections = (
+            host,
+            clock,
+            most,
+            memory,
+            room,
+        )
+        self.connections: dict[Client, None] = {}  # the one that was answered last stands last
         # Nothing is in work on these, the longest silent first: between RPCs, and without a whole
         # one yet.
         self.idle, self.quiet = dict[Client, None](), dict[Client, None]()
-        self.guests, self.streams = guests, 0  # streams: answers that pass in pieces now
+        self.guests, self.active_streams = guests, 0  # streams: answers that pass in pieces now
         clock.deadlines.add(clock.now() + SWEEP_MS, self.sweep)
-        self.leaving: Callable[[], None] | None = None
-        self.draining = self.paused = (
+        self.on_all_closed: Callable[[], None] | None = None
+        self.draining = self.reports_draining = (
             False  # draining: what is idle is closed; paused: `PING` says no
         )
-        self.over = False  # no time is left to send anything on
+        self.fails_new_requests = False  # no time is left to send anything on
 
     def buildProtocol(self, addr: Any) -> Client:  # noqa: ANN401, N802
         return Client(self)
 
     def info(self) -> bytes:
-        gauges = f"clients.open:{len(self.open)}\r\nrpcs.open:{len(self.host.rpcs)}\r\n"
+        gauges = f"clients.open:{len(self.connections)}\r\nrpcs.open:{len(self.host.rpcs)}\r\n"
         return (gauges + self.host.counters.lines()).encode()
 
     @property
-    def stream_room(self) -> int:
+    def stream_buffer_bytes(self) -> int:
         """Bytes that a stream may have waiting for its reader: less with more of them."""
         most, least = ROOM
-        return max(least, min(most, self.memory // (4 * max(1, self.streams))))
+        return max(least, min(most, self.max_reply_bytes // (4 * max(1, self.active_streams))))
 
     def make_room(self, newcomer: Client) -> None:
         """Danger: clients that keep connections and use none shut all others out."""
-        if len(self.open) <= self.most:
+        if len(self.connections) <= self.most:
             return
         for client in islice(self.idle, LOOKED_AT):
-            if client.idle and not client.unread():
+            if client.idle and not client.has_unread_bytes():
                 return self.close(client, "closed_idle")
-        if len(self.open) <= self.room:
+        if len(self.connections) <= self.max_connections:
             return
         # Danger: hundreds that send half of a request in the place of true ones. A slow but honest
         # client goes on writing, so the one that has been silent for longest gives way, not the one
@@ -444,16 +450,16 @@
         for client in islice(self.quiet, LOOKED_AT):
             if client.heard > newcomer.heard - YIELD_MS:
                 break
-            if not client.kernel():
+            if not client.has_kernel_bytes():
                 return self.close(client, "closed_silent")
-        if len(self.open) > self.room:
+        if len(self.connections) > self.max_connections:
             # Danger: with no descriptor left, Twisted closes what it accepts, with an RPC on it. A
             # guest is answered that there is no room, and goes.
             newcomer.guest = True
             self.host.counters.add("clients.guests")
             newcomer.transport.doRead()
             # Danger: guests that say nothing use up the descriptors that are left.
-            if newcomer.ending or len(self.open) > self.room + self.guests:
+            if newcomer.ending or len(self.connections) > self.max_connections + self.guests:
                 self.part(newcomer)
             else:
                 self.clock.deadlines.add(self.clock.now() + GUEST_MS, lambda _: self.part(newcomer))
@@ -465,20 +471,20 @@
             if not guest.ending:
                 self.host.counters.add("clients.closed_silent")
             guest.ending = True
-            guest.end_now()
+            guest.close_now()
 
     def touch(self, client: Client) -> None:
-        if client in self.open:
-            del self.open[client]
-            self.open[client], client.since = None, self.clock.now()
+        if client in self.connections:
+            del self.connections[client]
+            self.connections[client], client.since = None, self.clock.now()
 
     def sweep(self, now: float) -> None:
         """Close what never asked or has begun and not gone on, and what is idle where room is
         short."""
         self.clock.deadlines.add(now + SWEEP_MS, self.sweep)
-        held = len(self.open)
+        held = len(self.connections)
         kept = DRAINED_MS if self.draining else IDLE_MS
-        for client in list(self.open):
+        for client in list(self.connections):
             if client.since > now - kept:
                 break
             if client.ending and not client.due and client.since < now - LAST_MS:
@@ -486,15 +492,15 @@
                 client.transport.abortConnection()
             if client.due or len(client.outward) or client.ending or client.paused:
                 continue
-            if self.draining and client.idle and not client.unread():
+            if self.draining and client.idle and not client.has_unread_bytes():
                 self.close(client, "closed_drained")
                 continue
             silent = not client.asked or not client.parser.between
-            if silent and client.since <= now - SILENT_MS and not client.kernel():
+            if silent and client.since <= now - SILENT_MS and not client.has_kernel_bytes():
                 # Danger: hundreds that connect and say nothing, or half of a command, hold every
                 # descriptor.
                 self.close(client, "closed_silent")
-            elif not silent and 2 * held > self.most and not client.unread():
+            elif not silent and 2 * held > self.most and not client.has_unread_bytes():
                 # Danger: clients that ask once and keep the connection use up what the others need.
                 self.close(client, "closed_idle")
                 held -= 1
@@ -506,27 +512,27 @@
         if client.since > self.clock.now() - LINGER_MS:
             client.finish()
         else:
-            client.end_now()
+            client.close_now()
 
     def spare_memory(self) -> None:
         """Danger: clients that ask and never read; the node would be killed for memory."""
-        if sum(client.outward.room for client in self.open) > self.memory:
-            worst = max(self.open, key=lambda client: client.outward.room)
+        if sum(client.outward.room for client in self.connections) > self.max_reply_bytes:
+            worst = max(self.connections, key=lambda client: client.outward.room)
             self.host.counters.add("clients.cut_off")
             worst.transport.abortConnection()
 
-    def leave(self, done: Callable[[], None], over_ms: float = 0.0) -> None:
+    def shut_down(self, done: Callable[[], None], over_ms: float = 0.0) -> None:
         """Close what is idle, by turns over `over_ms`, the rest once answered; `done` when all are
         closed."""
-        self.leaving = done
+        self.on_all_closed = done
         self.drain(silent=True, over_ms=over_ms)
-        self.left()
+        self.connection_closed()
 
     def drain(self, silent: bool = False, over_ms: float = 0.0) -> None:
         """Close what is idle, by turns over `over_ms`, and what else there is once it is;
         `silent`: also what
         has not asked yet."""
-        self.draining, now, held = True, self.clock.now(), list(self.open)
+        self.draining, now, held = True, self.clock.now(), list(self.connections)
         # Danger: clients that hear of hundreds of closes at once still write to some of those
         # connections.
         for n, client in enumerate(held):
@@ -535,18 +541,18 @@
                 client.parting = True
                 self.clock.deadlines.add(now + over_ms * n / len(held), client.part_now)
             else:
-                client.drained()
+                client.all_written()
 
-    def end_all(self) -> None:
+    def close_all(self) -> None:
         """What is open ends now, but for what stands in part: no more time is left."""
-        self.over = True  # a command that becomes whole only now is answered at once
-        for client in list(self.open):
+        self.fails_new_requests = True  # a command that becomes whole only now is answered at once
+        for client in list(self.connections):
             if client.due or client.parser.between:
                 client.ending = True
                 client.due.clear()
                 client.finish()
 
-    def left(self) -> None:
-        if self.leaving is not None and not self.open:
-            done, self.leaving = self.leaving, None
+    def connection_closed(self) -> None:
+        if self.on_all_closed is not None and not self.connections:
+            done, self.on_all_closed = self.on_all_closed, None
             done()
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -3,7 +3,6 @@
 
 from __future__ import annotations
 
-import json
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any
 
@@ -16,8 +15,9 @@
 from hookpitch.core.deadlines import Deadline
 from hookpitch.core.host import Host
 from hookpitch.core.json_stream import JsonStream
+from hookpitch.net.buffered_protocol import BufferedProtocol
 from hookpitch.net.clock import Clock
-from hookpitch.net.wire import Wire
+from hookpitch.net.endpoint_list import parse_endpoint_list
 from hookpitch.startup.poll_schedule import FAR, SILENCE_TIMEOUT_MS, PollSchedule, WatchLoss
 
 ASK_WITHIN_MS = 10000.0  # a node asks so often, where nothing is told
@@ -27,53 +27,9 @@
 OLDER_MOST = (
     3  # times that a discovery which counts lower is heard, beats included, before it is taken
 )
-STATES = {
-    "in_service": EndpointState.READY,
-    "terminating": EndpointState.DRAINING,
-    "terminated": EndpointState.REMOVED,
-}
-
-
-def read(
-    text: bytes | str | Mapping[str, Any], kinds: Sequence[str]
-) -> tuple[int, bool, list[Endpoint], dict[str, str]]:
-    """One of discovery's objects: version, whether whole, entries, where to dial them. ValueError
-    if bad."""
-    try:
-        top = text if isinstance(text, Mapping) else json.loads(text)
-        entries, dials = [], {}
-        for h in top["hosts"]:
-            e = Endpoint(
-                id=str(h["host"]),
-                zone=str(h.get("site") or ""),
-                cell=int(h.get("block") or 0),
-                started_ms=float(h.get("born_ms") or 0),
-                state=STATES[h["health"]],
-                kind=kinds.index(h["class"]) if h.get("class") in kinds else -2,
-                size=float(1.0 if h.get("share") is None else h["share"]),
-            )
-            host, _, port = str(h["dial"]).rpartition(":")
-            if (
-                not host
-                or not 0 < int(port) < 65536
-                or not abs(e.started_ms + e.size) < float("inf")
-            ):
-                raise ValueError("a bad entry")
-            entries.append(e)
-            dials[e.id] = h["dial"]
-        return int(top["seq"]), bool(top["whole"]), entries, dials
-    except (
-        KeyError,
-        TypeError,
-        ValueError,
-        AttributeError,
-        RecursionError,
-        OverflowError,
-    ) as fault:
-        raise ValueError(f"a bad list of servers: {fault!r}") from None
-
-
-def retry_after(headers: Iterable[tuple[bytes, bytes]]) -> float:
+
+
+def retry_after_ms(headers: Iterable[tuple[bytes, bytes]]) -> float:
     """The seconds that an HTTP answer asks for before the next call, in ms; 0 where it names
     none."""
     words = (value for name, value in headers if name.lower() == b"retry-after")
@@ -81,7 +37,7 @@
     return min(3600.0, float(value)) * 1000 if value.isdigit() and len(value) < 10 else 0.0
 
 
-class Watch(Wire):
+class Watch(BufferedProtocol):
     """One call: what discovery writes is told until the connection ends."""
 
     def __init__(self, discovery: Discovery) -> None:
@@ -101,19 +57,19 @@
         # Danger: a discovery cut off never answers, and a watch that hangs would tell of no loss.
         self.wait(self.discovery.poll_schedule.response_timeout)
         host, port = self.discovery.address
-        target = f"/v1/servers?follow=1&since={self.discovery.seq}"
+        target = f"/v1/servers?follow=1&since={self.discovery.version}"
         headers = [("Host", f"{host}:{port}")]
         request = self.http.send(h11.Request(method="GET", target=target, headers=headers))
-        self.put(request + self.http.send(h11.EndOfMessage()))
+        self.send(request + self.http.send(h11.EndOfMessage()))
 
-    def came(self) -> None:
+    def bytes_received(self) -> None:
         self.http.receive_data(self.inward.read(len(self.inward)))
         try:
             while not self.over:
                 event = self.http.next_event()
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
-                        return self.end(WatchLoss.REFUSED, retry_after(event.headers))
+                        return self.end(WatchLoss.REFUSED, retry_after_ms(event.headers))
                 elif isinstance(event, h11.Data):
                     self._read(bytes(event.data))
                 elif event is h11.NEED_DATA:
@@ -135,9 +91,9 @@
         for text in self.objects.feed(data):
             whole += 1
             if text:
-                discovery.told(text)
+                discovery.list_received(text)
             else:
-                discovery.beaten()
+                discovery.heartbeat_received()
         # Danger: half an object, or a byte now and then, tells nothing and would put silence off
         # for good.
         if whole or abs(len(self.objects) - self.seen) >= PROGRESS:
@@ -156,7 +112,7 @@
         elif self.connector is not None:
             self.connector.disconnect()  # it still dials
         if how is not None:
-            self.discovery.lost(self, how, after_ms)
+            self.discovery.watch_lost(self, how, after_ms)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         self.end()
@@ -186,7 +142,7 @@
         most: int = LIST_MOST,
     ) -> None:
         """`most`: bytes of one list or change."""
-        self.reactor, self.clock, self.host, self.address, self.seq = (
+        self.reactor, self.clock, self.host, self.address, self.version = (
             reactor,
             clock,
             host,
@@ -194,21 +150,21 @@
             seq,
         )
         self.most = most
-        self.current: Watch | None = None
+        self.current_watch: Watch | None = None
         d = host.deployment
         within = d.poll_interval_ms or ASK_WITHIN_MS
         self.poll_schedule = PollSchedule(
             clock.now(), d.nodes, within, draws(d.seed, "ask"), not d.polling_required
         )
         self.due: Deadline | None = None
-        self.first: Callable[[], None] | None = None  # called once a list has come
+        self.on_first_list: Callable[[], None] | None = None  # called once a list has come
         self.older = 0  # times in a row that it was heard with versions lower than the one held,
         self.lower = 0  # one more than the last such version; 0: it has none on this watch
         self.anew: dict[str, tuple[Endpoint, str]] | None = (
             None  # the whole list with it, and dials
         )
 
-    def begin(self) -> None:
+    def schedule_poll(self) -> None:
         """From now on it asks when its time has come."""
         self.clock.deadlines.drop(self.due)
         self.due = (
@@ -219,9 +175,9 @@
 
     def _due(self, now: float) -> None:
         if self.poll_schedule.due(now):
-            self.watch(now)
+            self.start_watch(now)
         else:
-            self.begin()
+            self.schedule_poll()
 
     def reconfigured(self) -> None:
         d = self.host.deployment
@@ -229,40 +185,40 @@
             d.nodes, d.poll_interval_ms or ASK_WITHIN_MS, not d.polling_required
         )
 
-    def watch(self, now: float) -> None:
+    def start_watch(self, now: float) -> None:
         self.host.counters.add("lists.asked")
         self.poll_schedule.poll_started(now)
-        self.begin()
-        if self.current is not None:
-            self.current.end(None)
-        watch = self.current = Watch(self)
+        self.schedule_poll()
+        if self.current_watch is not None:
+            self.current_watch.end(None)
+        watch = self.current_watch = Watch(self)
         watch.connector = self.reactor.connectTCP(*self.address, _Dial(watch), timeout=None)
         watch.wait(DIALS * self.host.deployment.connect_timeout_ms)
 
-    def move(self, address: tuple[str, int], anew: bool = False) -> None:
+    def change_address(self, address: tuple[str, int], anew: bool = False) -> None:
         """Discovery lives elsewhere now, and may count versions anew; or the list held is to be
         read anew, as
         its words mean something else: the whole list is asked for."""
-        if address == self.address and self.current is not None and not anew:
+        if address == self.address and self.current_watch is not None and not anew:
             return
         if address != self.address or anew:
-            self.address, self.seq, self.older, self.lower, self.anew = address, 0, 0, 0, None
-        self.watch(self.clock.now())
+            self.address, self.version, self.older, self.lower, self.anew = address, 0, 0, 0, None
+        self.start_watch(self.clock.now())
 
-    def told(self, text: bytes) -> None:
-        seq, whole, entries, dials = read(text, self.host.deployment.kinds)
+    def list_received(self, text: bytes) -> None:
+        seq, whole, entries, dials = parse_endpoint_list(text, self.host.deployment.kinds)
         if whole and not entries:
             # Danger: a discovery that has lost its data would empty the list of every node.
             raise ValueError("a whole list without servers")
         self.poll_schedule.endpoints_received()
-        self.begin()
-        if seq < self.seq:
+        self.schedule_poll()
+        if seq < self.version:
             return self._older(seq, whole, entries, dials)
-        self.seq, self.older, self.lower, self.anew = seq, 0, 0, None
+        self.version, self.older, self.lower, self.anew = seq, 0, 0, None
         kind = EndpointUpdate.SNAPSHOT if whole else EndpointUpdate.DELTA
         self.host.update_endpoints(self.clock.now(), kind, entries, dials)
-        if self.first is not None:
-            self.first()
+        if self.on_first_list is not None:
+            self.on_first_list()
 
     def _older(
         self, seq: int, whole: bool, entries: Sequence[Endpoint], dials: Mapping[str, str]
@@ -281,39 +237,41 @@
             for id in [e.id for e in entries if e.state == EndpointState.REMOVED]:
                 self.anew.pop(id, None)
         self.lower = seq + 1
-        self.host.record_malformed("versions", f"discovery has version {seq}, {self.seq} is held")
+        self.host.record_malformed(
+            "versions", f"discovery has version {seq}, {self.version} is held"
+        )
         # It brings none back, but what it takes away is let go at once: rule 3 counts from this
         # telling.
         away = [e for e in entries if e.state != EndpointState.READY]
         if away:
             self.host.update_endpoints(self.clock.now(), EndpointUpdate.DELTA, away, dials)
-        self.beaten()
+        self.heartbeat_received()
 
-    def beaten(self) -> None:
+    def heartbeat_received(self) -> None:
         """Discovery was heard, and told nothing newer than is held."""
         # Danger: a watch with beats alone, as nothing has changed, taken for a call that is not
         # answered.
         self.poll_schedule.endpoints_received()
-        self.begin()
+        self.schedule_poll()
         if not self.lower:
             return
         self.older += 1
         if self.older > OLDER_MOST:
-            known, self.seq, self.older = self.anew, self.lower - 1, 0
+            known, self.version, self.older = self.anew, self.lower - 1, 0
             self.anew, self.lower = None, 0
             if known is None:  # changes alone: of what list, only the whole one tells
-                self.seq = 0
+                self.version = 0
                 raise ValueError("versions are counted anew")
             entries, dials = [e for e, _ in known.values()], {id: d for id, (_, d) in known.items()}
             self.host.update_endpoints(self.clock.now(), EndpointUpdate.SNAPSHOT, entries, dials)
 
-    def lost(self, watch: Watch, how: WatchLoss, after_ms: float) -> None:
-        if watch is self.current:
+    def watch_lost(self, watch: Watch, how: WatchLoss, after_ms: float) -> None:
+        if watch is self.current_watch:
             # What was heard of a discovery that counts lower stays counted; its list may be
             # another's by now.
-            self.current, self.anew, self.lower, now = None, None, 0, self.clock.now()
+            self.current_watch, self.anew, self.lower, now = None, None, 0, self.clock.now()
             if not self.poll_schedule.failures:
                 self.host.log("discovery lost, asking again")
             self.host.update_endpoints(now, EndpointUpdate.FAILED, [], {})
             self.poll_schedule.poll_failed(now, how, after_ms)
-            self.begin()
+            self.schedule_poll()
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -14,7 +14,7 @@
 from hookpitch.core.host import Host
 from hookpitch.net.admin import CALLERS, SPARE, AdminServer
 from hookpitch.net.backend_pools import BackendPools
-from hookpitch.net.clients import Clients
+from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import Discovery
 from hookpitch.net.loop_monitor import LoopMonitor
@@ -69,7 +69,7 @@
         servers = min(config.sockets // 2, config.sockets - third - guests - own)
         self.pools = BackendPools(reactor, clock, self.host, servers, OriginConnection)
         room = config.sockets - servers - guests - own
-        self.clients = Clients(self.host, clock, third, config.memory_mb << 19, room, guests)
+        self.clients = ClientRegistry(self.host, clock, third, config.memory_mb << 19, room, guests)
         self.host.value_budget.most = config.memory_mb << 18  # a quarter of the memory
         self.loop_monitor = LoopMonitor(clock, self.host, cpu)
         self.discovery = Discovery(
@@ -114,23 +114,23 @@
         if self.config.management is not None and self.config.shared:
             self._share()
         if self.config.inherited is None:
-            self.discovery.begin()
+            self.discovery.schedule_poll()
             self._serve()
             return
         # Danger: the list that is known may be old, and clients come at once. But a discovery that
         # is down must not keep the node from serving what it knows.
-        self.discovery.first = self._serve
-        self.discovery.watch(self.clock.now())
+        self.discovery.on_first_list = self._serve
+        self.discovery.start_watch(self.clock.now())
         self.clock.deadlines.add(self.clock.now() + FIRST_LIST_MS, lambda _: self._serve())
 
     def known(self, seq: int, entries: list[Endpoint], dials: Mapping[str, str]) -> None:
         """The list of before, until discovery tells one."""
-        self.discovery.seq = seq
+        self.discovery.version = seq
         self.host.update_endpoints(self.clock.now(), EndpointUpdate.CACHED, entries, dials)
 
     def _serve(self) -> None:
-        """Clients are taken from now on."""
-        self.discovery.first = None
+        """ClientRegistry are taken from now on."""
+        self.discovery.on_first_list = None
         if self.up or self.leaving:
             return
         self.up = True
@@ -164,7 +164,7 @@
             and not any(s.heard for s in caches)
         )
         if phases.phase == Phase.KNOWN and vain and self.discovery.poll_schedule.expedite(now):
-            self.discovery.begin()
+            self.discovery.schedule_poll()
         if phases.phase != Phase.ORDINARY:
             self.clock.deadlines.add(now + PHASE_MS, self._phase)
 
@@ -245,7 +245,7 @@
         if self.paused == (verb == "PAUSE") or verb == "START":
             return
         self.logger.info("by hand", call=verb, what=what)
-        self.paused = self.clients.paused = not self.paused
+        self.paused = self.clients.reports_draining = not self.paused
         self.pauses += 1
         if self.paused:
             number = self.pauses
@@ -278,8 +278,12 @@
         self.host.router.set_process_count(self.clock.now(), processes)
         # Danger: what is open already stays, or clients would be turned back unheard; it only grows
         # no more.
-        self.pools.most = max(servers // processes, min(servers, self.pools.held))
-        self.clients.room = max(room // processes, min(room, len(self.clients.open)))
+        self.pools.max_descriptors = max(
+            servers // processes, min(servers, self.pools.descriptors_used)
+        )
+        self.clients.max_connections = max(
+            room // processes, min(room, len(self.clients.connections))
+        )
         self.host.value_budget.most = held // processes
 
     def _catch_up(self) -> None:
@@ -333,7 +337,7 @@
             self.host.counters.add("config_changes")
         address = f"{told.discovery[0]}:{told.discovery[1]}"
         self.logger.info("reloaded", discovery=address, changed=",".join(changed) or "nothing")
-        self.discovery.move(
+        self.discovery.change_address(
             told.discovery, bool({"kinds", "origin_kind", "weights_reflect_load"} & set(changed))
         )
 
@@ -360,7 +364,7 @@
     def _give_up(self) -> None:
         """No time is left, whatever clients still do."""
         self.host.give_up_all(self.clock.now())
-        self.clients.end_all()
+        self.clients.close_all()
 
     def _close(self) -> None:
         if self.config.inherited is None:
@@ -372,7 +376,7 @@
                 self.port.doRead()
         if self.port is not None:
             self.port.stopListening()
-        self.clients.leave(self._end, self._parting())
+        self.clients.shut_down(self._end, self._parting())
 
     def _parting(self) -> float:
         return 0.0 if self.config.inherited is None else PARTING_MS
--- a/hookpitch/net/node_config.py
+++ b/hookpitch/net/node_config.py
@@ -11,7 +11,7 @@
 
 from hookpitch.balancer.deployment import deployment
 from hookpitch.balancer.interface import Deployment, Endpoint
-from hookpitch.net.discovery import read
+from hookpitch.net.endpoint_list import parse_endpoint_list
 
 FIXED = ("name", "listen", "management", "seed", "limits")  # a running node keeps these
 SOCKETS_LEAST = 64
@@ -63,7 +63,7 @@
         raise ValueError("limits is no JSON object")
     d = _deployment(number, top.get("settings"))
     known = top.get("known")
-    seq, _, entries, dials = read(
+    seq, _, entries, dials = parse_endpoint_list(
         {"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds
     )
     return NodeConfig(
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -47,7 +47,7 @@
             else (b"".join(part for part in parts if part),)
         )
 
-    def came(self) -> None:
+    def bytes_received(self) -> None:
         if self.attempt is None:
             return self.spoilt("nobody asked")
         if not self.paused:
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -173,7 +173,7 @@
             node.host.counters.add("snapshot.none")
         else:
             listed, dials = entries(x)
-            if x.seq > node.discovery.seq and listed:
+            if x.seq > node.discovery.version and listed:
                 node.known(x.seq, listed, dials)
             node.logger.info(
                 "snapshot", path=self.path, believed=recalled(node.host.router, now, x)
@@ -195,7 +195,7 @@
         # Danger: a node without any list would write nothing over what it had learned.
         if self.out or not node.host.router.servers:
             return
-        seq, dials = node.discovery.seq, node.pools.dials()
+        seq, dials = node.discovery.version, node.pools.addresses()
         data = write(
             taken(node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials)
         )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -34,7 +34,7 @@
 from hookpitch.core.resp import Fault, Parser, command
 from hookpitch.core.ring import Ring
 from hookpitch.net.clock import Clock
-from hookpitch.net.discovery import read
+from hookpitch.net.endpoint_list import parse_endpoint_list
 from hookpitch.net.node import SocketNode
 from hookpitch.net.node_config import NodeConfig
 
@@ -589,7 +589,7 @@
         self.network = Network()
         self.hosts = [listed_host(f"s{i}", 7000 + i) for i in range(caches)]
         self.hosts.append(listed_host("o1", ORIGIN_PORT, **{"class": "origin"}))
-        seq, _, entries, dials = read(
+        seq, _, entries, dials = parse_endpoint_list(
             {"seq": 5, "whole": True, "hosts": self.hosts}, ("std", "origin")
         )
         self.clock = Clock(self.network, self.network.seconds, lambda: 1e9)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -212,7 +212,7 @@
 def test_with_all_room_taken_by_open_rpcs_newcomers_are_told_and_a_server_can_be_dialled() -> None:
     s = Sockets(sockets=64)
     s.network.ways |= {7000: "silent", 7001: "silent"}
-    held = [s.client() for _ in range(s.node.clients.room)]
+    held = [s.client() for _ in range(s.node.clients.max_connections)]
     for n, line in enumerate(held):
         line.say(get(f"r{n}", f"key{n}"))
     late = [s.client(get(f"l{n}", f"key{n}")) for n in range(40)]
@@ -224,7 +224,9 @@
     assert s.network.dials, "room for servers is kept apart"
     s.pass_time(1000)
     answers = [line.take() for line in held]
-    assert all(answers) and len(answers) == s.node.clients.room, "one final answer to each"
+    assert all(answers) and len(answers) == s.node.clients.max_connections, (
+        "one final answer to each"
+    )
     held[0].say(get("again"))
     assert serve(s) and b"v" in held[0].take()
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,7 +8,7 @@
 
 from hookpitch.balancer.interface import EndpointUpdate
 from hookpitch.core.chance import draws
-from hookpitch.net.discovery import retry_after
+from hookpitch.net.discovery import retry_after_ms
 from hookpitch.simwire.adapter import Seat
 from hookpitch.startup.poll_schedule import (
     FAR,
@@ -200,10 +200,12 @@
     ):
         a = fleet(60)[7]
         a.asked(0.0)
-        after = retry_after([(b"server", b"x"), (b"Retry-After", b"%d" % seconds)])
+        after = retry_after_ms([(b"server", b"x"), (b"Retry-After", b"%d" % seconds)])
         assert least <= a.lost(0.0, WatchLoss.REFUSED, after) <= most
     assert (
-        retry_after([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")]) == retry_after([]) == 0.0
+        retry_after_ms([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")])
+        == retry_after_ms([])
+        == 0.0
     )
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 
 from hookpitch.core.counters import Counters
 from hookpitch.fakes.history import History
-from hookpitch.net.clients import Clients
+from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.shared_state import SharedState
 from hookpitch.testbed.experiment import read
 from hookpitch.testbed.judge import Judge, Rules
@@ -264,8 +264,8 @@
 """
 
 
-def leaves_its_clients(self: Clients, done: object, over_ms: float = 0.0) -> None:
-    for client in list(self.open):
+def leaves_its_clients(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
+    for client in list(self.connections):
         client.transport.abortConnection()
 
 
@@ -279,8 +279,8 @@
             {"rule 3"},
         ),  # the new process knows nothing of the ban
         (
-            Clients,
-            "leave",
+            ClientRegistry,
+            "shut_down",
             leaves_its_clients,
             {"rule 1"},
         ),  # the old one ends its clients' connections
@@ -302,13 +302,13 @@
 def test_only_a_process_that_another_follows_takes_its_time_to_part(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    spans, leave = list[float](), Clients.leave
+    spans, leave = list[float](), ClientRegistry.shut_down
 
-    def seen(self: Clients, done: object, over_ms: float = 0.0) -> None:
+    def seen(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
         spans.append(over_ms)
         leave(self, done, over_ms)
 
-    monkeypatch.setattr(Clients, "leave", seen)
+    monkeypatch.setattr(ClientRegistry, "shut_down", seen)
     alone = UPGRADE.replace("node_upgrade", "node_leave").replace("suspend", "flush")
     for text in (UPGRADE, alone):
         assert not Run(read(text), 1).run().broken
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -102,7 +102,7 @@
     s = Sockets(3)
     call(s, b"SUSPEND s1\n")
     assert (figures(s)["members"], figures(s)["members_unavailable"]) == (3, 1)
-    s.node.discovery.told(
+    s.node.discovery.list_received(
         b'{"seq":6,"whole":false,"hosts":[%s]}'
         % (str(listed_host("s2", 7002, health="terminating")).replace("'", '"').encode())
     )
@@ -277,14 +277,14 @@
 def test_two_processes_hold_what_one_may_and_the_last_gets_all_back(tmp_path: Path) -> None:
     s = Sockets(shared=str(tmp_path), sockets=384)
     s.pass_time(300)
-    servers, room = s.node.pools.most, s.node.clients.room
+    servers, room = s.node.pools.max_descriptors, s.node.clients.max_connections
     other = SharedState(str(tmp_path), "n0", s.logs.append, "2")
     other.tell("SUSPEND", "s1")
     s.pass_time(250)
     assert (
         s.node.processes == 2
-        and s.node.pools.most == servers // 2
-        and s.node.clients.room == room // 2
+        and s.node.pools.max_descriptors == servers // 2
+        and s.node.clients.max_connections == room // 2
     )
     assert s.node.host.router.part == 0.5 and figures(s)["members_unavailable"] == 1
     call(s, b"PAUSE\n")
@@ -292,7 +292,11 @@
     assert [verb for verb, _ in other.news()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
     other.close()
     s.pass_time(250)
-    assert s.node.processes == 1 and s.node.pools.most == servers and s.node.host.router.part == 1.0
+    assert (
+        s.node.processes == 1
+        and s.node.pools.max_descriptors == servers
+        and s.node.host.router.part == 1.0
+    )
     s.node.shared.close()
 
 
@@ -379,7 +383,7 @@
     for client in idle:
         client.say(b"*1\r\n$4\r\nPING\r\n")
         assert client.take() == b"+PONG\r\n"
-    s.node.clients.leave(lambda: done.append(1), 400.0)
+    s.node.clients.shut_down(lambda: done.append(1), 400.0)
     s.pass_time(100)
     assert 3 <= sum(client.ended for client in idle) <= 7
     late = next(client for client in reversed(idle) if not client.ended)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -54,6 +54,6 @@
     held = [x for x in storm.network.lines if not x.ended] + [
         d for d in storm.network.dials if not d.over
     ]
-    assert storm.s.node.pools.held == sum(x.port != DISCOVERY for x in held), (
+    assert storm.s.node.pools.descriptors_used == sum(x.port != DISCOVERY for x in held), (
         "descriptors are counted wrong"
     )
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -243,11 +243,11 @@
     path = tmp_path / "n.snapshot"
     s = node(path)
     assert s.counters.counts["snapshot.none"] == 1
-    s.node.discovery.seq = 77
+    s.node.discovery.version = 77
     s.pass_time(11000)
     assert s.counters.counts["snapshot.written"] >= 1 and snapshot_store.load(str(path)).seq == 77
     again = node(path)
-    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.seq == 77
+    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.version == 77
     c = again.client()
     c.say(get("r1"))
     again.pass_time(1)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -9,8 +9,8 @@
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.core.resp import bulk, command
 from hookpitch.core.stream import MOST
-from hookpitch.net import clients
-from hookpitch.net.wire import CHUNK
+from hookpitch.net import client_registry
+from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES
 
 VALUE = b"*3\r\n" + bulk(b"v") + bulk(b"hit") + bulk(b"outstanding=1,recent_ms=2.5")
 MISS = b"*3\r\n$-1\r\n" + bulk(b"miss") + b"$-1\r\n"
@@ -153,10 +153,10 @@
     s.node.host.router.origin_kind = (
         -1
     )  # a write goes to a cache, large enough to leave in two pieces
-    c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v" * CHUNK))
+    c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v" * WRITE_CHUNK_BYTES))
     s.pass_time(1)
     (line,) = [line for port in PORTS for line in s.network.to(port)]
-    assert 0 < len(line.got) == CHUNK
+    assert 0 < len(line.got) == WRITE_CHUNK_BYTES
     line.end()
     assert s.counters.counts == s.counters.counts | {"tx.connect_failed": 1, "tx.sent": 2}
 
@@ -196,7 +196,7 @@
 
 def test_idle_connections_are_not_used_near_their_end() -> None:
     s = Sockets(1)
-    s.node.pools.idle_ms = 500.0
+    s.node.pools.idle_timeout_ms = 500.0
     c = s.client()
     c.say(get("r1"))
     serve(s)
@@ -383,12 +383,12 @@
     serve(s)
     (line,) = s.network.to(7000)
     watch(s, {"seq": 6, "whole": False, "hosts": [listed_host("s0", 7000, health="terminated")]})
-    assert list(s.node.pools.pools) == ["o1"]
+    assert list(s.node.pools.by_backend) == ["o1"]
     watch(s, {"seq": 7, "whole": False, "hosts": [listed_host("s0", 7000)]})
     c.say(get("r2"))
     assert len(serve(s)) == 1 and c.take() == bulk(b"v") * 2 and line.ended
     watch(s, {"seq": 8, "whole": True, "hosts": s.hosts[1:]})
-    assert list(s.node.pools.pools) == ["o1"]
+    assert list(s.node.pools.by_backend) == ["o1"]
 
 
 def test_a_customer_over_its_share_is_known_by_its_name() -> None:
@@ -443,7 +443,7 @@
 def test_a_client_that_does_not_read_waits_and_then_is_cut_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "UNREAD_MOST", 1 << 20)
+    monkeypatch.setattr(client_registry, "UNREAD_MOST", 1 << 20)
     s = Sockets(memory_mb=64)
     c, other = s.client(), s.client()
     c.reads = False
@@ -456,7 +456,7 @@
     assert c.paused and 1 << 20 < len(c.protocol.outward) < 2 << 20
     c.reads = True
     assert len(c.take()) > 1 << 20 and not c.paused
-    s.node.clients.memory = 1 << 20
+    s.node.clients.max_reply_bytes = 1 << 20
     c.reads = False
     for i in range(40):
         c.say(get(f"s{i}") if not c.paused else b"")
@@ -468,7 +468,7 @@
 def test_a_burst_of_commands_leaves_others_their_turn_and_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "DUE_MOST", 1024)
+    monkeypatch.setattr(client_registry, "DUE_MOST", 1024)
     s = Sockets()
     c, other = s.client(), s.client()
     c.say(command(b"PING") * 100 + b"".join(get(f"r{i}") for i in range(3000)))
@@ -492,22 +492,22 @@
         lines[-1].say(command(b"PING"))
         lines[-1].take()
     s.pass_time(1)
-    assert len(s.node.clients.open) == 21 and not lines[-1].ended
+    assert len(s.node.clients.connections) == 21 and not lines[-1].ended
 
 
 def test_without_descriptors_idle_connections_go_first_then_rpcs_are_exhausted() -> None:
     s = Sockets()
-    s.node.pools.most = 1
+    s.node.pools.max_descriptors = 1
     c = s.client()
     for key in ("aa", "bb"):
         c.say(get(key, key))
         s.pass_time(1)
-    assert s.node.pools.held == 1 and s.counters.counts["dials.no_room"] >= 1
+    assert s.node.pools.descriptors_used == 1 and s.counters.counts["dials.no_room"] >= 1
     serve(s)
     s.pass_time(500)
     c.say(get("r3", "cc"))
     serve(s)
-    assert b"$1\r\nv" in c.take() and s.node.pools.held <= 2
+    assert b"$1\r\nv" in c.take() and s.node.pools.descriptors_used <= 2
 
 
 def test_after_a_reset_older_idle_connections_are_not_tried_one_by_one() -> None:
@@ -575,7 +575,7 @@
     assert asked == s.counters.counts["lists.asked"] == 2  # all on one watch
     assert (
         s.node.host.router.servers["s0"].state == EndpointState.REMOVED
-        and s.node.discovery.seq == 3
+        and s.node.discovery.version == 3
     )
 
 
@@ -601,7 +601,8 @@
     )
     watch(s, b"", b"", b"", b"")
     assert (
-        s.node.host.router.servers["s0"].state == EndpointState.READY and s.node.discovery.seq == 5
+        s.node.host.router.servers["s0"].state == EndpointState.READY
+        and s.node.discovery.version == 5
     )
 
 
@@ -613,7 +614,7 @@
         s.pass_time(1)
         origin(s, b"HTTP/1.1 200 X\r\n" + head + b"\r\nval")
         s.network.to(ORIGIN_PORT)[0].end()
-        assert c.take() == said and s.node.pools.held == 0
+        assert c.take() == said and s.node.pools.descriptors_used == 0
 
 
 def test_a_watch_that_ends_lies_or_falls_silent_is_asked_for_anew() -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -156,7 +156,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(told), told)
     )
     assert (
-        s.node.discovery.seq == 2
+        s.node.discovery.version == 2
         and s.node.host.router.servers["s0"].state == EndpointState.REMOVED
     )
     reload()  # the same again: the watch goes on
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -94,7 +94,7 @@
     while not server.paused and sent < MOST:
         server.say(bytes(65536))
         sent += 65536
-    room = s.node.clients.stream_room
+    room = s.node.clients.stream_buffer_bytes
     assert server.paused and sent <= room + 2 * 65536
     client.reads = True
     client.take()
@@ -110,10 +110,10 @@
 
 def test_many_streams_share_what_may_wait() -> None:
     s = Sockets()
-    alone = s.node.clients.stream_room
-    s.node.clients.streams = 200
-    assert s.node.clients.stream_room < alone
-    s.node.clients.streams = 0
+    alone = s.node.clients.stream_buffer_bytes
+    s.node.clients.active_streams = 200
+    assert s.node.clients.stream_buffer_bytes < alone
+    s.node.clients.active_streams = 0
 
 
 def test_an_answer_behind_another_waits_and_goes_on_in_its_order() -> None:
@@ -139,7 +139,7 @@
     heads(server)
     client.end()
     s.pass_time(1)
-    assert server.ended and not s.node.host.open and not s.node.clients.streams
+    assert server.ended and not s.node.host.open and not s.node.clients.active_streams
 
 
 def test_a_large_body_of_the_origin_passes_and_one_cut_short_breaks() -> None:
