--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -175,7 +175,7 @@
             node.host.counters.add("snapshot.none")
         else:
             listed, dials = endpoints(x)
-            if x.version > node.discovery.seq and listed:
+            if x.version > node.discovery.version and listed:
                 node.apply_cached_endpoints(x.version, listed, dials)
             node.logger.info("snapshot", path=self.path, believed=restore(node.host.router, now, x))
             node.host.counters.add("snapshot.recalled")
@@ -195,7 +195,7 @@
         # Danger: a node without any list would write nothing over what it had learned.
         if self.writing or not node.host.router.servers:
             return
-        seq, dials = node.discovery.seq, node.pools.dials()
+        seq, dials = node.discovery.version, node.pools.addresses()
         data = encode(
             capture(
                 node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,7 +8,7 @@
 
 from hookpitch.balancer.interface import EndpointUpdate
 from hookpitch.core.seeded_random import seeded_random
-from hookpitch.net.discovery import retry_after
+from hookpitch.net.discovery import retry_after_ms
 from hookpitch.simwire.adapter import Seat
 from hookpitch.startup.poll_schedule import (
     MAX_POLL_GAP_MS,
@@ -204,10 +204,12 @@
     ):
         a = fleet(60)[7]
         a.poll_started(0.0)
-        after = retry_after([(b"server", b"x"), (b"Retry-After", b"%d" % seconds)])
+        after = retry_after_ms([(b"server", b"x"), (b"Retry-After", b"%d" % seconds)])
         assert least <= a.poll_failed(0.0, WatchLoss.REFUSED, after) <= most
     assert (
-        retry_after([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")]) == retry_after([]) == 0.0
+        retry_after_ms([(b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT")])
+        == retry_after_ms([])
+        == 0.0
     )
 
 
