--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -440,7 +440,8 @@
     def stream_buffer_bytes(self) -> int:
         """Bytes that a stream may have waiting for its reader: less with more of them."""
         return max(
-            MIN_UNSENT_BYTES, min(MAX_UNSENT_BYTES, self.max_reply_bytes // (4 * max(1, self.active_streams)))
+            MIN_UNSENT_BYTES,
+            min(MAX_UNSENT_BYTES, self.max_reply_bytes // (4 * max(1, self.active_streams))),
         )
 
     def make_room(self, newcomer: Client) -> None:
