--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -193,7 +193,7 @@
 
         node = self.node
         # Danger: a node without any list would write nothing over what it had learned.
-        if self.writing or not node.host.router.servers:
+        if self.writing or not node.host.router.backends:
             return
         seq, dials = node.discovery.version, node.pools.addresses()
         data = encode(
