--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -30,18 +30,18 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from hookpitch.balancer.interface import Endpoint, EndpointState
-from hookpitch.core.chance import draws
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.members.codec import Codec
-from hookpitch.members.endpoint_exchange import Held, Lists, Taken
-from hookpitch.members.state import Address, Members, State
+from hookpitch.members.endpoint_exchange import EndpointExchange, ListStatus, ReceivedList
+from hookpitch.members.state import Address, Membership, MemberState, MessageKind
 from hookpitch.net.clock import Clock
-from hookpitch.net.discovery import STATES, read
-from hookpitch.startup.poll_schedule import FAR
+from hookpitch.net.endpoint_list import ENDPOINT_STATES, parse_endpoint_list
+from hookpitch.startup.poll_schedule import NEVER
 
 RATE_MOST = 2000  # datagrams read a second: a flood costs no more than that
 AGAIN_MS = 500.0  # until the next try where the address is still held by the process before
 ODD_LOGGED = 3
-HEALTH = {state: word for word, state in STATES.items()}  # as discovery has it
+HEALTH = {state: word for word, state in ENDPOINT_STATES.items()}  # as discovery has it
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,15 +101,17 @@
         self.node = node
         self.log = lambda text: log("members", what=text)
         # Danger: processes of one node that draw alike. The moment of the start makes them differ.
-        self.members = Members(
+        self.members = Membership(
             clock.now(),
             name,
             told.listen,
             told.seeds,
-            draws(seed ^ int(clock.now()), "members"),
+            seeded_random(seed ^ int(clock.now()), "members"),
             self.log,
         )
-        self.lists = Lists(clock.now(), name, draws(seed ^ int(clock.now()), "lists"), count)
+        self.lists = EndpointExchange(
+            clock.now(), name, seeded_random(seed ^ int(clock.now()), "lists"), count
+        )
         self.version = 0  # of the list taken
         self.waiting: tuple[list[Endpoint], dict[str, str]] | None = (
             None  # taken, and not given yet
@@ -141,8 +143,8 @@
         self.clock.deadlines.add(max(due, now + 1.0), self.tick)
 
     def flush(self) -> None:
-        out, self.members.out = self.members.out + self.lists.out, []
-        self.lists.out = []
+        out, self.members.outbox = self.members.outbox + self.lists.outbox, []
+        self.lists.outbox = []
         for to, message in out:
             try:
                 self.transport.write(self.codec.write(message), self.told.dial.get(to, to))
@@ -165,29 +167,31 @@
             if self._odd <= ODD_LOGGED:
                 self.log(f"a datagram from {addr[0]}:{addr[1]} is {why}")
             return
-        self.members.heard(now, addr[:2], message)
-        if self.node is not None and message.kind == "wish":
-            self.lists.wished(now, addr[:2], message, self.held(), self._list)
-        elif self.node is not None and message.kind == "list":
-            taken = self.lists.came(now, addr[:2], message, self.held())
+        self.members.receive(now, addr[:2], message)
+        if self.node is not None and message.kind == MessageKind.LIST_REQUEST:
+            self.lists.handle_request(now, addr[:2], message, self.held(), self._list)
+        elif self.node is not None and message.kind == MessageKind.LIST_CHUNK:
+            taken = self.lists.handle_chunk(now, addr[:2], message, self.held())
             if taken is not None:
                 self._take(taken)
         self.flush()
 
     # ---- lists of cache servers
 
-    def held(self) -> Held:
+    def held(self) -> ListStatus:
         discovery, counts = self.node.discovery, self.node.host.counters.counts
         told = "lists.full" in counts or "lists.delta" in counts
         # Danger: a version that a member told, kept above discovery's own count once that has been
         # heard.
-        version = discovery.seq if told else max(discovery.seq, self.version)
-        return Held(version, told, told and discovery.poll_schedule.at == FAR)
+        version = discovery.version if told else max(discovery.version, self.version)
+        return ListStatus(version, told, told and discovery.poll_schedule.due_at == NEVER)
 
     def _others(self) -> list[Address]:
         """Who may be asked for a list: all that live, as others tell of them, and the seeds."""
         known = [
-            m.record.address for m in self.members.members.values() if m.record.state == State.ALIVE
+            m.record.address
+            for m in self.members.members.values()
+            if m.record.state == MemberState.ALIVE
         ]
         return [a for a in dict.fromkeys((*self.told.seeds, *known)) if a != self.told.listen]
 
@@ -195,7 +199,7 @@
         """What this node holds, in discovery's own words."""
         host, dials, kinds = (
             self.node.host,
-            self.node.pools.dials(),
+            self.node.pools.addresses(),
             self.node.host.deployment.kinds,
         )
         hosts = [
@@ -212,12 +216,14 @@
             for s in host.router.backends.values()
             if s.id in dials and s.listed_state != EndpointState.REMOVED
         ]
-        return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
+        return json.dumps(
+            {"seq": self.node.discovery.version, "whole": True, "hosts": hosts}
+        ).encode()
 
-    def _take(self, taken: Taken) -> None:
+    def _take(self, taken: ReceivedList) -> None:
         try:
             d = self.node.host.deployment
-            version, whole, entries, dials = read(taken.text, d.kinds)
+            version, whole, entries, dials = parse_endpoint_list(taken.text, d.kinds)
             ready = any(e.state == EndpointState.READY and e.kind != d.origin_kind for e in entries)
             if version != taken.version or not whole or not ready:
                 raise ValueError("no list to begin with")
@@ -247,11 +253,11 @@
         # Danger: a call that is out asked for changes since the list of before; they would be put
         # on this one, and what it has wrong would stay. Once it has failed, the next asks for the
         # whole.
-        if self.waiting is None or self.node.discovery.current is not None:
+        if self.waiting is None or self.node.discovery.current_watch is not None:
             return
         (entries, dials), self.waiting = self.waiting, None
         if not self.held().told:
-            self.node.known(0, entries, dials)
+            self.node.apply_cached_endpoints(0, entries, dials)
 
     def leave(self) -> None:
         """Say goodbye; datagrams that come are heard no more."""
@@ -265,8 +271,8 @@
         """The view for on-call staff: its version, then a line a member."""
         view, now = self.members.view, self.clock.now()
         found = [
-            f"view={view.version} members={len(view.members)} part={view.part:.2f} "
-            f"slow={self.members.slow}"
+            f"view={view.version} members={len(view.members)} part={view.visible_fraction:.2f} "
+            f"slow={self.members.health_penalty}"
         ]
         for name in sorted(self.members.members):
             m = self.members.members[name]
@@ -286,5 +292,5 @@
     port = Port(
         told, node.config.name, d.seed, node.clock, node.logger.info, node.host.counters.add, node
     )
-    node.peers = port
+    node.membership = port
     return port
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -14,19 +14,19 @@
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
 from hookpitch.net import snapshot_store
-from hookpitch.net.operator_settings import load as load_operator
+from hookpitch.net.operator_settings import load_operator_settings as load_operator
 from hookpitch.startup.snapshot_format import (
-    BYTES_MOST,
     FORMAT,
     HEAD,
+    MAX_BYTES,
     BackendSnapshot,
     HotBucket,
     MovedBucket,
     Snapshot,
-    read,
-    write,
+    decode,
+    encode,
 )
-from hookpitch.startup.snapshot_state import entries, recalled, taken
+from hookpitch.startup.snapshot_state import capture, endpoints, restore
 from hookpitch.testbed.experiment import read as read_experiment
 from hookpitch.testbed.run import Run
 
@@ -57,22 +57,22 @@
 
 
 def learned(f: Fleet, **changes: object) -> Snapshot:
-    return msgspec.structs.replace(taken(f.router, f.now, "fleet", "n1", 41, DIALS), **changes)
+    return msgspec.structs.replace(capture(f.router, f.now, "fleet", "n1", 41, DIALS), **changes)
 
 
 def begun(x: Snapshot, later_ms: float, servers: list = SERVERS) -> Fleet:
     """A node that starts so much later and recalls it."""
     f = Fleet(deployment(nodes=1, slow_start_ms=20000.0))
-    f.now = x.written + later_ms
+    f.now = x.written_at_ms + later_ms
     f.router = type(f.router)(f.now, f.d)
     f.listed(servers, EndpointUpdate.CACHED)
-    recalled(f.router, f.now, x)
+    restore(f.router, f.now, x)
     return f
 
 
 def test_what_was_learned_comes_back_and_fades_with_its_age() -> None:
     f = busy()
-    x = read(write(learned(f)))
+    x = decode(encode(learned(f)))
     assert x == learned(f)
     best = max((s for s in f.router.caches if not s.ejected), key=lambda s: s.concurrency_limit)
     limits = [
@@ -107,26 +107,27 @@
         BackendSnapshot(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0)
         for e in SERVERS
     )
-    new = begun(learned(f, servers=known), 100.0)
+    new = begun(learned(f, backends=known), 100.0)
     assert not any(s.ejected for s in new.router.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
-    new = begun(learned(f, servers=known), 100.0, alone)
+    new = begun(learned(f, backends=known), 100.0, alone)
     assert not new.router.backends["s3"].ejected and new.attempts[new.arrive("k")]
-    assert begun(learned(f, servers=known[:2]), 100.0).router.backends["s0"].ejected
+    assert begun(learned(f, backends=known[:2]), 100.0).router.backends["s0"].ejected
 
 
 def test_a_server_that_started_since_is_cold_whatever_the_snapshot_says() -> None:
     f = busy()
     x = learned(f)
-    fresh = [replace(e, started_ms=x.written + 500.0) if e.id == "s1" else e for e in SERVERS]
+    fresh = [replace(e, started_ms=x.written_at_ms + 500.0) if e.id == "s1" else e for e in SERVERS]
     new = begun(x, 1000.0, fresh)
     s = new.router.backends["s1"]
     assert s.warmup_until > new.now and s.concurrency_limit <= 2.0 and not s.available
     # And one that was cold as it was written is so for the rest of its time, no longer.
     cold = tuple(
-        replace_known(k, cold_until=x.written + 9e9) if k.id == "s1" else k for k in x.servers
+        replace_known(k, warmup_until_ms=x.written_at_ms + 9e9) if k.id == "s1" else k
+        for k in x.backends
     )
-    new = begun(msgspec.structs.replace(x, servers=cold), 1000.0)
+    new = begun(msgspec.structs.replace(x, backends=cold), 1000.0)
     assert new.now < new.router.backends["s1"].warmup_until <= new.now + 20000.0
 
 
@@ -140,7 +141,7 @@
     to = next(s.id for s in f.router.caches if s is not b.primary)
     x = learned(
         f,
-        moved=(
+        moved_buckets=(
             MovedBucket(77, (), (), to),
             MovedBucket(78, ("other",), (), to),
             MovedBucket(10**9, (), (), to),
@@ -162,34 +163,34 @@
 
 
 def test_what_is_cut_or_turned_at_any_byte_is_never_taken() -> None:
-    data = write(learned(busy()))
+    data = encode(learned(busy()))
     for end in range(len(data)):
         with pytest.raises(ValueError):
-            read(data[:end])
+            decode(data[:end])
     rng = random.Random(4)
     for at in range(len(data)):
         turned = bytearray(data)
         turned[at] ^= 1 << rng.randrange(8)
         with pytest.raises(ValueError):
-            read(bytes(turned))
+            decode(bytes(turned))
     with pytest.raises(ValueError, match="torn"):
-        read(data + b"x")
+        decode(data + b"x")
 
 
 def test_a_newer_version_is_told_and_unknown_fields_are_skipped() -> None:
     from hashlib import blake2b
 
-    data = write(learned(fleet()))
+    data = encode(learned(fleet()))
     newer = HEAD.pack(b"HKPS", FORMAT + 1, *HEAD.unpack_from(data)[2:]) + data[HEAD.size :]
     with pytest.raises(ValueError, match="newer version"):
-        read(newer)
+        decode(newer)
     body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {"later": [1, 2]})
     check = blake2b(body, digest_size=16).digest()
-    assert read(HEAD.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
+    assert decode(HEAD.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
     for field, value in (("written", float("nan")), ("sighted", -1.0), ("seq", "x")):
         body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {field: value})
         with pytest.raises(ValueError):
-            read(
+            decode(
                 HEAD.pack(b"HKPS", FORMAT, len(body), blake2b(body, digest_size=16).digest()) + body
             )
 
@@ -203,8 +204,8 @@
         MovedBucket(n % 4096, ("kind" * 20,), ("zone" * 20,), "s" * 200) for n in range(9000)
     )
     heavy = tuple(HotBucket(n, (), (), 9.0) for n in range(4096))
-    data = write(learned(fleet(), servers=many, moved=moved, heavy=heavy))
-    assert len(data) <= BYTES_MOST and read(data).heavy[0] == heavy[0]
+    data = encode(learned(fleet(), backends=many, moved_buckets=moved, hot_buckets=heavy))
+    assert len(data) <= MAX_BYTES and decode(data).hot_buckets[0] == heavy[0]
 
 
 # ---- on a disk
@@ -213,11 +214,11 @@
 def node(path: Path, **told: object) -> Sockets:
     """A node that is up, with its snapshot there."""
     s = Sockets(1)
-    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **told})
+    kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **told})
     s.node.snapshot_store = snapshot_store.SnapshotStore(
-        kept, s.node, lambda work, then: then(snapshot_store.done(work))
+        kept, s.node, lambda work, then: then(snapshot_store.failure_of(work))
     )
-    s.node.snapshot_store.recall()
+    s.node.snapshot_store.restore()
     return s
 
 
@@ -225,8 +226,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "n.snapshot"
-    old, new = write(learned(fleet(), seq=1)), write(learned(fleet(), seq=2))
-    snapshot_store.store(str(path), old)
+    old, new = encode(learned(fleet(), version=1)), encode(learned(fleet(), version=2))
+    snapshot_store.replace_file(str(path), old)
     real, left = os.write, [0]
 
     def some(held: int, data: bytes) -> int:
@@ -242,22 +243,25 @@
     for end in range(len(new)):
         left[0] = end
         with pytest.raises(OSError):
-            snapshot_store.store(str(path), new)
-        assert snapshot_store.load(str(path)).seq == 1
+            snapshot_store.replace_file(str(path), new)
+        assert snapshot_store.load_snapshot(str(path)).version == 1
     left[0] = len(new)
-    snapshot_store.store(str(path), new)
-    assert snapshot_store.load(str(path)).seq == 2
+    snapshot_store.replace_file(str(path), new)
+    assert snapshot_store.load_snapshot(str(path)).version == 2
 
 
 def test_a_node_recalls_what_the_process_before_it_wrote(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
     s = node(path)
     assert s.counters.counts["snapshot.none"] == 1
-    s.node.discovery.seq = 77
+    s.node.discovery.version = 77
     s.pass_time(11000)
-    assert s.counters.counts["snapshot.written"] >= 1 and snapshot_store.load(str(path)).seq == 77
+    assert (
+        s.counters.counts["snapshot.written"] >= 1
+        and snapshot_store.load_snapshot(str(path)).version == 77
+    )
     again = node(path)
-    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.seq == 77
+    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.version == 77
     c = again.client()
     c.say(get("r1"))
     again.pass_time(1)
@@ -280,7 +284,7 @@
     before = b""
     if told != "":
         s = node(path)
-        s.node.snapshot_store.write()
+        s.node.snapshot_store.save()
         before = path.read_bytes()
         before = before[:-1] if told is None else before
         path.write_bytes(before)
@@ -289,11 +293,11 @@
     s.node.logger = type(
         "Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")}
     )()
-    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **(told or {})})
+    kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **(told or {})})
     s.node.snapshot_store = snapshot_store.SnapshotStore(kept, s.node, lambda *_: None)
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
-    s.node.snapshot_store.recall()
+    s.node.snapshot_store.restore()
     assert len(lines) == 1 and said in lines[0]
     assert not before or path.read_bytes() == before
     assert s.node.host.router.backends["s0"].state == EndpointState.READY
@@ -304,23 +308,23 @@
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
     s = node(tmp_path / "n.snapshot", every_s=0.5)
-    s.node.snapshot_store.away = lambda work, then: None  # it never answers
+    s.node.snapshot_store.run_elsewhere = lambda work, then: None  # it never answers
     s.pass_time(5000)
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(3000)
     assert s.network.hasStopped  # the node ends nevertheless
 
 
 def test_no_device_or_link_is_read_in_its_place(tmp_path: Path) -> None:
     target = tmp_path / "real"
-    target.write_bytes(write(learned(fleet())))
+    target.write_bytes(encode(learned(fleet())))
     (tmp_path / "link").symlink_to(target)
     os.mkfifo(tmp_path / "pipe")
     for name in ("link", "pipe"):
         with pytest.raises(ValueError):
-            snapshot_store.load(str(tmp_path / name))
+            snapshot_store.load_snapshot(str(tmp_path / name))
     with pytest.raises(ValueError):
-        snapshot_store.load("/dev/zero")
+        snapshot_store.load_snapshot("/dev/zero")
 
 
 @pytest.mark.parametrize(
@@ -343,7 +347,7 @@
 
 def test_on_call_staff_can_read_one(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
-    path.write_bytes(write(learned(busy())))
+    path.write_bytes(encode(learned(busy())))
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
     assert said.exit_code == 0 and "node n1 of fleet fleet" in said.output and "s2" in said.output
     said = CliRunner().invoke(main, ["snapshot", "show", "--json", str(path)])
@@ -373,5 +377,5 @@
 
 
 def test_a_list_of_before_is_dialled_where_it_says() -> None:
-    some, dials = entries(learned(fleet()))
+    some, dials = endpoints(learned(fleet()))
     assert {e.id for e in some} == set(DIALS) and dials == DIALS
