--- a/hookpitch/balancer/__init__.py
+++ b/hookpitch/balancer/__init__.py
@@ -1,1 +1,5 @@
-"""The balancer of one node: what it is told, and what it decides."""
+"""Every decision of one client-side router, without I/O and without a clock.
+
+`router.Router` takes inputs and hands decisions to a host; `interface` has the types between the
+two. Each other module holds one concern of the decisions, with its state, invariants and units.
+"""
--- /dev/null
+++ b/hookpitch/balancer/endpoints.py
@@ -0,0 +1,185 @@
+"""What discovery and operators say of the backends. Look here when one is used that should not be.
+
+State: the backends' listed values, the ids that an operator has banned, and, where listed sizes
+are cut by load, the nominal size of each kind. Invariants: a backend that is not ready is sent
+nothing new; a ban holds whatever a list says; a backend that has started since is treated as a new
+one, and warms up. The ring changes only with the backends that are ready and their sizes.
+"""
+
+from __future__ import annotations
+
+from hookpitch.balancer.backend import NEVER, Backend, BackendTable
+from hookpitch.balancer.concurrency import ConcurrencyLimits
+from hookpitch.balancer.health import OutlierDetector
+from hookpitch.balancer.interface import Deployment, Endpoint, EndpointState, EndpointUpdate
+from hookpitch.balancer.placement import Placement
+from hookpitch.balancer.retries import RetryPolicy
+from hookpitch.balancer.ring import HashRing
+from hookpitch.balancer.slow_start import SlowStart
+
+MIN_SIZE = 1e-3
+UNKNOWN_KIND = -2
+
+
+class EndpointList:
+    """Applies endpoint updates and bans to the backends."""
+
+    def __init__(
+        self,
+        table: BackendTable,
+        ring: HashRing,
+        placement: Placement,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+        concurrency: ConcurrencyLimits,
+        retries: RetryPolicy,
+    ) -> None:
+        self.banned: dict[str, None] = {}  # in the order of the bans
+        self.nominal_sizes: dict[int, float] | None = None  # by kind; None: sizes ignore load
+        self._nodes = 1
+        self._removal_is_advisory = False
+        self._table = table
+        self._ring = ring
+        self._placement = placement
+        self._outliers = outliers
+        self._slow_start = slow_start
+        self._concurrency = concurrency
+        self._retries = retries
+
+    def configure(self, deployment: Deployment, nodes: int) -> None:
+        """Take new settings; kinds are numbered anew, so backends' numbers follow their names."""
+        table = self._table
+        self._nodes = nodes
+        self._removal_is_advisory = deployment.removal_is_advisory
+        kind_names = [table.kind_name(backend.kind) for backend in table.backends.values()]
+        table.kind_names = deployment.kinds
+        table.origin_kind = deployment.origin_kind
+        self.nominal_sizes = {} if deployment.weights_reflect_load else None
+        for backend, name in zip(table.backends.values(), kind_names, strict=True):
+            known = name in deployment.kinds
+            backend.kind = deployment.kinds.index(name) if known else UNKNOWN_KIND
+            backend.reported_load = -1.0
+            if self.nominal_sizes is not None:
+                largest = self.nominal_sizes.get(backend.kind, 0.0)
+                self.nominal_sizes[backend.kind] = max(backend.size, largest)
+
+    def update(self, kind: EndpointUpdate, endpoints: list[Endpoint], now: float) -> None:
+        """Apply an update. One that is no delta removes what it does not name."""
+        changed = False
+        resized: list[Backend] = []
+        for endpoint in endpoints:
+            backend = self._table.backends.get(endpoint.id)
+            if backend is None:
+                backend = self._table.backends[endpoint.id] = Backend(endpoint.id)
+            self._restart_if_new(backend, endpoint, now)
+            changed |= backend.listed_state != endpoint.state
+            changed |= (backend.zone, backend.kind) != (endpoint.zone, endpoint.kind)
+            if self._apply(backend, endpoint):
+                resized.append(backend)
+            if endpoint.kind == self._table.origin_kind:
+                self._concurrency.start_origin(backend, self._nodes)
+            self.set_state(backend, endpoint.state, now)
+        if kind != EndpointUpdate.DELTA:
+            named = {endpoint.id for endpoint in endpoints}
+            for backend in self._table.backends.values():
+                if backend.id not in named and backend.listed_state != EndpointState.REMOVED:
+                    changed = True
+                    self.set_state(backend, EndpointState.REMOVED, now)
+        if changed or resized:
+            self.rebuild_ring(resized)
+
+    def set_banned(self, id: str, banned: bool, now: float) -> None:
+        """Keep a backend out, or take it back; a ban may come before its backend is listed."""
+        was_banned = id in self.banned
+        self.banned.pop(id, None)
+        if banned:
+            self.banned[id] = None
+        backend = self._table.backends.get(id)
+        if backend is None or banned == was_banned:
+            return
+        if not banned:
+            # What was restarted while banned is cold, and old failures would keep it waiting.
+            self._outliers.reset(backend)
+            backend.ejection_ms = 0.0
+            self._slow_start.start_warmup(backend, now, now)
+        self.set_state(backend, backend.listed_state, now)
+        on_ring = backend.ring_points or backend.state != EndpointState.READY
+        self.rebuild_ring([] if on_ring else [backend])
+
+    def set_state(self, backend: Backend, listed: EndpointState, now: float) -> None:
+        """Take a listed state, and derive the state by which the backend is used.
+
+        Where removal is advisory, a list that lags would take a backend out and in by turns: one
+        that was ready is still tried, unless it has not answered for a while.
+        """
+        backend.removal_advised = (
+            listed == EndpointState.REMOVED
+            and self._removal_is_advisory
+            and (backend.listed_state == EndpointState.READY or backend.removal_advised)
+        )
+        backend.listed_state = listed
+        state = listed
+        if backend.removal_advised:
+            state = EndpointState.READY
+            silent_ms = now - backend.last_response_at
+            if not backend.ejected and silent_ms > self._outliers.base_ejection_ms:
+                self._outliers.eject(backend, now)
+        if state == EndpointState.READY and backend.id in self.banned:
+            state = EndpointState.DRAINING
+        if state != EndpointState.READY and backend.state == EndpointState.READY:
+            self._retries.reroute_pending(backend, now, state == EndpointState.REMOVED)
+        backend.state = state
+        backend.update_availability(now)
+
+    def rebuild_ring(self, resized: list[Backend]) -> None:
+        """Bring the origin, the ring and all assignments in step with the backends' states."""
+        table, ring = self._table, self._ring
+        ready = [b for b in table.backends.values() if b.state == EndpointState.READY]
+        if table.origin not in ready:
+            origins = (b for b in ready if b.kind == table.origin_kind)
+            table.origin = next(origins, table.origin)
+        caches = [backend for backend in resized if backend.kind != table.origin_kind]
+        ring.set_scale(caches)
+        if ring.needs_rebuild(caches):
+            ring.clear()
+            self._forget_removed()
+            caches = [backend for backend in ready if backend.kind != table.origin_kind]
+        ring.add(caches)
+        self._placement.ring_changed()
+
+    def _restart_if_new(self, backend: Backend, endpoint: Endpoint, now: float) -> None:
+        """Forget what is known of a backend's process where the list says that it is a new one."""
+        usable = endpoint.state == EndpointState.READY or self._removal_is_advisory
+        started_at = endpoint.started_ms if endpoint.started_ms > 0 else NEVER
+        if not usable or started_at <= backend.started_at:
+            return
+        self._retries.reroute_pending(backend, now, True)
+        backend.started_at = started_at
+        self._outliers.reset(backend)
+        backend.last_response_at = NEVER
+        self._slow_start.start_warmup(backend, started_at, now)
+
+    def _apply(self, backend: Backend, endpoint: Endpoint) -> bool:
+        """Take an endpoint's listed values; return whether the backend needs other ring points."""
+        size = max(endpoint.size, MIN_SIZE)
+        if self.nominal_sizes is not None:
+            # Sizes that follow load would move the ring with every list.
+            nominal = max(size, self.nominal_sizes.get(endpoint.kind, 0.0))
+            self.nominal_sizes[endpoint.kind] = nominal
+            backend.reported_load = (nominal / size - 1) * nominal
+            size = nominal
+        resized = endpoint.state == EndpointState.READY and (
+            not backend.ring_points or backend.size != size
+        )
+        backend.zone = endpoint.zone
+        backend.cell = endpoint.cell
+        backend.size = size
+        backend.kind = endpoint.kind
+        return resized
+
+    def _forget_removed(self) -> None:
+        """Drop the records of removed backends that have nothing in flight."""
+        backends = self._table.backends
+        for backend in list(backends.values()):
+            if backend.state == EndpointState.REMOVED and not backend.in_flight:
+                del backends[backend.id]
--- /dev/null
+++ b/hookpitch/balancer/health.py
@@ -0,0 +1,192 @@
+"""Outlier detection. Look here when a backend is ejected that is well, or kept that is not.
+
+State: on each backend its failures in a row, its ejection and when it last answered; here, the
+supply of second opinions, and what this process itself delayed. Invariants: the origin is never
+ejected, for there is no other; an ejected backend is tried with one RPC at a time once its
+ejection is over; an error counts against a backend only once another has answered the same RPC.
+Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from hookpitch.balancer.backend import NEVER, START_CONCURRENCY_LIMIT, Backend, BackendTable
+from hookpitch.balancer.concurrency import ConcurrencyLimits
+from hookpitch.balancer.idle_connections import IdleConnections
+from hookpitch.balancer.interface import Deployment, Outcome
+from hookpitch.balancer.pending import PendingWork
+from hookpitch.balancer.retries import RetryPolicy
+from hookpitch.balancer.ring import HashRing
+from hookpitch.balancer.rpc import Attempt, Rpc
+from hookpitch.balancer.slow_start import SlowStart
+
+EJECT_AFTER = 3  # failures in a row
+MAX_EJECTIONS = 8  # times the base ejection: the longest ejection, and how long one is remembered
+MAX_SECOND_OPINIONS = 10.0  # saved up
+SECOND_OPINION_GAIN = 0.05  # for each good answer
+
+
+class LocalDelay:
+    """What this process did not do in time, and so holds against no backend."""
+
+    __slots__ = ("read_delay_ms", "stalled_at")
+
+    def __init__(self) -> None:
+        self.read_delay_ms = 0.0  # for how long what has arrived stands unread
+        self.stalled_at = NEVER  # when the event loop last stood still
+
+    def covers(self, attempt: Attempt) -> bool:
+        """Tell whether an attempt was in flight while the process stood still."""
+        return attempt.sent_at < self.stalled_at
+
+
+class OutlierDetector:
+    """Failures, ejections and recoveries."""
+
+    def __init__(
+        self,
+        table: BackendTable,
+        ring: HashRing,
+        work: PendingWork,
+        concurrency: ConcurrencyLimits,
+        slow_start: SlowStart,
+        retries: RetryPolicy,
+        idle_connections: IdleConnections,
+    ) -> None:
+        self.second_opinions = MAX_SECOND_OPINIONS
+        self.base_ejection_ms = 0.0
+        self._table = table
+        self._ring = ring
+        self._work = work
+        self._concurrency = concurrency
+        self._slow_start = slow_start
+        self._retries = retries
+        self._idle_connections = idle_connections
+
+    def configure(self, deployment: Deployment) -> None:
+        """Take new settings; ejections that have begun keep their length."""
+        shortest_ms = min((method.soft_ms for method in deployment.methods), default=1000.0)
+        self.base_ejection_ms = 2 * shortest_ms
+
+    # ---- what tells of a backend's health
+
+    def record_response(self, backend: Backend, now: float) -> None:
+        """Count an answer, and take an ejected backend back."""
+        backend.last_response_at = now
+        backend.consecutive_failures = 0
+        backend.response_count += 1
+        self.second_opinions = min(MAX_SECOND_OPINIONS, self.second_opinions + SECOND_OPINION_GAIN)
+        if backend.ejected:
+            backend.ejected = False
+            backend.recovered_at = now
+            backend.cap_concurrency()
+            self._work.log_lines.append(f"{backend.id} back on the path")
+        backend.update_availability(now)
+
+    def confirm_suspect(self, rpc: Rpc, backend: Backend, now: float) -> None:
+        """Count an error as a failure once another backend could do what its own could not."""
+        if rpc.unservable or rpc.suspect in (None, backend, self._table.origin):
+            return
+        self.record_failure(rpc.suspect, now)
+        rpc.suspect = None
+
+    def needs_second_opinion(self, backend: Backend, outcome: Outcome, now: float) -> bool:
+        """Tell whether an error may be the RPC's own fault."""
+        if outcome != Outcome.ERROR:
+            return False
+        return backend is not self._table.origin or not self._silent(backend, now)
+
+    def suspect(self, rpc: Rpc, backend: Backend) -> None:
+        """Keep an error for a second opinion; a second error says that the RPC is at fault.
+
+        RPCs that fail anywhere would otherwise eject every backend, and their retries would take
+        the capacity of the rest.
+        """
+        rpc.unservable = rpc.suspect is not None or self.second_opinions < 1
+        rpc.suspect = backend
+
+    def spend_second_opinion(self) -> None:
+        """Count an attempt that is made for a second opinion."""
+        self.second_opinions -= 1
+
+    def record_broken_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
+        """Judge an attempt that ended in an error or without an answer that can be read."""
+        backend = attempt.backend
+        if (
+            outcome == Outcome.CONNECT_FAILED
+            and self._has_died(backend, now)
+            and backend.started_at < attempt.sent_at
+        ):
+            self._slow_start.start_warmup(backend, now, now)
+        # A limit cut for what befalls any backend, or at each slip of the one origin, starves all.
+        tolerated = backend is self._table.origin or outcome == Outcome.MALFORMED
+        if not tolerated or self._silent(backend, now):
+            self.record_failure(backend, now)
+
+    def record_timeout(self, attempt: Attempt, now: float, local_delay: LocalDelay) -> None:
+        """Judge an attempt that timed out; many that were in flight together count once."""
+        backend = attempt.backend
+        if max(backend.last_response_at, backend.last_failure_at) >= attempt.sent_at:
+            return
+        if not attempt.silence_recorded and not local_delay.covers(attempt):
+            self.record_failure(backend, now)
+
+    # ---- what follows from it
+
+    def record_failure(self, backend: Backend, now: float) -> None:
+        """Count a failure, and eject the backend where it is one too many."""
+        self._idle_connections.record_failure()
+        if backend is self._table.origin:
+            self._concurrency.record_origin_failure(backend)
+            return
+        backend.consecutive_failures += 1
+        backend.last_failure_at = now
+        # What fails and recovers by turns would otherwise cost several RPCs at every turn.
+        relapsed = self._recovered_lately(backend, now)
+        if backend.consecutive_failures < (1 if relapsed else EJECT_AFTER):
+            return
+        if backend.ejected and now < backend.ejected_until:
+            return
+        if not backend.ejected:
+            failures = backend.consecutive_failures
+            self._work.log_lines.append(
+                f"{backend.id} off the path after {failures} failures in a row"
+            )
+            if not relapsed:
+                backend.ejection_ms = 0.0
+        self.eject(backend, now)
+
+    def eject(self, backend: Backend, now: float) -> None:
+        """Send a backend nothing for a while, which doubles each time."""
+        backend.ejected = True
+        backend.available = False
+        backend.concurrency_limit = START_CONCURRENCY_LIMIT
+        backend.ejection_ms = min(
+            self.base_ejection_ms * MAX_EJECTIONS,
+            max(self.base_ejection_ms, 2 * backend.ejection_ms),
+        )
+        backend.ejected_until = now + backend.ejection_ms
+        self._retries.reroute_pending(backend, now, True)
+
+    def reset(self, backend: Backend) -> None:
+        """Forget failures, for a backend whose process is a new one."""
+        backend.consecutive_failures = 0
+        backend.ejected = False
+        backend.cap_concurrency()
+
+    def _silent(self, backend: Backend, now: float) -> bool:
+        return now - backend.last_response_at > self.base_ejection_ms
+
+    def _recovered_lately(self, backend: Backend, now: float) -> bool:
+        return now < backend.recovered_at + MAX_EJECTIONS * self.base_ejection_ms
+
+    def _has_died(self, backend: Backend, now: float) -> bool:
+        """Tell whether a refused connection says that the backend's process is a new one.
+
+        One that refuses after failures died and comes back cold, maybe unannounced. Where most
+        caches fail, the fault is this node's own network.
+        """
+        if backend.consecutive_failures <= 1 and not self._recovered_lately(backend, now):
+            return False
+        caches = self._ring.caches
+        failing = sum(cache.consecutive_failures > 0 for cache in caches)
+        return 2 * failing <= len(caches)
--- /dev/null
+++ b/hookpitch/balancer/idle_connections.py
@@ -0,0 +1,60 @@
+"""How long a backend's connections may be idle. Look here when connections are dropped unseen.
+
+State: `idle_limit_ms`, between `min_idle_ms` and `max_idle_ms`; it grows in each rate window and
+falls with each failure. Routers that never let go keep the backends' connection tables full, and
+routers that come later find no place in them.
+"""
+
+from __future__ import annotations
+
+from hookpitch.balancer.backend import Backend
+from hookpitch.balancer.interface import Deployment
+
+START_GROWTH = 1.3  # a window, until the first failure
+CAREFUL_GROWTH = 1.05  # a window, after it
+FAILURE_FACTOR = 0.8
+
+
+class IdleConnections:
+    """The limit on idle time."""
+
+    __slots__ = ("_growth", "idle_limit_ms", "max_idle_ms", "min_idle_ms")
+
+    def __init__(self) -> None:
+        self.idle_limit_ms = 0.0
+        self.max_idle_ms = 0.0
+        self.min_idle_ms = 0.0
+        self._growth = START_GROWTH
+
+    def configure(self, deployment: Deployment, base_ejection_ms: float) -> None:
+        """Take new settings; where holding costs, the limit is where it equals a new handshake."""
+        if deployment.connection_hold_cost > 0:
+            self.max_idle_ms = (
+                base_ejection_ms * deployment.connection_open_cost / deployment.connection_hold_cost
+            )
+            self.min_idle_ms = self.max_idle_ms
+        else:
+            self.max_idle_ms = deployment.connection_idle_timeout_ms
+            self.min_idle_ms = min(self.max_idle_ms, base_ejection_ms)
+        self.idle_limit_ms = min(max(self.idle_limit_ms, self.min_idle_ms), self.max_idle_ms)
+
+    def record_failure(self) -> None:
+        """Hold connections for less: tables may be full, or they were dropped unseen."""
+        self.idle_limit_ms = max(self.min_idle_ms, FAILURE_FACTOR * self.idle_limit_ms)
+        self._growth = CAREFUL_GROWTH
+
+    def grow(self) -> None:
+        """Hold connections for longer, once a window."""
+        self.idle_limit_ms = min(self.max_idle_ms, self._growth * self.idle_limit_ms)
+
+    def is_idle(self, backend: Backend, now: float) -> bool:
+        """Tell whether a backend's connections have been idle for too long."""
+        return (
+            backend.connected
+            and not backend.in_flight
+            and now - backend.last_send_at > self.idle_limit_ms
+        )
+
+    def may_be_dropped(self, backend: Backend, now: float) -> bool:
+        """Tell whether the backend may have dropped its idle connections unseen."""
+        return self.is_idle(backend, now) and self.idle_limit_ms < 0.9 * self.max_idle_ms
--- /dev/null
+++ b/hookpitch/balancer/key_generations.py
@@ -0,0 +1,42 @@
+"""How many distinct keys each bucket has lately had, as an estimate of its memory.
+
+State: keys asked for, in two generations, each with its bucket. A key counts once in its bucket's
+`keys`, until it is in neither generation. A generation ends by size or by age.
+"""
+
+from __future__ import annotations
+
+from hookpitch.balancer.placement import BUCKETS, Bucket
+
+MAX_KEYS = 16 * BUCKETS  # in a generation
+
+
+class KeyGenerations:
+    """Keys lately asked for."""
+
+    __slots__ = ("_max_age_ms", "_older", "_recent", "_rotated_at")
+
+    def __init__(self, now: float, max_age_ms: float) -> None:
+        self._recent: dict[str, Bucket] = {}
+        self._older: dict[str, Bucket] = {}
+        self._rotated_at = now
+        self._max_age_ms = max_age_ms
+
+    def record(self, key: str, bucket: Bucket) -> None:
+        """Count a key that was asked for."""
+        if key in self._recent:
+            return
+        if key not in self._older:
+            bucket.keys += 1
+        self._recent[key] = self._older.get(key, bucket)
+
+    def rotate_if_due(self, now: float) -> None:
+        """End the generation where it is full or old; drop keys not asked for since."""
+        if len(self._recent) < MAX_KEYS and now < self._rotated_at + self._max_age_ms:
+            return
+        for key, bucket in self._older.items():
+            if key not in self._recent:
+                bucket.keys -= 1
+        self._older = self._recent
+        self._recent = {}
+        self._rotated_at = now
--- /dev/null
+++ b/hookpitch/balancer/load_shedding.py
@@ -0,0 +1,150 @@
+"""Load shedding. Look here when RPCs are rejected that could be served, or the wrong ones are.
+
+Two loads are measured. The fleet's: `pressure` and `shed_fraction` follow the part of RPCs within
+quota that were rejected or late in a rate window. The node's own: `overload` is the part of what
+arrives that the node cannot do, measured by its host. Either sheds by priority: methods of the
+least gain first, in bands as wide as their part of what arrives; what is over quota goes before
+all. Fractions are from 0 to 1, times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from hookpitch.balancer.draws import DrawSequence
+from hookpitch.balancer.interface import Deployment, Method
+from hookpitch.balancer.quotas import Quotas
+from hookpitch.balancer.rpc import Rpc
+
+SHED_FROM = 0.2  # of what is within quota rejected or late: from here on less is admitted
+MAX_SHED_FRACTION = 0.9
+MAX_QUEUE_FRACTION = 0.3  # of the time that is left: the longest stay in a queue
+NOT_SHED = -1.0
+
+
+class PriorityBand(NamedTuple):
+    """Where the methods of one gain stand among all, by their part of what arrives."""
+
+    start: float
+    width: float
+
+
+WHOLE_BAND = PriorityBand(0.0, 1.0)
+
+
+class LoadShedder:
+    """Measures overload, and decides which RPCs are rejected at once."""
+
+    def __init__(self, draws: DrawSequence, quotas: Quotas) -> None:
+        # The fleet's load.
+        self.arrival_count = 1  # within quota, in this rate window
+        self.rejected_count = 0  # or late, of these
+        self.pressure = 0.0
+        self.shed_fraction = 0.0
+        # The node's own load.
+        self.overload = 0.0
+        self._arrival_mix: dict[str, float] = {}
+        self._arrival_bands: dict[str, PriorityBand] = {}
+        # Settings.
+        self._methods: dict[str, Method] = {}
+        self._bands: dict[str, PriorityBand] = {}  # methods in equal parts
+        self._max_retry_after_ms = 0.0
+        self._over_quota_gain_factor = 0.0
+        self._draws = draws
+        self._quotas = quotas
+
+    def configure(self, deployment: Deployment, methods: dict[str, Method]) -> None:
+        """Take new settings; what was measured stays."""
+        self._methods = methods
+        self._max_retry_after_ms = deployment.max_retry_after_ms
+        self._over_quota_gain_factor = deployment.over_quota_gain_factor
+        self._bands = self._priority_bands(dict.fromkeys(methods, 1.0))
+        self._arrival_bands = self._bands
+        self._arrival_mix = {name: self._arrival_mix.get(name, 0.0) for name in methods}
+
+    # ---- the fleet's load
+
+    def admit(self, rpc: Rpc, has_quota: bool) -> None:
+        """Count an RPC, and mark it as rejected where it is shed."""
+        if rpc.over_quota:
+            # While little is rejected, what is over quota is served: the fleet is idle.
+            pressure = self.pressure / SHED_FROM
+            kept = self._over_quota_gain_factor + 1 - pressure
+            rpc.rejected = self._draws.fraction() >= kept
+        if self.shed_fraction > 0 and not has_quota:
+            band = self._bands.get(rpc.method.name, WHOLE_BAND)
+            if band.start + band.width * self._draws.fraction() < self.shed_fraction:
+                rpc.rejected = True
+                rpc.over_quota = True
+        if not rpc.over_quota:
+            self.arrival_count += 1
+
+    def record_rejected(self) -> None:
+        """Count an RPC within quota that was rejected, or whose answer was late."""
+        self.rejected_count += 1
+
+    def is_calm(self) -> bool:
+        """Tell whether so little is rejected that a retry of what is only slow does no harm."""
+        return self.pressure < SHED_FROM / 2
+
+    def update(self) -> int:
+        """End a rate window; return how many RPCs within quota arrived in it.
+
+        What is more than the fleet can do, from routers that never fill a backend, shows only in
+        the fraction that is late.
+        """
+        arrivals = self.arrival_count
+        rejected_fraction = self.rejected_count / arrivals
+        self.arrival_count = 1
+        self.rejected_count = 0
+        self.pressure = max(rejected_fraction, self.pressure / 2)
+        step = rejected_fraction / 4 if rejected_fraction > SHED_FROM else -SHED_FROM / 4
+        self.shed_fraction = min(MAX_SHED_FRACTION, max(0.0, self.shed_fraction + step))
+        return arrivals
+
+    # ---- the node's own load
+
+    def overload_measured(self, overload: float) -> None:
+        """Take the part of what arrived in a window that the node cannot do."""
+        self.overload = overload
+        if overload > 0 and any(self._arrival_mix.values()):
+            self._arrival_bands = self._priority_bands(self._arrival_mix)
+        for name in self._arrival_mix:
+            self._arrival_mix[name] *= 0.9
+
+    def shed_delay(self, now: float, method_name: str, tenant: str, age_ms: float) -> float:
+        """Return the ms after which a client may retry an RPC; under 0 where it is admitted.
+
+        Called before an RPC costs anything. What is over quota, of the least gain or too late
+        already goes first.
+        """
+        method = self._methods.get(method_name)
+        if method is None:
+            return NOT_SHED
+        self._arrival_mix[method_name] += 1
+        if self.overload <= 0:
+            return NOT_SHED
+        token_bucket = self._quotas.token_buckets.get(tenant)
+        over_quota = token_bucket is not None and token_bucket.exhausted(now)
+        too_late = method.late_gain <= 0 and age_ms > (1 - MAX_QUEUE_FRACTION) * method.soft_ms
+        if not over_quota and not too_late:
+            band = self._arrival_bands[method_name]
+            if band.start + band.width * self._draws.fraction() >= self.overload:
+                return NOT_SHED
+        return self.retry_after_ms(method) if self._max_retry_after_ms > 0 else 0.0
+
+    def retry_after_ms(self, method: Method) -> float:
+        """Draw when a rejected client may retry; the draw spreads clients out."""
+        longest_ms = min(self._max_retry_after_ms, method.soft_ms)
+        return longest_ms * (0.5 + self._draws.fraction() / 2)
+
+    def _priority_bands(self, mix: dict[str, float]) -> dict[str, PriorityBand]:
+        """Return the band of each method in a mix, those of the least gain first."""
+        bands: dict[str, PriorityBand] = {}
+        start = 0.0
+        for gain in sorted({method.gain for method in self._methods.values()}):
+            alike = [name for name in mix if self._methods[name].gain == gain]
+            width = sum(mix[name] for name in alike) / sum(mix.values())
+            bands |= dict.fromkeys(alike, PriorityBand(start, width))
+            start += width
+        return bands
--- /dev/null
+++ b/hookpitch/balancer/placement.py
@@ -0,0 +1,225 @@
+"""Which cache each bucket of keys is on. Look here when one cache gets too much or the wrong keys.
+
+State: `buckets`, made when first asked for, one for each number and set of constraints. A bucket's
+`primary` is where the ring puts it, `assigned` where it is sent now (a rebalancing round moves it),
+`chain` the failover order, made when first needed. Invariants: `assigned` differs from `primary`
+only by a move, and only while its cache is ready and allowed; a method's constraints hold
+everywhere, and the origin is always allowed. A hot bucket is spread over replicas by a draw of
+each router's own. Sizes are in units of a cache of size one, `recent_requests` in RPCs.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_left
+from collections.abc import Iterator
+from zlib import crc32
+
+from hookpitch.balancer.backend import Backend, BackendTable
+from hookpitch.balancer.interface import EndpointState, Method
+from hookpitch.balancer.method_load import MethodLoad
+from hookpitch.balancer.ring import INDEX_BITS, INDEX_MASK, HashRing
+
+BUCKETS = 4096  # the unit moved; a hundred for each cache of a fleet of forty
+CHAIN_LENGTH = 8  # backends looked at along the ring
+# A bucket with more than its primary's part of the fleet over this is spread over several.
+SPREAD = 3.0
+RECALL_RPCS = 512  # by which a router estimates a bucket's part of its traffic
+PRIOR_RPCS = 40.0  # of each method taken for seen before any is: all routers begin alike
+MIN_UNCONSTRAINED_FRACTION = 0.5
+FRACTION_TOLERANCE = 0.15  # a smaller change is not worth moving buckets for
+
+Constraints = tuple[str, ...]  # kinds or zones that a method is bound to; empty: any
+
+
+class Bucket:
+    """A part of the key space, which is moved between caches as a whole."""
+
+    __slots__ = (
+        "assigned",
+        "chain",
+        "count",
+        "keys",
+        "kinds",
+        "point",
+        "primary",
+        "rate",
+        "recent_requests",
+        "spread_size",
+        "zones",
+    )
+
+    def __init__(self, number: int, kinds: Constraints = (), zones: Constraints = ()) -> None:
+        self.point = crc32(b"bucket/%d" % number) << INDEX_BITS
+        self.kinds = kinds
+        self.zones = zones
+        self.primary: Backend | None = None
+        self.assigned: Backend | None = None
+        self.chain: list[Backend] | None = None
+        self.count = 0  # RPCs since the latest round
+        self.rate = 0.0  # RPCs a round
+        self.keys = 0  # distinct, lately
+        self.recent_requests = 0.0
+        self.spread_size = 0.0  # of the caches that a hot bucket is spread over
+
+
+class Placement:
+    """Buckets and their caches."""
+
+    def __init__(
+        self, seed: int, table: BackendTable, ring: HashRing, method_load: MethodLoad
+    ) -> None:
+        self.buckets: dict[tuple[int, Constraints, Constraints], Bucket] = {}
+        self.recent_requests = 0.0  # of all buckets
+        self.total_size = 1.0  # of the caches that are not removed
+        # Ready caches that each set of constraints allows: where there are none, no walk is made.
+        self.allowed_counts: dict[tuple[Constraints, Constraints], int] = {}
+        self._seed = seed
+        self._table = table
+        self._ring = ring
+        self._method_load = method_load
+        self._methods: tuple[Method, ...] = ()
+
+    def configure(self, methods: tuple[Method, ...]) -> None:
+        """Take new methods; buckets stay where they are until the ring changes."""
+        self._methods = methods
+
+    def allows(self, target: Bucket | Method, backend: Backend) -> bool:
+        """Tell whether constraints allow a backend. One without a kind or zone fits none."""
+        if target.kinds and self._table.kind_name(backend.kind) not in target.kinds:
+            return backend is self._table.origin
+        return not target.zones or backend.zone in target.zones or backend is self._table.origin
+
+    def bucket(self, number: int, kinds: Constraints = (), zones: Constraints = ()) -> Bucket:
+        """Return a bucket, made and assigned when first asked for."""
+        bucket = self.buckets.get((number, kinds, zones))
+        if bucket is None:
+            bucket = self.buckets[number, kinds, zones] = Bucket(number, kinds, zones)
+            self.assign_primary(bucket)
+        return bucket
+
+    def ring_changed(self) -> None:
+        """Bring everything in step with the ring and the backends' states."""
+        caches = self._ring.caches
+        self.total_size = sum(c.size for c in caches if c.state != EndpointState.REMOVED)
+        self.allowed_counts = {
+            (method.kinds, method.zones): sum(
+                cache.state == EndpointState.READY and self.allows(method, cache)
+                for cache in caches
+            )
+            for method in self._methods
+        }
+        self.reserve_capacity()
+        self.assign_all()
+
+    def assign_all(self) -> None:
+        """Assign every bucket's primary anew."""
+        for bucket in self.buckets.values():
+            self.assign_primary(bucket)
+
+    def assign_primary(self, bucket: Bucket) -> None:
+        """Take a bucket's primary from the ring; a move stands while its cache is usable."""
+        moved = bucket.assigned is not bucket.primary
+        bucket.chain = None
+        bucket.primary = next(iter(self.replicas(bucket)), None)
+        assigned = bucket.assigned
+        if (
+            not moved
+            or assigned is None
+            or assigned.state != EndpointState.READY
+            or not self.allows(bucket, assigned)
+        ):
+            bucket.assigned = bucket.primary
+
+    def replicas(self, bucket: Bucket) -> list[Backend]:
+        """Return the caches a bucket is spread over, in this router's order of preference."""
+        preference: dict[Backend, float] = {}
+        remaining_size = bucket.spread_size
+        for cache in self.ready_from(bucket):
+            if cache in preference:
+                continue
+            draw = crc32(b"%d/%d/" % (self._seed, bucket.point) + cache.id.encode()) / 2**32
+            preference[cache] = draw ** (1 / cache.size)
+            remaining_size -= cache.size
+            if remaining_size <= 0:
+                break
+        return sorted(preference, key=preference.__getitem__, reverse=True)
+
+    def track_hot_bucket(self, bucket: Bucket) -> None:
+        """Count an RPC of a bucket, and spread the bucket once it is more than a cache can do."""
+        bucket.recent_requests += 1
+        self.recent_requests += 1
+        # The square root leaves room for chance: a few sightings spread nothing.
+        excess = max(0.0, bucket.recent_requests - 1 - bucket.recent_requests**0.5)
+        seen = max(self.recent_requests, RECALL_RPCS / 4)
+        spread_size = SPREAD * self.total_size * excess / seen
+        if bucket.primary and (
+            spread_size > max(1.5 * bucket.spread_size, bucket.primary.size)
+            or spread_size < bucket.spread_size / 4
+        ):
+            bucket.spread_size = spread_size
+            self.assign_primary(bucket)
+
+    def fade_requests(self) -> float:
+        """Let past requests count for less; return the factor for the buckets' own counts."""
+        fade = min(1.0, RECALL_RPCS / max(1.0, self.recent_requests))
+        self.recent_requests *= fade
+        return fade
+
+    def ready_from(self, bucket: Bucket) -> Iterator[Backend]:
+        """Walk the ring from a bucket's point over the ready caches that are open to it."""
+        points, caches = self._ring.points, self._ring.caches
+        constrained = bucket.kinds or bucket.zones
+        if self.allowed_counts.get((bucket.kinds, bucket.zones), 1) <= 0:
+            return
+        start, length = bisect_left(points, bucket.point), len(points)
+        for position in range(start, start + length):
+            point = points[position % length]
+            cache = caches[point & INDEX_MASK]
+            if cache.state == EndpointState.READY and (
+                self.allows(bucket, cache)
+                if constrained
+                else point >> INDEX_BITS & 0xFF < cache.unconstrained_fraction * 256
+            ):
+                yield cache
+
+    def failover_chain(self, bucket: Bucket) -> list[Backend]:
+        """Return where a bucket's RPCs may go, its assigned cache first, then along the ring."""
+        if bucket.chain is None:
+            first = [bucket.assigned] if bucket.assigned else []
+            chain = dict.fromkeys(first + self.replicas(bucket)[:CHAIN_LENGTH])
+            allowed = self.allowed_counts.get((bucket.kinds, bucket.zones), CHAIN_LENGTH)
+            for cache in self.ready_from(bucket):
+                chain[cache] = None
+                if len(chain) >= min(CHAIN_LENGTH, allowed):
+                    break
+            bucket.chain = list(chain)
+        return bucket.chain
+
+    def reserve_capacity(self) -> bool:
+        """Keep room on caches that constrained methods need for what is bound to few of them.
+
+        Returns True where a cache's `unconstrained_fraction` changed, so that buckets have to be
+        assigned anew.
+        """
+        constrained = [method for method in self._methods if method.kinds or method.zones]
+        ready = [cache for cache in self._ring.caches if cache.state == EndpointState.READY]
+        if not constrained or not ready:
+            return False
+        load = self._method_load.load
+        allowed_sizes = [
+            (method, sum(cache.size for cache in ready if self.allows(method, cache)))
+            for method in constrained
+        ]
+        mean = sum(load.values(), PRIOR_RPCS * len(load)) / sum(cache.size for cache in ready)
+        changed = False
+        for cache in ready:
+            own_loads = [
+                (PRIOR_RPCS + load[method.name]) / size
+                for method, size in allowed_sizes
+                if self.allows(method, cache)
+            ]
+            fraction = max(MIN_UNCONSTRAINED_FRACTION, 1 - sum(own_loads) / mean)
+            if abs(fraction - cache.unconstrained_fraction) > FRACTION_TOLERANCE:
+                cache.unconstrained_fraction = fraction
+                changed = True
+        return changed
--- /dev/null
+++ b/hookpitch/balancer/queueing.py
@@ -0,0 +1,101 @@
+"""Queues of RPCs that wait for a backend. Look here when RPCs wait too long, or in the wrong order.
+
+State: each backend has a heap of fresh RPCs and one of retries; within quota goes first, then the
+most gain, then the oldest. Invariants: an RPC is in one queue at most, until its `queue_deadline`;
+entries of RPCs that have left stay until they are met. A queue is no longer than what the backend
+can answer in a part of the soft deadline: in a long queue every RPC is late.
+"""
+
+from __future__ import annotations
+
+import heapq
+
+from hookpitch.balancer.backend import Backend, BackendTable, QueueEntry
+from hookpitch.balancer.concurrency import ConcurrencyLimits
+from hookpitch.balancer.interface import EndpointState
+from hookpitch.balancer.load_shedding import MAX_QUEUE_FRACTION
+from hookpitch.balancer.pending import PendingWork
+from hookpitch.balancer.retries import RetryPolicy
+from hookpitch.balancer.rpc import Rpc
+
+
+def drop_finished(backend: Backend) -> None:
+    """Drop entries of RPCs that wait there no more."""
+    for queue in (backend.fresh_queue, backend.retry_queue):
+        # A sorted list is a heap.
+        queue[:] = sorted(entry for entry in queue if entry.rpc.queue_deadline)
+
+
+class BackendQueues:
+    """Enters RPCs into the backends' queues and takes them out."""
+
+    def __init__(
+        self,
+        table: BackendTable,
+        work: PendingWork,
+        concurrency: ConcurrencyLimits,
+        retries: RetryPolicy,
+    ) -> None:
+        self._table = table
+        self._work = work
+        self._concurrency = concurrency
+        self._retries = retries
+
+    def enqueue(self, rpc: Rpc, backend: Backend, now: float) -> None:
+        """Have an RPC wait; where the queue is full its last RPC is rejected."""
+        left_ms = min(rpc.deadline, rpc.objective) - now
+        entry = QueueEntry(rpc.over_quota, -rpc.method.gain, rpc.number, rpc)
+        heapq.heappush(backend.retry_queue if rpc.attempts else backend.fresh_queue, entry)
+        longest_ms = min(MAX_QUEUE_FRACTION * left_ms, left_ms - backend.latency_ms)
+        rpc.queued_at = backend
+        rpc.queue_deadline = now + max(0.0, longest_ms)
+        self._work.schedule(rpc.queue_deadline, rpc, None)
+        self._work.schedule(max(backend.paused_until, now), rpc, None)
+        self._trim(backend, rpc.method.soft_ms)
+
+    def _trim(self, backend: Backend, soft_ms: float) -> None:
+        answered_in_time = (
+            backend.concurrency_limit * MAX_QUEUE_FRACTION * soft_ms / max(backend.latency_ms, 1.0)
+        )
+        if len(backend.fresh_queue) + len(backend.retry_queue) <= max(1.0, answered_in_time):
+            return
+        queue = backend.retry_queue or backend.fresh_queue
+        last = max(queue)
+        queue.remove(last)
+        heapq.heapify(queue)
+        if last.rpc.queue_deadline:
+            last.rpc.queue_deadline = 0.0
+            last.rpc.rejected = True
+            self._work.rpcs.append(last.rpc)
+
+    def pop(self, backend: Backend, now: float) -> Rpc | None:
+        """Return the next RPC that may still be sent to a backend; decide the others anew."""
+        while backend.fresh_queue or backend.retry_queue:
+            rpc = heapq.heappop(backend.fresh_queue or backend.retry_queue).rpc
+            if not rpc.queue_deadline or rpc.closed:
+                continue
+            rpc.queue_deadline = 0.0
+            if self._retries.may_attempt(rpc, backend, now) and (
+                backend.state == EndpointState.READY
+            ):
+                return rpc
+            self._work.rpcs.append(rpc)
+        return None
+
+    def timer_fired(self, rpc: Rpc, now: float) -> None:
+        """End a stay that has lasted too long, or look whether a backend's pause is over.
+
+        An RPC that waited at its own cache goes on along the ring once: the next may be idle.
+        """
+        if rpc.queue_deadline and rpc.queue_deadline <= now and not rpc.closed:
+            rpc.rejected = (
+                rpc.overflowed
+                or rpc.over_quota
+                or rpc.queued_at is self._table.origin
+                or self._concurrency.origin_congested()
+            )
+            rpc.queue_deadline = 0.0
+            rpc.overflowed = True
+            self._work.rpcs.append(rpc)
+        elif rpc.queued_at:
+            self._work.freed_backends.append(rpc.queued_at)
--- /dev/null
+++ b/hookpitch/balancer/quotas.py
@@ -0,0 +1,65 @@
+"""Tenants' quotas. Look here when a tenant is rejected below its quota, or served above it.
+
+State: one token bucket for each tenant with a quota; a token is one RPC. Each router gets the
+quota over all nodes, divided by their number and by the processes that share this node's part.
+Rates are RPCs a millisecond. Settings and process counts may change: tokens are carried over.
+"""
+
+from __future__ import annotations
+
+from hookpitch.balancer.interface import Tenant
+
+REFILL_WINDOW_MS = 2500.0
+# RPCs that may be saved up however small the quota's part is. With hundreds of nodes a part is
+# under one RPC a window, and without it each of them would be over quota for good.
+MIN_BURST_RPCS = 12.0
+
+
+class TokenBucket:
+    """What a tenant may still send through this router."""
+
+    __slots__ = ("capacity", "filled_at", "rate", "tokens")
+
+    def __init__(self, rate: float, now: float) -> None:
+        self.rate = rate
+        self.capacity = rate * REFILL_WINDOW_MS / 5 + MIN_BURST_RPCS
+        self.tokens = MIN_BURST_RPCS / 4
+        self.filled_at = now
+
+    def exhausted(self, now: float) -> bool:
+        """Refill it, and tell whether there is less than one token."""
+        self.tokens = min(self.capacity, self.tokens + (now - self.filled_at) * self.rate)
+        self.filled_at = now
+        return self.tokens < 1
+
+
+class Quotas:
+    """The token buckets of all tenants."""
+
+    __slots__ = ("_nodes", "_tenants", "process_share", "token_buckets")
+
+    def __init__(self) -> None:
+        self.process_share = 1.0  # the part of the node's quotas and budgets that is this process's
+        self.token_buckets: dict[str, TokenBucket] = {}
+        self._tenants: tuple[Tenant, ...] = ()
+        self._nodes = 1
+
+    def configure(self, tenants: tuple[Tenant, ...], nodes: int) -> None:
+        """Take new settings; `set_process_share` has to follow."""
+        self._tenants = tenants
+        self._nodes = nodes
+
+    def set_process_share(self, now: float, process_share: float) -> None:
+        """Make the token buckets anew; tokens of tenants that remain are kept."""
+        self.process_share = process_share
+        before = self.token_buckets
+        rate = process_share / 1000 / self._nodes  # of a quota a second over all nodes
+        self.token_buckets = {
+            tenant.name: TokenBucket(tenant.quota_per_s * rate, now)
+            for tenant in self._tenants
+            if tenant.quota_per_s > 0
+        }
+        for name, token_bucket in self.token_buckets.items():
+            if name in before:
+                before[name].exhausted(now)
+                token_bucket.tokens = min(token_bucket.capacity, before[name].tokens)
--- /dev/null
+++ b/hookpitch/balancer/rebalancing.py
@@ -0,0 +1,217 @@
+"""Moves buckets from the heaviest to the lightest cache. Look here when load stays uneven.
+
+The mechanism is the nearest-neighbour policy of "A multi-resource load balancing algorithm for
+cloud cache systems", sections 3 and 4; symbols in the functions are the paper's. `Rebalancer`
+measures the loads and applies one round at a time. State: on backends and buckets; here, only the
+keys lately asked for. Loads are fractions of the mean cache's; rates are RPCs a round.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from typing import NamedTuple
+
+from hookpitch.balancer.backend import Backend, BackendTable
+from hookpitch.balancer.key_generations import KeyGenerations
+from hookpitch.balancer.method_load import MethodLoad
+from hookpitch.balancer.placement import Bucket, Placement
+
+ROUND_MS = 2500.0
+DEAD_BAND = 1.5  # a round acts only when the heaviest is this many times the mean
+MOVES_PER_CACHE = 4 / 3  # a round, at most
+IMPROVEMENT_THRESHOLD = 0.5  # the paper's IT: a round stops once sigma has fallen by this part
+# Answers from a cache before it takes part in a round. On fewer, hundreds of nodes would each move
+# keys for noise, and every cache would miss them.
+MIN_RESPONSES = 8
+MAX_KEY_AGE_MS = 12 * ROUND_MS
+
+
+class BucketLoad(NamedTuple):
+    """The load of one bucket on its cache, the paper's (v, w)."""
+
+    cpu: float
+    memory: float
+    bucket: Bucket
+
+
+class Move(NamedTuple):
+    """A bucket and the cache it goes to."""
+
+    bucket: Bucket
+    target: Backend
+
+
+# ---- the paper's mechanism
+
+
+def weights(caches: Sequence[Backend]) -> tuple[float, float]:
+    """Return lambda and mu of section 3: how scarce CPU is against memory."""
+    cpu = sum(cache.cpu_load for cache in caches)
+    both = sum(cache.cpu_load + cache.memory_load for cache in caches)
+    lam = cpu / both if both else 0.5
+    return lam, lam * lam / (lam * lam + (1 - lam) ** 2)
+
+
+def imbalance(caches: Sequence[Backend], mu: float) -> float:
+    """Return sigma of the cluster, section 3."""
+    k = len(caches)
+    mean_c = sum(cache.cpu_load for cache in caches) / k
+    mean_m = sum(cache.memory_load for cache in caches) / k
+    variance = sum(
+        mu * (cache.cpu_load - mean_c) ** 2 + (1 - mu) * (cache.memory_load - mean_m) ** 2
+        for cache in caches
+    )
+    return (variance / k) ** 0.5
+
+
+def target_point(heaviest: Backend, lightest: Backend, lam: float) -> tuple[float, float]:
+    """Return the point h of section 4: the load whose move would even the two out."""
+    return (
+        lam * (heaviest.cpu_load - lightest.cpu_load) / 2,
+        (1 - lam) * (heaviest.memory_load - lightest.memory_load) / 2,
+    )
+
+
+def nearest(loads: list[BucketLoad], h: tuple[float, float], lam: float) -> BucketLoad:
+    """Return the bucket nearest to h, section 4; a scan, for one cache has few enough."""
+    return min(
+        loads,
+        key=lambda load: (lam * load.cpu - h[0]) ** 2 + ((1 - lam) * load.memory - h[1]) ** 2,
+    )
+
+
+def _allowed_anywhere(bucket: Bucket, cache: Backend) -> bool:
+    return True
+
+
+def migrate(
+    caches: list[Backend],
+    loads: dict[Backend, list[BucketLoad]],
+    allowed: Callable[[Bucket, Backend], bool] = _allowed_anywhere,
+) -> list[Move]:
+    """Return one round's moves, section 4, figure 3; the loads are changed along with them.
+
+    Each step takes the nearest bucket from the heaviest cache to the lightest, while sigma falls
+    and until IT is reached.
+    """
+    lam, mu = weights(caches)
+    moves: list[Move] = []
+    sigma = first_sigma = imbalance(caches, mu)
+    while (
+        len(moves) < MOVES_PER_CACHE * len(caches)
+        and first_sigma - sigma < IMPROVEMENT_THRESHOLD * first_sigma
+    ):
+        utility = [lam * cache.cpu_load + (1 - lam) * cache.memory_load for cache in caches]
+        heaviest = caches[utility.index(max(utility))]
+        lightest = caches[utility.index(min(utility))]
+        candidates = [load for load in loads[heaviest] if allowed(load.bucket, lightest)]
+        if heaviest is lightest or not candidates:
+            break
+        if max(utility) < DEAD_BAND * sum(utility) / len(caches):
+            break
+        load = nearest(candidates, target_point(heaviest, lightest, lam), lam)
+        # The paper's nodes are all equal; here the same traffic weighs more on a smaller cache.
+        moved_cpu = load.cpu * (heaviest.size / lightest.size)
+        heaviest.cpu_load -= load.cpu
+        heaviest.memory_load -= load.memory
+        lightest.cpu_load += moved_cpu
+        lightest.memory_load += load.memory
+        sigma_after = imbalance(caches, mu)
+        if sigma_after >= sigma:
+            break
+        sigma = sigma_after
+        loads[heaviest].remove(load)
+        loads[lightest].append(BucketLoad(moved_cpu, load.memory, load.bucket))
+        moves.append(Move(load.bucket, lightest))
+    return moves
+
+
+# ---- the rounds
+
+
+class Rebalancer:
+    """Measures loads and moves buckets, once a round."""
+
+    def __init__(
+        self, now: float, table: BackendTable, placement: Placement, method_load: MethodLoad
+    ) -> None:
+        self.keys = KeyGenerations(now, MAX_KEY_AGE_MS)
+        self._nodes = 1
+        self._table = table
+        self._placement = placement
+        self._method_load = method_load
+
+    def configure(self, nodes: int) -> None:
+        """Take the number of nodes that the fleet's traffic comes from."""
+        self._nodes = nodes
+
+    def rebalance(self, now: float) -> None:
+        """Run one round over the caches that are available and have answered enough."""
+        self._method_load.fade()
+        if self._placement.reserve_capacity():
+            self._placement.assign_all()
+        buckets_of = self._measured_caches()
+        self.keys.rotate_if_due(now)
+        self._update_bucket_rates(buckets_of)
+        caches = list(buckets_of)
+        if len(caches) < 2:
+            return
+        self._measure(caches, buckets_of)
+        loads = {cache: self._bucket_loads(cache, buckets_of[cache]) for cache in caches}
+        for bucket, target in migrate(caches, loads, self._placement.allows):
+            bucket.assigned.response_count = 0
+            target.response_count = 0
+            bucket.assigned = target
+            bucket.chain = None
+
+    def _measured_caches(self) -> dict[Backend, list[Bucket]]:
+        return {
+            backend: []
+            for backend in self._table.backends.values()
+            if backend.available
+            and backend.response_count >= MIN_RESPONSES
+            and backend is not self._table.origin
+        }
+
+    def _update_bucket_rates(self, buckets_of: dict[Backend, list[Bucket]]) -> None:
+        fade = self._placement.fade_requests()
+        for bucket in self._placement.buckets.values():
+            bucket.rate = bucket.rate / 2 + bucket.count / 2
+            bucket.count = 0
+            bucket.recent_requests *= fade
+            if bucket.assigned in buckets_of:
+                buckets_of[bucket.assigned].append(bucket)
+
+    def _measure(self, caches: list[Backend], buckets_of: dict[Backend, list[Bucket]]) -> None:
+        """Set the caches' loads, as fractions of the mean."""
+        for cache in caches:
+            cache.cpu_load = self._cpu_load(cache) / cache.size
+            cache.memory_load = float(sum(bucket.keys for bucket in buckets_of[cache]))
+        mean_cpu = sum(cache.cpu_load for cache in caches) / len(caches)
+        mean_memory = sum(cache.memory_load for cache in caches) / len(caches)
+        for cache in caches:
+            cache.cpu_load = cache.cpu_load / mean_cpu if mean_cpu else 1.0
+            cache.memory_load = cache.memory_load / mean_memory if mean_memory else 1.0
+
+    def _cpu_load(self, cache: Backend) -> float:
+        """Return RPCs at work at a cache: as it reports, but no less than this router's own.
+
+        The rate alone calls an overloaded cache light, for it is sent little; and a report may be
+        untrue.
+        """
+        own = cache.send_rate * max(1.0, cache.latency_ms) / 1000
+        if cache.reported_load < 0:
+            return own
+        return max(cache.reported_load + len(cache.fresh_queue), own * self._nodes)
+
+    @staticmethod
+    def _bucket_loads(cache: Backend, buckets: list[Bucket]) -> list[BucketLoad]:
+        """Return (v, w) of each bucket, section 3: its part of the cache's rate and keys."""
+        rate = sum(bucket.rate for bucket in buckets) or 1.0
+        keys = sum(bucket.keys for bucket in buckets) or 1
+        return [
+            BucketLoad(
+                cache.cpu_load * bucket.rate / rate, cache.memory_load * bucket.keys / keys, bucket
+            )
+            for bucket in buckets
+        ]
--- /dev/null
+++ b/hookpitch/balancer/retries.py
@@ -0,0 +1,120 @@
+"""Whether an RPC may be attempted once more. Look here when an effect is carried out twice.
+
+State: the deployment's limits on attempts, hedging and cancellation. Invariants: a non-idempotent
+RPC that may have run is never sent again; one with an idempotency key only to backends that drop
+repeats, and only while they remember. Times are milliseconds; `margin_ms` is kept clear of every
+deadline.
+"""
+
+from __future__ import annotations
+
+from hookpitch.balancer.backend import FOREVER, NEVER, Backend
+from hookpitch.balancer.interface import Deployment, Idempotency, Method
+from hookpitch.balancer.pending import PendingWork
+from hookpitch.balancer.placement import Placement
+from hookpitch.balancer.rpc import Attempt, Rpc
+
+
+class RetryPolicy:
+    """Limits on attempts, retries and hedged requests."""
+
+    def __init__(self, work: PendingWork, placement: Placement) -> None:
+        self.max_attempts = 1
+        self.hedging_allowed = False
+        self.cancellation_enabled = False
+        self.margin_ms = 0.0
+        self._work = work
+        self._placement = placement
+
+    def configure(self, deployment: Deployment) -> None:
+        """Take new settings."""
+        self.max_attempts = deployment.max_attempts
+        self.hedging_allowed = deployment.hedging_allowed
+        self.cancellation_enabled = deployment.cancellation_enabled
+        self.margin_ms = 2 * deployment.tick_ms + 1
+
+    def update_in_flight(self, rpc: Rpc, method: Method | None) -> None:
+        """Bind an RPC in flight by the stricter of the old and the new settings.
+
+        Backends may remember repeats for less long than they did.
+        """
+        rpc.method = rpc.method.under(method)
+
+    def cancel_hedged(self, rpc: Rpc) -> None:
+        """Cancel what hedged requests may stand beside, once hedging is not allowed any more."""
+        self._work.cancellations.extend(
+            attempt for attempt in rpc.attempts if attempt.hedgeable and not attempt.done
+        )
+
+    def retry_deadline(self, rpc: Rpc) -> float:
+        """Return the time by which a further attempt has to be started at its backend."""
+        idempotency = rpc.method.idempotency
+        if idempotency == Idempotency.IDEMPOTENT:
+            return FOREVER
+        for attempt in rpc.attempts:
+            if attempt.may_have_run:
+                if idempotency == Idempotency.NON_IDEMPOTENT:
+                    return NEVER
+                return attempt.sent_at + rpc.method.dedup_window_ms - self.margin_ms
+        return FOREVER
+
+    def may_attempt(self, rpc: Rpc, backend: Backend, now: float) -> bool:
+        """Tell whether constraints and idempotency allow to send an RPC to a backend."""
+        method = rpc.method
+        return (
+            self._drops_repeats(rpc, backend)
+            and self._placement.allows(method, backend)
+            and now < self.retry_deadline(rpc)
+        )
+
+    def _drops_repeats(self, rpc: Rpc, backend: Backend) -> bool:
+        method = rpc.method
+        if method.idempotency == Idempotency.IDEMPOTENT or method.dedup_scope == "all":
+            return True
+        first = next((attempt.backend for attempt in rpc.attempts if attempt.may_have_run), backend)
+        if first is backend:
+            return True
+        if method.dedup_scope == "zone":
+            return backend.zone == first.zone
+        return backend.cell == first.cell
+
+    def may_be_repeated_by_client(self, rpc: Rpc) -> bool:
+        """Tell whether a client that is told to retry can do no harm."""
+        method = rpc.method
+        if method.idempotency == Idempotency.IDEMPOTENT:
+            return True
+        if method.idempotency == Idempotency.IDEMPOTENT_WITH_KEY and method.dedup_scope == "all":
+            return True
+        return not any(attempt.may_have_run for attempt in rpc.attempts)
+
+    def cancel_or_hedge(self, attempt: Attempt, now: float) -> None:
+        """Give up on an attempt where another backend may still answer in time.
+
+        Where hedging is allowed it goes on beside the other: one that is only slow, once it is
+        cancelled, has run for nothing.
+        """
+        rpc = attempt.rpc
+        if (
+            rpc.closed
+            or len(rpc.attempts) >= self.max_attempts
+            or now >= self.retry_deadline(rpc) - self.margin_ms
+        ):
+            return
+        if self.hedging_allowed and not attempt.hedgeable:
+            attempt.hedgeable = True
+            rpc.hedgeable_count += 1
+            self._work.rpcs.append(rpc)
+        else:
+            self._work.cancellations.append(attempt)
+
+    def reroute_pending(self, backend: Backend, now: float, dead: bool) -> None:
+        """Decide anew what waits for a backend and, where it is dead, what is in flight there."""
+        if dead:
+            for attempt in backend.in_flight:
+                self.cancel_or_hedge(attempt, now)
+        for entry in backend.fresh_queue + backend.retry_queue:
+            if entry.rpc.queue_deadline:
+                entry.rpc.queue_deadline = 0.0
+                self._work.rpcs.append(entry.rpc)
+        backend.fresh_queue = []
+        backend.retry_queue = []
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -9,7 +9,6 @@
 from functools import lru_cache
 from typing import Protocol
 
-from hookpitch.balancer.decisions import Router
 from hookpitch.balancer.interface import (
     Deployment,
     Endpoint,
@@ -18,6 +17,7 @@
     Outcome,
     Report,
 )
+from hookpitch.balancer.router import Router
 from hookpitch.core.admission import Admission
 from hookpitch.core.counters import Counters
 from hookpitch.core.deadlines import Deadline, Deadlines
@@ -580,7 +580,7 @@
         else:  # a node that was away has not let its dials come up
             outcome = (
                 Outcome.OBSOLETE
-                if attempt.sent_at < self.router.stalled_at
+                if attempt.sent_at < self.router.local_delay.stalled_at
                 else Outcome.CONNECT_FAILED
             )
         self.attempt_finished(now, attempt, outcome)
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -9,9 +9,9 @@
 from dataclasses import replace
 from typing import TextIO
 
-from hookpitch.balancer.decisions import Router
 from hookpitch.balancer.deployment import deployment, report
 from hookpitch.balancer.interface import Endpoint, EndpointUpdate
+from hookpitch.balancer.router import Router
 from hookpitch.core.seeded_random import seeded_random
 from hookpitch.simwire import codec
 from hookpitch.simwire.codec import WireError, flag, ms, outcome, seconds
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -20,7 +20,7 @@
 - the list goes before the one told at the start where its version is higher; discovery's goes
   before both.
 
-The functions know the decisions' own state (`balancer/decisions.py`) and change it through this
+The functions know the decisions' own state (`balancer/router.py`) and change it through this
 one place.
 """
 
@@ -28,8 +28,10 @@
 
 from collections.abc import Mapping
 
-from hookpitch.balancer.decisions import BUCKETS, START_CONCURRENCY_LIMIT, Backend, Router
+from hookpitch.balancer.backend import START_CONCURRENCY_LIMIT, Backend
 from hookpitch.balancer.interface import Endpoint, EndpointState
+from hookpitch.balancer.placement import BUCKETS
+from hookpitch.balancer.router import Router
 from hookpitch.startup.snapshot_format import (
     BackendSnapshot,
     EndpointSnapshot,
@@ -52,7 +54,7 @@
         router.backends.values(), key=lambda s: (s is not router.origin, -s.response_count, s.id)
     )
     moved, heavy = [], []
-    for (number, kinds, zones), b in router.buckets.items():
+    for (number, kinds, zones), b in router.placement.buckets.items():
         if b.assigned is not None and b.assigned is not b.primary:
             moved.append((-b.rate, MovedBucket(number, kinds, zones, b.assigned.id)))
         if b.recent_requests >= 2:
@@ -61,7 +63,7 @@
     return Snapshot(
         fleet,
         name,
-        router.kinds,
+        router.table.kind_names,
         now,
         seq,
         tuple(
@@ -94,10 +96,10 @@
         ),
         tuple(m for _, m in sorted(moved, key=first)),
         tuple(h for _, h in sorted(heavy, key=first)),
-        router.recent_requests,
-        router.unit_latency_ms,
-        router.warm_rate,
-        min(router.idle_limit_ms, 1e9),
+        router.placement.recent_requests,
+        router.concurrency.unit_latency_ms,
+        router.slow_start.warm_rate,
+        min(router.idle_connections.idle_limit_ms, 1e9),
         tuple(router.bans),
     )
 
@@ -130,13 +132,14 @@
         if k is not None and s.state == EndpointState.READY and started <= k.started_at_ms:
             believed.append((s, k))
     for s, k in believed:
-        s.concurrency_limit = max(s.min_concurrency_limit, between(s.concurrency_limit, k.concurrency_limit))
+        s.concurrency_limit = max(
+            s.min_concurrency_limit, between(s.concurrency_limit, k.concurrency_limit)
+        )
         s.latency_ms, s.baseline_latency_ms = (
             k.latency_ms * (weight > MIN_WEIGHT),
             k.baseline_latency_ms * (weight > MIN_WEIGHT),
-        ),
         )
-        cold = min(k.warmup_until_ms, now + router.slow_start_ms)
+        cold = min(k.warmup_until_ms, now + router.slow_start.duration_ms)
         if cold > max(now, s.warmup_until) and s is not router.origin:
             s.warmup_until, s.warmup_refilled_at, s.warmup_tokens, s.available = (
                 cold,
@@ -158,29 +161,31 @@
                 k.consecutive_failures,
             )
             s.ejection_ms = min(
-                8 * router.base_ejection_ms, between(router.base_ejection_ms, k.ejection_ms)
+                8 * router.outliers.base_ejection_ms,
+                between(router.outliers.base_ejection_ms, k.ejection_ms),
             )
             s.ejected_until = now + min(k.ejected_until_ms - now, s.ejection_ms) * weight
     else:
         off = []
-    router.unit_latency_ms, router.warm_rate = (
+    router.concurrency.unit_latency_ms, router.slow_start.warm_rate = (
         snapshot.work_ms * (weight > MIN_WEIGHT),
-        between(router.warm_rate, snapshot.warm_rate_per_s),
+        between(router.slow_start.warm_rate, snapshot.warm_rate_per_s),
     )
     if snapshot.max_idle_ms > 0:
-        router.idle_limit_ms = min(
-            router.max_idle_ms, max(snapshot.max_idle_ms, router.idle_limit_ms * (1 - weight))
+        router.idle_connections.idle_limit_ms = min(
+            router.idle_connections.max_idle_ms,
+            max(snapshot.max_idle_ms, router.idle_connections.idle_limit_ms * (1 - weight)),
         )
     places = {(m.kinds, m.zones) for m in router.methods.values()}
     heavy = 0
     for h in snapshot.hot_buckets:
         if (h.kinds, h.zones) in places and 0 <= h.number < BUCKETS:
-            b = router.bucket(h.number, h.kinds, h.zones)
+            b = router.placement.bucket(h.number, h.kinds, h.zones)
             b.recent_requests += h.request_count * weight
-    router.recent_requests += snapshot.request_count * weight
-    for b in list(router.buckets.values()):
+    router.placement.recent_requests += snapshot.request_count * weight
+    for b in list(router.placement.buckets.values()):
         if b.recent_requests > 0:
-            router.track_hot_bucket(b)
+            router.placement.track_hot_bucket(b)
             heavy += b.spread_size > 0
     moved = 0
     for m in snapshot.moved_buckets if weight >= MIN_WEIGHT else ():
@@ -188,8 +193,8 @@
         fits = (m.kinds, m.zones) in places and 0 <= m.number < BUCKETS
         if not fits or to is None or to.state != EndpointState.READY or to is router.origin:
             continue
-        b = router.bucket(m.number, m.kinds, m.zones)
-        if router.allows(b, to):
+        b = router.placement.bucket(m.number, m.kinds, m.zones)
+        if router.placement.allows(b, to):
             b.assigned, b.chain, moved = to, None, moved + 1
     for id in snapshot.banned_ids:
         router.set_banned(now, id, True)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -17,7 +17,6 @@
 from twisted.python.failure import Failure
 from twisted.test.iosim import FakeTransport
 
-from hookpitch.balancer.decisions import Router
 from hookpitch.balancer.deployment import deployment as read_deployment
 from hookpitch.balancer.interface import (
     NOT_EXECUTED,
@@ -30,6 +29,7 @@
     Outcome,
     Tenant,
 )
+from hookpitch.balancer.router import Router
 from hookpitch.core.counters import Counters
 from hookpitch.core.resp import ErrorReply, Parser, command
 from hookpitch.core.ring import Ring
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -120,7 +120,7 @@
             counts[name] += sum(
                 f.router.shed_delay(f.now, name, "", 0.0) >= 0 for _ in range(count)
             )
-        f.router.token_buckets["small"].tokens = 0.0
+        f.router.quotas.token_buckets["small"].tokens = 0.0
         counts["small"] += f.router.shed_delay(f.now, "high", "small", 0.0) >= 0
     assert counts["high"] == 0 and 0.5 < counts["low"] / 12000 < 0.95, (
         "half of all, each of low gain"
@@ -185,7 +185,7 @@
 
 def test_what_is_turned_away_at_the_door_leaves_nothing_behind() -> None:
     s = Sockets()
-    s.node.host.router.overload = 1.0
+    s.node.host.router.load_shedder.overload = 1.0
     before = len(s.clock.deadlines)
     c = s.client()
     for n in range(20):
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -69,7 +69,7 @@
 
 def test_what_is_vain_has_its_answer_in_the_same_turn_and_gives_its_token_back() -> None:
     f = fleet(tenants=(Tenant("c", 10.0),), max_retry_after_ms=400.0)
-    share = f.router.token_buckets["c"]
+    share = f.router.quotas.token_buckets["c"]
     tokens = share.tokens
     rpc = f.arrive("bad", tenant="c")
     f.end(rpc, Outcome.ERROR)
@@ -124,17 +124,19 @@
     s = f.router.backends["s0"]
     for n in range(3):
         assert not s.ejected, f"off after {n}"
-        f.router.record_failure(s)
+        f.router.outliers.record_failure(s, f.router.now)
     assert s.ejected
     f.pass_time(s.ejection_ms + 1)
     f.end(f.arrive("k"), Outcome.COMPLETED)
     assert not s.ejected
-    f.router.record_failure(s)
-    assert s.ejected and s.ejection_ms > f.router.base_ejection_ms  # the pause before it counts on
+    f.router.outliers.record_failure(s, f.router.now)
+    assert (
+        s.ejected and s.ejection_ms > f.router.outliers.base_ejection_ms
+    )  # the pause before it counts on
     f.pass_time(s.ejection_ms + 1)
     f.end(f.arrive("k"), Outcome.COMPLETED)
-    f.pass_time(8 * f.router.base_ejection_ms + 2000.0)
-    f.router.record_failure(s)
+    f.pass_time(8 * f.router.outliers.base_ejection_ms + 2000.0)
+    f.router.outliers.record_failure(s, f.router.now)
     assert not s.ejected
 
 
@@ -258,11 +260,11 @@
     o = f.router.origin
     o.latency_ms = o.baseline_latency_ms = 50.0
     o.in_flight = dict.fromkeys(range(int(o.concurrency_limit)))
-    assert not f.router.origin_congested()
+    assert not f.router.concurrency.origin_congested()
     o.latency_ms = 80.0
-    assert f.router.origin_congested()
+    assert f.router.concurrency.origin_congested()
     o.in_flight = {}
-    assert not f.router.origin_congested()
+    assert not f.router.concurrency.origin_congested()
 
 
 def test_what_waited_in_vain_goes_on_while_the_origin_is_at_ease() -> None:
@@ -293,9 +295,9 @@
     f.listed([entry(f"s{i}", kind=i % 2) for i in range(6)])
     free = {s.kind: s.unconstrained_fraction for s in f.router.caches}
     assert free[0] == 1.0 and free[1] == 0.5
-    homes = [f.router.bucket(n).primary.kind for n in range(400)]
+    homes = [f.router.placement.bucket(n).primary.kind for n in range(400)]
     assert 0.2 < sum(homes) / 400 < 0.45  # half without it
-    assert all(f.router.bucket(n, ("std",)).primary.kind == 1 for n in range(50))
+    assert all(f.router.placement.bucket(n, ("std",)).primary.kind == 1 for n in range(50))
 
 
 def test_writes_slow_at_the_origin_by_nature_are_no_congestion_and_slow_reads_are() -> None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -5,16 +5,10 @@
 import pytest
 from fleet import ORIGIN, Fleet, deployment, entry
 
-from hookpitch.balancer.decisions import (
-    BUCKETS,
-    Backend,
-    Bucket,
-    migrate,
-    nearest,
-    target_point,
-    weights,
-)
+from hookpitch.balancer.backend import Backend
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Method, Outcome, Tenant
+from hookpitch.balancer.placement import BUCKETS, Bucket
+from hookpitch.balancer.rebalancing import BucketLoad, migrate, nearest, target_point, weights
 
 
 def fleet(servers: int = 4, **changes: object) -> Fleet:
@@ -39,7 +33,11 @@
     assert abs(lam - 0.6) < 1e-9 and abs(mu - 0.36 / 0.52) < 1e-9
     h = target_point(a, b, lam)
     assert abs(h[0] - 18) < 1e-9 and abs(h[1] - 10) < 1e-9
-    loads = [(30.0, 20.0, Bucket(0)), (20.0, 40.0, Bucket(1)), (40.0, 10.0, Bucket(2))]
+    loads = [
+        BucketLoad(30.0, 20.0, Bucket(0)),
+        BucketLoad(20.0, 40.0, Bucket(1)),
+        BucketLoad(40.0, 10.0, Bucket(2)),
+    ]
     assert nearest(loads, h, lam) is loads[0]
     held = {a: list(loads), middle: [], b: []}
     assert [(bucket, to) for bucket, to in migrate(nodes, held)][0] == (loads[0][2], b)
@@ -47,18 +45,18 @@
 
 def test_a_balanced_fleet_moves_nothing() -> None:
     nodes = caches((10, 10), (11, 10), (10, 11))
-    assert migrate(nodes, {s: [(1.0, 1.0, Bucket(0))] for s in nodes}) == []
+    assert migrate(nodes, {s: [BucketLoad(1.0, 1.0, Bucket(0))] for s in nodes}) == []
 
 
 def test_a_key_keeps_its_cache_and_a_round_moves_load_off_the_heaviest() -> None:
     f = fleet()
     for i in range(600):  # one cache's keys are asked for far more often than the others'
         key = f"key{i % 40}"
-        heavy = f.router.bucket(crc32(key.encode()) % BUCKETS).primary.id == "s0"
+        heavy = f.router.placement.bucket(crc32(key.encode()) % BUCKETS).primary.id == "s0"
         for _ in range(9 if heavy else 1):
             f.end(f.arrive(key), Outcome.COMPLETED)
         f.pass_time(10.0)
-    moved = [b for b in f.router.buckets.values() if b.assigned is not b.primary]
+    moved = [b for b in f.router.placement.buckets.values() if b.assigned is not b.primary]
     assert moved and all(b.primary.id == "s0" for b in moved)
     f.listed([entry(moved[0].assigned.id, EndpointState.DRAINING)], EndpointUpdate.DELTA)
     assert moved[0].assigned.state == EndpointState.READY  # buckets on a draining cache go home
@@ -138,7 +136,7 @@
 
 def test_resets_tell_of_connections_and_leave_a_server_warm() -> None:
     f = fleet(4)
-    f.router.recent_requests = 1e6  # the key is one of many
+    f.router.placement.recent_requests = 1e6  # the key is one of many
     victim = f.attempts[f.arrive("k")][0]["server"]
     for _ in range(4):  # a refused dial among good answers is a chance, too
         for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.COMPLETED):
@@ -206,7 +204,7 @@
     for others, pressure, tries in ((True, 0.0, 2), (False, 0.0, 1), (True, 0.5, 1)):
         f = fleet(1)
         f.end(f.arrive("k"), Outcome.COMPLETED)
-        f.router.pressure, f.router.next_rate_update = pressure, 1e9
+        f.router.load_shedder.pressure, f.router.next_rate_update = pressure, 1e9
         rpc = f.arrive("k")  # its answer never comes; the soft deadline is 400 ms
         f.pass_time(50.0)
         other = f.arrive("k2")
@@ -255,11 +253,13 @@
     node.origin.concurrency_limit = 1.0
     fleet.arrive(key="busy", write=True)  # the origin has no room for a miss
     home = [
-        f"k{n}" for n in range(400) if node.bucket(crc32(b"k%d" % n) % BUCKETS).assigned.id == "s1"
+        f"k{n}"
+        for n in range(400)
+        if node.placement.bucket(crc32(b"k%d" % n) % BUCKETS).assigned.id == "s1"
     ]
     for key in home[:20]:
         fleet.arrive(key=key)
-    assert (node.rejected_count == 0) is eased and list(fleet.answers.values()).count(
+    assert (node.load_shedder.rejected_count == 0) is eased and list(fleet.answers.values()).count(
         "exhausted"
     ) > 10
 
@@ -276,18 +276,24 @@
     for i in range(600):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    assert s.warmup_gain * f.router.warmup_gain == f.router.max_warmup_gain == 2.0
+    assert (
+        s.warmup_gain * f.router.slow_start.warmup_gain
+        == f.router.slow_start.max_warmup_gain
+        == 2.0
+    )
     assert any(to == "s1" for _, to, _ in f.sends[sent:])
     f.listed([entry("s2", started=f.now)], EndpointUpdate.DELTA)
     assert (
-        f.router.backends["s2"].warmup_gain * f.router.warmup_gain == 2.0
+        f.router.backends["s2"].warmup_gain * f.router.slow_start.warmup_gain == 2.0
     )  # what one tells holds for all that are cold
     for i in range(600):
         rpc = f.arrive(f"n{i}")
         if f.attempts[rpc][-1]["server"] == "s1":
             f.end(rpc, Outcome.OVERLOADED)
             assert (
-                s.warmup_gain * f.router.warmup_gain <= 1.0 == f.router.backends["s2"].warmup_gain
+                s.warmup_gain * f.router.slow_start.warmup_gain
+                <= 1.0
+                == f.router.backends["s2"].warmup_gain
             )
             return
         f.end(rpc, Outcome.COMPLETED)
@@ -305,7 +311,7 @@
             done += at_cache and i % 6 == 0
             f.end(rpc, Outcome.OVERLOADED if at_cache and i % 6 else Outcome.COMPLETED)
         f.pass_time(10.0)
-    assert 0 < f.router.warm_rate < 2 * done / 12 / 4  # RPCs a second at each cache
+    assert 0 < f.router.slow_start.warm_rate < 2 * done / 12 / 4  # RPCs a second at each cache
 
 
 def test_a_key_too_heavy_for_its_cache_is_spread_by_each_nodes_own_draw() -> None:
@@ -314,8 +320,8 @@
     for seed in range(24):
         f = fleet(16, seed=seed)
         f.ask_a_hot_key()
-        heavy, light = (f.router.bucket(crc32(key) % BUCKETS) for key in (b"hot", b"k1"))
-        assert light.primary is next(f.router.ready_from(light))
+        heavy, light = (f.router.placement.bucket(crc32(key) % BUCKETS) for key in (b"hot", b"k1"))
+        assert light.primary is next(f.router.placement.ready_from(light))
         assert heavy.primary is heavy.assigned
         taken.add(heavy.primary.id)
     assert len(taken) > 4
@@ -323,7 +329,7 @@
 
 def test_a_silent_transmission_gets_one_second_copy_and_the_first_answer_ends_both() -> None:
     f = fleet(4, hedging_allowed=True)
-    f.router.recent_requests = 1e6
+    f.router.placement.recent_requests = 1e6
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
     assert (
@@ -342,13 +348,15 @@
     f = fleet(16)
     for i in range(120):
         f.end(f.arrive(f"k{i % 40}"), Outcome.COMPLETED)  # each key three times
-    assert not any(b.spread_size for b in f.router.buckets.values() if b.recent_requests < 4)
+    assert not any(
+        b.spread_size for b in f.router.placement.buckets.values() if b.recent_requests < 4
+    )
 
 
 def test_no_second_copy_is_sent_while_the_origin_is_slow() -> None:
     # Danger: copies that a slow origin gets on top of its fetches are what stops it.
     f = fleet(4, hedging_allowed=True)
-    f.router.recent_requests, f.router.backends["o1"].latency_ms = (
+    f.router.placement.recent_requests, f.router.backends["o1"].latency_ms = (
         1e6,
         f.router.methods["read"].soft_ms * 0.4,
     )
@@ -360,14 +368,14 @@
 def test_an_origin_whose_work_varies_is_asked_no_less_whatever_is_turned_away() -> None:
     # Danger: its limit cut by single answers, so more is turned away, so the limit is cut again.
     f = fleet(2)
-    f.router.pressure = 1.0
+    f.router.load_shedder.pressure = 1.0
     for i in range(60):
         rpc = f.arrive(f"k{i}")
         f.end(rpc, Outcome.MISS)
         f.pass_time(
             220.0 if i % 4 == 3 else 20.0
         )  # one in four over half of the soft deadline of 400
-        f.router.pressure = 1.0
+        f.router.load_shedder.pressure = 1.0
         f.end(rpc, Outcome.COMPLETED)
         assert f.router.backends["o1"].concurrency_limit >= 2.0
     before = f.router.backends["o1"].concurrency_limit
@@ -382,12 +390,12 @@
 def test_without_reports_a_cache_that_answers_late_is_the_heavy_one() -> None:
     # Danger: an overloaded cache is sent little, so the rate calls it light and gives it more.
     f = fleet(4)
-    f.router.recent_requests = 1e6
+    f.router.placement.recent_requests = 1e6
     for i in range(400):
         rpc = f.arrive(f"k{i % 100}")
         f.pass_time(60.0 if f.attempts[rpc][0]["server"] == "s0" else 5.0)
         f.end(rpc, Outcome.COMPLETED)
-    moved = [b for b in f.router.buckets.values() if b.assigned is not b.primary]
+    moved = [b for b in f.router.placement.buckets.values() if b.assigned is not b.primary]
     assert moved and all(b.primary.id == "s0" for b in moved)
 
 
@@ -396,7 +404,7 @@
     f = fleet(
         8, tenants=(Tenant("small", 1.0),), over_quota_gain_factor=0.2, max_retry_after_ms=400.0
     )
-    f.router.pressure = pressure
+    f.router.load_shedder.pressure = pressure
     for i in range(60):
         rpc = f.arrive(f"k{i}", tenant="small")
         if rpc in f.open:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -291,7 +291,7 @@
         and s.node.pools.max_descriptors == servers // 2
         and s.node.clients.max_connections == room // 2
     )
-    assert s.node.host.router.process_share == 0.5 and figures(s)["members_unavailable"] == 1
+    assert s.node.host.router.quotas.process_share == 0.5 and figures(s)["members_unavailable"] == 1
     call(s, b"PAUSE\n")
     call(s, b"RESTORE s1\n")
     assert [verb for verb, _ in other.read_new()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
@@ -300,7 +300,7 @@
     assert (
         s.node.process_count == 1
         and s.node.pools.max_descriptors == servers
-        and s.node.host.router.process_share == 1.0
+        and s.node.host.router.quotas.process_share == 1.0
     )
     s.node.shared_state.close()
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,9 +6,9 @@
 import pytest
 from fleet import ORIGIN, Fleet, deployment, entry
 
-from hookpitch.balancer.decisions import BUCKETS, Router
 from hookpitch.balancer.deployment import deployment as read
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Method, Outcome
+from hookpitch.balancer.placement import BUCKETS, Placement
 from hookpitch.fakes.history import History
 from hookpitch.testbed.experiment import load
 from hookpitch.testbed.judge import Judge, Rules
@@ -59,11 +59,11 @@
     f = fleet(12)
     for i in range(60):
         f.arrive(f"k{i}", "status")
-    ring = f.router.ring = Walked(f.router.ring)
+    ring = f.router.ring.points = Walked(f.router.ring.points)
     for i in range(1, 12, 2):  # those of kind std drain, one after the other
         f.listed([entry(f"s{i}", EndpointState.DRAINING, kind=1)], EndpointUpdate.DELTA)
-    assert not [b.primary for b in f.router.buckets.values() if b.kinds and b.primary]
-    assert ring.looks < 40 * len(f.router.buckets) * 6 < len(ring) * 60
+    assert not [b.primary for b in f.router.placement.buckets.values() if b.kinds and b.primary]
+    assert ring.looks < 40 * len(f.router.placement.buckets) * 6 < len(ring) * 60
 
 
 def test_a_heavy_key_is_spread_over_open_servers() -> None:
@@ -71,7 +71,7 @@
     for seed in range(12):
         f = fleet(16, seed=seed)
         f.ask_a_hot_key()
-        taken.add(f.router.bucket(crc32(b"hot") % BUCKETS, ("std",)).primary.id)
+        taken.add(f.router.placement.bucket(crc32(b"hot") % BUCKETS, ("std",)).primary.id)
     assert len(taken) > 1 and all(int(id[1:]) % 2 for id in taken)
 
 
@@ -81,7 +81,7 @@
         f.end(f.arrive(f"key{i % 40}"), Outcome.COMPLETED)
         f.end(f.arrive(f"page{i % 7}", "page"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    bound = [b for b in f.router.buckets.values() if b.kinds]
+    bound = [b for b in f.router.placement.buckets.values() if b.kinds]
     assert bound and all(b.assigned.kind == 1 for b in bound)
 
 
@@ -99,7 +99,7 @@
     f = fleet(0, Method("status", 400.0, 1000.0, 1.0, zones=("zone1",)))
     f.listed([entry("s1", kind=-2)])
     f.router.backends["s1"].zone = ""
-    f.router.rebuild_ring([])
+    f.router.endpoints.rebuild_ring([])
     assert f.answers[f.arrive("k")] == "exhausted" and not f.sends
     assert f.arrive("k", "page") in f.open
 
@@ -148,5 +148,5 @@
 ) -> None:
     x = load(Path(__file__).parent.parent / "experiments" / "core-placement.toml")
     assert not Run(x, x.seed).run().broken
-    monkeypatch.setattr(Router, "allows", lambda *_: True)
+    monkeypatch.setattr(Placement, "allows", lambda *_: True)
     assert "placement" in {b.rule for b in Run(x, x.seed).run().broken}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,7 +15,8 @@
 
 import pytest
 
-from hookpitch.balancer.decisions import Backend, Router
+from hookpitch.balancer.backend import Backend
+from hookpitch.balancer.endpoints import EndpointList
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.testbed.experiment import load, read
 from hookpitch.testbed.metrics import summary
@@ -51,10 +52,10 @@
 WRONG = """
 import os
 if "PROXY_CONFIG" in os.environ:  # a node's process
-    from hookpitch.balancer.decisions import Backend, Router
+    from hookpitch.balancer.endpoints import EndpointList
     from hookpitch.balancer.interface import EndpointState
-    right = Router.set_state
-    Router.set_state = lambda self, s, state: right(self, s, EndpointState.READY if state == EndpointState.DRAINING else state)
+    right = EndpointList.set_state
+    EndpointList.set_state = lambda self, s, state, now: right(self, s, EndpointState.READY if state == EndpointState.DRAINING else state, now)
 """  # noqa: E501
 
 
@@ -158,11 +159,11 @@
         assert (counters["config_changes"], counters["config_reload_errors"]) == (4, 4)
 
 
-def wrong_in_virtual_time(self: Router, s: Backend, state: EndpointState) -> None:
-    RIGHT(self, s, EndpointState.READY if state == EndpointState.DRAINING else state)
+def wrong_in_virtual_time(self: EndpointList, s: Backend, state: EndpointState, now: float) -> None:
+    RIGHT(self, s, EndpointState.READY if state == EndpointState.DRAINING else state, now)
 
 
-RIGHT = Router.set_state
+RIGHT = EndpointList.set_state
 
 
 def test_a_node_that_sends_past_the_grace_is_caught_in_both_clocks(
@@ -171,7 +172,7 @@
     (tmp_path / "past-grace.toml").write_text(PAST_GRACE)
     (tmp_path / "sitecustomize.py").write_text(WRONG)
     assert not Run(read(PAST_GRACE), 1).run().broken
-    monkeypatch.setattr(Router, "set_state", wrong_in_virtual_time)
+    monkeypatch.setattr(EndpointList, "set_state", wrong_in_virtual_time)
     assert {b.rule for b in Run(read(PAST_GRACE), 1).run().broken} == {"rule 3"}
     code, said = Play(tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=f"{tmp_path}:{ROOT}").end()
     if code == VOID:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -39,7 +39,7 @@
     f = node(300, tenants=(Tenant("small", 87.0),), max_retry_after_ms=400.0)
     for i in range(40):
         f.pass_time(5000.0)
-        f.router.pressure = 1.0  # nothing over a share is let in
+        f.router.load_shedder.pressure = 1.0  # nothing over a share is let in
         f.end(f.arrive(f"k{i}", tenant="small"), Outcome.COMPLETED)  # fails where it was exhausted
 
 
@@ -47,7 +47,7 @@
     f = node(1, tenants=(Tenant("big", 1.0),))
     sent = 0
     for i in range(60):
-        f.router.pressure = 1.0  # nothing over a share is let in
+        f.router.load_shedder.pressure = 1.0  # nothing over a share is let in
         rpc = f.arrive(f"k{i}", tenant="big")
         sent += bool(f.attempts[rpc])
         assert not f.attempts[rpc] or not f.router.rpcs[rpc].over_quota
@@ -64,7 +64,7 @@
     for i in range(20):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(1000.0)
-    assert all(b.assigned is b.primary for b in f.router.buckets.values())
+    assert all(b.assigned is b.primary for b in f.router.placement.buckets.values())
 
 
 def test_a_full_origin_is_asked_less_and_less_by_each_node() -> None:
@@ -91,34 +91,36 @@
 
 def test_where_holding_costs_nothing_connections_are_held_ever_longer_until_some_fail() -> None:
     f = node(300)
-    begun = f.router.idle_limit_ms
-    assert begun == f.router.min_idle_ms < f.router.max_idle_ms / 10
+    begun = f.router.idle_connections.idle_limit_ms
+    assert (
+        begun == f.router.idle_connections.min_idle_ms < f.router.idle_connections.max_idle_ms / 10
+    )
     f.pass_time(60000.0)
-    assert f.router.idle_limit_ms == f.router.max_idle_ms
+    assert f.router.idle_connections.idle_limit_ms == f.router.idle_connections.max_idle_ms
     for n in range(30):
         rpc = f.arrive(f"k{n}")
         if f.attempts[rpc]:
             f.end(rpc, Outcome.RESET)
         f.pass_time(200.0)
-    assert f.router.idle_limit_ms < f.router.max_idle_ms / 2
-    after = f.router.idle_limit_ms
+    assert f.router.idle_connections.idle_limit_ms < f.router.idle_connections.max_idle_ms / 2
+    after = f.router.idle_connections.idle_limit_ms
     f.pass_time(6000.0)
-    assert after < f.router.idle_limit_ms < 1.5 * after  # and from then on slowly
+    assert after < f.router.idle_connections.idle_limit_ms < 1.5 * after  # and from then on slowly
     f.router.reconfigured(f.now, f.d)
-    assert f.router.idle_limit_ms < f.router.max_idle_ms
+    assert f.router.idle_connections.idle_limit_ms < f.router.idle_connections.max_idle_ms
 
 
 def test_overload_sheds_the_least_gain_first_and_stops_when_it_is_over() -> None:
     dear, cheap = Method("dear", 400.0, 1000.0, 5.0), Method("cheap", 400.0, 1000.0, 1.0)
     f = node(300, methods=(dear, cheap))
     for i in range(40):
-        f.router.rejected_count, f.router.arrival_count = 2 * (i < 20), 4
+        f.router.load_shedder.rejected_count, f.router.load_shedder.arrival_count = 2 * (i < 20), 4
         f.pass_time(1500.0)
         if i == 2:
-            f.router.shed = 0.5
+            f.router.load_shedder.shed_fraction = 0.5
             assert all(not f.attempts[f.arrive(f"c{k}", "cheap")] for k in range(5))
             assert all(f.attempts[f.arrive(f"d{k}", "dear")] for k in range(5))
-    assert f.router.shed == 0.0 and f.attempts[f.arrive("last", "cheap")]
+    assert f.router.load_shedder.shed_fraction == 0.0 and f.attempts[f.arrive("last", "cheap")]
 
 
 def test_the_origins_limit_falls_when_its_mean_is_slow_not_when_its_work_varies() -> None:
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -83,20 +83,22 @@
     now, later = begun(x, 100.0), begun(x, 3600000.0)
     assert now.router.backends["s2"].ejected and not later.router.backends["s2"].ejected
     assert (
-        now.router.unit_latency_ms == f.router.unit_latency_ms
-        and later.router.unit_latency_ms == 0.0
+        now.router.concurrency.unit_latency_ms == f.router.concurrency.unit_latency_ms
+        and later.router.concurrency.unit_latency_ms == 0.0
     )
 
 
 def test_a_heavy_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
-    (key,) = [k for k, b in f.router.buckets.items() if b.spread_size]
+    (key,) = [k for k, b in f.router.placement.buckets.items() if b.spread_size]
     new = begun(learned(f), 500.0)
     assert (
-        new.router.buckets[key].spread_size > 0
-        and len(new.router.replicas(new.router.buckets[key])) > 1
+        new.router.placement.buckets[key].spread_size > 0
+        and len(new.router.placement.replicas(new.router.placement.buckets[key])) > 1
+    )
+    assert not any(
+        b.spread_size for b in begun(learned(f), 3600000.0).router.placement.buckets.values()
     )
-    assert not any(b.spread_size for b in begun(learned(f), 3600000.0).router.buckets.values())
 
 
 def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> (  # noqa: E501
@@ -137,7 +139,7 @@
 
 def test_buckets_stay_moved_while_that_is_young_and_only_to_servers_that_serve() -> None:
     f = fleet()
-    b = f.router.bucket(77)
+    b = f.router.placement.bucket(77)
     to = next(s.id for s in f.router.caches if s is not b.primary)
     x = learned(
         f,
@@ -147,10 +149,10 @@
             MovedBucket(10**9, (), (), to),
         ),
     )
-    assert begun(x, 1000.0).router.buckets[77, (), ()].assigned.id == to
-    assert (77, (), ()) not in begun(x, 600000.0).router.buckets
+    assert begun(x, 1000.0).router.placement.buckets[77, (), ()].assigned.id == to
+    assert (77, (), ()) not in begun(x, 600000.0).router.placement.buckets
     gone = [replace(e, state=EndpointState.DRAINING) if e.id == to else e for e in SERVERS]
-    assert (77, (), ()) not in begun(x, 1000.0, gone).router.buckets
+    assert (77, (), ()) not in begun(x, 1000.0, gone).router.placement.buckets
 
 
 def test_a_ban_by_hand_outlasts_the_process() -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -150,7 +150,7 @@
         s.network.ways[port] = "refused"
     c = s.client()
     s.network.ways.clear()
-    s.node.host.router.origin_kind = (
+    s.node.host.router.table.origin_kind = (
         -1
     )  # a write goes to a cache, large enough to leave in two pieces
     c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v" * WRITE_CHUNK_BYTES))
@@ -403,12 +403,12 @@
     c = s.client()
     c.say(get("r1").replace(b"c=read,d=900", b"c=read,t=abc"))
     serve(s)
-    full = s.node.host.router.token_buckets["small"].tokens
+    full = s.node.host.router.quotas.token_buckets["small"].tokens
     c.say(get("r2").replace(b"c=read,d=900", b"c=read,t=small").replace(b"$12", b"$14"))
     (words,) = serve(s)
     assert (
         words[3].startswith(b"c=read,t=small,d=")
-        and s.node.host.router.token_buckets["small"].tokens < full
+        and s.node.host.router.quotas.token_buckets["small"].tokens < full
     )
 
 
@@ -425,7 +425,7 @@
 def test_where_nothing_may_be_called_off_a_gone_clients_transmission_ends_by_itself() -> None:
     s = Sockets()
     s.node.host.deployment = replace(s.node.host.deployment, cancellation_enabled=False)
-    s.node.host.router.cancellation_enabled = False
+    s.node.host.router.retries.cancellation_enabled = False
     c = s.client()
     c.say(get("r1"))
     s.pass_time(1)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -278,12 +278,14 @@
             for value in ({}, 7, *(SETTINGS | change for change in wrong)):
                 path.write_text(json.dumps(old | {"settings": value}))
                 reload()
-                assert s.logs[-1] == "not reloaded" and s.node.host.router.hedging_allowed, value
+                assert (
+                    s.logs[-1] == "not reloaded" and s.node.host.router.retries.hedging_allowed
+                ), value
         else:
             path.write_text(json.dumps(told))
             reload()
-            assert s.node.host.router.hedging_allowed == (told is new)
-            assert (s.node.host.router.nominal_sizes is not None) == (told is new)
+            assert s.node.host.router.retries.hedging_allowed == (told is new)
+            assert (s.node.host.router.endpoints.nominal_sizes is not None) == (told is new)
         asked = [data.split(b"\r\n")[6] for line in lines() if (data := line.take())]
         assert asked == [b"r%d" % step]  # sent once, and not again
         for line in lines():
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -79,11 +79,11 @@
         f.now + 9e9,
         1.5,
     )
-    node.start_warmup(cold, f.now)
+    node.slow_start.start_warmup(cold, f.now, f.now)
     for _ in range(3):
         f.end(f.arrive("k1", tenant="small"), Outcome.COMPLETED)
-    tokens, cold_tokens = node.token_buckets["small"].tokens, cold.warmup_tokens
-    homes = {number: b.primary.id for number, b in node.buckets.items()}
+    tokens, cold_tokens = node.quotas.token_buckets["small"].tokens, cold.warmup_tokens
+    homes = {number: b.primary.id for number, b in node.placement.buckets.items()}
     out = f.arrive("k5", method="once")
     other = Method("once", 50.0, 100.0, 1.0, 0.0, Idempotency.IDEMPOTENT)
     new = replace(
@@ -102,9 +102,9 @@
             and sick.concurrency_limit == 1.5
         )
         assert cold.warmup_until > f.now and cold.warmup_tokens == cold_tokens
-        assert abs(node.token_buckets["small"].tokens - tokens) < 1e-6
+        assert abs(node.quotas.token_buckets["small"].tokens - tokens) < 1e-6
         assert {
-            number: b.primary.id for number, b in node.buckets.items()
+            number: b.primary.id for number, b in node.placement.buckets.items()
         } == homes  # no ring moved
         assert sick.kind == kind and node.origin.id == "o1" and node.origin.kind == kind + 1
         rpc = node.rpcs[out]
@@ -114,7 +114,7 @@
     node.update_endpoints(f.now, EndpointUpdate.DELTA, [entry("s3", size=0.25, kind=1)])
     assert (
         node.backends["s3"].reported_load == 3.0
-        and {n: b.primary.id for n, b in node.buckets.items()} == homes
+        and {n: b.primary.id for n, b in node.placement.buckets.items()} == homes
     )
     node.reconfigured(f.now, d)
     assert node.backends["s3"].reported_load == -1.0
@@ -124,7 +124,7 @@
     d = deployment(hedging_allowed=True)
     f = Fleet(d)
     f.listed([entry(f"s{i}") for i in range(4)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
-    f.router.recent_requests = 1e6
+    f.router.placement.recent_requests = 1e6
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
     assert len(f.attempts[rpc]) == 2 and not f.attempts[rpc][0].get("called_off")
