--- a/hookpitch/balancer/interface.py
+++ b/hookpitch/balancer/interface.py
@@ -1,11 +1,9 @@
-"""Plain types that stand between a host (the bench's adapter, later a node on sockets) and the
-decisions.
-
-A host makes one `Node` (see decisions.py) per instance from a `Deployment`, tells it what happens
-through
-its input calls, then calls `decide(now, host)` until that returns False; a call hands at most one
-decision to
-the host. Times are float milliseconds of the host's clock. Ids are used at this door only.
+"""The types between a host and the decisions.
+
+A host (the node on sockets, or the bench's adapter) makes one `router.Router` for an instance from
+a `Deployment`, calls its inputs as things happen, then calls `decide(now, host)` until that returns
+False; a call hands at most one decision to the host. Times are float milliseconds of the host's
+clock. Ids of RPCs and backends are strings of the host's choice.
 """
 
 from __future__ import annotations
@@ -15,11 +13,12 @@
 from enum import IntEnum
 from typing import Protocol
 
-Report = Mapping[str, float]  # utilisation, inflight, queue, recent_ms, rate, errors_per_s, x0, x1
+# By field: utilisation, inflight, queue, recent_ms, rate, errors_per_s, x0, x1.
+Report = Mapping[str, float]
 
 
 class Outcome(IntEnum):
-    """How a transmission ended."""
+    """How an attempt ended."""
 
     COMPLETED = 0
     MISS = 1
@@ -30,7 +29,7 @@
     TIMEOUT = 6
     OVERLOADED = 7
     ERROR = 8
-    MALFORMED = 9  # an answer came that cannot be read; it may have run
+    MALFORMED = 9  # an answer came that cannot be read; the RPC may have run
 
 
 # A tuple: an enum's hash is a call of Python code, its identity is not.
@@ -38,7 +37,7 @@
 
 
 class EndpointState(IntEnum):
-    """What the list of servers says of one."""
+    """What the endpoint list says of a backend."""
 
     REMOVED = 0
     READY = 1
@@ -62,11 +61,8 @@
     NON_IDEMPOTENT = 2
 
 
-DEDUP_SCOPES = (
-    "cell",
-    "zone",
-    "all",
-)  # of servers that drop each other's repeats, the smallest first
+# Of backends that drop each other's repeats, the smallest first.
+DEDUP_SCOPES = ("cell", "zone", "all")
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,18 +75,19 @@
     gain: float
     late_gain: float = 0.0
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_scope: str = "all"  # of the servers that drop its repeats: all, zone or cell
+    dedup_scope: str = "all"  # of the backends that drop its repeats: one of DEDUP_SCOPES
     dedup_window_ms: float = 0.0
     streamed: bool = False
-    kinds: tuple[str, ...] = ()  # the only kinds of machine, and
-    zones: tuple[
-        str, ...
-    ] = ()  # the only locations it may be sent to; empty: any. The origin is always open
+    # The only kinds of machine and the only zones it may be sent to; empty: any. The origin is
+    # always allowed.
+    kinds: tuple[str, ...] = ()
+    zones: tuple[str, ...] = ()
 
     def under(self, new: Method | None) -> Method:
-        """For an RPC in flight, once the settings say otherwise of its method, or know it no more:
-        its
-        deadlines and gain stay, and of what binds a further transmission the stricter holds."""
+        """Return the method for an RPC in flight once its settings have changed or are gone.
+
+        Its deadlines and gain stay; of what binds a further attempt the stricter holds.
+        """
         if new is None or new == self:
             return self
         return replace(
@@ -113,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server as the list has it."""
+    """One backend as the endpoint list has it."""
 
     id: str
     zone: str
@@ -126,19 +123,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What a node is told of its deployment when it starts."""
+    """The settings of a node, as it starts or reloads."""
 
     seed: int
     nodes: int
     methods: tuple[Method, ...]
     tenants: tuple[Tenant, ...]
-    polling_required: bool  # discovery tells nothing unasked
-    origin_kind: int  # the kind of the origin's entry, -1 where caches fetch for themselves
+    polling_required: bool  # discovery sends nothing by itself
+    origin_kind: int  # the kind of the origin's endpoint, -1 where caches fetch for themselves
     tick_ms: float
     max_attempts: int
     hedging_allowed: bool
     cancellation_enabled: bool
-    max_retry_after_ms: float  # 0 where clients are not told
+    max_retry_after_ms: float  # 0 where clients are given no time
     poll_interval_ms: float
     slow_start_fraction: float
     slow_start_ms: float
@@ -146,36 +143,43 @@
     overload_window_ms: float
     connection_hold_cost: float  # points for a hundred connections held at each server, and
     connection_open_cost: float  # for a new connection with each RPC
-    over_quota_gain_factor: (
-        float  # the part of its gain that an RPC over its customer's share keeps
-    )
-    weights_reflect_load: bool = (
-        False  # listed sizes are cut by the load: nominal / (1 + RPCs held a core)
-    )
+    over_quota_gain_factor: float  # the part of its gain that an RPC over quota keeps
+    # Listed sizes are cut by the load: nominal / (1 + RPCs in flight for each core).
+    weights_reflect_load: bool = False
     kinds: tuple[str, ...] = ()  # names of the machine kinds, in the order of their numbers
     connect_timeout_ms: float = 250.0
-    connection_idle_timeout_ms: float = (
-        15000.0  # a server closes a connection that was idle for so long
-    )
-    removal_is_advisory: bool = (
-        False  # only a server seen draining is sent nothing new; gone alone binds nothing
-    )
-    availability_bonus_per_nine: float = (
-        0.0  # what the goal gives for each tenfold step by which little is lost, and
-    )
-    availability_bonus_nines: float = 3.0  # how many such steps earn it in full
+    connection_idle_timeout_ms: float = 15000.0  # a backend closes connections idle for so long
+    # Only a backend seen draining is sent nothing new; removal alone binds nothing.
+    removal_is_advisory: bool = False
+    # What the goal gives for each tenfold fall of the loss, and how many falls earn it in full.
+    availability_bonus_per_nine: float = 0.0
+    availability_bonus_nines: float = 3.0
 
 
 class RouterHost(Protocol):
-    """What carries the decisions out."""
-
-    # `limit_ms`: until it is waited for; `begin_ms`: until it has to be begun, or never
-    def send(
-        self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float
-    ) -> None: ...
-    def cancel(self, rpc_id: str, attempt: int) -> None: ...
-    def reject(self, rpc_id: str, retry_after_ms: float) -> None: ...
-    def fail(self, rpc_id: str) -> None: ...
-    def close_idle(self, backend_id: str) -> None: ...
-    def schedule_wakeup(self, at_ms: float) -> None: ...
-    def log(self, text: str) -> None: ...
+    """Carries the decisions out."""
+
+    def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
+        """Send an RPC's next attempt.
+
+        It is waited for until `timeout_ms`, and has to be started within `start_within_ms` or not
+        at all.
+        """
+
+    def cancel(self, rpc_id: str, attempt: int) -> None:
+        """Cancel an attempt; its end is an input as any other."""
+
+    def reject(self, rpc_id: str, retry_after_ms: float) -> None:
+        """Answer an RPC as rejected; its client may retry."""
+
+    def fail(self, rpc_id: str) -> None:
+        """Answer an RPC as failed; it may have run."""
+
+    def close_idle(self, backend_id: str) -> None:
+        """Close a backend's idle connections."""
+
+    def schedule_wakeup(self, at_ms: float) -> None:
+        """Call `timer_fired` and `decide` at a time; the latest call counts."""
+
+    def log(self, text: str) -> None:
+        """Log a change of state."""
--- a/hookpitch/balancer/pending.py
+++ b/hookpitch/balancer/pending.py
@@ -52,9 +52,3 @@
     def schedule(self, at_ms: float, rpc: Rpc, attempt: Attempt | None) -> None:
         """Have an RPC looked at again."""
         heapq.heappush(self.timers, Timer(at_ms, self._next_number(), rpc, attempt))
-
-    def pop_due_timer(self, now: float) -> Timer | None:
-        """Return the earliest timer whose time has come."""
-        if self.timers and self.timers[0].at_ms <= now:
-            return heapq.heappop(self.timers)
-        return None
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import heapq
 from zlib import crc32
 
 from hookpitch.balancer.attempt_timers import AttemptTimers
@@ -277,15 +278,21 @@
     def decide(self, now: float, host: RouterHost) -> bool:
         """Hand at most one decision to the host; return False when there is none left."""
         self.now = now
+        work = self.work
         self._run_due()
-        return (
-            self._cancel_one(host)
-            or self._close_one_idle(host)
-            or self._route_one(host)
-            or self._dequeue_one(host)
-            or self._log_one(host)
-            or self._schedule_wakeup(host)
-        )
+        if work.cancellations and self._cancel_one(host):
+            return True
+        if work.idle_to_close:
+            host.close_idle(work.idle_to_close.popleft().id)
+            return True
+        if work.rpcs and self._route_one(host):
+            return True
+        if work.freed_backends and self._dequeue_one(host):
+            return True
+        if work.log_lines:
+            host.log(work.log_lines.popleft())
+            return True
+        return self._schedule_wakeup(host)
 
     def _cancel_one(self, host: RouterHost) -> bool:
         cancellations = self.work.cancellations
@@ -296,12 +303,6 @@
                 return True
         return False
 
-    def _close_one_idle(self, host: RouterHost) -> bool:
-        if not self.work.idle_to_close:
-            return False
-        host.close_idle(self.work.idle_to_close.popleft().id)
-        return True
-
     def _route_one(self, host: RouterHost) -> bool:
         rpcs = self.work.rpcs
         while rpcs:
@@ -325,12 +326,6 @@
             freed.popleft()
         return False
 
-    def _log_one(self, host: RouterHost) -> bool:
-        if not self.work.log_lines:
-            return False
-        host.log(self.work.log_lines.popleft())
-        return True
-
     def _schedule_wakeup(self, host: RouterHost) -> bool:
         timers = self.work.timers
         due = min(
@@ -349,7 +344,9 @@
 
     def _run_due(self) -> None:
         now = self.now
-        while (timer := self.work.pop_due_timer(now)) is not None:
+        timers = self.work.timers
+        while timers and timers[0].at_ms <= now:
+            timer = heapq.heappop(timers)
             if timer.attempt is None:
                 self.queues.timer_fired(timer.rpc, now)
             else:
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.balancer.deployment import report
+from hookpitch.balancer.deployment import parse_load_report
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate, Outcome
 from hookpitch.core.deadlines import Deadline
 from hookpitch.core.host import NO_REPORT, Attempt, Host
@@ -99,7 +99,7 @@
         values = NO_REPORT
         if load:
             try:
-                values = report(load, "=")
+                values = parse_load_report(load, "=")
             except ValueError:
                 pools.host.record_malformed("reports", load)
         pools.host.attempt_finished(now, attempt, outcome, value, values, age)
--- a/hookpitch/net/node_config.py
+++ b/hookpitch/net/node_config.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from hookpitch.balancer.deployment import deployment
+from hookpitch.balancer.deployment import parse_deployment
 from hookpitch.balancer.interface import Deployment, Endpoint
 from hookpitch.net.endpoint_list import parse_endpoint_list
 
@@ -114,7 +114,7 @@
 
 def _deployment(seed: int, settings: object) -> Deployment:
     """On sockets a list has to be asked for, where the settings don't say that it is pushed."""
-    d = deployment(seed, settings)
+    d = parse_deployment(seed, settings)
     pushed = isinstance(settings, dict) and settings.get("discovery") == "pushed"
     return replace(d, polling_required=not pushed)
 
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -1,219 +1,211 @@
-"""Hosts many nodes on the bench's wire: lines become calls, decisions become lines."""
+"""Hosts many nodes on the bench's wire: reads batches of lines, and writes a reply to each.
+
+State: the nodes by name, and the time of the batch at hand. A line that cannot be read is named on
+the error stream and harms nothing else. Only nodes that a batch has touched write to its reply.
+"""
 
 from __future__ import annotations
 
 import gc
 import json
 import sys
-from collections.abc import Iterator
-from dataclasses import replace
+from collections.abc import Callable, Iterator
 from typing import TextIO
 
-from hookpitch.balancer.deployment import deployment, report
+from hookpitch.balancer.deployment import parse_deployment
 from hookpitch.balancer.interface import Endpoint, EndpointUpdate
 from hookpitch.balancer.router import Router
-from hookpitch.core.seeded_random import seeded_random
 from hookpitch.simwire import codec
-from hookpitch.simwire.codec import WireError, flag, ms, outcome, seconds
-from hookpitch.startup.poll_schedule import NEVER, PollSchedule, WatchLoss
-
-HINT = 1  # the bit of a REQUEST's options that says that its cost is told
-WRITE = 4  # the bit of a REQUEST's options that marks a write
-
-
-class Seat:
-    """One instance's place: its node, and the host that writes its lines."""
-
-    def __init__(self, name: str, out: list[str]) -> None:
-        self.name, self.out = name, out
-        self.router: Router | None = None
-        self.kinds: tuple[str, ...] = ()
-        self.fault = ""
-        self.poll_schedule: PollSchedule | None = None  # where discovery has to be asked
-        self.armed = NEVER
-
-    def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
-        self.out.append(f"RELAY {self.name} {rpc_id} {backend_id} {timeout_ms / 1000:.6f}")
-
-    def cancel(self, rpc_id: str, attempt: int) -> None:
-        self.out.append(f"RETRACT {self.name} {rpc_id} {attempt}")
-
-    def reject(self, rpc_id: str, retry_after_ms: float) -> None:
-        after = seconds(retry_after_ms) if retry_after_ms > 0 else "-"
-        self.out.append(f"REJECT {self.name} {rpc_id} {after}")
-
-    def fail(self, rpc_id: str) -> None:
-        self.out.append(f"LOSE {self.name} {rpc_id}")
-
-    def close_idle(self, backend_id: str) -> None:
-        self.out.append(f"SHUT_IDLE {self.name} {backend_id}")
-
-    def ask(self, now: float) -> None:
-        """Ask discovery if the time has come, or have it told when it has."""
-        poll_schedule = self.poll_schedule
-        if poll_schedule is None:
-            return
-        if poll_schedule.due_at <= now:
-            poll_schedule.poll_started(now)
-            self.out.append(f"SUBSCRIBE {self.name} 1")
-        if poll_schedule.due_at < NEVER and poll_schedule.due_at != self.armed:
-            self.armed = poll_schedule.due_at
-            self.schedule_wakeup(poll_schedule.due_at)
-
-    def listed(self, now: float, kind: EndpointUpdate) -> None:
-        if self.poll_schedule is not None and kind == EndpointUpdate.FAILED:
-            self.poll_schedule.poll_failed(now, WatchLoss.ENDED)
-        elif self.poll_schedule is not None and kind != EndpointUpdate.CACHED:
-            self.poll_schedule.endpoints_received()
+from hookpitch.simwire.codec import WireError, parse_ms, split_values
+from hookpitch.simwire.simulated_node import SimulatedNode
 
-    def schedule_wakeup(self, at_ms: float) -> None:
-        self.out.append(f"TIMER {self.name} {seconds(at_ms + 0.0005)} 0")
+MAX_QUOTED = 200  # characters of a line that is named
+MAX_ENTRY_QUOTED = 120
 
-    def log(self, text: str) -> None:
-        self.out.append(f"RECORD {self.name} {text}")
+Handler = Callable[[SimulatedNode, Router, str], None]
 
 
 class Adapter:
     """Reads batches, writes replies."""
 
-    def __init__(self, source: TextIO, sink: TextIO, complaints: TextIO) -> None:
-        self.source, self.sink, self.complaints = source, sink, complaints
-        self.seats: dict[str, Seat] = {}
-        self.out: list[str] = []
-        self.now = 0.0
+    def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
+        self.nodes: dict[str, SimulatedNode] = {}
+        self._source = source
+        self._sink = sink
+        self._errors = errors
+        self._lines: list[str] = []  # of the reply
+        self._touched: dict[str, SimulatedNode] = {}  # by this batch, in order
+        self._now = 0.0
+        self._handlers: dict[str, Handler] = {
+            "REQUEST": self._request,
+            "TIMEOUT_FIRED": self._timer_fired,
+            "CLIENT_GONE": self._client_gone,
+            "SETTLED": self._settled,
+            "ACCEPTED": self._accepted,
+            # No probe or message is ever sent, so none is answered.
+            "PEER_DATA": self._ignored,
+            "SAMPLED": self._ignored,
+        }
 
     def run(self) -> None:
-        lines = iter(self.source)
-        touched: dict[str, Seat] = {}
+        """Serve until the source ends."""
+        lines = iter(self._source)
         for raw in lines:
             line = raw.rstrip("\r\n")
-            word, _, rest = line.partition(" ")
             try:
-                if word == "EOB":
-                    self._reply(touched)
-                    touched = {}
-                elif word == "BEGIN_BATCH":
-                    self.now = ms(rest)
-                elif line:
-                    self._event(word, rest, lines, touched)
-            except (WireError, ValueError) as fault:
-                print(f"hookpitch: {fault}: {line[:200]!r}", file=self.complaints, flush=True)
-
-    def _reply(self, touched: dict[str, Seat]) -> None:
-        for seat in touched.values():
-            if seat.fault:
-                self.out.append(f"EXCEPTION {seat.name} {seat.fault}")
-                seat.fault = ""
-            router = seat.router
-            if router is not None:
-                while router.decide(self.now, seat):
-                    pass
-                seat.ask(self.now)
-        self.out.append("ACK\n")
-        self.sink.write("\n".join(self.out))
-        self.sink.flush()
-        self.out.clear()
-
-    def _event(self, word: str, rest: str, lines: Iterator[str], touched: dict[str, Seat]) -> None:
-        now = self.now
-        if word == "HELLO":
-            name, seed, settings = _values(rest, 3)
-            seat = self.seats[name] = touched[name] = Seat(name, self.out)
-            try:
-                told = deployment(int(seed), json.loads(settings))
-            except ValueError as fault:
-                seat.fault = str(fault)
-                raise
-            seat.kinds, seat.router = told.kinds, Router(now, told)
-            if told.polling_required:
-                within = told.poll_interval_ms or 10000.0
-                seat.poll_schedule = PollSchedule(
-                    now, told.nodes, within, seeded_random(told.seed, "ask")
-                )
-            return
-        name = rest.partition(" ")[0]
-        if word == "PEERS_KNOWN":
-            entries, faults = self._entries(rest, lines, self.seats.get(name))
-        seat = self.seats.get(name)
-        if seat is None or (seat.router is None and word != "EXIT"):
-            if word not in READERS.split():
-                raise WireError(f"unknown message '{word}'")
-            raise WireError(f"unknown instance '{name}'")
-        router = seat.router
-        if word == "SETTLED":
-            _, ticket, took, _, code, last, _, copy, load = _values(rest, 9)
-            touched[name] = seat
-            router.attempt_ended(
-                now, ticket, int(copy), outcome(code), flag(last), ms(took), report(load, ":")
-            )
-        elif word == "REQUEST":
-            _, ticket, key, bits, grace, _, tenant, hint, method = _values(rest, 9)
-            touched[name] = seat
-            flags = int(bits) if bits != "-" else 0
-            key, tenant = ("" if text == "-" else text for text in (key, tenant))
-            work = ms(hint) if flags & HINT else 0.0
-            router.rpc_arrived(
-                now, ticket, key, method, tenant, bool(flags & WRITE), ms(grace), 0.0, work
-            )
-        elif word == "TIMEOUT_FIRED":
-            touched[name] = seat
-            router.timer_fired(now)
+                self._line(line, lines)
+            except ValueError as error:
+                quoted = f"{line[:MAX_QUOTED]!r}"
+                print(f"hookpitch: {error}: {quoted}", file=self._errors, flush=True)
+
+    def _line(self, line: str, following: Iterator[str]) -> None:
+        word, _, rest = line.partition(" ")
+        if word == "EOB":
+            self._reply()
+        elif word == "BEGIN_BATCH":
+            self._now = parse_ms(rest)
+        elif word == "HELLO":
+            self._hello(rest)
         elif word == "PEERS_KNOWN":
-            if faults:
-                raise WireError(faults)
-            touched[name] = seat
-            kind = EndpointUpdate(int(_values(rest, 4)[1]))
-            seat.listed(now, kind)
-            if kind != EndpointUpdate.FAILED:
-                router.update_endpoints(now, kind, entries)
-        elif word == "CLIENT_GONE":
-            touched[name] = seat
-            router.client_disconnected(now, _values(rest, 2)[1])
-        elif word == "ACCEPTED":
-            _, ticket, _, _, copy = _values(rest, 5)
-            touched[name] = seat
-            router.stream_started(now, ticket, int(copy))
+            self._peers_known(rest, following)
         elif word == "EXIT":
-            self.seats.pop(name)
-            touched.pop(name, None)
-        elif word in ("SAMPLED", "PEER_DATA"):
-            touched[name] = seat  # no probe or message is ever sent, so none is answered
-        else:
+            self._exit(rest)
+        elif line:
+            self._event(word, rest)
+
+    def _reply(self) -> None:
+        touched = self._touched
+        self._touched = {}
+        for node in touched.values():
+            node.reply(self._now)
+        self._lines.append("ACK\n")
+        self._sink.write("\n".join(self._lines))
+        self._sink.flush()
+        self._lines.clear()
+
+    # ---- lines of one node
+
+    def _event(self, word: str, rest: str) -> None:
+        handler = self._handlers.get(word)
+        if handler is None:
             raise WireError(f"unknown message '{word}'")
+        node, router = self._started_node(rest)
+        handler(node, router, rest)
 
-    def _entries(
-        self, rest: str, lines: Iterator[str], seat: Seat | None
+    def _started_node(self, rest: str) -> tuple[SimulatedNode, Router]:
+        name = rest.partition(" ")[0]
+        node = self.nodes.get(name)
+        if node is None or node.router is None:
+            raise WireError(f"unknown instance '{name}'")
+        return node, node.router
+
+    def _touch(self, node: SimulatedNode) -> None:
+        self._touched[node.name] = node
+
+    def _hello(self, rest: str) -> None:
+        name, seed, settings = split_values(rest, 3)
+        node = self.nodes[name] = SimulatedNode(name, self._lines)
+        self._touch(node)
+        try:
+            deployment = parse_deployment(int(seed), json.loads(settings))
+        except ValueError as error:
+            node.settings_error = str(error)
+            raise
+        node.start(self._now, deployment)
+
+    def _exit(self, rest: str) -> None:
+        name = rest.partition(" ")[0]
+        if name not in self.nodes:
+            raise WireError(f"unknown instance '{name}'")
+        del self.nodes[name]
+        self._touched.pop(name, None)
+
+    def _request(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        values = split_values(rest, 9)
+        self._touch(node)
+        request = codec.parse_request(values)
+        router.rpc_arrived(
+            self._now,
+            request.rpc_id,
+            request.key,
+            request.method,
+            request.tenant,
+            request.write,
+            request.patience_ms,
+            0.0,
+            request.work_ms,
+        )
+
+    def _settled(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        values = split_values(rest, 9)
+        self._touch(node)
+        settled = codec.parse_settled(values)
+        router.attempt_ended(
+            self._now,
+            settled.rpc_id,
+            settled.attempt,
+            settled.outcome,
+            settled.last,
+            settled.took_ms,
+            settled.report,
+        )
+
+    def _accepted(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        values = split_values(rest, 5)
+        self._touch(node)
+        started = codec.parse_accepted(values)
+        router.stream_started(self._now, started.rpc_id, started.attempt)
+
+    def _client_gone(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        self._touch(node)
+        router.client_disconnected(self._now, split_values(rest, 2)[1])
+
+    def _timer_fired(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        self._touch(node)
+        router.timer_fired(self._now)
+
+    def _ignored(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        self._touch(node)
+
+    # ---- endpoint lists, the one message of several lines
+
+    def _peers_known(self, rest: str, following: Iterator[str]) -> None:
+        known = self.nodes.get(rest.partition(" ")[0])
+        kind_names = known.kind_names if known is not None else ()
+        endpoints, fault = self._read_endpoints(rest, following, kind_names)
+        node, router = self._started_node(rest)
+        if fault:
+            raise WireError(fault)
+        self._touch(node)
+        kind = EndpointUpdate(int(split_values(rest, 4)[1]))
+        node.endpoints_received(self._now, kind)
+        if kind != EndpointUpdate.FAILED:
+            router.update_endpoints(self._now, kind, endpoints)
+
+    @staticmethod
+    def _read_endpoints(
+        rest: str, following: Iterator[str], kind_names: tuple[str, ...]
     ) -> tuple[list[Endpoint], str]:
-        """The ENTRY lines that follow; all are taken off the wire even where one is at fault."""
-        parts = rest.split(" ")
-        if len(parts) != 4:
+        """Return the ENTRY lines that follow, and the last fault among them.
+
+        All are taken off the wire even where one is at fault, or the node is unknown.
+        """
+        values = rest.split(" ")
+        if len(values) != 4:
             return [], "PEERS_KNOWN has four values"
-        count = int(parts[3]) if parts[3] != "-" else 0
-        entries, fault = [], ""
+        count = int(values[3]) if values[3] != codec.ABSENT else 0
+        endpoints: list[Endpoint] = []
+        fault = ""
         for _ in range(count):
-            line = next(lines, "").rstrip("\r\n")
+            line = next(following, "").rstrip("\r\n")
             try:
-                e = codec.entry(line.split(" "))
-                if isinstance(e.kind, str):
-                    e = replace(
-                        e, kind=seat.kinds.index(e.kind) if seat and e.kind in seat.kinds else -2
-                    )
-                entries.append(e)
-            except ValueError as problem:
-                fault = f"{problem} in {line[:120]!r}"
-        return entries, fault
-
-
-READERS = "REQUEST TIMEOUT_FIRED CLIENT_GONE PEER_DATA EXIT SETTLED ACCEPTED SAMPLED PEERS_KNOWN"
-
-
-def _values(rest: str, count: int) -> list[str]:
-    parts = rest.split(" ", count - 1)
-    if len(parts) != count:
-        raise WireError(f"{count} values were due, {len(parts)} came")
-    return parts
+                endpoints.append(codec.parse_endpoint(line, kind_names))
+            except ValueError as error:
+                fault = f"{error} in {line[:MAX_ENTRY_QUOTED]!r}"
+        return endpoints, fault
 
 
 def main() -> None:
+    """Serve standard input and output."""
     gc.freeze()
     Adapter(sys.stdin, sys.stdout, sys.stderr).run()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 from twisted.test.iosim import FakeTransport
 
-from hookpitch.balancer.deployment import deployment as read_deployment
+from hookpitch.balancer.deployment import parse_deployment
 from hookpitch.balancer.interface import (
     NOT_EXECUTED,
     Deployment,
@@ -653,7 +653,7 @@
 
 
 def told(settings: dict[str, object]) -> Deployment:
-    return read_deployment(7, settings)
+    return parse_deployment(7, settings)
 
 
 def get(id: str, key: str = "91f03b7c55d20a64", method: str = "read", wait: int = 900) -> bytes:
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -9,7 +9,7 @@
 from hookpitch.balancer.interface import EndpointUpdate
 from hookpitch.core.seeded_random import seeded_random
 from hookpitch.net.discovery import retry_after_ms
-from hookpitch.simwire.adapter import Seat
+from hookpitch.simwire.simulated_node import SimulatedNode
 from hookpitch.startup.poll_schedule import (
     MAX_POLL_GAP_MS,
     NEVER,
@@ -215,18 +215,18 @@
 
 def test_an_instance_in_the_simulator_asks_by_the_same_module() -> None:
     out: list[str] = []
-    seat = Seat("n1", out)
-    seat.poll_schedule = fleet(60)[3]
-    seat.ask(0.0)
+    node = SimulatedNode("n1", out)
+    node.poll_schedule = fleet(60)[3]
+    node.poll(0.0)
     assert len(out) == 1 and out[0].startswith("TIMER n1 ")
-    seat.ask(0.0)
+    node.poll(0.0)
     assert len(out) == 1  # told once
-    at = seat.poll_schedule.due_at
-    seat.ask(at)
+    at = node.poll_schedule.due_at
+    node.poll(at)
     assert out[1] == "SUBSCRIBE n1 1"
-    seat.listed(at, EndpointUpdate.FAILED)
-    assert at < seat.poll_schedule.due_at < at + WITHIN
-    seat.listed(at, EndpointUpdate.CACHED)
-    assert seat.poll_schedule.due_at < NEVER
-    seat.listed(at, EndpointUpdate.DELTA)
-    assert seat.poll_schedule.due_at == NEVER
+    node.endpoints_received(at, EndpointUpdate.FAILED)
+    assert at < node.poll_schedule.due_at < at + WITHIN
+    node.endpoints_received(at, EndpointUpdate.CACHED)
+    assert node.poll_schedule.due_at < NEVER
+    node.endpoints_received(at, EndpointUpdate.DELTA)
+    assert node.poll_schedule.due_at == NEVER
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 import pytest
 from fleet import ORIGIN, Fleet, deployment, entry
 
-from hookpitch.balancer.deployment import deployment as read
+from hookpitch.balancer.deployment import parse_deployment as read
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Method, Outcome
 from hookpitch.balancer.placement import BUCKETS, Placement
 from hookpitch.fakes.history import History
