--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -1,7 +1,8 @@
 """The operators' door: one line to a connection, one answer, and the connection ends.
 
 Invariants: at most `MAX_CALLERS` connections wait at once, each for `CALL_TIMEOUT_MS` and with
-`MAX_LINE_BYTES` at most; no call's work grows with open RPCs or clients. Words and answers are the operators' page's.
+`MAX_LINE_BYTES` at most; no call's work grows with open RPCs or
+clients. Words and answers are the operators' page's.
 """
 
 from __future__ import annotations
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -130,11 +130,12 @@
         if k is not None and s.state == EndpointState.READY and started <= k.started_at_ms:
             believed.append((s, k))
     for s, k in believed:
-        s.concurrency_limit = max(s.min_concurrency_limit, between(s.concurrency_limit, k.concurrency_limit))
+        s.concurrency_limit = max(
+            s.min_concurrency_limit, between(s.concurrency_limit, k.concurrency_limit)
+        )
         s.latency_ms, s.baseline_latency_ms = (
             k.latency_ms * (weight > MIN_WEIGHT),
             k.baseline_latency_ms * (weight > MIN_WEIGHT),
-        ),
         )
         cold = min(k.warmup_until_ms, now + router.slow_start_ms)
         if cold > max(now, s.warmup_until) and s is not router.origin:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -57,7 +57,5 @@
         d for d in storm.network.dials if not d.over
     ]
     assert storm.s.node.pools.descriptors_used == sum(x.port != DISCOVERY for x in held), (
-||||||| base
-    assert storm.s.node.pools.held == sum(x.port != DISCOVERY for x in held), (
         "descriptors are counted wrong"
     )
