--- a/hookpitch/core/resp.py
+++ b/hookpitch/core/resp.py
@@ -1,18 +1,36 @@
-"""RESP2: a parser that takes bytes as they come, and the few forms that are written."""
+"""RESP2, the Redis protocol: an incremental parser, and encoders for commands and bulk strings.
+
+The parser takes bytes off a `Ring` and returns one complete value at a time, however the bytes
+were split. Invariants: what is held of an unfinished value is bounded by the limits below; input
+that breaks the format or a limit raises `ProtocolError`, after which the parser must not be used
+any more.
+"""
 
 from __future__ import annotations
 
+from enum import Enum
+from typing import Final
+
+from hookpitch.core.errors import InputError
 from hookpitch.core.ring import Ring
 
-MAX_BULK_BYTES = 65536  # bytes in a bulk string
-LINE_MOST = 4096  # bytes in any other line
-ITEMS_MOST = 16  # in an array
-DEPTH_MOST = 4  # of arrays within arrays
-QUICK = 2048  # bytes of an array of bulk strings that are looked at in one go
+MAX_BULK_BYTES = 65536
+MAX_LINE_BYTES = 4096
+MAX_ARRAY_ITEMS = 16
+MAX_ARRAY_DEPTH = 4
+MAX_SHORT_ARRAY_BYTES = 2048  # an array of bulk strings within this is read in one step
+MAX_INTEGER_DIGITS = 20  # with its sign
+MAX_INTEGER = 2**63 - 1
+MIN_INTEGER = -(2**63)
+# Where a value longer than `MAX_BULK_BYTES` may stand in the outermost array.
+COMMAND_VALUE_INDEX = 4  # OBJ.SET key id extras VALUE
+REPLY_VALUE_INDEX = 0
+DOLLAR = ord("$")
+ZERO = ord("0")
 
 
-class ProtocolError(ValueError):
-    """What came is no RESP2, or more than is taken."""
+class ProtocolError(InputError):
+    """The input is no RESP2, or exceeds a limit."""
 
 
 class SimpleString(bytes):
@@ -23,179 +41,243 @@
     """An error line, without its dash."""
 
 
+class NeedData(Enum):
+    """The type of `NEED_DATA`."""
+
+    NEED_DATA = "need data"
+
+
+NEED_DATA: Final = NeedData.NEED_DATA  # no complete value yet (`None` is a value: a null)
+
 Value = bytes | int | None | list["Value"]
 
 
+class _OpenArray:
+    """An array of which not all items have come."""
+
+    __slots__ = ("items", "length")
+
+    def __init__(self, length: int) -> None:
+        self.items: list[Value] = []
+        self.length = length
+
+
 class Parser:
-    """Takes whole values off a ring. `commands_only`: arrays of bulk strings, as clients send them.
+    """Reads complete values off a ring.
 
-    The value in a command or an answer may have up to `max_value_bytes`. One over `MAX_BULK_BYTES`
-    is not taken whole: `body_remaining` tells how many bytes of it are still to come, the caller
-    takes them (off the ring with `read_body`, or past it) and counts them off, and an empty string
-    stands in the value's place.
+    With `commands_only` only arrays of bulk strings are accepted, as clients send them. The value
+    in a command or a reply may have up to `max_value_bytes`. One over `MAX_BULK_BYTES` is not
+    collected: `body_remaining` is set to its length, an empty string takes its place in the array,
+    and the caller has to take that many bytes, off the ring with `read_body` or before they get
+    there (then it lowers `body_remaining` itself).
     """
 
-    __slots__ = ("ring", "commands_only", "body_remaining", "_most", "_arrays", "_bulk", "_seen")
+    __slots__ = (
+        "ring",
+        "commands_only",
+        "body_remaining",
+        "_max_value_bytes",
+        "_open_arrays",
+        "_bulk_length",
+        "_scanned",
+    )
 
     def __init__(self, ring: Ring, commands_only: bool = False, max_value_bytes: int = 0) -> None:
-        self.ring, self.commands_only, self._most, self.body_remaining = (
-            ring,
-            commands_only,
-            max_value_bytes,
-            0,
-        )
-        self._arrays: list[
-            tuple[list[Value], int]
-        ] = []  # open ones, outermost first, with their lengths
-        self._bulk, self._seen = -1, 0  # the bulk string's length; where the line's end is sought
+        self.ring = ring
+        self.commands_only = commands_only
+        self.body_remaining = 0
+        self._max_value_bytes = max_value_bytes
+        self._open_arrays: list[_OpenArray] = []  # the outermost first
+        self._bulk_length = -1  # of the bulk string whose header has been read
+        self._scanned = 0  # offset up to which the ring holds no line end
 
     @property
     def at_boundary(self) -> bool:
-        """True where nothing has come of a next value."""
-        return not self._arrays and self._bulk < 0 and not len(self.ring)
+        """Whether the input ends exactly after a value."""
+        return not self._open_arrays and self._bulk_length < 0 and not len(self.ring)
 
-    def next(self) -> tuple[bool, Value]:
-        """(True, a value), or (False, None) until more has come."""
+    def next_value(self) -> Value | NeedData:
+        """Return the next complete value, or `NEED_DATA`; raise ProtocolError on bad input."""
         if self.body_remaining or not len(self.ring):
-            return False, None
-        if (
-            self._bulk < 0
-            and not self._arrays
-            and not self._seen
-            and (words := self._quick()) is not None
-        ):
-            return True, words
+            return NEED_DATA
+        if self._bulk_length < 0 and not self._open_arrays and not self._scanned:
+            words = self._read_short_array()
+            if words is not None:
+                return words
         while True:
-            found, value = self._one()
-            if not found:
-                return False, None
-            if isinstance(value, tuple):  # an array was opened
-                if len(self._arrays) >= DEPTH_MOST:
+            item = self._read_item()
+            if item is NEED_DATA:
+                return NEED_DATA
+            if isinstance(item, _OpenArray):
+                if len(self._open_arrays) >= MAX_ARRAY_DEPTH:
                     raise ProtocolError("arrays too deep")
-                self._arrays.append(value)
-                if value[1]:
+                if item.length:
+                    self._open_arrays.append(item)
                     continue
-                value = self._arrays.pop()[0]
-            while self._arrays:
-                items, count = self._arrays[-1]
-                items.append(value)
-                if len(items) < count:
-                    break
-                value = self._arrays.pop()[0]
-            else:
-                return True, value
+                item = item.items
+            value = self._add_to_open_array(item)
+            if value is not NEED_DATA:
+                return value
 
-    def read_body(self, most: int) -> bytes:
-        """Bytes of the value that passes, off the ring, counted off."""
-        data = self.ring.read(min(self.body_remaining, most))
+    def read_body(self, limit: int) -> bytes:
+        """Take up to `limit` bytes of an oversized value off the ring."""
+        data = self.ring.read(min(self.body_remaining, limit))
         self.body_remaining -= len(data)
         return data
 
-    def _quick(self) -> list[Value] | None:
-        """A short array of bulk strings that has come whole; of all else None, and nothing is
-        taken."""
-        data = self.ring.peek(QUICK)
-        if data.startswith(b"*4\r\n$"):  # nearly all commands
-            parts = data.split(b"\r\n", 9)
-            if len(parts) == 10:
-                _, sa, a, sb, b, sc, c, sd, d, rest = parts
-                sized = b"$%d$%d$%d$%d" % (len(a), len(b), len(c), len(d))
-                if sa + sb + sc + sd == sized:  # else a word holds a line's end, or a length is odd
-                    self.ring.skip(len(data) - len(rest))
-                    return [a, b, c, d]
+    def _read_short_array(self) -> list[Value] | None:
+        """Read an array of bulk strings that is short and complete; otherwise take nothing."""
+        data = self.ring.peek(MAX_SHORT_ARRAY_BYTES)
+        if data.startswith(b"*4\r\n$"):
+            words = self._read_four_words(data)
+            if words is not None:
+                return words
         if data[:1] != b"*" or data[2:4] != b"\r\n" or not data[1:2].isdigit():
             return None
-        words: list[Value] = []
-        at, length = 4, len(data)
-        for _ in range(data[1] - 48):
-            end = data.find(b"\r\n", at, at + 8)
-            if end < 0 or data[at] != 36:  # "$"
+        words = []
+        offset = 4
+        size = len(data)
+        for _ in range(data[1] - ZERO):
+            header_end = data.find(b"\r\n", offset, offset + 8)
+            if header_end < 0 or data[offset] != DOLLAR:
                 return None
-            text = data[at + 1 : end]
+            text = data[offset + 1 : header_end]
             if text.isdigit():
-                start = end + 2
-                at = start + int(text) + 2
-                if at > length or data[at - 2 : at] != b"\r\n":
+                start = header_end + 2
+                offset = start + int(text) + 2
+                if offset > size or data[offset - 2 : offset] != b"\r\n":
                     return None
-                words.append(data[start : at - 2])
+                words.append(data[start : offset - 2])
             elif text == b"-1" and not self.commands_only:
                 words.append(None)
-                at = end + 2
+                offset = header_end + 2
             else:
                 return None
-        self.ring.skip(at)
+        self.ring.skip(offset)
         return words
 
-    def _one(self) -> tuple[bool, Value | tuple[list[Value], int]]:
-        ring = self.ring
-        if self._bulk >= 0:
-            return self._body()
-        end = ring.find_line_end(self._seen)
-        if end < 0:
-            self._seen = len(ring)
-            if self._seen > LINE_MOST:
-                raise ProtocolError("line too long")
-            if self.commands_only and self._seen and ring.peek(1) not in (b"*", b"$"):
-                raise ProtocolError("an array of bulk strings was due")
-            return False, None
-        self._seen = 0
-        if end > LINE_MOST:
-            raise ProtocolError("line too long")
-        line = ring.read(end + 1)
-        if line[-2:] != b"\r\n":
-            raise ProtocolError("a line ends without CR")
-        kind, text = line[:1], line[1:-2]
-        if self.commands_only and kind != (b"$" if self._arrays else b"*"):
+    def _read_four_words(self, data: bytes) -> list[Value] | None:
+        """Read an array of four words, which nearly all commands are, with one split."""
+        parts = data.split(b"\r\n", 9)
+        if len(parts) != 10:
+            return None
+        _, header1, word1, header2, word2, header3, word3, header4, word4, rest = parts
+        expected = b"$%d$%d$%d$%d" % (len(word1), len(word2), len(word3), len(word4))
+        if header1 + header2 + header3 + header4 != expected:
+            return None  # a word holds a line end, or a length is written in another way
+        self.ring.skip(len(data) - len(rest))
+        return [word1, word2, word3, word4]
+
+    def _add_to_open_array(self, value: Value) -> Value | NeedData:
+        """Return the outermost value if `value` completes it."""
+        while self._open_arrays:
+            array = self._open_arrays[-1]
+            array.items.append(value)
+            if len(array.items) < array.length:
+                return NEED_DATA
+            value = self._open_arrays.pop().items
+        return value
+
+    def _read_item(self) -> Value | _OpenArray | NeedData:
+        """Read one value, or the header of an array."""
+        if self._bulk_length >= 0:
+            return self._read_bulk_body()
+        line = self._read_line()
+        if line is None:
+            return NEED_DATA
+        kind = line[:1]
+        text = line[1:-2]
+        if self.commands_only and kind != (b"$" if self._open_arrays else b"*"):
             raise ProtocolError("an array of bulk strings was due")
         if kind == b"$":
-            place = len(self._arrays[-1][0]) if len(self._arrays) == 1 else -1
-            most = self._most if place == (4 if self.commands_only else 0) else 0
-            length = _count(text, max(MAX_BULK_BYTES, most))
-            if length < 0:
-                if self.commands_only:
-                    raise ProtocolError("null in a command")
-                return True, None
-            if length > MAX_BULK_BYTES:
-                self.body_remaining, self._bulk = length, 0
-                return False, None
-            self._bulk = length
-            return self._body()
+            return self._read_bulk(text)
         if kind == b"*":
-            length = _count(text, ITEMS_MOST)
-            return True, None if length < 0 else ([], length)
+            length = _parse_integer(text, -1, MAX_ARRAY_ITEMS)
+            return None if length < 0 else _OpenArray(length)
         if kind == b"+":
-            return True, SimpleString(text)
+            return SimpleString(text)
         if kind == b"-":
-            return True, ErrorReply(text)
+            return ErrorReply(text)
         if kind == b":":
-            return True, _count(text, 2**63 - 1, -(2**63))
+            return _parse_integer(text, MIN_INTEGER, MAX_INTEGER)
         raise ProtocolError("no such type")
 
-    def _body(self) -> tuple[bool, Value]:
-        if len(self.ring) < self._bulk + 2:  # with its line end
-            return False, None
-        value = self.ring.read(self._bulk + 2)
-        if value[-2:] != b"\r\n":
+    def _read_line(self) -> bytes | None:
+        """Read a line with its line end; None until it is complete."""
+        end = self.ring.find_line_end(self._scanned)
+        if end < 0:
+            self._scanned = len(self.ring)
+            if self._scanned > MAX_LINE_BYTES:
+                raise ProtocolError("line too long")
+            if self.commands_only and self._scanned and self.ring.peek(1) not in (b"*", b"$"):
+                raise ProtocolError("an array of bulk strings was due")
+            return None
+        self._scanned = 0
+        if end > MAX_LINE_BYTES:
+            raise ProtocolError("line too long")
+        line = self.ring.read(end + 1)
+        if line[-2:] != b"\r\n":
+            raise ProtocolError("a line ends without CR")
+        return line
+
+    def _read_bulk(self, length_text: bytes) -> Value | NeedData:
+        """Read a bulk string whose header has been taken."""
+        length = _parse_integer(length_text, -1, self._max_bulk_bytes())
+        if length < 0:
+            if self.commands_only:
+                raise ProtocolError("null in a command")
+            return None
+        if length > MAX_BULK_BYTES:
+            self.body_remaining = length
+            self._bulk_length = 0
+            return NEED_DATA
+        self._bulk_length = length
+        return self._read_bulk_body()
+
+    def _max_bulk_bytes(self) -> int:
+        """The limit for a bulk string at the present place."""
+        if len(self._open_arrays) == 1:
+            value_index = COMMAND_VALUE_INDEX if self.commands_only else REPLY_VALUE_INDEX
+            if len(self._open_arrays[0].items) == value_index:
+                return max(MAX_BULK_BYTES, self._max_value_bytes)
+        return MAX_BULK_BYTES
+
+    def _read_bulk_body(self) -> bytes | NeedData:
+        size = self._bulk_length + 2  # with its line end
+        if len(self.ring) < size:
+            return NEED_DATA
+        body = self.ring.read(size)
+        if body[-2:] != b"\r\n":
             raise ProtocolError("a bulk string is longer than told")
-        self._bulk = -1
-        return True, value[:-2]
+        self._bulk_length = -1
+        return body[:-2]
 
 
-def _count(text: bytes, most: int, least: int = -1) -> int:
+def _parse_integer(text: bytes, minimum: int, maximum: int) -> int:
     if not text.isdigit() and not (text[:1] == b"-" and text[1:].isdigit()):
         raise ProtocolError("a bad number")
-    if len(text) > 20 or not least <= (count := int(text)) <= most:
+    if len(text) > MAX_INTEGER_DIGITS or not minimum <= (number := int(text)) <= maximum:
         raise ProtocolError("a number out of bounds")
-    return count
+    return number
 
 
 def bulk(value: bytes | None) -> bytes:
+    """Encode a bulk string; None is the null."""
     return b"$-1\r\n" if value is None else b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def command(*words: bytes) -> bytes:
-    if len(words) == 4:  # nearly all of them
-        a, b, c, d = words
-        sized = (len(a), a, len(b), b, len(c), c, len(d), d)
-        return b"*4\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % sized
+    """Encode a command as an array of bulk strings."""
+    if len(words) == 4:  # nearly all of them: one formatting step
+        name, key, request_id, extras = words
+        return b"*4\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
+            len(name),
+            name,
+            len(key),
+            key,
+            len(request_id),
+            request_id,
+            len(extras),
+            extras,
+        )
     return b"".join([b"*%d\r\n" % len(words), *map(bulk, words)])
--- a/hookpitch/fakes/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.core.resp import Parser, ProtocolError, bulk
+from hookpitch.core.resp import NEED_DATA, Parser, ProtocolError, bulk
 from hookpitch.core.ring import Ring
 from hookpitch.fakes.cache import FAR, Cache, Job, Make, value
 from hookpitch.fakes.history import History
@@ -59,8 +59,8 @@
         self.ring.write(data)
         try:
             while len(self.due) < AT_ONCE:
-                found, words = self.parser.next()
-                if not found:
+                words = self.parser.next_value()
+                if words is NEED_DATA:
                     break
                 if words:
                     self.command(words)
--- a/hookpitch/fakes/load_clients.py
+++ b/hookpitch/fakes/load_clients.py
@@ -21,7 +21,15 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.core.resp import MAX_BULK_BYTES, ErrorReply, Parser, ProtocolError, command
+from hookpitch.core.resp import (
+    MAX_BULK_BYTES,
+    NEED_DATA,
+    ErrorReply,
+    NeedData,
+    Parser,
+    ProtocolError,
+    command,
+)
 from hookpitch.core.ring import Ring
 from hookpitch.fakes.history import History
 
@@ -147,8 +155,10 @@
             self.crowd.reactor.callLater(READ_PAUSE_S, self.read_on)
         try:
             while True:
-                found, answer = self.large() or self.parser.next()
-                if not found:
+                answer = self.large()
+                if answer is None:
+                    answer = self.parser.next_value()
+                if answer is NEED_DATA:
                     return
                 if not self.due:
                     self.crowd.history.add(
@@ -159,7 +169,7 @@
         except ProtocolError:
             self.transport.loseConnection()
 
-    def large(self) -> tuple[bool, bytes | None] | None:
+    def large(self) -> bytes | NeedData | None:
         """A value too large for the parser, once it is whole; None where something else comes
         next."""
         head = self.ring.peek(16)
@@ -168,8 +178,8 @@
             return None
         whole = end + 2 + int(head[1:end]) + 2
         if len(self.ring) < whole:
-            return False, None
-        return True, self.ring.read(whole)[end + 2 : -2]
+            return NEED_DATA
+        return self.ring.read(whole)[end + 2 : -2]
 
     def read_on(self) -> None:
         if not self.lost:
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -15,7 +15,7 @@
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate, Outcome
 from hookpitch.core.deadlines import Deadline
 from hookpitch.core.host import NO_REPORT, Attempt, Host
-from hookpitch.core.resp import ErrorReply, Parser, ProtocolError, Value, command
+from hookpitch.core.resp import NEED_DATA, ErrorReply, Parser, ProtocolError, Value, command
 from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import CHUNK, Wire
@@ -161,10 +161,10 @@
     def came(self) -> None:
         while not self.paused:
             try:
-                found, reply = self.parser.next()
+                reply = self.parser.next_value()
             except ProtocolError as fault:
                 return self.spoilt(str(fault))
-            if found:
+            if reply is not NEED_DATA:
                 # Danger: what comes behind an answer would answer the next RPC. The answer itself
                 # is good.
                 self.passing = False
--- a/hookpitch/net/clients.py
+++ b/hookpitch/net/clients.py
@@ -15,7 +15,7 @@
 
 from hookpitch.core.host import Host, Rpc
 from hookpitch.core.reply_slot import ReplySlot
-from hookpitch.core.resp import Parser, ProtocolError, bulk
+from hookpitch.core.resp import NEED_DATA, Parser, ProtocolError, bulk
 from hookpitch.core.stream import (
     MAX_STREAMED_BYTES,
     MAX_UNSENT_BYTES,
@@ -162,11 +162,11 @@
         for _ in range(BATCH):
             if self.ending or self.paused:
                 return
-            found, words = self.parser.next()
-            if not found and self.parser.body_remaining and len(self.inward):
-                self._piece(self.parser.read_body(CHUNK))
-                continue
-            if not found:
+            words = self.parser.next_value()
+            if words is NEED_DATA:
+                if self.parser.body_remaining and len(self.inward):
+                    self._piece(self.parser.read_body(CHUNK))
+                    continue
                 return
             if words:
                 self.asked = True
@@ -373,9 +373,8 @@
         )
         self.peer_done = True
         with suppress(ProtocolError):
-            while (
-                not self.ending and self.parser.next()[0]
-            ):  # not begun yet, and nothing is sent any more
+            # Not begun yet, and nothing is sent any more.
+            while not self.ending and self.parser.next_value() is not NEED_DATA:
                 self._say(b"-ERR failed\r\n")
         self.ending = True
         self._flush()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -31,7 +31,7 @@
     Tenant,
 )
 from hookpitch.core.counters import Counters
-from hookpitch.core.resp import ErrorReply, Parser, command
+from hookpitch.core.resp import NEED_DATA, ErrorReply, Parser, command
 from hookpitch.core.ring import Ring
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import read
@@ -644,7 +644,8 @@
             if data:
                 ring = Ring()
                 ring.write(data)
-                return Parser(ring).next()[1]
+                words = Parser(ring).next_value()
+                return None if words is NEED_DATA else words
         return None
 
 
@@ -690,11 +691,11 @@
             return
         parser = self.parsers.setdefault(id(line), Parser(Ring()))
         parser.ring.write(data)
-        while (found := parser.next())[0]:
+        while (value := parser.next_value()) is not NEED_DATA:
             if line.port == 0:
-                self.answered(line, found[1])
+                self.answered(line, value)
             else:
-                self.sent(line, found[1][2].decode())
+                self.sent(line, value[2].decode())
 
     def sent(self, line: Line, rpc: str) -> None:
         over = rpc in self.answers or rpc not in self.due or self.now > self.due[rpc]
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -29,7 +29,7 @@
 
 from fleet import SETTINGS, listed_host
 
-from hookpitch.core.resp import Parser, Value
+from hookpitch.core.resp import NEED_DATA, Parser, Value
 from hookpitch.core.ring import Ring
 
 ROOT = Path(__file__).parent.parent
@@ -52,8 +52,8 @@
         """The next value or command. EOFError at the connection's end, ConnectionResetError at its
         reset."""
         while True:
-            found, value = self.parser.next()
-            if found:
+            value = self.parser.next_value()
+            if value is not NEED_DATA:
                 return value
             data = self.sock.recv(65536)
             if not data:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,7 +5,15 @@
 import pytest
 
 from hookpitch.core.deadlines import Deadlines
-from hookpitch.core.resp import ErrorReply, Parser, ProtocolError, SimpleString, bulk, command
+from hookpitch.core.resp import (
+    NEED_DATA,
+    ErrorReply,
+    Parser,
+    ProtocolError,
+    SimpleString,
+    bulk,
+    command,
+)
 from hookpitch.core.ring import INITIAL_CAPACITY, Ring
 from hookpitch.core.slot_table import SlotTable
 
@@ -38,8 +46,8 @@
         ring.write(data[:piece])
         data = data[piece:]
         while True:
-            found, value = parser.next()
-            if not found:
+            value = parser.next_value()
+            if value is NEED_DATA:
                 break
             values.append(value)
     assert parser.at_boundary
@@ -97,7 +105,7 @@
     try:
         for byte in data:
             ring.write(bytes([byte]))
-            while parser.next()[0]:
+            while parser.next_value() is not NEED_DATA:
                 pass
     except ProtocolError:
         pass
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -6,7 +6,7 @@
 import pytest
 from fleet import ORIGIN_PORT, Line, Sockets, get
 
-from hookpitch.core.resp import Parser, bulk, command
+from hookpitch.core.resp import NEED_DATA, Parser, bulk, command
 from hookpitch.core.ring import Ring
 from hookpitch.core.stream import MAX_STREAMED_BYTES, TAIL_BYTES, ChunkedValue, Stream
 
@@ -249,12 +249,12 @@
     ring = Ring()
     parser = Parser(ring, max_value_bytes=MAX_STREAMED_BYTES)
     ring.write(b"*3\r\n" + bulk(VALUE) + REST + b"+OK\r\n")
-    assert parser.next() == (False, None) and parser.body_remaining == LARGE
+    assert parser.next_value() is NEED_DATA and parser.body_remaining == LARGE
     got = b""
     while parser.body_remaining:
         got += parser.read_body(65536)
     assert (
-        got == VALUE and parser.next() == (True, [b"", b"hit", None]) and parser.next()[1] == b"OK"
+        got == VALUE and parser.next_value() == [b"", b"hit", None] and parser.next_value() == b"OK"
     )
 
 
