--- a/hookpitch/core/__init__.py
+++ b/hookpitch/core/__init__.py
@@ -1,2 +1,4 @@
-"""The node's core: no input or output, no clock. Times are told by the caller, in float
-milliseconds."""
+"""The node's core: RESP2, deadlines, streams and the host that carries out routing decisions.
+
+No I/O and no clock: callers pass the time, in milliseconds as a float.
+"""
--- a/hookpitch/core/deadlines.py
+++ b/hookpitch/core/deadlines.py
@@ -1,15 +1,16 @@
-"""All deadlines of a node, in one ordered structure."""
+"""All timers of a node in one heap, behind a single wake-up of the event loop."""
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable
 
-FAR = float("inf")
+NEVER = float("inf")
+MIN_CANCELLED_TO_COMPACT = 64
 
 
 class Deadline:
-    """One place in the order; `cancel` takes it out."""
+    """A call that is due at a time; `call` is None once it was made or cancelled."""
 
     __slots__ = ("at", "call")
 
@@ -19,51 +20,59 @@
 
 
 class Deadlines:
+    """Timers in the order of their times, and of their adding where times are equal."""
+
     def __init__(self, arm: Callable[[float], None]) -> None:
-        self._arm, self._armed = arm, FAR  # asks for the one wake-up, at a time
+        """`arm(at)` asks the event loop for the one wake-up, which has to call `run`."""
+        self._arm = arm
+        self._armed_at = NEVER
         self._heap: list[tuple[float, int, Deadline]] = []  # the number keeps the order of adding
-        self._count = self._dropped = 0
+        self._added = 0
+        self._cancelled = 0  # still in the heap
 
     def __len__(self) -> int:
-        return len(self._heap) - self._dropped
+        return len(self._heap) - self._cancelled
 
     def add(self, at: float, call: Callable[[float], None]) -> Deadline:
-        """`call(now)` is due at `at`."""
-        self._count += 1
+        """Schedule `call(now)` for the time `at`."""
+        self._added += 1
         deadline = Deadline(at, call)
-        heapq.heappush(self._heap, (at, self._count, deadline))
-        if at < self._armed:
-            self._armed = at
+        heapq.heappush(self._heap, (at, self._added, deadline))
+        if at < self._armed_at:
+            self._armed_at = at
             self._arm(at)
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
+        """Cancel a timer; nothing happens where there is none or it is over."""
         if deadline is None or deadline.call is None:
             return
         deadline.call = None
-        self._dropped += 1
-        if self._dropped > 64 and 2 * self._dropped > len(self._heap):
-            # Danger: RPCs answered in a millisecond leave their deadlines of seconds behind.
-            self._heap = [place for place in self._heap if place[2].call is not None]
+        self._cancelled += 1
+        # RPCs that are answered in a millisecond leave timers behind that are due in seconds.
+        if self._cancelled > MIN_CANCELLED_TO_COMPACT and 2 * self._cancelled > len(self._heap):
+            self._heap = [entry for entry in self._heap if entry[2].call is not None]
             heapq.heapify(self._heap)
-            self._dropped = 0
+            self._cancelled = 0
 
     @property
     def next_due(self) -> float:
+        """The time of the first timer; `NEVER` without one."""
         while self._heap and self._heap[0][2].call is None:
             heapq.heappop(self._heap)
-            self._dropped -= 1
-        return self._heap[0][0] if self._heap else FAR
+            self._cancelled -= 1
+        return self._heap[0][0] if self._heap else NEVER
 
     def run(self, now: float) -> None:
-        """The wake-up: call all that is due, in order, and ask for the next."""
+        """Make all calls that are due, in order, and arm the next wake-up."""
         try:
             while self.next_due <= now:
                 deadline = heapq.heappop(self._heap)[2]
-                call, deadline.call = deadline.call, None
+                call = deadline.call
+                deadline.call = None
                 if call is not None:
                     call(now)
-        finally:  # Danger: a fault in one call must not leave the node without a wake-up.
-            self._armed = self.next_due
-            if self._armed < FAR:
-                self._arm(self._armed)
+        finally:  # an exception in a call must not leave the node without a wake-up
+            self._armed_at = self.next_due
+            if self._armed_at < NEVER:
+                self._arm(self._armed_at)
--- a/hookpitch/core/json_stream.py
+++ b/hookpitch/core/json_stream.py
@@ -1,11 +1,8 @@
-"""JSON objects out of a stream of bytes: one a line, indented over many, or in pieces cut anywhere.
-
-Feed what comes; take what has come whole: an object's text, or a beat (a line with nothing on it
-between
-two objects). Invariants: a byte is scanned once, whatever the pieces; what is held is the
-beginning of one
-object; a byte that can begin none is a ValueError at once. Whether it is good JSON its reader
-finds out.
+"""Splits a stream of bytes into JSON objects: one a line, indented over many lines, cut anywhere.
+
+Only the extent of each object is found here; whether it is valid JSON is its reader's concern.
+Invariants: a byte is scanned once, however the stream is cut; only the beginning of one object is
+held; a byte that cannot begin an object raises `JsonStreamError` at once.
 """
 
 from __future__ import annotations
@@ -13,80 +10,100 @@
 import re
 from collections.abc import Iterator
 
-BLANK = b" \t\r\n"
-OUTSIDE = re.compile(
-    rb'(?:[^"{}\[\]]|"[^"\\]*")*+(.)', re.DOTALL
-)  # whole strings are passed over in one go
-INSIDE = re.compile(rb'[^"\\]*+(.)', re.DOTALL)
+from hookpitch.core.errors import InputError
+
+WHITESPACE = b" \t\r\n"
+LINE_FEED = 0x0A
+QUOTE = 0x22
+BACKSLASH = 0x5C
+HEARTBEAT = b""  # stands for a blank line between two objects
+SHOWN_BYTES = 20  # of the input, in an error's message
+# Up to the next character that matters; outside of a string, whole strings are skipped in one step.
+OUTSIDE_STRING = re.compile(rb'(?:[^"{}\[\]]|"[^"\\]*")*+(.)', re.DOTALL)
+INSIDE_STRING = re.compile(rb'[^"\\]*+(.)', re.DOTALL)
+
+
+class JsonStreamError(InputError):
+    """The stream holds something that is no object, or an object that is too long."""
 
 
 class JsonStream:
-    """The objects of one stream, in order. `most`: bytes of one object, at the most."""
+    """The objects of one stream, in order, each of at most `max_object_bytes`."""
 
-    __slots__ = ("_held", "_at", "_depth", "_text", "_most", "_fresh")
+    __slots__ = ("_buffer", "_scanned", "_depth", "_in_string", "_max_bytes", "_line_is_blank")
 
-    def __init__(self, most: int) -> None:
-        self._held, self._at, self._most = bytearray(), 0, most  # `_at`: scanned up to here
-        self._depth, self._text = 0, False  # open braces and brackets; within a string
-        self._fresh = True  # nothing stands on the present line yet
+    def __init__(self, max_object_bytes: int) -> None:
+        self._buffer = bytearray()
+        self._max_bytes = max_object_bytes
+        self._scanned = 0  # offset in the buffer
+        self._depth = 0  # open braces and brackets
+        self._in_string = False
+        self._line_is_blank = True  # so far, of the line between two objects
 
     def __len__(self) -> int:
-        """Bytes held of an object that has not come whole."""
-        return len(self._held)
+        """Bytes held of an unfinished object."""
+        return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The whole objects, and an empty string for each beat. ValueError where no object begins,
-        or one is
-        too long; nothing may be fed after that."""
-        self._held += data
+        """Yield each object that is complete now, and `HEARTBEAT` for each blank line.
+
+        Raises JsonStreamError where no object begins or one is too long; after that nothing may be
+        fed any more.
+        """
+        self._buffer += data
         while True:
             if not self._depth:
-                yield from self._between()
-                if not self._held:
+                yield from self._skip_whitespace()
+                if not self._buffer:
                     return
-            if (end := self._scan()) < 0:
-                if len(self._held) > self._most:
-                    raise ValueError("an object too long")
+            end = self._find_object_end()
+            if end < 0:
+                if len(self._buffer) > self._max_bytes:
+                    raise JsonStreamError("an object too long")
                 return
-            text = bytes(self._held[:end])
-            del self._held[:end]
-            self._at, self._fresh = 0, False
+            text = bytes(self._buffer[:end])
+            del self._buffer[:end]
+            self._scanned = 0
+            self._line_is_blank = False
             yield text
 
-    def _between(self) -> Iterator[bytes]:
-        """Past what stands between two objects."""
-        beats = 0
-        rest = self._held.lstrip(BLANK)
-        for byte in self._held[: len(self._held) - len(rest)]:
-            if byte == 0x0A:
-                beats += self._fresh
-                self._fresh = True
+    def _skip_whitespace(self) -> Iterator[bytes]:
+        """Drop what stands between two objects."""
+        heartbeats = 0
+        rest = self._buffer.lstrip(WHITESPACE)
+        for byte in self._buffer[: len(self._buffer) - len(rest)]:
+            if byte == LINE_FEED:
+                if self._line_is_blank:
+                    heartbeats += 1
+                self._line_is_blank = True
         if rest and rest[:1] != b"{":
-            raise ValueError(f"no object begins with {bytes(rest[:20])!r}")
-        self._held = rest
-        for _ in range(beats):
-            yield b""
-
-    def _scan(self) -> int:
-        """Where the object ends; -1 until it has come whole."""
-        held, at = self._held, self._at
+            raise JsonStreamError(f"no object begins with {bytes(rest[:SHOWN_BYTES])!r}")
+        self._buffer = rest
+        for _ in range(heartbeats):
+            yield HEARTBEAT
+
+    def _find_object_end(self) -> int:
+        """Return the offset behind the object; -1 until it is complete."""
+        buffer = self._buffer
+        offset = self._scanned
         while True:
-            found = (INSIDE if self._text else OUTSIDE).match(held, at)
+            pattern = INSIDE_STRING if self._in_string else OUTSIDE_STRING
+            found = pattern.match(buffer, offset)
             if found is None:
-                self._at = len(held)
+                self._scanned = len(buffer)
                 return -1
-            at = found.end()
-            byte = held[at - 1]
-            if byte == 0x5C:  # a backslash, and what it stands before
-                if at == len(held):
-                    self._at = at - 1
+            offset = found.end()
+            byte = buffer[offset - 1]
+            if byte == BACKSLASH:
+                if offset == len(buffer):  # the escaped character has not come yet
+                    self._scanned = offset - 1
                     return -1
-                at += 1
-            elif byte == 0x22:
-                self._text = not self._text
+                offset += 1
+            elif byte == QUOTE:
+                self._in_string = not self._in_string
             elif byte in b"{[":
                 self._depth += 1
             else:
                 self._depth -= 1
                 if not self._depth:
-                    return at
+                    return offset
--- a/hookpitch/core/reply_slot.py
+++ b/hookpitch/core/reply_slot.py
@@ -1,10 +1,10 @@
-"""The place of one reply among a client's replies, which go out in the order of their commands."""
+"""One reply's place in the queue of a client's replies, which are sent in command order."""
 
 from __future__ import annotations
 
 
 class ReplySlot:
-    """Holds the encoded reply to one command; None until it is known."""
+    """The encoded reply to one command in `answer`; None until it is known."""
 
     __slots__ = ("answer",)
 
--- a/hookpitch/core/ring.py
+++ b/hookpitch/core/ring.py
@@ -1,8 +1,11 @@
-"""A ring buffer of bytes that grows on demand: one a direction on each connection."""
+"""A ring buffer of bytes that grows on demand: one per direction on each connection.
+
+Invariant: the capacity is a power of two, so that offsets wrap with a mask.
+"""
 
 from __future__ import annotations
 
-INITIAL_CAPACITY = 4096  # bytes held at the start, and again once a larger ring has been emptied
+INITIAL_CAPACITY = 4096  # bytes; a ring that grew shrinks to this once it is empty
 
 
 class Ring:
@@ -11,69 +14,85 @@
     __slots__ = ("_bytes", "_head", "_used")
 
     def __init__(self) -> None:
-        self._bytes, self._head, self._used = bytearray(INITIAL_CAPACITY), 0, 0
+        self._bytes = bytearray(INITIAL_CAPACITY)
+        self._head = 0
+        self._used = 0
 
     def __len__(self) -> int:
         return self._used
 
     @property
     def capacity(self) -> int:
-        """Bytes of memory held."""
+        """Bytes of memory allocated."""
         return len(self._bytes)
 
     def write(self, data: bytes) -> None:
-        need, size = self._used + len(data), len(self._bytes)
-        if need > size:
-            while size < need:
-                size *= 2
-            grown = bytearray(size)
-            grown[: self._used] = self.peek(self._used)
-            self._bytes, self._head = grown, 0
-        start = (self._head + self._used) & (size - 1)
-        first = min(len(data), size - start)
-        if first == len(data):
-            self._bytes[start : start + first] = data
+        """Append bytes."""
+        needed = self._used + len(data)
+        if needed > len(self._bytes):
+            self._grow(needed)
+        capacity = len(self._bytes)
+        start = (self._head + self._used) & (capacity - 1)
+        before_wrap = min(len(data), capacity - start)
+        if before_wrap == len(data):
+            self._bytes[start : start + before_wrap] = data
         else:
-            self._bytes[start:size] = data[:first]
-            self._bytes[: len(data) - first] = data[first:]
-        self._used = need
+            self._bytes[start:capacity] = data[:before_wrap]
+            self._bytes[: len(data) - before_wrap] = data[before_wrap:]
+        self._used = needed
+
+    def _grow(self, needed: int) -> None:
+        capacity = len(self._bytes)
+        while capacity < needed:
+            capacity *= 2
+        grown = bytearray(capacity)
+        grown[: self._used] = self.peek(self._used)
+        self._bytes = grown
+        self._head = 0
 
-    def peek(self, count: int, at: int = 0) -> bytes:
-        """Up to `count` bytes from offset `at`, left where they are."""
-        count = max(0, min(count, self._used - at))
-        start, size = (self._head + at) & (len(self._bytes) - 1), len(self._bytes)
-        if start + count <= size:
+    def peek(self, count: int, offset: int = 0) -> bytes:
+        """Return up to `count` bytes from `offset` on, without taking them."""
+        count = max(0, min(count, self._used - offset))
+        capacity = len(self._bytes)
+        start = (self._head + offset) & (capacity - 1)
+        if start + count <= capacity:
             return bytes(self._bytes[start : start + count])
-        return bytes(self._bytes[start:]) + bytes(self._bytes[: start + count - size])
+        return bytes(self._bytes[start:]) + bytes(self._bytes[: start + count - capacity])
 
     def skip(self, count: int) -> None:
+        """Drop up to `count` bytes."""
         count = min(count, self._used)
         self._used -= count
         self._head = (self._head + count) & (len(self._bytes) - 1) if self._used else 0
         if not self._used and len(self._bytes) > INITIAL_CAPACITY:
-            # Danger: one larger value on each of hundreds of connections holds its memory for good.
+            # Otherwise one larger value on each of hundreds of connections would hold its memory
+            # as long as the connection lives.
             self._bytes = bytearray(INITIAL_CAPACITY)
 
     def read(self, count: int) -> bytes:
-        start, end, used = self._head, self._head + count, self._used
-        if count >= used or end > len(self._bytes):
+        """Take up to `count` bytes."""
+        start = self._head
+        end = start + count
+        if count >= self._used or end > len(self._bytes):
             data = self.peek(count)
             self.skip(count)
             return data
-        self._head, self._used = end & (len(self._bytes) - 1), used - count
+        self._head = end & (len(self._bytes) - 1)
+        self._used -= count
         return bytes(self._bytes[start:end])
 
-    def find_line_end(self, at: int = 0) -> int:
-        """The offset of the first line feed from offset `at` on; -1 where there is none."""
-        size = len(self._bytes)
-        start, end = self._head + at, self._head + self._used
-        if start < size:
-            found = self._bytes.find(b"\n", start, min(end, size))
+    def find_line_end(self, offset: int = 0) -> int:
+        """Return the offset of the first line feed from `offset` on; -1 where there is none."""
+        capacity = len(self._bytes)
+        start = self._head + offset
+        end = self._head + self._used
+        if start < capacity:
+            found = self._bytes.find(b"\n", start, min(end, capacity))
             if found >= 0:
                 return found - self._head
-            start = size
-        if end > size:
-            found = self._bytes.find(b"\n", start - size, end - size)
+            start = capacity
+        if end > capacity:
+            found = self._bytes.find(b"\n", start - capacity, end - capacity)
             if found >= 0:
-                return found + size - self._head
+                return found + capacity - self._head
         return -1
--- a/hookpitch/core/seeded_random.py
+++ b/hookpitch/core/seeded_random.py
@@ -1,5 +1,4 @@
-"""Draws from a seed and a counter, the same in every run; each user of a seed has a name and own
-draws."""
+"""Reproducible pseudo-random numbers, an independent sequence for each name under one seed."""
 
 from __future__ import annotations
 
@@ -7,16 +6,20 @@
 from itertools import count
 from zlib import crc32
 
-STIR = 0x9E3779B97F4A7C15  # odd, half of its bits set
+GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # odd, with half of its bits set
+WORD = 1 << 64
 
 
 def seeded_random(seed: int, name: str) -> Callable[[], float]:
-    """Calls give floats from 0 to under 1."""
-    # Danger: a CRC is linear. Seeds that follow one another, as nodes' may, gave draws that came in
-    # lumps: of 300 nodes 93 in the first of five seconds, 45 in the next. Spread over all digits
-    # they come
-    # evenly.
-    stirred, numbers = (seed + 1) * STIR % (1 << 64), count(1)
-    return lambda: (
-        crc32(b"%s/%d/%d" % (name.encode(), stirred, next(numbers) * STIR % (1 << 64))) / 2**32
-    )
+    """Return a function whose calls give floats in [0, 1), the same in every run."""
+    # A CRC is linear, so the small seeds of neighbouring nodes and a plain counter would give
+    # correlated numbers. The multiplication spreads their differences over all digits.
+    mixed_seed = (seed + 1) * GOLDEN_RATIO_64 % WORD
+    encoded_name = name.encode()
+    numbers = count(1)
+
+    def draw() -> float:
+        mixed_number = next(numbers) * GOLDEN_RATIO_64 % WORD
+        return crc32(b"%s/%d/%d" % (encoded_name, mixed_seed, mixed_number)) / 2**32
+
+    return draw
--- a/hookpitch/core/slot_table.py
+++ b/hookpitch/core/slot_table.py
@@ -1,15 +1,21 @@
-"""A table of numbered slots. A number that was freed names nothing, even once its place is used
-again."""
+"""A table of numbered slots, whose numbers are not used twice while their users may hold them.
+
+A number holds the slot's index in its lower bits and, above them, how often the slot was used.
+Invariant: a number that was freed names nothing, even once its slot is used again.
+"""
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-PLACE_BITS = 20  # a million at once; the bits above count how often a place was used
+INDEX_BITS = 20
+INDEX_MASK = (1 << INDEX_BITS) - 1
 
 
 class SlotTable(Generic[T]):
+    """Items by number; adding, looking up and freeing take constant time."""
+
     def __init__(self) -> None:
         self._items: list[T | None] = []
         self._numbers: list[int] = []
@@ -19,28 +25,31 @@
         return len(self._items) - len(self._free)
 
     def add(self, item: T) -> int:
+        """Put an item into a free slot and return its number."""
         if self._free:
-            place = self._free.pop()
-            self._numbers[place] += 1 << PLACE_BITS
+            index = self._free.pop()
+            self._numbers[index] += 1 << INDEX_BITS
         else:
-            place = len(self._items)
+            index = len(self._items)
             self._items.append(None)
-            self._numbers.append(place)
-        self._items[place] = item
-        return self._numbers[place]
+            self._numbers.append(index)
+        self._items[index] = item
+        return self._numbers[index]
 
     def get(self, number: int) -> T | None:
-        place = number & ((1 << PLACE_BITS) - 1)
-        if place >= len(self._numbers) or self._numbers[place] != number:
+        """Return the item with this number; None once it was freed."""
+        index = number & INDEX_MASK
+        if index >= len(self._numbers) or self._numbers[index] != number:
             return None
-        return self._items[place]
+        return self._items[index]
 
     def free(self, number: int) -> None:
+        """Empty the slot with this number, if it is in use."""
         if self.get(number) is not None:
-            place = number & ((1 << PLACE_BITS) - 1)
-            self._items[place] = None
-            self._free.append(place)
+            index = number & INDEX_MASK
+            self._items[index] = None
+            self._free.append(index)
 
     def values(self) -> list[T]:
-        """In the order of their places."""
+        """Return all items, in the order of their slots."""
         return [item for item in self._items if item is not None]
