--- /dev/null
+++ b/hookpitch/core/rpc.py
@@ -0,0 +1,105 @@
+"""The records of an RPC and of its attempts.
+
+They exist for every RPC in flight, so they have slots and no behaviour beyond their own fields.
+Times are in milliseconds of the host's clock.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from hookpitch.core.deadlines import Deadline
+from hookpitch.core.interfaces import Client
+from hookpitch.core.reply_slot import ReplySlot
+from hookpitch.core.stream import ChunkedValue, Stream
+
+
+class Attempt:
+    """One sending of an RPC to one backend."""
+
+    __slots__ = (
+        "rpc",
+        "index",
+        "backend_id",
+        "sent_at",
+        "deadline",
+        "start_by",
+        "carrier",
+        "written",
+        "done",
+    )
+
+    def __init__(
+        self,
+        rpc: Rpc,
+        index: int,
+        backend_id: str,
+        sent_at: float,
+        deadline: float,
+        start_by: float,
+    ) -> None:
+        self.rpc = rpc
+        self.index = index  # in `rpc.attempts`
+        self.backend_id = backend_id
+        self.sent_at = sent_at
+        self.deadline = deadline  # until then its reply is waited for
+        self.start_by = start_by  # what is not on a connection by then is not sent any more
+        self.carrier: object | None = None  # the pool it waits in, or the connection it is on
+        self.written = False  # at least partly, so the backend may have executed it
+        self.done = False
+
+    def extras(self, now: float) -> bytes:
+        """Return the RPC's extras with `d`, the time limit, set to what is left of it."""
+        # A backend that is given more time than is left would work on for nobody.
+        limit = b"d=%d" % max(1, int(self.deadline - now))
+        pairs = [
+            limit if pair[:2] == b"d=" else pair for pair in self.rpc.extras.split(b",") if pair
+        ]
+        if limit not in pairs:
+            pairs.append(limit)
+        return b",".join(pairs)
+
+
+class Rpc:
+    """An RPC, from its acceptance until it is answered and none of its attempts is in flight."""
+
+    __slots__ = (
+        "number",
+        "client",
+        "slot",
+        "command",
+        "key",
+        "id",
+        "extras",
+        "value",
+        "method",
+        "accepted_at",
+        "hard_deadline",
+        "timer",
+        "attempts",
+        "in_flight",
+        "pending",
+        "client_half_closed",
+        "stream",
+        "streaming_attempt",
+    )
+
+    def __init__(
+        self, client: Client, slot: ReplySlot, words: Sequence[bytes], method: str
+    ) -> None:
+        """`words`: the client's command, its name first."""
+        self.client = client
+        self.slot = slot
+        self.command, self.key, self.id, self.extras = words[:4]
+        self.value: bytes | ChunkedValue | None = words[4] if len(words) > 4 else None
+        self.method = method
+        self.number = -1  # in the table
+        self.accepted_at = 0.0
+        self.hard_deadline = 0.0
+        self.timer: Deadline | None = None
+        self.attempts: list[Attempt] = []
+        self.in_flight = 0  # attempts that are not done
+        self.pending = True  # not answered yet
+        self.client_half_closed = False  # it sends no more, and may be gone altogether
+        self.stream: Stream | None = None  # its reply, once that is being passed on in pieces,
+        self.streaming_attempt: Attempt | None = None  # and the attempt that it comes from
--- /dev/null
+++ b/hookpitch/core/rpc_table.py
@@ -0,0 +1,81 @@
+"""All RPCs that are not over, and the one final answer to each.
+
+Invariants: an id is in the table once; `pending` counts the RPCs without an answer; an RPC leaves
+the table once it is answered and none of its attempts is in flight.
+"""
+
+from __future__ import annotations
+
+from hookpitch.core.counter_names import FinalResult
+from hookpitch.core.counters import Counters
+from hookpitch.core.deadlines import Deadlines
+from hookpitch.core.rpc import Rpc
+from hookpitch.core.slot_table import SlotTable
+from hookpitch.core.stream import ChunkedValue, MemoryBudget
+
+FAILED_REPLY = b"-ERR failed\r\n"
+
+
+class RpcTable:
+    """RPCs by number; the router knows them by the number's decimal text."""
+
+    def __init__(
+        self, deadlines: Deadlines, counters: Counters, value_budget: MemoryBudget
+    ) -> None:
+        self._deadlines = deadlines
+        self._counters = counters
+        self._value_budget = value_budget
+        self._slots: SlotTable[Rpc] = SlotTable()
+        self.ids: set[bytes] = set()
+        self.pending = 0
+
+    def __len__(self) -> int:
+        return len(self._slots)
+
+    def add(self, rpc: Rpc) -> None:
+        """Give an RPC its number."""
+        self.ids.add(rpc.id)
+        rpc.number = self._slots.add(rpc)
+        self._counters.add("rpcs.taken")
+        self.pending += 1
+
+    def get(self, rpc_id: str) -> Rpc | None:
+        """Return the RPC that the router names; None once it is over."""
+        return self._slots.get(int(rpc_id))
+
+    def values(self) -> list[Rpc]:
+        """Return all RPCs, in the order of their slots."""
+        return self._slots.values()
+
+    def answer(self, rpc: Rpc, answer: bytes, result: FinalResult) -> None:
+        """Send an RPC's final answer."""
+        self.finish(rpc, result)
+        rpc.client.reply(rpc.slot, answer)
+
+    def fail(self, rpc: Rpc) -> None:
+        """Answer that an RPC failed."""
+        self.answer(rpc, FAILED_REPLY, FinalResult.FAILED)
+
+    def finish(self, rpc: Rpc, result: FinalResult) -> None:
+        """Count an RPC's result and let it be pending no more; the caller sends the answer."""
+        self._counters.add(result.counter)
+        self._counters.add(f"{result.method_prefix}.{rpc.method}")
+        self.abandon(rpc)
+
+    def abandon(self, rpc: Rpc) -> None:
+        """Let an RPC be pending no more, without an answer."""
+        rpc.pending = False
+        self.pending -= 1
+        if not rpc.in_flight:
+            self._deadlines.cancel(rpc.timer)
+
+    def release(self, rpc: Rpc) -> None:
+        """Drop an RPC if it is over."""
+        if rpc.pending or rpc.in_flight:
+            return
+        self._deadlines.cancel(rpc.timer)
+        self._slots.free(rpc.number)
+        if isinstance(rpc.value, ChunkedValue):
+            self._value_budget.release(len(rpc.value))
+            rpc.value = b""
+        self.ids.discard(rpc.id)
--- /dev/null
+++ b/hookpitch/core/rpc_timers.py
@@ -0,0 +1,79 @@
+"""The timer of each RPC: the deadlines of its attempts, its hard deadline, silence of a stream.
+
+Invariant: a pending RPC, and one with an attempt in flight, has a timer no later than the first of
+these. So no RPC passes its hard deadline without an answer, whatever the router does.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hookpitch.balancer.interface import Outcome
+from hookpitch.core.router_view import was_sent_before_pause
+from hookpitch.core.rpc import Attempt, Rpc
+
+if TYPE_CHECKING:
+    from hookpitch.core.host import Host
+
+
+class RpcTimers:
+    """The RPC timers of one host."""
+
+    def __init__(self, host: Host) -> None:
+        self._host = host
+
+    def watch(self, rpc: Rpc, at: float) -> None:
+        """Let an RPC's timer fire at `at`, or sooner where it would already."""
+        if rpc.timer is None or rpc.timer.call is None or at < rpc.timer.at:
+            deadlines = self._host.deadlines
+            deadlines.cancel(rpc.timer)
+            rpc.timer = deadlines.add(at, lambda now: self._fire(now, rpc))
+
+    def _fire(self, now: float, rpc: Rpc) -> None:
+        if rpc.stream is not None and rpc.pending:
+            self._check_stream(now, rpc)
+            return
+        for attempt in rpc.attempts:
+            if not attempt.done and attempt.deadline <= now:
+                self._attempt_timed_out(now, attempt)
+        if rpc.pending and now >= rpc.hard_deadline:
+            self._hard_deadline_passed(now, rpc)
+        due = [attempt.deadline for attempt in rpc.attempts if not attempt.done]
+        if rpc.pending:
+            due.append(rpc.hard_deadline)
+        if due:
+            self.watch(rpc, min(due))
+
+    def _check_stream(self, now: float, rpc: Rpc) -> None:
+        """End a stream that made no progress: its backend or its reader may be gone."""
+        host = self._host
+        silent_from = rpc.stream.last_progress + host.stream_timeout_ms
+        if now - rpc.stream.last_progress < host.stream_timeout_ms:
+            self.watch(rpc, silent_from)
+            return
+        host.counters.add("streams.silent")
+        host.transport.cancel(now, rpc.streaming_attempt)
+        host.attempt_finished(now, rpc.streaming_attempt, Outcome.TIMEOUT)
+
+    def _attempt_timed_out(self, now: float, attempt: Attempt) -> None:
+        host = self._host
+        # After a pause of this process, replies that came in time are still unread.
+        if now < attempt.rpc.hard_deadline and host.transport.has_unread_response(attempt):
+            return
+        host.transport.cancel(now, attempt)
+        if attempt.written:
+            outcome = Outcome.TIMEOUT
+        elif was_sent_before_pause(host.router, attempt):
+            outcome = Outcome.OBSOLETE  # its connection could not come up meanwhile
+        else:
+            outcome = Outcome.CONNECT_FAILED
+        host.attempt_finished(now, attempt, outcome)
+
+    def _hard_deadline_passed(self, now: float, rpc: Rpc) -> None:
+        """Answer an RPC that the router should have answered."""
+        host = self._host
+        host.rpcs.fail(rpc)
+        host.router.client_disconnected(now, str(rpc.number))
+        host.rpcs.release(rpc)
+        host.decide(now)
+        host.counters.check(False, "the decisions answer before the hard deadline")
--- /dev/null
+++ b/hookpitch/core/streamed_replies.py
@@ -0,0 +1,64 @@
+"""Replies that are too large to hold: passed on from the backend's connection as they come.
+
+Invariants: of several attempts of an RPC only the first that starts a reply is passed on; after
+that no deadline ends it, only silence of its backend or its reader does.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hookpitch.balancer.interface import Outcome
+from hookpitch.core.counter_names import FinalResult
+from hookpitch.core.rpc import Attempt, Rpc
+from hookpitch.core.stream import Source, Stream
+
+if TYPE_CHECKING:
+    from hookpitch.core.host import Host
+
+
+class StreamedReplies:
+    """The streamed replies of one host."""
+
+    def __init__(self, host: Host) -> None:
+        self._host = host
+
+    def start(self, now: float, attempt: Attempt, length: int, source: Source) -> bool:
+        """Start to pass on the reply of an attempt; False where it is of no use any more."""
+        host = self._host
+        rpc = attempt.rpc
+        if attempt.done or not rpc.pending or rpc.stream is not None:
+            return False
+        host.counters.add("streams")
+        rpc.stream = Stream(source, length, max(0.0, now - attempt.sent_at), now)
+        rpc.streaming_attempt = attempt
+        host.router.stream_started(now, str(rpc.number), attempt.index)
+        # The deadlines were for the first bytes; from now on only silence counts.
+        host.deadlines.cancel(rpc.timer)
+        host.timers.watch(rpc, now + host.stream_timeout_ms)
+        rpc.client.stream_started(rpc.slot, rpc.stream)
+        host.decide(now)  # so that a hedged attempt is cancelled at once
+        return True
+
+    def pass_on(self, now: float, attempt: Attempt, data: bytes) -> None:
+        """Pass on the next piece of a reply."""
+        rpc = attempt.rpc
+        if rpc.stream is None or not rpc.pending or attempt is not rpc.streaming_attempt:
+            return
+        rpc.stream.last_progress = now
+        data = rpc.stream.feed(data)
+        if data:
+            rpc.client.stream_chunk(rpc.slot, data)
+
+    def finish(self, rpc: Rpc, outcome: Outcome) -> None:
+        """End a reply: complete it with what was held back, or abort it."""
+        rpcs = self._host.rpcs
+        completed = outcome == Outcome.COMPLETED
+        complete = completed and not rpc.stream.remaining
+        self._host.counters.check(complete or not completed, "a value passed whole")
+        if complete:
+            rpcs.finish(rpc, FinalResult.COMPLETED)
+            rpc.client.reply(rpc.slot, rpc.stream.tail + b"\r\n")
+        else:
+            rpcs.finish(rpc, FinalResult.FAILED)
+            rpc.client.stream_aborted(rpc.slot)
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -14,8 +14,9 @@
 from hookpitch.balancer.deployment import report
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate, Outcome
 from hookpitch.core.deadlines import Deadline
-from hookpitch.core.host import NO_REPORT, Attempt, Host
+from hookpitch.core.host import NO_REPORT, Host
 from hookpitch.core.resp import NEED_DATA, ErrorReply, Parser, ProtocolError, Value, command
+from hookpitch.core.rpc import Attempt
 from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.clock import Clock
 from hookpitch.net.wire import CHUNK, Wire
--- a/hookpitch/net/clients.py
+++ b/hookpitch/net/clients.py
@@ -13,9 +13,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from hookpitch.core.host import Host, Rpc
+from hookpitch.core.host import Host
 from hookpitch.core.reply_slot import ReplySlot
 from hookpitch.core.resp import NEED_DATA, Parser, ProtocolError, bulk
+from hookpitch.core.rpc import Rpc
 from hookpitch.core.stream import (
     MAX_STREAMED_BYTES,
     MAX_UNSENT_BYTES,
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -187,7 +187,7 @@
         members, out = self.host.endpoint_counts()
         more = [
             ("upstream_requests", counts.get("upstream_requests", 0)),
-            ("pending", self.host.pending_rpcs),
+            ("pending", self.host.rpcs.pending),
             ("members", members),
             ("members_unavailable", out),
             ("config_reloads", counts.get("config_reloads", 0)),
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -12,8 +12,8 @@
 from twisted.python.failure import Failure
 
 from hookpitch.balancer.interface import Outcome
-from hookpitch.core.host import Attempt
 from hookpitch.core.resp import MAX_BULK_BYTES
+from hookpitch.core.rpc import Attempt
 from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.backend_pools import BackendConnection, BackendPool
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -191,7 +191,7 @@
     for n in range(20):
         c.say(get(f"r{n}"))
     assert c.take() == 20 * b"-BUSY\r\n" and s.counters.counts["rpcs.turned_away"] == 20
-    assert not len(s.node.host.rpcs) and not s.node.host.rpc_ids and not s.node.host.router.rpcs
+    assert not len(s.node.host.rpcs) and not s.node.host.rpcs.ids and not s.node.host.router.rpcs
     assert len(s.clock.deadlines) == before
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -336,7 +336,7 @@
     other.say(get("r1", "bb"))
     assert other.take().startswith(b"-ERR ") and len(serve(s)) == 1 and c.take() == bulk(b"v")
     other.say(get("r1", "bb"))
-    assert len(serve(s)) == 1 and other.take() == bulk(b"v") and not s.node.host.rpc_ids
+    assert len(serve(s)) == 1 and other.take() == bulk(b"v") and not s.node.host.rpcs.ids
 
 
 def test_clients_that_say_nothing_or_half_of_a_command_are_closed_and_no_others() -> None:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -72,7 +72,7 @@
     s.pass_time(1)
     assert client.ended
     counts = s.counters.counts
-    assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.pending_rpcs
+    assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.rpcs.pending
 
 
 def test_no_deadline_cuts_off_what_the_server_still_gives_but_silence_does() -> None:
@@ -139,7 +139,7 @@
     heads(server)
     client.end()
     s.pass_time(1)
-    assert server.ended and not s.node.host.pending_rpcs and not s.node.clients.streams
+    assert server.ended and not s.node.host.rpcs.pending and not s.node.clients.streams
 
 
 def test_a_large_body_of_the_origin_passes_and_one_cut_short_breaks() -> None:
