--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -107,11 +107,7 @@
         self.admission.record_arrival(age)
         retry_after_ms = self.router.shed_delay(now, method.name, fields.tenant, age)
         if retry_after_ms >= 0 or age >= time_limit_ms:
-            # Under overload a rejection has to cost next to nothing: no RPC record, timer or quota.
-            self.admission.record_rejected()
-            self.counters.add("rpcs.turned_away")
-            self._count_rejected(method)
-            slot.answer = self.busy_reply(max(0.0, retry_after_ms))
+            self._shed(slot, method, retry_after_ms)
             return None
         rpc = Rpc(client, slot, words, method.name)
         rpc.accepted_at = now
@@ -132,6 +128,13 @@
             self.timers.watch(rpc, rpc.hard_deadline)
         return rpc
 
+    def _shed(self, slot: ReplySlot, method: Method, retry_after_ms: float) -> None:
+        # Under overload a rejection has to cost next to nothing: no RPC record, timer or quota.
+        self.admission.record_rejected()
+        self.counters.add("rpcs.turned_away")
+        self._count_rejected(method)
+        slot.answer = self.busy_reply(max(0.0, retry_after_ms))
+
     def record_rejected(self, words: Sequence[bytes]) -> None:
         """Count an RPC that an adapter rejected, if its method is known."""
         if len(words) <= 3:
--- a/hookpitch/core/resp.py
+++ b/hookpitch/core/resp.py
@@ -134,10 +134,14 @@
                 return words
         if data[:1] != b"*" or data[2:4] != b"\r\n" or not data[1:2].isdigit():
             return None
-        words = []
+        return self._read_words(data, count=data[1] - ZERO)
+
+    def _read_words(self, data: bytes, count: int) -> list[Value] | None:
+        """Read the bulk strings of an array behind its header of 4 bytes."""
+        words: list[Value] = []
         offset = 4
         size = len(data)
-        for _ in range(data[1] - ZERO):
+        for _ in range(count):
             header_end = data.find(b"\r\n", offset, offset + 8)
             if header_end < 0 or data[offset] != DOLLAR:
                 return None
