--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,47 +20,47 @@
 
 
 class Queue:
-    """RPCs before a node that works on one after the other; it reads the oldest first."""
+    """A simulated node that serves RPCs one after the other, the oldest first."""
 
-    def __init__(self, room: int = 10**6, again: bool = False) -> None:
-        self.admission, self.now, self.cpu, self.again = Admission(0.0, SOFT), 0.0, 0.0, again
-        self.room = room  # connections of all clients: so many wait at the most
+    def __init__(self, max_waiting: int = 10**6, retries: bool = False) -> None:
+        self.admission, self.now, self.cpu, self.retries = Admission(0.0, SOFT), 0.0, 0.0, retries
+        self.max_waiting = max_waiting  # connections of all clients
         self.waiting: list[float] = []  # since when
-        self.due, self.beat, self.credit = 0.0, self.admission.window_ms, 0.0
-        self.let, self.came, self.waits = 0, 0, list[float]()
+        self.due, self.window_end, self.credit = 0.0, self.admission.window_ms, 0.0
+        self.admitted, self.arrived, self.waits = 0, 0, list[float]()
 
-    def run(self, ms: float, per_ms: float, part: float = 1.0) -> float:
-        """The part let in of what was read; `part` of the core is the node's."""
+    def run(self, ms: float, per_ms: float, core: float = 1.0) -> float:
+        """The fraction admitted of what was read; `core`: the fraction of it that is the node's."""
         a, end, busy = self.admission, self.now + ms, self.now
-        self.let = self.came = 0
+        self.admitted = self.arrived = 0
         self.waits = []
         while self.now < end:
             self.now += 1.0
             self.due += per_ms
-            self.waiting += [self.now] * min(int(self.due), self.room - len(self.waiting))
+            self.waiting += [self.now] * min(int(self.due), self.max_waiting - len(self.waiting))
             self.due -= int(self.due)
             busy = max(busy, self.now - 1.0)
             while busy < self.now and self.waiting:
-                came, self.came = self.waiting.pop(0), self.came + 1
-                a.record_arrival(max(0.0, busy - came))
+                arrival, self.arrived = self.waiting.pop(0), self.arrived + 1
+                a.record_arrival(max(0.0, busy - arrival))
                 self.credit += 1 - a.shed_fraction
-                serve = self.credit >= 1 and busy - came < 0.7 * SOFT  # as the decisions do
+                serve = self.credit >= 1 and busy - arrival < 0.7 * SOFT  # as the router does
                 cost = TAKEN if serve else REFUSED
                 if serve:
-                    self.credit, self.let = self.credit - 1, self.let + 1
-                    self.waits.append(busy - came)
+                    self.credit, self.admitted = self.credit - 1, self.admitted + 1
+                    self.waits.append(busy - arrival)
                 else:
                     a.record_rejected()
-                    if self.again:
+                    if self.retries:
                         self.waiting.append(busy)
-                busy, self.cpu = busy + cost / part, self.cpu + cost
-            if self.now >= self.beat:
+                busy, self.cpu = busy + cost / core, self.cpu + cost
+            if self.now >= self.window_end:
                 a.end_window(self.now, 0.0, self.cpu)
-                self.beat = self.now + a.window_ms
-        return self.let / max(1, self.came)
+                self.window_end = self.now + a.window_ms
+        return self.admitted / max(1, self.arrived)
 
 
-def test_what_the_node_can_do_is_all_let_in() -> None:
+def test_everything_is_admitted_below_capacity() -> None:
     q = Queue()
     assert (
         q.run(5000, 1.2) == 1.0
@@ -69,27 +69,29 @@
     )
 
 
-@pytest.mark.parametrize("part", [1.0, 0.5])
-def test_of_four_times_as_much_the_wait_is_held_and_the_core_serves(part: float) -> None:
+@pytest.mark.parametrize("core", [1.0, 0.5])
+def test_at_four_times_capacity_the_wait_stays_bounded_and_most_cpu_time_serves(
+    core: float,
+) -> None:
     q = Queue()
-    q.run(1000, 1.2 * part, part)
-    q.run(3000, 8.0 * part, part)
-    q.run(5000, 8.0 * part, part)
+    q.run(1000, 1.2 * core, core)
+    q.run(3000, 8.0 * core, core)
+    q.run(5000, 8.0 * core, core)
     assert max(q.waits) < 0.6 * SOFT
-    assert q.let / 5000 > 0.5 / TAKEN * part  # over half of the core's time serves
-    q.run(1500, 1.2 * part, part)  # the surge ends: in this time all are let in again
-    assert q.run(1000, 1.2 * part, part) == 1.0 and q.admission.admitted_per_ms == UNLIMITED
+    assert q.admitted / 5000 > 0.5 / TAKEN * core  # over half of the core's time serves
+    q.run(1500, 1.2 * core, core)  # the surge ends: in this time all are let in again
+    assert q.run(1000, 1.2 * core, core) == 1.0 and q.admission.admitted_per_ms == UNLIMITED
 
 
-def test_clients_that_try_again_at_once_do_not_turn_the_core_into_refusals() -> None:
-    q = Queue(room=1200, again=True)
+def test_immediate_retries_do_not_use_the_core_up_with_rejections() -> None:
+    q = Queue(max_waiting=1200, retries=True)
     q.run(1000, 1.2)
     q.run(1000, 4.0)
     q.run(4000, 4.0)
-    assert q.let / 4000 > 0.4 / TAKEN, "a rate that follows the wait alone falls to nothing"
+    assert q.admitted / 4000 > 0.4 / TAKEN, "a rate that follows the wait alone falls to nothing"
 
 
-def test_a_pause_is_no_burden() -> None:
+def test_a_pause_of_the_process_is_no_overload() -> None:
     a = Admission(0.0, SOFT)
     a.end_window(50.0, 0.0, 20.0)
     assert (
@@ -103,10 +105,25 @@
     assert a.shed_fraction == 0.0 and a.admitted_per_ms == UNLIMITED
 
 
+def test_the_start_and_the_end_of_an_overload_are_logged_once_each() -> None:
+    s = Sockets()
+    host, now = s.node.host, s.clock.now()
+    for _ in range(3):
+        for _ in range(100):
+            host.admission.record_arrival(1000.0)
+        now += 50.0
+        host.end_window(now, 0.0, 0.0)
+    assert host.admission.shed_fraction > 0
+    while host.admission.shed_fraction > 0:
+        now += 50.0
+        host.end_window(now, 0.0, 0.0)
+    assert [line for line in s.logs if "overload" in line] == ["overload_started", "overload_ended"]
+
+
 METHODS = (Method("low", 400.0, 1000.0, 1.0), Method("high", 400.0, 1000.0, 5.0))
 
 
-def test_the_least_gain_and_what_is_over_a_share_go_first() -> None:
+def test_rpcs_of_the_least_gain_and_over_quota_are_shed_first() -> None:
     f = Fleet(
         deployment(methods=METHODS, tenants=(Tenant("small", 1e-6),), max_retry_after_ms=300.0)
     )
@@ -133,7 +150,7 @@
     )
 
 
-def test_after_a_pause_nobody_is_struck_and_silence_counts_anew() -> None:
+def test_a_pause_counts_no_failures_and_restarts_the_wait_for_silent_backends() -> None:
     f = Fleet(deployment())
     f.listed([entry(f"s{i}") for i in range(4)])
     for n in range(12):
@@ -164,7 +181,7 @@
     )
 
 
-def test_an_rpc_that_stood_unread_has_that_much_less_time() -> None:
+def test_the_time_an_rpc_waited_unread_counts_against_its_deadlines() -> None:
     s = Sockets()
     c = s.client()
     c.aged = 150.0
@@ -183,7 +200,7 @@
     )
 
 
-def test_what_is_turned_away_at_the_door_leaves_nothing_behind() -> None:
+def test_a_shed_rpc_leaves_no_state_behind() -> None:
     s = Sockets()
     s.node.host.router.burden = 1.0
     before = len(s.clock.deadlines)
@@ -195,7 +212,7 @@
     assert len(s.clock.deadlines) == before
 
 
-def test_a_dial_without_a_descriptor_strikes_no_server() -> None:
+def test_a_connect_without_a_file_descriptor_counts_no_failure() -> None:
     s = Sockets()
     s.network.ways |= dict.fromkeys((7000, 7001, ORIGIN_PORT), "descriptor")
     c = s.client()
@@ -213,7 +230,7 @@
     assert serve(s) and b"v" in c.take()
 
 
-def test_with_all_room_taken_by_open_rpcs_newcomers_are_told_and_a_server_can_be_dialled() -> None:
+def test_at_the_connection_limit_new_clients_are_rejected_and_backends_can_be_reached() -> None:
     s = Sockets(sockets=64)
     s.network.ways |= {7000: "silent", 7001: "silent"}
     held = [s.client() for _ in range(s.node.clients.room)]
@@ -233,7 +250,7 @@
     assert serve(s) and b"v" in held[0].take()
 
 
-def test_a_node_that_leaves_takes_what_the_kernel_has_accepted() -> None:
+def test_a_graceful_shutdown_serves_what_the_kernel_has_accepted() -> None:
     s, late = Sockets(), []
 
     class Port:
@@ -277,7 +294,7 @@
     pass
 
 
-def test_turns_are_short_and_servers_go_first() -> None:
+def test_reactor_iterations_are_short_and_backends_come_first() -> None:
     reactor, order = PrioritizedReactor(), list[str]()
     made = [FromClient(order, "client") for _ in range(3 * TURN_EVENTS)] + [
         Selectable(order, "server")
@@ -298,7 +315,7 @@
         one.kept.close()
 
 
-def test_more_connections_than_descriptors_are_each_told_something(tmp_path: Path) -> None:
+def test_more_connections_than_descriptors_are_all_answered(tmp_path: Path) -> None:
     path = tmp_path / "node.json"
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,6 +5,7 @@
 import pytest
 
 from hookpitch.core.deadlines import Deadlines
+from hookpitch.core.request_parser import INVALID, RequestFields, parse_extras
 from hookpitch.core.resp import (
     NEED_DATA,
     ErrorReply,
@@ -19,7 +20,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_ring_gives_back_what_it_took_in_order(seed: int) -> None:
+def test_a_ring_returns_the_bytes_written_in_order(seed: int) -> None:
     rng, ring, model = random.Random(seed), Ring(), b""
     for _ in range(3000):
         if rng.random() < 0.5:
@@ -55,7 +56,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_values_come_whole_however_they_are_split(seed: int) -> None:
+def test_values_are_parsed_however_the_input_is_split(seed: int) -> None:
     rng = random.Random(seed)
     big = rng.randbytes(65536)
     sent = (
@@ -67,7 +68,7 @@
     assert parse(sent, rng, True) == [[b"PING"], [b"OBJ.SET", b"k", big]]
 
 
-def test_simple_strings_and_errors_are_told_apart() -> None:
+def test_simple_strings_and_error_replies_have_types_of_their_own() -> None:
     values = parse(b"+OK\r\n-OK\r\n", random.Random(1))
     assert [type(v) for v in values] == [SimpleString, ErrorReply]
 
@@ -89,13 +90,13 @@
         b"\x16\x03\x01",
     ],
 )
-def test_what_is_no_command_is_malformed(data: bytes) -> None:
+def test_input_that_is_no_command_raises_a_protocol_error(data: bytes) -> None:
     with pytest.raises(ProtocolError):
         parse(data, random.Random(1), True)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_bytes_break_the_parser(seed: int) -> None:
+def test_arbitrary_bytes_raise_nothing_but_protocol_errors(seed: int) -> None:
     rng = random.Random(seed)
     data = bytearray(b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n*3\r\n$1\r\na\r\n$-1\r\n$1\r\nb\r\n" * 5)
     for _ in range(rng.randint(1, 5)):
@@ -111,7 +112,7 @@
         pass
 
 
-def test_a_freed_number_names_nothing() -> None:
+def test_a_freed_slot_number_names_nothing_even_once_its_slot_is_used_again() -> None:
     slots: SlotTable[str] = SlotTable()
     a, b = slots.add("a"), slots.add("b")
     slots.free(a)
@@ -122,7 +123,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_deadlines_run_in_order_and_dropped_ones_never(seed: int) -> None:
+def test_deadlines_run_in_order_and_cancelled_ones_never(seed: int) -> None:
     rng, armed, ran = random.Random(seed), [], []
     deadlines = Deadlines(armed.append)
     held, due = [], []
@@ -138,3 +139,12 @@
     assert armed[-1] == next(d[0] for d in due if d[0] > 500)
     deadlines.run(2000)
     assert ran == due and not len(deadlines)
+
+
+def test_extras_are_read_into_typed_fields_and_malformed_ones_are_invalid() -> None:
+    assert parse_extras(b"c=read,d=12.5,t=acme") == RequestFields(b"read", 12.5, "acme")
+    assert parse_extras(b"c=read") == RequestFields(b"read", None, "")
+    for extras in (b"c=read,c=read", b"c=read,d=soon", b"c", b"", b"c=" + b"x" * 512):
+        assert parse_extras(extras) == INVALID
+    assert RequestFields(b"read", 900.0).time_limit_within(400.0) == 400.0
+    assert RequestFields(b"read").time_limit_within(400.0) == 400.0
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Values too large to hold: answers in pieces, writes held once."""
+"""Values too large to hold: streamed replies, and large writes under a memory budget."""
 
 from dataclasses import replace
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000, 65536, LARGE])
-def test_a_large_answer_passes_whole_in_whatever_pieces_it_comes(size: int) -> None:
+def test_a_large_reply_is_streamed_completely_however_it_is_split(size: int) -> None:
     s, client, server = begun()
     reply = b"*3\r\n" + bulk(VALUE) + REST
     got = b""
@@ -46,7 +46,7 @@
     assert s.request(server.port) and s.counters.counts["completed.read"] == 1
 
 
-def test_the_first_bytes_go_on_at_once_and_the_last_wait_for_the_whole_reply() -> None:
+def test_a_stream_starts_at_once_and_its_tail_waits_for_the_complete_reply() -> None:
     s, client, server = begun()
     heads(server)
     server.say(VALUE[:1000])
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("end", [b"xx" + REST, b"\r\n!what\r\n", b"\r\n$9\r\nhit", None])
-def test_a_spoilt_answer_never_becomes_whole_and_the_client_can_tell(end: bytes | None) -> None:
+def test_a_malformed_reply_is_never_completed_and_the_client_can_tell(end: bytes | None) -> None:
     s, client, server = begun()
     heads(server)
     server.say(VALUE)
@@ -75,7 +75,7 @@
     assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.rpcs.pending
 
 
-def test_no_deadline_cuts_off_what_the_server_still_gives_but_silence_does() -> None:
+def test_a_stream_is_ended_by_silence_and_by_no_deadline() -> None:
     s, client, server = begun()
     heads(server)
     for at in range(0, 10_000, 1000):
@@ -86,7 +86,7 @@
     assert client.ended and server.ended and s.counters.counts["streams.silent"] == 1
 
 
-def test_a_slow_reader_stops_the_server_and_a_dead_one_is_let_go() -> None:
+def test_a_slow_reader_pauses_the_backend_and_one_that_stops_is_dropped() -> None:
     s, client, server = begun()
     client.reads = False
     heads(server, MAX_STREAMED_BYTES)
@@ -108,7 +108,7 @@
     assert client.ended
 
 
-def test_many_streams_share_what_may_wait() -> None:
+def test_many_streams_share_the_unsent_bytes_allowed() -> None:
     s = Sockets()
     alone = s.node.clients.stream_room
     s.node.clients.streams = 200
@@ -116,7 +116,7 @@
     s.node.clients.streams = 0
 
 
-def test_an_answer_behind_another_waits_and_goes_on_in_its_order() -> None:
+def test_a_streamed_reply_waits_for_the_replies_before_it() -> None:
     s = Sockets()
     client = s.client()
     client.say(get("a") + get("b", "other"))
@@ -134,7 +134,7 @@
     assert client.take() == bulk(b"v") + bulk(VALUE)
 
 
-def test_a_client_that_leaves_in_the_middle_frees_the_server() -> None:
+def test_a_client_that_disconnects_during_a_stream_frees_its_backend() -> None:
     s, client, server = begun()
     heads(server)
     client.end()
@@ -142,7 +142,7 @@
     assert server.ended and not s.node.host.rpcs.pending and not s.node.clients.streams
 
 
-def test_a_large_body_of_the_origin_passes_and_one_cut_short_breaks() -> None:
+def test_a_large_body_of_the_origin_is_streamed_and_a_truncated_one_is_aborted() -> None:
     for whole in (True, False):
         s, client, server = begun()
         server.say(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
@@ -167,7 +167,7 @@
     return command(b"OBJ.SET", b"k", id.encode(), b"c=read,d=900", value)
 
 
-def test_a_large_write_goes_to_the_origin_whole_and_its_memory_is_given_back() -> None:
+def test_a_large_write_reaches_the_origin_and_its_memory_is_released() -> None:
     s = Sockets()
     client = s.client()
     data = write("a", VALUE)
@@ -187,7 +187,7 @@
     assert client.take() == bulk(b"ok") and s.node.host.value_budget.used == 0
 
 
-def test_many_large_writes_are_refused_before_memory_is_gone() -> None:
+def test_large_writes_over_the_memory_budget_are_rejected() -> None:
     s = Sockets(memory_mb=32)
     clients = [s.client() for _ in range(6)]
     for n, client in enumerate(clients):
@@ -201,7 +201,7 @@
     assert s.node.host.value_budget.used == 0
 
 
-def test_a_write_that_comes_slowly_is_no_silent_client_and_one_that_stops_is() -> None:
+def test_a_slow_large_write_keeps_its_connection_and_a_stalled_one_does_not() -> None:
     s = Sockets()
     client = s.client()
     data = write("a", VALUE)
@@ -223,7 +223,7 @@
         + b"\r\n$4194305\r\n",
     ],
 )
-def test_only_a_value_may_be_large(said: bytes) -> None:
+def test_only_a_value_may_exceed_the_bulk_limit(said: bytes) -> None:
     s = Sockets()
     client = s.client()
     client.say(said)
@@ -232,7 +232,7 @@
     assert client.ended and s.node.host.value_budget.used == 0
 
 
-def test_what_passes_and_what_is_held_is_what_came() -> None:
+def test_what_a_stream_passes_on_plus_its_tail_is_what_it_was_fed() -> None:
     for size in (1, TAIL_BYTES - 1, TAIL_BYTES, TAIL_BYTES + 1, 5000):
         stream = Stream(None, LARGE, 0.0, 0.0)
         out = b"".join(stream.feed(VALUE[at : at + size]) for at in range(0, LARGE, size))
@@ -245,7 +245,7 @@
     assert b"".join(pieces.chunks) == VALUE and len(pieces) == LARGE and len(pieces.chunks) < 12
 
 
-def test_the_parser_tells_of_a_large_value_and_goes_on_behind_it() -> None:
+def test_the_parser_announces_an_oversized_value_and_continues_after_it() -> None:
     ring = Ring()
     parser = Parser(ring, max_value_bytes=MAX_STREAMED_BYTES)
     ring.write(b"*3\r\n" + bulk(VALUE) + REST + b"+OK\r\n")
@@ -260,7 +260,9 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @pytest.mark.parametrize("first", ["cache", "origin"])
-def test_of_two_copies_the_first_to_begin_passes_and_no_other(first: str, cancelling: bool) -> None:
+def test_of_two_hedged_attempts_only_the_first_to_start_is_streamed(
+    first: str, cancelling: bool
+) -> None:
     s = Sockets()
     d = s.node.host.deployment
     s.node.host.reconfigured(
