--- a/hookpitch/startup/__init__.py
+++ b/hookpitch/startup/__init__.py
@@ -1,2 +1,3 @@
-"""What many nodes that start at once must not do to discovery, cache servers and origin. No I/O,
-no clock."""
+"""What a node's start needs so that many nodes may start at once without harm to discovery, cache
+servers and origin: a poll schedule, phases with bounds, and snapshots of what was learned. No I/O
+and no clock."""
