--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -1,32 +1,30 @@
-"""What is taken from a running node for its snapshot, and what of one a node that starts may
-believe.
-
-Each thing learned fades with its age a: it counts by 0.5 ** (a / HALF_LIFE_MS), between what a node
-that knows
-nothing begins with and what was learned. So a snapshot of an hour ago shuns nobody and trusts
-nobody:
-
-- a server's limit and the origin's lie between the start's and the one learned. Nodes that were
-  all stopped
-  and start together begin at the sum at which they had stopped, which the origin bore;
-- a server off the path stays off until its pause would have ended, cut by the age; a server that
-  has started
-  since (the list tells) is cold, and nothing else of it counts; where all servers would be off,
-  none is;
-- a cold time that is not over goes on, never for longer than a cold start;
-- moved buckets stay moved for as long as what they were moved by is young (a weight of a quarter);
-- heavy buckets keep their sightings, faded: their keys are spread from the first RPC on;
-- bans by an operator hold as long as the snapshot is taken at all: they are orders, no findings;
-- the list goes before the one told at the start where its version is higher; discovery's goes
-  before both.
-
-The functions know the decisions' own state (`balancer/decisions.py`) and change it through this
-one place.
+"""What a router has learned, taken into a snapshot, and what of a snapshot a new router may trust.
+
+Everything learned decays with its age a: it counts with weight 0.5 ** (a / HALF_LIFE_MS), between
+the value of a router that knows nothing and the value learned. So an hour-old snapshot neither
+ejects nor favours a backend:
+
+- concurrency limits, the origin's among them, lie between the initial and the learned one. Nodes
+  that were all stopped and start together begin at the sum at which they had stopped, which the
+  origin bore;
+- an ejected backend stays ejected until its ejection would have ended, shortened by the age; one
+  that has restarted since (by discovery's word) starts warm-up, and nothing else of it counts;
+  where all backends would be ejected, none is;
+- a warm-up that is not over goes on, never for longer than a whole one;
+- moved buckets stay moved while the reason for it is young (a weight of a quarter);
+- hot buckets keep their request counts, decayed: their keys are spread from the first RPC on;
+- an operator's bans hold as long as the snapshot is accepted at all: they are orders, not findings;
+- the endpoint list overrides the configured one where its version is higher; discovery's overrides
+  both.
+
+Only this module reads and writes the router's inner state (`balancer/`) on behalf of snapshots.
+Times are Unix milliseconds given by the caller. No I/O and no clock.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
 from hookpitch.balancer.decisions import BUCKETS, START_LIMIT, Router, Server
 from hookpitch.balancer.interface import Endpoint, EndpointState
@@ -38,145 +36,261 @@
     Snapshot,
 )
 
-HALF_LIFE_MS = 60000.0  # what was learned so long ago counts by half
-MIN_WEIGHT = 0.25  # the weight from which on a moved bucket stays where it was moved
+# What was learned so long ago counts by half.
+HALF_LIFE_MS = 60000.0
+# Below this weight moves are forgotten, and so are latencies.
+MIN_WEIGHT = 0.25
+MIN_HOT_REQUESTS = 2.0
+MAX_IDLE_MS = 1e9
+MAX_EJECTION_FACTOR = 8
+
+
+class RestoredBackend(NamedTuple):
+    """A backend of the router, and what the snapshot has of the same process."""
+
+    backend: Server
+    learned: BackendSnapshot
+
+
+# ---- capture
 
 
 def capture(
-    router: Router, now: float, fleet: str, name: str, seq: int, dials: Mapping[str, str]
+    router: Router, now: float, fleet: str, name: str, version: int, addresses: Mapping[str, str]
 ) -> Snapshot:
-    """What is known at `now`; `seq` and `dials` as discovery has them. At most a few thousand
-    short steps."""
-    past = lambda at: at if 0 < at < float("inf") else 0.0  # noqa: E731
-    servers = sorted(
+    """What the router knows at `now`, in at most a few thousand short steps.
+
+    `fleet` and `name` identify the node; `version` and `addresses` (by endpoint) are discovery's.
+    """
+    backends = sorted(
         router.servers.values(), key=lambda s: (s is not router.origin, -s.heard, s.id)
     )
-    moved, heavy = [], []
-    for (number, kinds, zones), b in router.buckets.items():
-        if b.at is not None and b.at is not b.home:
-            moved.append((-b.rate, MovedBucket(number, kinds, zones, b.at.id)))
-        if b.seen >= 2:
-            heavy.append((-b.seen, HotBucket(number, kinds, zones, b.seen)))
-    first = lambda pair: pair[0]  # noqa: E731
     return Snapshot(
-        fleet,
-        name,
-        router.kinds,
-        now,
-        seq,
-        tuple(
-            EndpointSnapshot(
-                s.id, s.zone, s.cell, past(s.started), int(s.listed), s.kind, s.size, dials[s.id]
-            )
-            for s in servers
-            if s.id in dials and s.listed != EndpointState.REMOVED
-        ),
-        tuple(
-            BackendSnapshot(
-                s.id,
-                past(s.started),
-                s.limit,
-                s.latency,
-                s.usual,
-                s.failures,
-                s.backoff,
-                past(s.off_until) if s.off else 0.0,
-                past(s.cold_until),
-            )
-            for s in servers
+        fleet=fleet,
+        node=name,
+        kinds=router.kinds,
+        written_at_ms=now,
+        version=version,
+        endpoints=tuple(
+            _captured_endpoint(backend, addresses[backend.id])
+            for backend in backends
+            if backend.id in addresses and backend.listed != EndpointState.REMOVED
         ),
-        tuple(m for _, m in sorted(moved, key=first)),
-        tuple(h for _, h in sorted(heavy, key=first)),
-        router.seen,
-        router.work,
-        router.warm_rate,
-        min(router.idle, 1e9),
-        tuple(router.bans),
+        backends=tuple(_captured_backend(backend) for backend in backends),
+        moved_buckets=_captured_moves(router),
+        hot_buckets=_captured_hot_buckets(router),
+        request_count=router.seen,
+        work_ms=router.work,
+        warm_rate_per_s=router.warm_rate,
+        max_idle_ms=min(router.idle, MAX_IDLE_MS),
+        banned_ids=tuple(router.bans),
+    )
+
+
+def _time_or_never(at: float) -> float:
+    """A time as it is stored: 0 where there is none."""
+    return at if 0 < at < float("inf") else 0.0
+
+
+def _captured_endpoint(backend: Server, address: str) -> EndpointSnapshot:
+    return EndpointSnapshot(
+        id=backend.id,
+        zone=backend.zone,
+        cell=backend.cell,
+        started_at_ms=_time_or_never(backend.started),
+        state=int(backend.listed),
+        kind=backend.kind,
+        size=backend.size,
+        address=address,
     )
 
 
+def _captured_backend(backend: Server) -> BackendSnapshot:
+    return BackendSnapshot(
+        id=backend.id,
+        started_at_ms=_time_or_never(backend.started),
+        concurrency_limit=backend.limit,
+        latency_ms=backend.latency,
+        baseline_latency_ms=backend.usual,
+        consecutive_failures=backend.failures,
+        ejection_ms=backend.backoff,
+        ejected_until_ms=_time_or_never(backend.off_until) if backend.off else 0.0,
+        warmup_until_ms=_time_or_never(backend.cold_until),
+    )
+
+
+def _captured_moves(router: Router) -> tuple[MovedBucket, ...]:
+    """Buckets that are away from their primary, the busiest first."""
+    moved = [
+        (bucket.rate, MovedBucket(number, kinds, zones, bucket.at.id))
+        for (number, kinds, zones), bucket in router.buckets.items()
+        if bucket.at is not None and bucket.at is not bucket.home
+    ]
+    moved.sort(key=lambda pair: -pair[0])
+    return tuple(bucket for _, bucket in moved)
+
+
+def _captured_hot_buckets(router: Router) -> tuple[HotBucket, ...]:
+    """Buckets with many requests, the most first."""
+    hot = [
+        HotBucket(number, kinds, zones, bucket.seen)
+        for (number, kinds, zones), bucket in router.buckets.items()
+        if bucket.seen >= MIN_HOT_REQUESTS
+    ]
+    hot.sort(key=lambda bucket: -bucket.request_count)
+    return tuple(hot)
+
+
+# ---- restore
+
+
 def endpoints(snapshot: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
-    """The list that it holds, and where its servers are dialled."""
-    some = [
+    """The endpoint list of a snapshot, and the address of each endpoint."""
+    listed = [
         Endpoint(e.id, e.zone, e.cell, e.started_at_ms, EndpointState(e.state), e.kind, e.size)
         for e in snapshot.endpoints
         if e.state in (EndpointState.READY, EndpointState.DRAINING)
     ]
-    return some, {e.id: e.address for e in snapshot.endpoints}
+    return listed, {e.id: e.address for e in snapshot.endpoints}
 
 
 def restore(router: Router, now: float, snapshot: Snapshot) -> str:
-    """Told to a node that has its first list and no RPC yet; says in a few words what was
-    believed."""
-    age = max(0.0, now - snapshot.written_at_ms)
-    weight = 0.5 ** (age / HALF_LIFE_MS)
-
-    def between(start: float, learned: float) -> float:
-        return start + (learned - start) * weight
-
-    known = {k.id: k for k in snapshot.backends}
-    believed: list[tuple[Server, BackendSnapshot]] = []
-    for s in router.servers.values():
-        k = known.get(s.id)
-        started = s.started if s.started > 0 else 0.0
-        # Danger: what a process had earned, believed of the one after it, which is cold.
-        if k is not None and s.state == EndpointState.READY and started <= k.started_at_ms:
-            believed.append((s, k))
-    for s, k in believed:
-        s.limit = max(s.least, between(s.limit, k.concurrency_limit))
-        s.latency, s.usual = (
-            k.latency_ms * (weight > MIN_WEIGHT),
-            k.baseline_latency_ms * (weight > MIN_WEIGHT),
-        )
-        cold = min(k.warmup_until_ms, now + router.slow_start_ms)
-        if cold > max(now, s.cold_until) and s is not router.origin:
-            s.cold_until, s.refilled, s.tokens, s.ok = cold, now, 0.0, False
-    caches = [(s, k) for s, k in believed if s is not router.origin]
-    off = [(s, k) for s, k in caches if now < k.ejected_until_ms]
-    ready = sum(s.state == EndpointState.READY for s in router.caches)
-    if (
-        len(off) < ready
-    ):  # Danger: all shunned for what one snapshot says; then no one answers at all.
-        for s, k in off:
-            s.off, s.ok, s.limit, s.failures = (
-                True,
-                False,
-                min(s.limit, START_LIMIT),
-                k.consecutive_failures,
-            )
-            s.backoff = min(8 * router.pause, between(router.pause, k.ejection_ms))
-            s.off_until = now + min(k.ejected_until_ms - now, s.backoff) * weight
-    else:
-        off = []
-    router.work, router.warm_rate = (
-        snapshot.work_ms * (weight > MIN_WEIGHT),
-        between(router.warm_rate, snapshot.warm_rate_per_s),
+    """Put what may be trusted into a router that has its first list and no RPC yet.
+
+    Returns a summary for the log.
+    """
+    age_ms = max(0.0, now - snapshot.written_at_ms)
+    weight = 0.5 ** (age_ms / HALF_LIFE_MS)
+    restored = _same_processes(router, snapshot.backends)
+    for backend, learned in restored:
+        _restore_backend(router, now, backend, learned, weight)
+    ejected = _restore_ejections(router, now, restored, weight)
+    _restore_rates(router, snapshot, weight)
+    hot = _restore_hot_buckets(router, snapshot, weight)
+    moved = _restore_moves(router, snapshot.moved_buckets, weight)
+    for id in snapshot.banned_ids:
+        router.set_banned(now, id, True)
+    return (
+        f"{len(restored)} servers known, {ejected} off the path, {moved} buckets moved, "
+        f"{hot} heavy, {len(snapshot.banned_ids)} banned, {age_ms / 1000:.0f} s old"
     )
+
+
+def _decayed(initial: float, learned: float, weight: float) -> float:
+    return initial + (learned - initial) * weight
+
+
+def _same_processes(router: Router, known: Iterable[BackendSnapshot]) -> list[RestoredBackend]:
+    """Ready backends of which the snapshot knows the same process.
+
+    A process that has started since is cold, whatever the one before it had earned.
+    """
+    by_id = {learned.id: learned for learned in known}
+    found = []
+    for backend in router.servers.values():
+        learned = by_id.get(backend.id)
+        if learned is None or backend.state != EndpointState.READY:
+            continue
+        if _time_or_never(backend.started) <= learned.started_at_ms:
+            found.append(RestoredBackend(backend, learned))
+    return found
+
+
+def _restore_backend(
+    router: Router, now: float, backend: Server, learned: BackendSnapshot, weight: float
+) -> None:
+    """Concurrency limit, latencies and the rest of a warm-up."""
+    limit = _decayed(backend.limit, learned.concurrency_limit, weight)
+    backend.limit = max(backend.least, limit)
+    young = weight > MIN_WEIGHT
+    backend.latency = learned.latency_ms if young else 0.0
+    backend.usual = learned.baseline_latency_ms if young else 0.0
+    warmup_until = min(learned.warmup_until_ms, now + router.slow_start_ms)
+    if warmup_until > max(now, backend.cold_until) and backend is not router.origin:
+        backend.cold_until = warmup_until
+        backend.refilled = now
+        backend.tokens = 0.0
+        backend.ok = False
+
+
+def _restore_ejections(
+    router: Router, now: float, restored: Iterable[RestoredBackend], weight: float
+) -> int:
+    """Eject again what is still to be ejected; how many.
+
+    None where it would be every ready cache: then no one would answer at all.
+    """
+    ejected = [
+        entry
+        for entry in restored
+        if entry.backend is not router.origin and now < entry.learned.ejected_until_ms
+    ]
+    ready = sum(backend.state == EndpointState.READY for backend in router.caches)
+    if len(ejected) >= ready:
+        return 0
+    for backend, learned in ejected:
+        _eject(router, now, backend, learned, weight)
+    return len(ejected)
+
+
+def _eject(
+    router: Router, now: float, backend: Server, learned: BackendSnapshot, weight: float
+) -> None:
+    backend.off = True
+    backend.ok = False
+    backend.limit = min(backend.limit, START_LIMIT)
+    backend.failures = learned.consecutive_failures
+    longest = MAX_EJECTION_FACTOR * router.pause
+    backend.backoff = min(longest, _decayed(router.pause, learned.ejection_ms, weight))
+    left = min(learned.ejected_until_ms - now, backend.backoff)
+    backend.off_until = now + left * weight
+
+
+def _restore_rates(router: Router, snapshot: Snapshot, weight: float) -> None:
+    """Service time, warm rate and the idle time of connections."""
+    router.work = snapshot.work_ms if weight > MIN_WEIGHT else 0.0
+    router.warm_rate = _decayed(router.warm_rate, snapshot.warm_rate_per_s, weight)
     if snapshot.max_idle_ms > 0:
-        router.idle = min(router.held, max(snapshot.max_idle_ms, router.idle * (1 - weight)))
-    places = {(m.kinds, m.zones) for m in router.methods.values()}
-    heavy = 0
-    for h in snapshot.hot_buckets:
-        if (h.kinds, h.zones) in places and 0 <= h.number < BUCKETS:
-            b = router._bucket(h.number, h.kinds, h.zones)
-            b.seen += h.request_count * weight
+        longest = max(snapshot.max_idle_ms, router.idle * (1 - weight))
+        router.idle = min(router.held, longest)
+
+
+def _is_bucket_of(router: Router, bucket: MovedBucket | HotBucket) -> bool:
+    """Whether some method of this router uses such a bucket."""
+    if not 0 <= bucket.number < BUCKETS:
+        return False
+    return any((m.kinds, m.zones) == (bucket.kinds, bucket.zones) for m in router.methods.values())
+
+
+def _restore_hot_buckets(router: Router, snapshot: Snapshot, weight: float) -> int:
+    """Request counts of hot buckets, decayed; how many buckets are spread by them."""
+    for hot in snapshot.hot_buckets:
+        if _is_bucket_of(router, hot):
+            bucket = router._bucket(hot.number, hot.kinds, hot.zones)
+            bucket.seen += hot.request_count * weight
     router.seen += snapshot.request_count * weight
-    for b in list(router.buckets.values()):
-        if b.seen > 0:
-            router._heavy(b)
-            heavy += b.wide > 0
+    spread = 0
+    for bucket in list(router.buckets.values()):
+        if bucket.seen > 0:
+            router._heavy(bucket)
+            spread += bucket.wide > 0
+    return spread
+
+
+def _restore_moves(router: Router, moves: Iterable[MovedBucket], weight: float) -> int:
+    """Move buckets again to backends that may serve them; how many."""
+    if weight < MIN_WEIGHT:
+        return 0
     moved = 0
-    for m in snapshot.moved_buckets if weight >= MIN_WEIGHT else ():
-        to = router.servers.get(m.backend_id)
-        fits = (m.kinds, m.zones) in places and 0 <= m.number < BUCKETS
-        if not fits or to is None or to.state != EndpointState.READY or to is router.origin:
+    for move in moves:
+        target = router.servers.get(move.backend_id)
+        if target is None or target is router.origin or target.state != EndpointState.READY:
             continue
-        b = router._bucket(m.number, m.kinds, m.zones)
-        if router._open(b, to):
-            b.at, b.chain, moved = to, None, moved + 1
-    for id in snapshot.banned_ids:
-        router.set_banned(now, id, True)
-    return (
-        f"{len(believed)} servers known, {len(off)} off the path, {moved} buckets moved, {heavy} heavy, "  # noqa: E501
-        f"{len(snapshot.banned_ids)} banned, {age / 1000:.0f} s old"
-    )
+        if not _is_bucket_of(router, move):
+            continue
+        bucket = router._bucket(move.number, move.kinds, move.zones)
+        if router._open(bucket, target):
+            bucket.at = target
+            bucket.chain = None
+            moved += 1
+    return moved
