--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -18,7 +18,7 @@
 
 import click
 
-from hookpitch.members.state import MemberState
+from hookpitch.members.messages import MemberState
 from hookpitch.testbed.membership_simulation import Net
 
 
--- a/hookpitch/members/__init__.py
+++ b/hookpitch/members/__init__.py
@@ -1,2 +1,2 @@
-"""Membership among nodes, where an installation allows talk among them; off and not imported
-elsewhere."""
+"""Membership among nodes, for installations that allow traffic between them; off by default, and
+not imported where it is off."""
--- a/hookpitch/members/codec.py
+++ b/hookpitch/members/codec.py
@@ -1,28 +1,28 @@
-"""Members' datagrams, as bytes. No I/O, no clock.
+"""Members' datagrams as bytes.
 
     HKM | format, 1 byte | fleet, 8 bytes | check, 8 bytes | body (msgpack array)
 
 `fleet` is a hash of the fleet's name: another fleet's datagrams are refused unread. `check` is a
-keyed hash
-of the body; the key is empty now. It finds what was cut or turned on the way, and no forger: the
-network has
-to be trusted. A sign-in would fill the key, and nothing else would change here. Records and
-messages are
-arrays that later versions may make longer: what is behind the known fields is skipped. Invariants:
-`read(write(x))` is x; at most `MAX_BYTES` bytes, records that do not fit are left out, the last
-first;
-whatever comes, `read` raises ValueError or gives a message whose fields have the bounds of
-`state.py`.
+keyed hash of the body, with an empty key at present. It detects damage in transit and no forger:
+the network has to be trusted. Authentication would fill the key, and nothing else would change.
+
+Messages and records are arrays that later versions may extend: fields behind the known ones are
+skipped. Invariants: `read(write(message)) == message`, for a message that fits; at most `MAX_BYTES`
+bytes, records that do not fit are left out, the last first; whatever comes, `read` raises
+DatagramError or returns a message within the bounds of `messages.py`. No I/O and no clock.
 """
 
 from __future__ import annotations
 
 import struct
+from collections.abc import Sequence
 from hashlib import blake2b
+from typing import Any
 
 import msgspec
 
-from hookpitch.members.state import (
+from hookpitch.members.errors import MembersError
+from hookpitch.members.messages import (
     MAX_METADATA_BYTES,
     MAX_PAYLOAD_BYTES,
     PARTITIONS,
@@ -32,94 +32,144 @@
     Record,
 )
 
-MAGIC, FORMAT = b"HKM", 1
+MAGIC = b"HKM"
+FORMAT = 1
 HEAD = struct.Struct(">3sB8s8s")
+HASH_BYTES = 8
 MAX_BYTES = 1200
+MAX_DATAGRAM_BYTES = 65535
 MAX_NAME_CHARS = 100
+MAX_COUNT = 1 << 62
+MAX_PARTITION_DIGEST = 1 << 16
+MAX_PORT = 65536
 KINDS = tuple(MessageKind)
 
 
+class DatagramError(MembersError):
+    """A datagram that is refused.
+
+    The text is one word, part of a counter's name: foreign (of another program or fleet), version,
+    torn (damaged) or wrong (a body out of bounds).
+    """
+
+
 class Codec:
-    """Of one fleet."""
+    """Reads and writes the datagrams of one fleet."""
 
     def __init__(self, fleet: str, key: bytes = b"") -> None:
-        self.fleet, self.key = blake2b(fleet.encode(), digest_size=8).digest(), key
-
-    def write(self, m: Message) -> bytes:
-        news = [
-            (
-                r.name,
-                r.address[0],
-                r.address[1],
-                r.incarnation,
-                int(r.state),
-                r.accuser,
-                r.metadata_version,
-                r.metadata,
-            )
-            for r in m.records
-        ]
+        self.fleet = blake2b(fleet.encode(), digest_size=HASH_BYTES).digest()
+        self.key = key
+
+    def write(self, message: Message) -> bytes:
+        """The datagram, without the records that do not fit."""
+        records = [_record_fields(record) for record in message.records]
         while True:
-            fields = [
-                int(m.kind),
-                m.sender,
-                m.number,
-                m.of,
-                m.full_sync,
-                news,
-                m.partition_digests,
-                m.payload,
-            ]
+            fields = (
+                int(message.kind),
+                message.sender,
+                message.sequence,
+                message.target,
+                message.full_sync,
+                records,
+                message.partition_digests,
+                message.payload,
+            )
             body = msgspec.msgpack.encode(fields)
-            if len(body) + HEAD.size <= MAX_BYTES or not news:
-                return HEAD.pack(MAGIC, FORMAT, self.fleet, self._check(body)) + body
-            news.pop()
-
-    def _check(self, body: bytes) -> bytes:
-        return blake2b(body, digest_size=8, key=self.key).digest()
+            if HEAD.size + len(body) <= MAX_BYTES or not records:
+                return HEAD.pack(MAGIC, FORMAT, self.fleet, self.checksum(body)) + body
+            records.pop()
 
     def read(self, data: bytes) -> Message:
-        """ValueError says in one word why it is none: foreign, version, torn or wrong."""
-        if len(data) < HEAD.size or len(data) > 65535:
-            raise ValueError("torn")
-        magic, form, fleet, check = HEAD.unpack_from(data)
-        if magic != MAGIC or fleet != self.fleet:
-            raise ValueError("foreign")
-        if form != FORMAT:
-            raise ValueError("version")
-        body = data[HEAD.size :]
-        if self._check(body) != check:
-            raise ValueError("torn")
+        """The message that `data` holds. Raises DatagramError."""
+        body = self._verified_body(data)
         try:
-            kind, sender, number, of, whole, news, *more = msgspec.msgpack.decode(body)
-            marks, data, *_ = *more, *((), b"")[len(more) :]  # earlier versions tell neither
-            marks = tuple(marks)
-            _fits(
-                len(marks) in (0, PARTITIONS)
-                and all(type(m) is int and 0 <= m < 1 << 16 for m in marks)
-            )
-            _fits(type(data) is bytes and len(data) <= MAX_PAYLOAD_BYTES)
-            name = lambda x: type(x) is str and 0 < len(x) <= MAX_NAME_CHARS  # noqa: E731
-            count = lambda x: type(x) is int and 0 <= x < 1 << 62  # noqa: E731
-            records = tuple(
-                Record(n, (h, p), i, MemberState(s), a, c, f)
-                for n, h, p, i, s, a, c, f, *_ in news
-                if _fits(name(n) and name(h) and count(p) and p < 65536 and count(i) and count(c))
-                and _fits(
-                    type(a) is str
-                    and len(a) <= MAX_NAME_CHARS
-                    and type(f) is bytes
-                    and len(f) <= MAX_METADATA_BYTES
-                )
-            )
-            _fits(name(sender) and count(number) and type(of) is str and len(of) <= MAX_NAME_CHARS)
-            _fits(type(whole) is bool and type(kind) is int and 0 <= kind < len(KINDS))
+            return _message(msgspec.msgpack.decode(body))
         except (msgspec.MsgspecError, ValueError, TypeError) as fault:
-            raise ValueError("wrong") from fault
-        return Message(KINDS[kind], sender, number, of, records, whole, marks, data)
+            raise DatagramError("wrong") from fault
+
+    def checksum(self, body: bytes) -> bytes:
+        """The keyed hash of a body."""
+        return blake2b(body, digest_size=HASH_BYTES, key=self.key).digest()
+
+    def _verified_body(self, data: bytes) -> bytes:
+        if not HEAD.size <= len(data) <= MAX_DATAGRAM_BYTES:
+            raise DatagramError("torn")
+        magic, format_number, fleet, checksum = HEAD.unpack_from(data)
+        if magic != MAGIC or fleet != self.fleet:
+            raise DatagramError("foreign")
+        if format_number != FORMAT:
+            raise DatagramError("version")
+        body = data[HEAD.size :]
+        if self.checksum(body) != checksum:
+            raise DatagramError("torn")
+        return body
+
+
+def _record_fields(record: Record) -> tuple[Any, ...]:
+    host, port = record.address
+    return (
+        record.name,
+        host,
+        port,
+        record.incarnation,
+        int(record.state),
+        record.accuser,
+        record.metadata_version,
+        record.metadata,
+    )
+
+
+def _message(fields: Any) -> Message:  # noqa: ANN401 - whatever a datagram holds
+    """Raises ValueError or TypeError where a field is out of bounds."""
+    kind, sender, sequence, target, full_sync, records, *more = fields
+    # Earlier versions send neither of these.
+    digests = tuple(more[0]) if len(more) > 0 else ()
+    payload = more[1] if len(more) > 1 else b""
+    _require(len(digests) in (0, PARTITIONS))
+    _require(all(type(d) is int and 0 <= d < MAX_PARTITION_DIGEST for d in digests))
+    _require(_is_bytes(payload, MAX_PAYLOAD_BYTES))
+    _require(_is_name(sender) and _is_count(sequence) and _is_text(target))
+    _require(type(full_sync) is bool)
+    _require(type(kind) is int and 0 <= kind < len(KINDS))
+    return Message(
+        kind=KINDS[kind],
+        sender=sender,
+        sequence=sequence,
+        target=target,
+        records=tuple(_record(record) for record in records),
+        full_sync=full_sync,
+        partition_digests=digests,
+        payload=payload,
+    )
+
+
+def _record(fields: Sequence[Any]) -> Record:
+    name, host, port, incarnation, state, accuser, metadata_version, metadata, *_ = fields
+    _require(_is_name(name) and _is_name(host))
+    _require(_is_count(port) and port < MAX_PORT)
+    _require(_is_count(incarnation) and _is_count(metadata_version))
+    _require(_is_text(accuser) and _is_bytes(metadata, MAX_METADATA_BYTES))
+    return Record(
+        name, (host, port), incarnation, MemberState(state), accuser, metadata_version, metadata
+    )
+
+
+def _is_text(value: object) -> bool:
+    return type(value) is str and len(value) <= MAX_NAME_CHARS
+
+
+def _is_name(value: object) -> bool:
+    return _is_text(value) and value != ""
+
+
+def _is_count(value: object) -> bool:
+    return type(value) is int and 0 <= value < MAX_COUNT
+
+
+def _is_bytes(value: object, longest: int) -> bool:
+    return type(value) is bytes and len(value) <= longest
 
 
-def _fits(holds: bool) -> bool:
+def _require(holds: bool) -> None:
     if not holds:
         raise ValueError("out of bounds")
-    return True
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -1,294 +1,314 @@
-"""Members on UDP: `[members]` in the operator's file; off, and not imported, where there is none.
-
-    [members]
-    listen = "10.0.0.4:7946"                       # this node's own address, as the others dial it
-    fleet = "sydney"
-    seeds = ["10.0.0.5:7946", "10.0.0.6:7946"]     # some that are usually up
-
-    [members.dial]                                 # where what others tell (a member, a server) is
-    found,
-                                                   # if elsewhere
-    "10.9.0.7:7946" = "10.0.0.7:7946"
-
-The state machine decides (`state.py`), the codec reads and writes (`codec.py`); here datagrams
-become calls
-and calls datagrams. A node that discovery has told nothing gets its list from a member
-(`lists.py`): it is
-given to the node as a list known at its start, and discovery is then asked for the whole.
-Invariants: nothing
-that comes raises; at most `RATE_MOST` datagrams are read a second, more are let go and counted.
+"""Membership on UDP: the Twisted adapter; off, and not imported, without a section `[members]`.
+
+The state machine decides (`membership.py`), the codec reads and writes (`codec.py`); here datagrams
+become calls and calls datagrams. A node that discovery has sent no list gets one from a member
+(`endpoint_exchange.py`): it is given to the node like a list known at its start, and discovery is
+then polled for the whole list.
+
+Invariants: nothing that comes raises; at most `MAX_DATAGRAMS_PER_S` datagrams are read a second,
+more are dropped and counted. Times are milliseconds.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
-from typing import Any
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
 from hookpitch.balancer.interface import Endpoint, EndpointState
 from hookpitch.core.chance import draws
-from hookpitch.members.codec import Codec
+from hookpitch.members.codec import Codec, DatagramError
 from hookpitch.members.endpoint_exchange import EndpointExchange, ListStatus, ReceivedList
-from hookpitch.members.state import Address, Membership, MemberState, MessageKind
+from hookpitch.members.errors import MembersError
+from hookpitch.members.member import Member
+from hookpitch.members.membership import Membership
+from hookpitch.members.messages import Address, MemberState, Message, MessageKind
+from hookpitch.members.rate_limit import RateLimit
+from hookpitch.members.settings import Settings, parse_host, settings
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import STATES, read
 from hookpitch.startup.poll_schedule import NEVER
 
-RATE_MOST = 2000  # datagrams read a second: a flood costs no more than that
-AGAIN_MS = 500.0  # until the next try where the address is still held by the process before
-ODD_LOGGED = 3
-HEALTH = {state: word for word, state in STATES.items()}  # as discovery has it
-
-
-@dataclass(frozen=True, slots=True)
-class Settings:
-    listen: Address
-    fleet: str = ""
-    seeds: tuple[Address, ...] = ()
-    dial: Mapping[Address, Address] = field(default_factory=dict)
-
-
-def settings(table: Mapping[str, Any]) -> Settings:
-    """The operator's section, checked; ValueError begins with the name that is wrong."""
-    known = Settings.__slots__
-    for name in table:
-        if name not in known:
-            raise ValueError(f"{name}: no such setting; known are {', '.join(known)}")
-    fleet, seeds, dial = table.get("fleet", ""), table.get("seeds", []), table.get("dial", {})
-    if not isinstance(fleet, str):
-        raise ValueError("fleet: wants a name")
-    if not isinstance(seeds, list):
-        raise ValueError("seeds: wants a list of addresses")
-    if not isinstance(dial, dict):
-        raise ValueError("dial: wants addresses by address")
-    return Settings(
-        _address(table.get("listen"), "listen"),
-        fleet,
-        tuple(_address(s, "seeds") for s in seeds),
-        {_address(a, "dial"): _address(b, "dial") for a, b in dial.items()},
-    )
+__all__ = ["MembershipPort", "Settings", "attach", "settings"]
+
+# A flood of datagrams must not take the node's CPU from RPCs.
+MAX_DATAGRAMS_PER_S = 2000
+# Until the next try to listen, where the process before still holds the address.
+LISTEN_RETRY_MS = 500.0
+MAX_REFUSALS_LOGGED = 3
+# Discovery's words for an endpoint's state.
+HEALTH_WORDS = {state: word for word, state in STATES.items()}
 
 
-def _address(text: object, name: str) -> Address:
-    host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{name}: '{text}' is no address with a port")
-    return host.strip("[]"), int(port)
+class _EndpointList(NamedTuple):
+    """Endpoints, and the address of each."""
 
+    endpoints: list[Endpoint]
+    addresses: dict[str, str]
 
-class Port(DatagramProtocol):
+
+class MembershipPort(DatagramProtocol):
     """One node's place among the members."""
 
     noisy = False
 
     def __init__(
         self,
-        told: Settings,
+        settings: Settings,
         name: str,
         seed: int,
         clock: Clock,
         log: Callable[..., None],
         count: Callable[[str], None],
-        node: Any = None,  # noqa: ANN401
-    ) -> None:  # noqa: ANN401
-        """`node`: whose list of cache servers others may ask for, and which asks others for
-        theirs."""
-        self.told, self.clock, self.count, self.codec = told, clock, count, Codec(told.fleet)
+        node: Any = None,  # noqa: ANN401 - SocketNode, whose module imports none of this package
+    ) -> None:
+        """`node`: whose endpoint list others may request, and which requests theirs."""
+        self.settings = settings
+        self.clock = clock
+        self.count = count
         self.node = node
-        self.log = lambda text: log("members", what=text)
-        # Danger: processes of one node that draw alike. The moment of the start makes them differ.
-        self.members = Membership(
+        self.codec = Codec(settings.fleet)
+        self.listening: Any = None
+        # Processes of one node must not draw alike: the moment of the start makes them differ.
+        start_seed = seed ^ int(clock.now())
+        self.membership = Membership(
             clock.now(),
             name,
-            told.listen,
-            told.seeds,
-            draws(seed ^ int(clock.now()), "members"),
-            self.log,
-        )
-        self.lists = EndpointExchange(
-            clock.now(), name, draws(seed ^ int(clock.now()), "lists"), count
+            settings.listen,
+            settings.seeds,
+            draws(start_seed, "members"),
+            self._log,
         )
-        self.version = 0  # of the list taken
-        self.waiting: tuple[list[Endpoint], dict[str, str]] | None = (
-            None  # taken, and not given yet
-        )
-        self.listening: Any = None
-        self._second, self._read, self._odd = 0, 0, 0
-
-    def start(self, reactor: Any) -> None:  # noqa: ANN401
-        """Listen, now or as soon as the process before lets go; from then on it is a member."""
+        self.exchange = EndpointExchange(clock.now(), name, draws(start_seed, "lists"), count)
+        self._log_event = log
+        self._accepted_version = 0  # of the list that a member sent
+        self._pending_list: _EndpointList | None = None  # accepted, and not given to the node yet
+        self._rate_limit = RateLimit(MAX_DATAGRAMS_PER_S)
+        self._refusals = 0
+
+    # ---- service
+
+    def start(self, reactor: Any) -> None:  # noqa: ANN401 - any of Twisted's reactors
+        """Listen, now or as soon as the process before has left the address."""
+        host, port = self.settings.listen
         try:
-            self.listening = reactor.listenUDP(
-                self.told.listen[1], self, interface=self.told.listen[0]
-            )
+            self.listening = reactor.listenUDP(port, self, interface=host)
         except CannotListenError:
-            self.clock.deadlines.add(self.clock.now() + AGAIN_MS, lambda _: self.start(reactor))
+            retry_at = self.clock.now() + LISTEN_RETRY_MS
+            self.clock.deadlines.add(retry_at, lambda _: self.start(reactor))
             return
         self.tick(self.clock.now())
 
+    def leave(self) -> None:
+        """Say goodbye, and stop listening."""
+        if self.listening is None or self.membership.leaving:
+            return
+        self.membership.leave(self.clock.now())
+        self.flush()
+        self.listening.stopListening()
+        self.listening = None
+
     def tick(self, now: float) -> None:
+        """Do what is due, and schedule the next call."""
         if self.listening is None:
             return
-        if now >= self.members.due:
-            self.members.tick(now)
-        due = self.members.due
+        if now >= self.membership.due:
+            self.membership.tick(now)
+        due = self.membership.due
         if self.node is not None:
-            due = min(due, self.lists.tick(now, self.held(), self._others()))
-            self._give()
+            due = min(due, self.exchange.tick(now, self.list_status(), self._exchange_members()))
+            self._give_pending_list()
         self.flush()
         self.clock.deadlines.add(max(due, now + 1.0), self.tick)
 
+    # ---- datagrams
+
     def flush(self) -> None:
-        out, self.members.outbox = self.members.outbox + self.lists.outbox, []
-        self.lists.outbox = []
-        for to, message in out:
+        """Send all that is to be sent."""
+        outbox = self.membership.take_outbox() + self.exchange.outbox
+        self.exchange.outbox = []
+        for address, message in outbox:
             try:
-                self.transport.write(self.codec.write(message), self.told.dial.get(to, to))
-            except OSError:  # no route, or no room: as if lost on the way
+                data = self.codec.write(message)
+                self.transport.write(data, self.settings.dial.get(address, address))
+            except OSError:  # no route or no buffer: as if lost in transit
                 self.count("members.unsent")
 
-    def datagramReceived(self, data: bytes, addr: Address) -> None:  # noqa: N802
+    def datagramReceived(self, data: bytes, addr: Address) -> None:
+        """Called by Twisted for each datagram."""
         now = self.clock.now()
-        second = int(now // 1000)
-        self._read = self._read + 1 if second == self._second else 1
-        self._second = second
-        if self._read > RATE_MOST:  # Danger: a flood of datagrams takes the node's CPU from RPCs.
+        if not self._rate_limit.allow(now):
             self.count("members.flood")
             return
         try:
             message = self.codec.read(data)
-        except ValueError as why:
-            self.count(f"members.{why}")
-            self._odd += 1
-            if self._odd <= ODD_LOGGED:
-                self.log(f"a datagram from {addr[0]}:{addr[1]} is {why}")
+        except DatagramError as error:
+            self._refused(addr, error)
             return
-        self.members.receive(now, addr[:2], message)
-        if self.node is not None and message.kind == MessageKind.LIST_REQUEST:
-            self.lists.handle_request(now, addr[:2], message, self.held(), self._list)
-        elif self.node is not None and message.kind == MessageKind.LIST_CHUNK:
-            taken = self.lists.handle_chunk(now, addr[:2], message, self.held())
-            if taken is not None:
-                self._take(taken)
+        source = addr[:2]
+        self.membership.receive(now, source, message)
+        if self.node is not None:
+            self._exchange_list(now, source, message)
         self.flush()
 
-    # ---- lists of cache servers
-
-    def held(self) -> ListStatus:
-        discovery, counts = self.node.discovery, self.node.host.counters.counts
-        told = "lists.full" in counts or "lists.delta" in counts
-        # Danger: a version that a member told, kept above discovery's own count once that has been
-        # heard.
-        version = discovery.seq if told else max(discovery.seq, self.version)
-        return ListStatus(version, told, told and discovery.poll_schedule.due_at == NEVER)
-
-    def _others(self) -> list[Address]:
-        """Who may be asked for a list: all that live, as others tell of them, and the seeds."""
-        known = [
-            m.record.address
-            for m in self.members.members.values()
-            if m.record.state == MemberState.ALIVE
+    def _refused(self, source: Address, error: DatagramError) -> None:
+        self.count(f"members.{error}")
+        self._refusals += 1
+        if self._refusals <= MAX_REFUSALS_LOGGED:
+            self._log(f"a datagram from {source[0]}:{source[1]} is {error}")
+
+    def _log(self, text: str) -> None:
+        self._log_event("members", what=text)
+
+    # ---- endpoint lists
+
+    def list_status(self) -> ListStatus:
+        """What the node holds now.
+
+        A version that a member sent counts only until discovery has sent a list: its own count may
+        be lower.
+        """
+        discovery = self.node.discovery
+        counts = self.node.host.counters.counts
+        from_discovery = "lists.full" in counts or "lists.delta" in counts
+        version = discovery.seq
+        if not from_discovery:
+            version = max(version, self._accepted_version)
+        watch_is_open = discovery.poll_schedule.due_at == NEVER
+        return ListStatus(version, from_discovery, from_discovery and watch_is_open)
+
+    def _exchange_list(self, now: float, source: Address, message: Message) -> None:
+        if message.kind == MessageKind.LIST_REQUEST:
+            self.exchange.handle_request(
+                now, source, message, self.list_status(), self._list_document
+            )
+        elif message.kind == MessageKind.LIST_CHUNK:
+            received = self.exchange.handle_chunk(now, source, message, self.list_status())
+            if received is not None:
+                self._accept_list(received)
+
+    def _exchange_members(self) -> list[Address]:
+        """Who may be asked for a list: the seeds, and all members that are alive."""
+        alive = [
+            member.record.address
+            for member in self.membership.members.values()
+            if member.record.state == MemberState.ALIVE
         ]
-        return [a for a in dict.fromkeys((*self.told.seeds, *known)) if a != self.told.listen]
-
-    def _list(self) -> bytes:
-        """What this node holds, in discovery's own words."""
-        host, dials, kinds = (
-            self.node.host,
-            self.node.pools.dials(),
-            self.node.host.deployment.kinds,
-        )
+        known = dict.fromkeys((*self.settings.seeds, *alive))
+        return [address for address in known if address != self.settings.listen]
+
+    def _list_document(self) -> bytes:
+        """The list that this node holds, as discovery's JSON."""
+        host = self.node.host
+        addresses = self.node.pools.dials()
+        kinds = host.deployment.kinds
         hosts = [
             {
-                "host": s.id,
-                "dial": dials[s.id],
-                "site": s.zone,
-                "block": s.cell,
-                "share": s.size,
-                "born_ms": max(0.0, s.started),
-                "health": HEALTH[s.listed],
-                "class": kinds[s.kind] if 0 <= s.kind < len(kinds) else "",
+                "host": backend.id,
+                "dial": addresses[backend.id],
+                "site": backend.zone,
+                "block": backend.cell,
+                "share": backend.size,
+                "born_ms": max(0.0, backend.started),
+                "health": HEALTH_WORDS[backend.listed],
+                "class": kinds[backend.kind] if 0 <= backend.kind < len(kinds) else "",
             }
-            for s in host.router.servers.values()
-            if s.id in dials and s.listed != EndpointState.REMOVED
+            for backend in host.router.servers.values()
+            if backend.id in addresses and backend.listed != EndpointState.REMOVED
         ]
         return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
 
-    def _take(self, taken: ReceivedList) -> None:
+    def _accept_list(self, received: ReceivedList) -> None:
+        """Check a list that has come, and give it to the node."""
+        host, port = received.source
         try:
-            d = self.node.host.deployment
-            version, whole, entries, dials = read(taken.text, d.kinds)
-            ready = any(e.state == EndpointState.READY and e.kind != d.origin_kind for e in entries)
-            if version != taken.version or not whole or not ready:
-                raise ValueError("no list to begin with")
-        except ValueError as why:
+            endpoints, addresses = self._checked_list(received)
+        except ValueError as error:
             self.count("members.lists_wrong")
-            self.log(f"a list from {taken.source[0]}:{taken.source[1]} is wrong: {why}")
+            self._log(f"a list from {host}:{port} is wrong: {error}")
             return
         self.count("members.lists_taken")
-        self.log(
-            f"list {version} from {taken.source[0]}:{taken.source[1]}, {taken.age:.0f} ms old, "
-            f"servers {len(entries)}"
+        self._log(
+            f"list {received.version} from {host}:{port}, {received.age_ms:.0f} ms old, "
+            f"servers {len(endpoints)}"
         )
-        self.version, self.waiting = (
-            version,
-            (entries, {id: self._found(at) for id, at in dials.items()}),
+        self._accepted_version = received.version
+        reached = {id: self._reached_at(address) for id, address in addresses.items()}
+        self._pending_list = _EndpointList(endpoints, reached)
+        self._give_pending_list()
+
+    def _checked_list(self, received: ReceivedList) -> _EndpointList:
+        """Raises ValueError where the list is malformed, or no node can start with it."""
+        deployment = self.node.host.deployment
+        version, is_whole, endpoints, addresses = read(received.document, deployment.kinds)
+        has_ready_cache = any(
+            endpoint.state == EndpointState.READY and endpoint.kind != deployment.origin_kind
+            for endpoint in endpoints
         )
-        self._give()
-
-    def _found(self, told: str) -> str:
-        """Where a server that another member tells of is dialled from here."""
-        host, _, port = told.rpartition(":")
-        there = self.told.dial.get((host.strip("[]"), int(port)))
-        return told if there is None else f"{there[0]}:{there[1]}"
-
-    def _give(self) -> None:
-        """The node serves by a member's list until discovery tells one."""
-        # Danger: a call that is out asked for changes since the list of before; they would be put
-        # on this one, and what it has wrong would stay. Once it has failed, the next asks for the
-        # whole.
-        if self.waiting is None or self.node.discovery.current is not None:
+        if version != received.version or not is_whole or not has_ready_cache:
+            raise MembersError("no list to begin with")
+        return _EndpointList(endpoints, addresses)
+
+    def _reached_at(self, address: str) -> str:
+        """Where an endpoint that another member sent is dialled from here."""
+        host, _, port = address.rpartition(":")
+        reached = self.settings.dial.get((parse_host(host), int(port)))
+        return address if reached is None else f"{reached[0]}:{reached[1]}"
+
+    def _give_pending_list(self) -> None:
+        """Let the node serve by a member's list until discovery sends one.
+
+        Not during a poll: its response may hold changes to the list before, which would be applied
+        to this one. Once the poll has failed, the next asks for the whole list.
+        """
+        pending = self._pending_list
+        if pending is None or self.node.discovery.current is not None:
             return
-        (entries, dials), self.waiting = self.waiting, None
-        if not self.held().told:
-            self.node.known(0, entries, dials)
+        self._pending_list = None
+        if not self.list_status().from_discovery:
+            self.node.known(0, pending.endpoints, pending.addresses)
 
-    def leave(self) -> None:
-        """Say goodbye; datagrams that come are heard no more."""
-        if self.listening is not None and not self.members.leaving:
-            self.members.leave(self.clock.now())
-            self.flush()
-            self.listening.stopListening()
-            self.listening = None
+    # ---- operators
 
     def lines(self) -> list[str]:
-        """The view for on-call staff: its version, then a line a member."""
-        view, now = self.members.view, self.clock.now()
-        found = [
+        """The answer to MEMBERS: a line of the view, then one for each member."""
+        view = self.membership.view
+        summary = (
             f"view={view.version} members={len(view.members)} part={view.visible_fraction:.2f} "
-            f"slow={self.members.health_penalty}"
-        ]
-        for name in sorted(self.members.members):
-            m = self.members.members[name]
-            r = m.record
-            by = f" by={r.accuser}" if r.accuser else ""
-            held = " flapping" if name not in view.members and r.state == 0 else ""
-            found.append(
-                f"{name} {r.state.name.lower()}{held} for={max(0.0, now - m.since) / 1000:.1f}s "
-                f"incarnation={r.incarnation} at={r.address[0]}:{r.address[1]}{by}"
-            )
-        return found
+            f"slow={self.membership.detector.health.penalty}"
+        )
+        members = self.membership.members
+        now = self.clock.now()
+        lines = [self._member_line(name, members[name], now) for name in sorted(members)]
+        return [summary, *lines]
+
+    def _member_line(self, name: str, member: Member, now: float) -> str:
+        record = member.record
+        state = record.state.name.lower()
+        if record.state == MemberState.ALIVE and name not in self.membership.view.members:
+            state += " flapping"
+        seconds = max(0.0, now - member.state_since) / 1000
+        host, port = record.address
+        by = f" by={record.accuser}" if record.accuser else ""
+        return (
+            f"{name} {state} for={seconds:.1f}s "
+            f"incarnation={record.incarnation} at={host}:{port}{by}"
+        )
 
 
-def attach(told: Settings, node: Any) -> Port:  # noqa: ANN401
-    """A node becomes a member as it serves, and says goodbye as it leaves."""
-    d = node.config.deployment
-    port = Port(
-        told, node.config.name, d.seed, node.clock, node.logger.info, node.host.counters.add, node
+def attach(settings: Settings, node: Any) -> MembershipPort:  # noqa: ANN401 - SocketNode
+    """Make the node a member while it serves; it says goodbye as it leaves."""
+    port = MembershipPort(
+        settings,
+        node.config.name,
+        node.config.deployment.seed,
+        node.clock,
+        node.logger.info,
+        node.host.counters.add,
+        node,
     )
     node.peers = port
     return port
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -15,7 +15,8 @@
 
 from hookpitch.core.chance import draws
 from hookpitch.members.codec import Codec
-from hookpitch.members.state import Address, Membership, MemberState
+from hookpitch.members.membership import Membership
+from hookpitch.members.messages import Address, MemberState
 
 DELAY_MS = (0.3, 2.0)
 
@@ -74,8 +75,7 @@
         self.at(max(1.0, m.due - self.now), lambda: self.run(name, m))
 
     def flush(self, name: str, m: Membership) -> None:
-        outbox, m.outbox = m.outbox, []
-        for to, message in outbox:
+        for to, message in m.take_outbox():
             data = self.codec.write(message)
             self.bytes[name] = self.bytes.get(name, 0) + len(data) + 28
             self.datagrams[name] = self.datagrams.get(name, 0) + 1
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -12,7 +12,7 @@
 
 from hookpitch.members.codec import Codec
 from hookpitch.members.endpoint_exchange import EndpointExchange, ListStatus
-from hookpitch.members.state import PARTITIONS, MemberState, Message, MessageKind, Record
+from hookpitch.members.messages import PARTITIONS, MemberState, Message, MessageKind, Record
 from hookpitch.startup.snapshot_format import (
     BackendSnapshot,
     EndpointSnapshot,
@@ -200,4 +200,4 @@
         ListStatus(5, False, False),
     )
     assert taken is not None and (taken.version, taken.source) == (9, HOLDER)
-    assert taken.age == 50.0 and json.loads(taken.text)["seq"] == 9
+    assert taken.age_ms == 50.0 and json.loads(taken.document)["seq"] == 9
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -26,7 +26,7 @@
     ReceivedList,
     list_digest,
 )
-from hookpitch.members.state import Message, MessageKind
+from hookpitch.members.messages import Message, MessageKind
 
 A, B, C = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
 NOTHING = ListStatus(0, False, False)
@@ -92,7 +92,7 @@
     assert len(p.flying) > 8 and not p.taken
     p.all()
     (taken,) = p.taken
-    assert (taken.version, taken.text, taken.source) == (9, TEXT, A)
+    assert (taken.version, taken.document, taken.source) == (9, TEXT, A)
     p.all()
     p.tick(5000.0)
     p.all()
@@ -114,7 +114,7 @@
                     p.come(-1, keep=p.rng.random() < 0.2)
             if p.taken:
                 break
-        assert [t.text for t in p.taken] == [TEXT], seed
+        assert [t.document for t in p.taken] == [TEXT], seed
 
 
 def test_parts_of_two_lists_are_not_mixed_and_the_newer_goes() -> None:
@@ -127,7 +127,9 @@
     p.all()
     p.tick()
     p.all()
-    assert p.taken[-1].text == TEXT[::-1] and all(t.text in (TEXT, TEXT[::-1]) for t in p.taken)
+    assert p.taken[-1].document == TEXT[::-1] and all(
+        t.document in (TEXT, TEXT[::-1]) for t in p.taken
+    )
     # The teller's list changes between two wishes for parts: it begins anew.
     p = Pair(a=(FRESH, TEXT))
     p.tick(0.0)
@@ -136,7 +138,7 @@
     for _ in range(4):
         p.tick()
         p.all()
-    assert [(t.version, t.text) for t in p.taken] == [(11, TEXT[::-1])]
+    assert [(t.version, t.document) for t in p.taken] == [(11, TEXT[::-1])]
 
 
 @pytest.mark.parametrize(
@@ -163,7 +165,7 @@
     p.at[A] = (ListStatus(9, True, False), b"[]")
     p.tick(MAX_LIST_AGE_MS - 1000.0)
     p.all()
-    assert p.taken[0].age == MAX_LIST_AGE_MS - 1000.0
+    assert p.taken[0].age_ms == MAX_LIST_AGE_MS - 1000.0
     p = Pair(a=(FRESH, b"[]"))
     p.tellers[A].tick(0.0, FRESH, [])
     p.at[A] = (ListStatus(9, True, False), b"[]")
@@ -283,17 +285,17 @@
             texts[version] = TEXT[n:]
             p.at[A] = (ListStatus(version, True, True), texts[version])
         elif what == "told":
-            p.held = ListStatus(p.held.version, n > 25 or p.held.told, False)
+            p.held = ListStatus(p.held.version, n > 25 or p.held.from_discovery, False)
         elif p.flying:
             at = n % len(p.flying)
             before = len(p.taken)
-            told = p.held.told
+            told = p.held.from_discovery
             p.flying.pop(at) if what == "lose" else p.come(at, keep=what == "twice")
             assert len(p.taken) == before or not told
         versions = [t.version for t in p.taken]
         assert versions == sorted(set(versions))
-        assert all(t.text == texts.get(t.version) or t.version > 9 for t in p.taken)
-    assert all(t.text in texts.values() for t in p.taken)
+        assert all(t.document == texts.get(t.version) or t.version > 9 for t in p.taken)
+    assert all(t.document in texts.values() for t in p.taken)
 
 
 # ---- a node's process, and a member under the test's control
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,19 +20,12 @@
 
 from hookpitch.cli import main
 from hookpitch.members.codec import MAX_BYTES, Codec
+from hookpitch.members.dissemination import Dissemination
+from hookpitch.members.failure_detector import PROBE_PERIOD_MS, Probe
+from hookpitch.members.member import MAX_UNCONFIRMED, Member
+from hookpitch.members.membership import MAX_MEMBERS, Membership
+from hookpitch.members.messages import PARTITIONS, MemberState, Message, MessageKind, Record
 from hookpitch.members.port import attach, settings
-from hookpitch.members.state import (
-    MAX_MEMBERS,
-    MAX_UNCONFIRMED,
-    PARTITIONS,
-    PROBE_PERIOD_MS,
-    Member,
-    Membership,
-    MemberState,
-    Message,
-    MessageKind,
-    Record,
-)
 from hookpitch.testbed.experiment import load
 from hookpitch.testbed.membership_simulation import Net
 from hookpitch.testbed.run import Run
@@ -150,12 +143,12 @@
     now += 1000.0  # quiet for so long
     if first == "change":
         m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
-        m._settle(now)
+        m._settle_view(now)
     else:
-        m._settle(now)
+        m._settle_view(now)
         assert "m1" not in m.view.members
         m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
-    m._settle(now + 1000.0)
+    m._settle_view(now + 1000.0)
     assert m.view.members == ("m0", "m1", "m2", "m3")
 
 
@@ -168,9 +161,9 @@
         m.receive(
             now + 200 * n, net.address("m4"), Message(MessageKind.GOSSIP, "m4", records=(gone,))
         )
-        m._settle(now + 200 * n + 50)
+        m._settle_view(now + 200 * n + 50)
     assert m.view.version == before
-    m._settle(now + 1600.0)
+    m._settle_view(now + 1600.0)
     assert m.view.version == before + 1 and m.view.members == ("m0", "m4", "m5")
 
 
@@ -241,7 +234,8 @@
         and len(set(a.partition_digests())) > PARTITIONS // 2
     )
     a.set_metadata(b"news")
-    a.outbox, b.outbox = [], []
+    a.take_outbox()
+    b.take_outbox()
     b.receive(
         net.now,
         a.address,
@@ -346,7 +340,9 @@
     for _ in range(4):
         net.stop(["m4"], 9.0)
         net.go(13)
-    held = [n for n in net.up() if n != "m4" and net.members[n].members["m4"].held > -1e9]
+    held = [
+        n for n in net.up() if n != "m4" and net.members[n].members["m4"].damped_since is not None
+    ]
     assert held and net.members[held[0]].counts["flapping"] >= 1
     net.go(40)
     assert net.agreed() and all("m4" in net.members[n].view.members for n in net.up())
@@ -418,8 +414,12 @@
             ("10.9.0.1", 7),
             Message(MessageKind.GOSSIP, "m1", records=(Record(f"x{n}", ("x", 1), 1, state),)),
         )
-    m.outbox.clear()
-    assert len(m.members) == MAX_MEMBERS and len(m._news) <= MAX_MEMBERS and m.counts["crowded"] > 0
+    m.take_outbox()
+    assert (
+        len(m.members) == MAX_MEMBERS
+        and len(m.dissemination.transmissions) <= MAX_MEMBERS
+        and m.counts["crowded"] > 0
+    )
     assert all(m.state_of(f"m{n}") == MemberState.ALIVE for n in range(6))
 
 
@@ -451,7 +451,7 @@
             for other, address in at.items():
                 if other != n:
                     m.members[other] = Member(Record(other, address, 1, MemberState.ALIVE), 0.0)
-            m._change(0.0)  # its view has them from the first quiet second on
+            m.views.note_change(0.0)  # its view has them from the first quiet second on
         self.highest = {
             n: m.members[n].record.incarnation for n, m in self.members.items()
         }  # of each owner
@@ -488,9 +488,8 @@
         for n, m in self.members.items():
             names = {a: o for o, a in self.at.items()}
             self.flying += [
-                (n, names[to], message) for to, message in m.outbox if names.get(to, n) != n
+                (n, names[to], message) for to, message in m.take_outbox() if names.get(to, n) != n
             ]
-            m.outbox = []
         del self.flying[:-8]  # the oldest are lost
         self.check()
 
@@ -536,7 +535,12 @@
             (
                 n,
                 sorted((o, x.record.incarnation, x.record.state) for o, x in m.members.items()),
-                m._probe and (m._probe.of, m._probe.waited, m._probe.answered),
+                m.detector.probe
+                and (
+                    m.detector.probe.target,
+                    m.detector.probe.indirect,
+                    m.detector.probe.answered,
+                ),
             )
             for n, m in self.members.items()
         ]
@@ -609,40 +613,46 @@
 @pytest.mark.parametrize(
     ("wrong", "said"),
     [
-        ({"_of_me": _never}, "for dead"),  # nobody refutes what is said of it
+        # Nobody refutes what is said of it.
+        ({(Membership, "_apply_own_record"): _never}, "for dead"),
+        # Who missed gossip is never told.
         (
-            {"_all": _never, "_gossip": _nothing, "_reach": _never},
+            {
+                (Dissemination, "send_known_records"): _never,
+                (Dissemination, "select_gossip"): _nothing,
+                (Membership, "_reconnect"): _never,
+            },
             "for dead",
-        ),  # who missed news is never told
-        ({"_settle": _once}, "views differ"),
+        ),
+        ({(Membership, "_settle_view"): _once}, "views differ"),
     ],
 )
 def test_with_a_fault_on_purpose_the_dead_do_not_come_back_or_views_stay_apart(
-    wrong: dict[str, Callable], said: str, monkeypatch: pytest.MonkeyPatch
+    wrong: dict[tuple[type, str], Callable], said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for method, made in wrong.items():
-        monkeypatch.setattr(Membership, method, made(getattr(Membership, method)))
+    for (owner, method), made in wrong.items():
+        monkeypatch.setattr(owner, method, made(getattr(owner, method)))
     with pytest.raises(AssertionError, match=said):
         for seed in range(12):
             walked(seed, 120).settle()
 
 
 def _raise_another(right: Callable) -> Callable:
-    def wrong(self: Membership, now: float, name: str, asked: tuple[str, ...] = ()) -> None:
-        m = self.members.get(name)
+    def wrong(self: Membership, now: float, probe: Probe) -> None:
+        m = self.members.get(probe.target)
         if m is not None and m.record.state == MemberState.ALIVE:
             m.record = replace(m.record, incarnation=m.record.incarnation + 1)
-        right(self, now, name, asked)
+        right(self, now, probe)
 
     return wrong
 
 
 def _take_all(right: Callable) -> Callable:
-    def wrong(self: Membership, now: float, r: Record) -> None:
+    def wrong(self: Membership, now: float, r: Record, evidence: str = "") -> None:
         if r.name in self.members and r.name != self.name:
             self.members[r.name].record = r
         else:
-            right(self, now, r)
+            right(self, now, r, evidence)
 
     return wrong
 
@@ -650,8 +660,8 @@
 @pytest.mark.parametrize(
     ("method", "wrong", "said"),
     [
-        ("_accuse", _raise_another, "raised by another"),
-        ("_take", _take_all, "went back|returned"),
+        ("_suspect", _raise_another, "raised by another"),
+        ("_apply_record", _take_all, "went back|returned"),
     ],
 )
 def test_a_fault_put_in_on_purpose_breaks_an_invariant(
@@ -695,7 +705,7 @@
 
     def made(body: object) -> bytes:
         raw = msgspec.msgpack.encode(body)
-        return codec.write(Message(MessageKind.GOSSIP, "m"))[:12] + codec._check(raw) + raw
+        return codec.write(Message(MessageKind.GOSSIP, "m"))[:12] + codec.checksum(raw) + raw
 
     record = ["m1", "10.0.0.1", 7946, 1, 0, "", 0, b""]
     good = [3, "m1", 0, "", False, [[*record, "more", 2]], [7] * PARTITIONS, b"data", {"later": 1}]
@@ -739,7 +749,7 @@
     assert s.node.admin_server.answer(b"MEMBERS") == b"NO no members here"
     port = attach(settings({"listen": "10.0.0.1:7946"}), s.node)
     suspect = Record("n2", ("10.0.0.2", 7946), 3, MemberState.SUSPECTED, "n9")
-    port.members.members["n2"] = Member(suspect, s.node.clock.now())
+    port.membership.members["n2"] = Member(suspect, s.node.clock.now())
     lines = s.node.admin_server.answer(b"MEMBERS").decode().splitlines()
     assert lines[0].startswith("view=0 members=1") and lines[-1] == "END"
     assert any(line.startswith("n2 suspected for=") and line.endswith("by=n9") for line in lines)
@@ -765,7 +775,7 @@
         port.datagramReceived(b"HKM" + bytes([n % 7]) * 40, ("10.0.0.9", 1))
     counts = s.counters.counts
     assert counts["members.foreign"] <= 2000 and counts["members.flood"] >= 3000
-    assert list(port.members.members) == [s.node.config.name]
+    assert list(port.membership.members) == [s.node.config.name]
 
 
 # ---- nodes, with faults between them, in both clocks
@@ -791,7 +801,7 @@
     ]
     found, early, later = verdict(logs)
     assert len(found) == 11 and early == {"n11"} and {"n0", "n1", "n2"} <= later
-    views = {n.node.peers.members.view.members for n in run.nodes.values() if n.node is not None}
+    views = {n.node.peers.membership.view.members for n in run.nodes.values() if n.node is not None}
     assert views == {tuple(sorted(f"n{n}" for n in range(11)))}
 
 
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -16,11 +16,11 @@
 from test_members import World
 
 from hookpitch.members.codec import HEAD, KINDS, MAX_BYTES, MAX_NAME_CHARS, Codec
-from hookpitch.members.state import (
+from hookpitch.members.membership import Membership
+from hookpitch.members.messages import (
     MAX_METADATA_BYTES,
     MAX_RECORDS_PER_DATAGRAM,
     PARTITIONS,
-    Membership,
     MemberState,
     Message,
     MessageKind,
@@ -100,7 +100,7 @@
         body = bytes(true)
     try:
         m = codec.read(
-            codec.write(Message(MessageKind.GOSSIP, "m"))[:12] + codec._check(body) + body
+            codec.write(Message(MessageKind.GOSSIP, "m"))[:12] + codec.checksum(body) + body
         )
     except ValueError as fault:
         assert str(fault) == "wrong"
@@ -165,14 +165,14 @@
 
 
 def test_a_fault_put_in_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = Membership._take
+    right = Membership._apply_record
 
-    def wrong(self: Membership, now: float, r: Record) -> None:
+    def wrong(self: Membership, now: float, r: Record, evidence: str = "") -> None:
         if r.name in self.members and r.name != self.name:
             self.members[r.name].record = r  # old news, too
-        right(self, now, r)
+        right(self, now, r, evidence)
 
-    monkeypatch.setattr(Membership, "_take", wrong)
+    monkeypatch.setattr(Membership, "_apply_record", wrong)
     with pytest.raises(AssertionError, match="an incarnation went back|the dead returned"):
         # Found is enough: it need not be the shortest history, nor the only fault.
         found = settings(
