--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -19,7 +19,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from hookpitch.balancer.interface import Endpoint, EndpointState
-from hookpitch.core.chance import draws
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.members.codec import Codec, DatagramError
 from hookpitch.members.endpoint_exchange import EndpointExchange, ListStatus, ReceivedList
 from hookpitch.members.errors import MembersError
@@ -27,12 +27,12 @@
 from hookpitch.members.membership import Membership
 from hookpitch.members.messages import Address, MemberState, Message, MessageKind
 from hookpitch.members.rate_limit import RateLimit
-from hookpitch.members.settings import Settings, parse_host, settings
+from hookpitch.members.settings import Settings, parse_host, parse_settings
 from hookpitch.net.clock import Clock
-from hookpitch.net.discovery import STATES, read
+from hookpitch.net.endpoint_list import ENDPOINT_STATES, parse_endpoint_list
 from hookpitch.startup.poll_schedule import NEVER
 
-__all__ = ["MembershipPort", "Settings", "attach", "settings"]
+__all__ = ["MembershipPort", "Settings", "attach", "parse_settings"]
 
 # A flood of datagrams must not take the node's CPU from RPCs.
 MAX_DATAGRAMS_PER_S = 2000
@@ -40,7 +40,7 @@
 LISTEN_RETRY_MS = 500.0
 MAX_REFUSALS_LOGGED = 3
 # Discovery's words for an endpoint's state.
-HEALTH_WORDS = {state: word for word, state in STATES.items()}
+HEALTH_WORDS = {state: word for word, state in ENDPOINT_STATES.items()}
 
 
 class _EndpointList(NamedTuple):
@@ -79,10 +79,12 @@
             name,
             settings.listen,
             settings.seeds,
-            draws(start_seed, "members"),
+            seeded_random(start_seed, "members"),
             self._log,
         )
-        self.exchange = EndpointExchange(clock.now(), name, draws(start_seed, "lists"), count)
+        self.exchange = EndpointExchange(
+            clock.now(), name, seeded_random(start_seed, "lists"), count
+        )
         self._log_event = log
         self._accepted_version = 0  # of the list that a member sent
         self._pending_list: _EndpointList | None = None  # accepted, and not given to the node yet
@@ -174,7 +176,7 @@
         discovery = self.node.discovery
         counts = self.node.host.counters.counts
         from_discovery = "lists.full" in counts or "lists.delta" in counts
-        version = discovery.seq
+        version = discovery.version
         if not from_discovery:
             version = max(version, self._accepted_version)
         watch_is_open = discovery.poll_schedule.due_at == NEVER
@@ -203,7 +205,7 @@
     def _list_document(self) -> bytes:
         """The list that this node holds, as discovery's JSON."""
         host = self.node.host
-        addresses = self.node.pools.dials()
+        addresses = self.node.pools.addresses()
         kinds = host.deployment.kinds
         hosts = [
             {
@@ -212,14 +214,16 @@
                 "site": backend.zone,
                 "block": backend.cell,
                 "share": backend.size,
-                "born_ms": max(0.0, backend.started),
-                "health": HEALTH_WORDS[backend.listed],
+                "born_ms": max(0.0, backend.started_at),
+                "health": HEALTH_WORDS[backend.listed_state],
                 "class": kinds[backend.kind] if 0 <= backend.kind < len(kinds) else "",
             }
-            for backend in host.router.servers.values()
-            if backend.id in addresses and backend.listed != EndpointState.REMOVED
+            for backend in host.router.backends.values()
+            if backend.id in addresses and backend.listed_state != EndpointState.REMOVED
         ]
-        return json.dumps({"seq": self.node.discovery.seq, "whole": True, "hosts": hosts}).encode()
+        return json.dumps(
+            {"seq": self.node.discovery.version, "whole": True, "hosts": hosts}
+        ).encode()
 
     def _accept_list(self, received: ReceivedList) -> None:
         """Check a list that has come, and give it to the node."""
@@ -243,7 +247,9 @@
     def _checked_list(self, received: ReceivedList) -> _EndpointList:
         """Raises ValueError where the list is malformed, or no node can start with it."""
         deployment = self.node.host.deployment
-        version, is_whole, endpoints, addresses = read(received.document, deployment.kinds)
+        version, is_whole, endpoints, addresses = parse_endpoint_list(
+            received.document, deployment.kinds
+        )
         has_ready_cache = any(
             endpoint.state == EndpointState.READY and endpoint.kind != deployment.origin_kind
             for endpoint in endpoints
@@ -265,11 +271,11 @@
         to this one. Once the poll has failed, the next asks for the whole list.
         """
         pending = self._pending_list
-        if pending is None or self.node.discovery.current is not None:
+        if pending is None or self.node.discovery.current_watch is not None:
             return
         self._pending_list = None
         if not self.list_status().from_discovery:
-            self.node.known(0, pending.endpoints, pending.addresses)
+            self.node.apply_cached_endpoints(0, pending.endpoints, pending.addresses)
 
     # ---- operators
 
@@ -310,5 +316,5 @@
         node.host.counters.add,
         node,
     )
-    node.peers = port
+    node.membership = port
     return port
--- a/hookpitch/members/settings.py
+++ b/hookpitch/members/settings.py
@@ -35,7 +35,7 @@
     dial: Mapping[Address, Address] = field(default_factory=dict)
 
 
-def settings(table: Mapping[str, Any]) -> Settings:
+def parse_settings(table: Mapping[str, Any]) -> Settings:
     """The section as it stands in the file, checked. Raises SettingsError."""
     known = Settings.__slots__
     for name in table:
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -26,7 +26,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from hookpitch.balancer.decisions import BUCKETS, START_LIMIT, Router, Server
+from hookpitch.balancer.decisions import BUCKETS, START_CONCURRENCY_LIMIT, Backend, Router
 from hookpitch.balancer.interface import Endpoint, EndpointState
 from hookpitch.startup.snapshot_format import (
     BackendSnapshot,
@@ -48,7 +48,7 @@
 class RestoredBackend(NamedTuple):
     """A backend of the router, and what the snapshot has of the same process."""
 
-    backend: Server
+    backend: Backend
     learned: BackendSnapshot
 
 
@@ -63,7 +63,7 @@
     `fleet` and `name` identify the node; `version` and `addresses` (by endpoint) are discovery's.
     """
     backends = sorted(
-        router.servers.values(), key=lambda s: (s is not router.origin, -s.heard, s.id)
+        router.backends.values(), key=lambda s: (s is not router.origin, -s.response_count, s.id)
     )
     return Snapshot(
         fleet=fleet,
@@ -74,15 +74,15 @@
         endpoints=tuple(
             _captured_endpoint(backend, addresses[backend.id])
             for backend in backends
-            if backend.id in addresses and backend.listed != EndpointState.REMOVED
+            if backend.id in addresses and backend.listed_state != EndpointState.REMOVED
         ),
         backends=tuple(_captured_backend(backend) for backend in backends),
         moved_buckets=_captured_moves(router),
         hot_buckets=_captured_hot_buckets(router),
-        request_count=router.seen,
-        work_ms=router.work,
+        request_count=router.recent_requests,
+        work_ms=router.unit_latency_ms,
         warm_rate_per_s=router.warm_rate,
-        max_idle_ms=min(router.idle, MAX_IDLE_MS),
+        max_idle_ms=min(router.idle_limit_ms, MAX_IDLE_MS),
         banned_ids=tuple(router.bans),
     )
 
@@ -92,39 +92,39 @@
     return at if 0 < at < float("inf") else 0.0
 
 
-def _captured_endpoint(backend: Server, address: str) -> EndpointSnapshot:
+def _captured_endpoint(backend: Backend, address: str) -> EndpointSnapshot:
     return EndpointSnapshot(
         id=backend.id,
         zone=backend.zone,
         cell=backend.cell,
-        started_at_ms=_time_or_never(backend.started),
-        state=int(backend.listed),
+        started_at_ms=_time_or_never(backend.started_at),
+        state=int(backend.listed_state),
         kind=backend.kind,
         size=backend.size,
         address=address,
     )
 
 
-def _captured_backend(backend: Server) -> BackendSnapshot:
+def _captured_backend(backend: Backend) -> BackendSnapshot:
     return BackendSnapshot(
         id=backend.id,
-        started_at_ms=_time_or_never(backend.started),
-        concurrency_limit=backend.limit,
-        latency_ms=backend.latency,
-        baseline_latency_ms=backend.usual,
-        consecutive_failures=backend.failures,
-        ejection_ms=backend.backoff,
-        ejected_until_ms=_time_or_never(backend.off_until) if backend.off else 0.0,
-        warmup_until_ms=_time_or_never(backend.cold_until),
+        started_at_ms=_time_or_never(backend.started_at),
+        concurrency_limit=backend.concurrency_limit,
+        latency_ms=backend.latency_ms,
+        baseline_latency_ms=backend.baseline_latency_ms,
+        consecutive_failures=backend.consecutive_failures,
+        ejection_ms=backend.ejection_ms,
+        ejected_until_ms=_time_or_never(backend.ejected_until) if backend.ejected else 0.0,
+        warmup_until_ms=_time_or_never(backend.warmup_until),
     )
 
 
 def _captured_moves(router: Router) -> tuple[MovedBucket, ...]:
     """Buckets that are away from their primary, the busiest first."""
     moved = [
-        (bucket.rate, MovedBucket(number, kinds, zones, bucket.at.id))
+        (bucket.rate, MovedBucket(number, kinds, zones, bucket.assigned.id))
         for (number, kinds, zones), bucket in router.buckets.items()
-        if bucket.at is not None and bucket.at is not bucket.home
+        if bucket.assigned is not None and bucket.assigned is not bucket.primary
     ]
     moved.sort(key=lambda pair: -pair[0])
     return tuple(bucket for _, bucket in moved)
@@ -133,9 +133,9 @@
 def _captured_hot_buckets(router: Router) -> tuple[HotBucket, ...]:
     """Buckets with many requests, the most first."""
     hot = [
-        HotBucket(number, kinds, zones, bucket.seen)
+        HotBucket(number, kinds, zones, bucket.recent_requests)
         for (number, kinds, zones), bucket in router.buckets.items()
-        if bucket.seen >= MIN_HOT_REQUESTS
+        if bucket.recent_requests >= MIN_HOT_REQUESTS
     ]
     hot.sort(key=lambda bucket: -bucket.request_count)
     return tuple(hot)
@@ -187,30 +187,30 @@
     """
     by_id = {learned.id: learned for learned in known}
     found = []
-    for backend in router.servers.values():
+    for backend in router.backends.values():
         learned = by_id.get(backend.id)
         if learned is None or backend.state != EndpointState.READY:
             continue
-        if _time_or_never(backend.started) <= learned.started_at_ms:
+        if _time_or_never(backend.started_at) <= learned.started_at_ms:
             found.append(RestoredBackend(backend, learned))
     return found
 
 
 def _restore_backend(
-    router: Router, now: float, backend: Server, learned: BackendSnapshot, weight: float
+    router: Router, now: float, backend: Backend, learned: BackendSnapshot, weight: float
 ) -> None:
     """Concurrency limit, latencies and the rest of a warm-up."""
-    limit = _decayed(backend.limit, learned.concurrency_limit, weight)
-    backend.limit = max(backend.least, limit)
+    limit = _decayed(backend.concurrency_limit, learned.concurrency_limit, weight)
+    backend.concurrency_limit = max(backend.min_concurrency_limit, limit)
     young = weight > MIN_WEIGHT
-    backend.latency = learned.latency_ms if young else 0.0
-    backend.usual = learned.baseline_latency_ms if young else 0.0
+    backend.latency_ms = learned.latency_ms if young else 0.0
+    backend.baseline_latency_ms = learned.baseline_latency_ms if young else 0.0
     warmup_until = min(learned.warmup_until_ms, now + router.slow_start_ms)
-    if warmup_until > max(now, backend.cold_until) and backend is not router.origin:
-        backend.cold_until = warmup_until
-        backend.refilled = now
-        backend.tokens = 0.0
-        backend.ok = False
+    if warmup_until > max(now, backend.warmup_until) and backend is not router.origin:
+        backend.warmup_until = warmup_until
+        backend.warmup_refilled_at = now
+        backend.warmup_tokens = 0.0
+        backend.available = False
 
 
 def _restore_ejections(
@@ -234,25 +234,27 @@
 
 
 def _eject(
-    router: Router, now: float, backend: Server, learned: BackendSnapshot, weight: float
+    router: Router, now: float, backend: Backend, learned: BackendSnapshot, weight: float
 ) -> None:
-    backend.off = True
-    backend.ok = False
-    backend.limit = min(backend.limit, START_LIMIT)
-    backend.failures = learned.consecutive_failures
-    longest = MAX_EJECTION_FACTOR * router.pause
-    backend.backoff = min(longest, _decayed(router.pause, learned.ejection_ms, weight))
-    left = min(learned.ejected_until_ms - now, backend.backoff)
-    backend.off_until = now + left * weight
+    backend.ejected = True
+    backend.available = False
+    backend.concurrency_limit = min(backend.concurrency_limit, START_CONCURRENCY_LIMIT)
+    backend.consecutive_failures = learned.consecutive_failures
+    longest = MAX_EJECTION_FACTOR * router.base_ejection_ms
+    backend.ejection_ms = min(
+        longest, _decayed(router.base_ejection_ms, learned.ejection_ms, weight)
+    )
+    left = min(learned.ejected_until_ms - now, backend.ejection_ms)
+    backend.ejected_until = now + left * weight
 
 
 def _restore_rates(router: Router, snapshot: Snapshot, weight: float) -> None:
     """Service time, warm rate and the idle time of connections."""
-    router.work = snapshot.work_ms if weight > MIN_WEIGHT else 0.0
+    router.unit_latency_ms = snapshot.work_ms if weight > MIN_WEIGHT else 0.0
     router.warm_rate = _decayed(router.warm_rate, snapshot.warm_rate_per_s, weight)
     if snapshot.max_idle_ms > 0:
-        longest = max(snapshot.max_idle_ms, router.idle * (1 - weight))
-        router.idle = min(router.held, longest)
+        longest = max(snapshot.max_idle_ms, router.idle_limit_ms * (1 - weight))
+        router.idle_limit_ms = min(router.max_idle_ms, longest)
 
 
 def _is_bucket_of(router: Router, bucket: MovedBucket | HotBucket) -> bool:
@@ -266,14 +268,14 @@
     """Request counts of hot buckets, decayed; how many buckets are spread by them."""
     for hot in snapshot.hot_buckets:
         if _is_bucket_of(router, hot):
-            bucket = router._bucket(hot.number, hot.kinds, hot.zones)
-            bucket.seen += hot.request_count * weight
-    router.seen += snapshot.request_count * weight
+            bucket = router.bucket(hot.number, hot.kinds, hot.zones)
+            bucket.recent_requests += hot.request_count * weight
+    router.recent_requests += snapshot.request_count * weight
     spread = 0
     for bucket in list(router.buckets.values()):
-        if bucket.seen > 0:
-            router._heavy(bucket)
-            spread += bucket.wide > 0
+        if bucket.recent_requests > 0:
+            router.track_hot_bucket(bucket)
+            spread += bucket.spread_size > 0
     return spread
 
 
@@ -283,14 +285,14 @@
         return 0
     moved = 0
     for move in moves:
-        target = router.servers.get(move.backend_id)
+        target = router.backends.get(move.backend_id)
         if target is None or target is router.origin or target.state != EndpointState.READY:
             continue
         if not _is_bucket_of(router, move):
             continue
-        bucket = router._bucket(move.number, move.kinds, move.zones)
-        if router._open(bucket, target):
-            bucket.at = target
+        bucket = router.bucket(move.number, move.kinds, move.zones)
+        if router.allows(bucket, target):
+            bucket.assigned = target
             bucket.chain = None
             moved += 1
     return moved
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -25,7 +25,7 @@
 from hookpitch.members.member import MAX_UNCONFIRMED, Member
 from hookpitch.members.membership import MAX_MEMBERS, Membership
 from hookpitch.members.messages import PARTITIONS, MemberState, Message, MessageKind, Record
-from hookpitch.members.port import attach, settings
+from hookpitch.members.port import attach, parse_settings
 from hookpitch.testbed.experiment import load
 from hookpitch.testbed.membership_simulation import Net
 from hookpitch.testbed.run import Run
@@ -741,13 +741,13 @@
 )
 def test_a_slip_in_the_section_is_told_with_its_name(table: dict, said: str) -> None:
     with pytest.raises(ValueError, match=said):
-        settings(table)
+        parse_settings(table)
 
 
 def test_the_door_tells_of_the_members_where_the_node_is_one() -> None:
     s = Sockets(1)
     assert s.node.admin_server.answer(b"MEMBERS") == b"NO no members here"
-    port = attach(settings({"listen": "10.0.0.1:7946"}), s.node)
+    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
     suspect = Record("n2", ("10.0.0.2", 7946), 3, MemberState.SUSPECTED, "n9")
     port.membership.members["n2"] = Member(suspect, s.node.clock.now())
     lines = s.node.admin_server.answer(b"MEMBERS").decode().splitlines()
@@ -770,7 +770,7 @@
 
 def test_a_flood_and_foreign_datagrams_cost_a_bounded_part_and_raise_nothing() -> None:
     s = Sockets(1)
-    port = attach(settings({"listen": "10.0.0.1:7946"}), s.node)
+    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
     for n in range(5000):
         port.datagramReceived(b"HKM" + bytes([n % 7]) * 40, ("10.0.0.9", 1))
     counts = s.counters.counts
@@ -801,7 +801,9 @@
     ]
     found, early, later = verdict(logs)
     assert len(found) == 11 and early == {"n11"} and {"n0", "n1", "n2"} <= later
-    views = {n.node.peers.membership.view.members for n in run.nodes.values() if n.node is not None}
+    views = {
+        n.node.membership.membership.view.members for n in run.nodes.values() if n.node is not None
+    }
     assert views == {tuple(sorted(f"n{n}" for n in range(11)))}
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,9 +8,9 @@
 
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.core.resp import bulk, command
-from hookpitch.core.stream import MOST
-from hookpitch.net import clients
-from hookpitch.net.wire import CHUNK
+from hookpitch.core.stream import MAX_STREAMED_BYTES
+from hookpitch.net import client_registry
+from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES
 
 VALUE = b"*3\r\n" + bulk(b"v") + bulk(b"hit") + bulk(b"outstanding=1,recent_ms=2.5")
 MISS = b"*3\r\n$-1\r\n" + bulk(b"miss") + b"$-1\r\n"
@@ -96,7 +96,7 @@
         (http(503, extra=never), b"-BUSY"),
         (http(504), b"-ERR"),
         (b"rubbish\r\n\r\n", b"-ERR"),
-        (http(200, b"x" * (MOST + 1)), b"-ERR"),
+        (http(200, b"x" * (MAX_STREAMED_BYTES + 1)), b"-ERR"),
     ]
     for answer, said in cases:
         s = Sockets()
@@ -153,10 +153,10 @@
     s.node.host.router.origin_kind = (
         -1
     )  # a write goes to a cache, large enough to leave in two pieces
-    c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v" * CHUNK))
+    c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v" * WRITE_CHUNK_BYTES))
     s.pass_time(1)
     (line,) = [line for port in PORTS for line in s.network.to(port)]
-    assert 0 < len(line.got) == CHUNK
+    assert 0 < len(line.got) == WRITE_CHUNK_BYTES
     line.end()
     assert s.counters.counts == s.counters.counts | {"tx.connect_failed": 1, "tx.sent": 2}
 
@@ -196,7 +196,7 @@
 
 def test_idle_connections_are_not_used_near_their_end() -> None:
     s = Sockets(1)
-    s.node.pools.idle_ms = 500.0
+    s.node.pools.idle_timeout_ms = 500.0
     c = s.client()
     c.say(get("r1"))
     serve(s)
@@ -219,7 +219,9 @@
     c = s.client()
     c.say(get("r1"))
     serve(s, b"-ERR failed outstanding=5,recent_ms=1\r\n")
-    assert s.node.host.router.servers["s0"].load > 1  # the report at an error's end was read
+    assert (
+        s.node.host.router.backends["s0"].reported_load > 1
+    )  # the report at an error's end was read
 
 
 def test_a_good_answer_with_more_behind_it_counts_and_its_connection_ends() -> None:
@@ -239,7 +241,7 @@
         s.pass_time(1)
         assert c.take() == bulk(b"v") and (s.network.to(7000) == []) == ended, answer
         assert (
-            0 <= s.node.host.router.servers["s0"].load + 1 < 3
+            0 <= s.node.host.router.backends["s0"].reported_load + 1 < 3
         )  # figures that cannot be spoil no belief
     for behind, said in ((b"more", bulk(b"one")), (b"", bulk(b"one"))):
         s = Sockets()
@@ -269,7 +271,7 @@
 def test_spoilt_answers_say_nothing_of_a_server_that_gives_good_ones_too() -> None:
     s = Sockets(1)
     c = s.client()
-    origin_limit = s.node.host.router.servers["o1"].limit
+    origin_limit = s.node.host.router.backends["o1"].concurrency_limit
     for i in range(
         12
     ):  # every second answer is noise: the RPC goes to its home again, and to no origin
@@ -277,12 +279,17 @@
         serve(s, b"\xab\r\n" if i % 2 else VALUE)
         serve(s)
     assert c.take() == bulk(b"v") * 12 and s.counters.counts["tx.spoilt"] == 6
-    assert s.node.host.router.servers["s0"].failures == 0 and not s.network.to(ORIGIN_PORT)
+    assert s.node.host.router.backends["s0"].consecutive_failures == 0 and not s.network.to(
+        ORIGIN_PORT
+    )
     for i in range(12):
         c.say(command(b"OBJ.SET", b"k", b"w%d" % i, b"c=once,d=900", b"v"))
         s.pass_time(1)
         origin(s, b"ICY 200 OK\r\n\r\n" if i % 2 else http(200, b"v"))
-    assert c.take().count(b"-ERR") == 6 and s.node.host.router.servers["o1"].limit >= origin_limit
+    assert (
+        c.take().count(b"-ERR") == 6
+        and s.node.host.router.backends["o1"].concurrency_limit >= origin_limit
+    )
     for i in range(12):  # nothing but noise for longer: it is a failure like any other
         c.say(get(f"x{i}"))
         serve(s, b"\xab\r\n")
@@ -336,7 +343,7 @@
     other.say(get("r1", "bb"))
     assert other.take().startswith(b"-ERR ") and len(serve(s)) == 1 and c.take() == bulk(b"v")
     other.say(get("r1", "bb"))
-    assert len(serve(s)) == 1 and other.take() == bulk(b"v") and not s.node.host.ids
+    assert len(serve(s)) == 1 and other.take() == bulk(b"v") and not s.node.host.rpc_ids
 
 
 def test_clients_that_say_nothing_or_half_of_a_command_are_closed_and_no_others() -> None:
@@ -383,12 +390,12 @@
     serve(s)
     (line,) = s.network.to(7000)
     watch(s, {"seq": 6, "whole": False, "hosts": [listed_host("s0", 7000, health="terminated")]})
-    assert list(s.node.pools.pools) == ["o1"]
+    assert list(s.node.pools.by_backend) == ["o1"]
     watch(s, {"seq": 7, "whole": False, "hosts": [listed_host("s0", 7000)]})
     c.say(get("r2"))
     assert len(serve(s)) == 1 and c.take() == bulk(b"v") * 2 and line.ended
     watch(s, {"seq": 8, "whole": True, "hosts": s.hosts[1:]})
-    assert list(s.node.pools.pools) == ["o1"]
+    assert list(s.node.pools.by_backend) == ["o1"]
 
 
 def test_a_customer_over_its_share_is_known_by_its_name() -> None:
@@ -396,12 +403,12 @@
     c = s.client()
     c.say(get("r1").replace(b"c=read,d=900", b"c=read,t=abc"))
     serve(s)
-    full = s.node.host.router.shares["small"].tokens
+    full = s.node.host.router.token_buckets["small"].tokens
     c.say(get("r2").replace(b"c=read,d=900", b"c=read,t=small").replace(b"$12", b"$14"))
     (words,) = serve(s)
     assert (
         words[3].startswith(b"c=read,t=small,d=")
-        and s.node.host.router.shares["small"].tokens < full
+        and s.node.host.router.token_buckets["small"].tokens < full
     )
 
 
@@ -443,7 +450,7 @@
 def test_a_client_that_does_not_read_waits_and_then_is_cut_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "UNREAD_MOST", 1 << 20)
+    monkeypatch.setattr(client_registry, "UNREAD_MOST", 1 << 20)
     s = Sockets(memory_mb=64)
     c, other = s.client(), s.client()
     c.reads = False
@@ -456,7 +463,7 @@
     assert c.paused and 1 << 20 < len(c.protocol.outward) < 2 << 20
     c.reads = True
     assert len(c.take()) > 1 << 20 and not c.paused
-    s.node.clients.memory = 1 << 20
+    s.node.clients.max_reply_bytes = 1 << 20
     c.reads = False
     for i in range(40):
         c.say(get(f"s{i}") if not c.paused else b"")
@@ -468,7 +475,7 @@
 def test_a_burst_of_commands_leaves_others_their_turn_and_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "DUE_MOST", 1024)
+    monkeypatch.setattr(client_registry, "DUE_MOST", 1024)
     s = Sockets()
     c, other = s.client(), s.client()
     c.say(command(b"PING") * 100 + b"".join(get(f"r{i}") for i in range(3000)))
@@ -492,22 +499,22 @@
         lines[-1].say(command(b"PING"))
         lines[-1].take()
     s.pass_time(1)
-    assert len(s.node.clients.open) == 21 and not lines[-1].ended
+    assert len(s.node.clients.connections) == 21 and not lines[-1].ended
 
 
 def test_without_descriptors_idle_connections_go_first_then_rpcs_are_exhausted() -> None:
     s = Sockets()
-    s.node.pools.most = 1
+    s.node.pools.max_descriptors = 1
     c = s.client()
     for key in ("aa", "bb"):
         c.say(get(key, key))
         s.pass_time(1)
-    assert s.node.pools.held == 1 and s.counters.counts["dials.no_room"] >= 1
+    assert s.node.pools.descriptors_used == 1 and s.counters.counts["dials.no_room"] >= 1
     serve(s)
     s.pass_time(500)
     c.say(get("r3", "cc"))
     serve(s)
-    assert b"$1\r\nv" in c.take() and s.node.pools.held <= 2
+    assert b"$1\r\nv" in c.take() and s.node.pools.descriptors_used <= 2
 
 
 def test_after_a_reset_older_idle_connections_are_not_tried_one_by_one() -> None:
@@ -546,10 +553,10 @@
     c.say(get("r1"))
     s.pass_time(1)
     (asked,) = [p for p in PORTS if s.network.to(p)]
-    home = "s0" if s.node.host.router.servers["s0"].live else "s1"
+    home = "s0" if s.node.host.router.backends["s0"].in_flight else "s1"
     assert {"s0": 7001, "s1": 7000}[home] == asked
     watch(s, {"seq": 7, "whole": False, "hosts": [listed_host(home, asked, health="terminating")]})
-    assert s.node.host.router.servers[home].state == EndpointState.DRAINING
+    assert s.node.host.router.backends[home].state == EndpointState.DRAINING
     serve(s)
     assert c.take() == bulk(b"v")  # what it had is finished there
     s.pass_time(1)
@@ -566,7 +573,7 @@
     for told in (old, b"", old):
         watch(s, told)
         assert (
-            s.node.host.router.servers["s0"].state == EndpointState.READY
+            s.node.host.router.backends["s0"].state == EndpointState.READY
             and "lists.full" not in s.counters.counts
         )
         s.pass_time(1000)
@@ -574,8 +581,8 @@
     watch(s, b"")  # it insists: discovery counts anew
     assert asked == s.counters.counts["lists.asked"] == 2  # all on one watch
     assert (
-        s.node.host.router.servers["s0"].state == EndpointState.REMOVED
-        and s.node.discovery.seq == 3
+        s.node.host.router.backends["s0"].state == EndpointState.REMOVED
+        and s.node.discovery.version == 3
     )
 
 
@@ -601,7 +608,8 @@
     )
     watch(s, b"", b"", b"", b"")
     assert (
-        s.node.host.router.servers["s0"].state == EndpointState.READY and s.node.discovery.seq == 5
+        s.node.host.router.backends["s0"].state == EndpointState.READY
+        and s.node.discovery.version == 5
     )
 
 
@@ -613,7 +621,7 @@
         s.pass_time(1)
         origin(s, b"HTTP/1.1 200 X\r\n" + head + b"\r\nval")
         s.network.to(ORIGIN_PORT)[0].end()
-        assert c.take() == said and s.node.pools.held == 0
+        assert c.take() == said and s.node.pools.descriptors_used == 0
 
 
 def test_a_watch_that_ends_lies_or_falls_silent_is_asked_for_anew() -> None:
@@ -648,7 +656,7 @@
 def test_a_node_that_leaves_serves_on_then_answers_what_it_took() -> None:
     s = Sockets()
     idle, busy, halfway = s.client(), s.client(), s.client()
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(400)
     assert not idle.ended
     busy.say(get("r1"))
@@ -667,7 +675,7 @@
     c = s.client()
     unread = [get("r1")]
     c.doRead = lambda: c.say(unread.pop()) if unread else None
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(501)
     serve(s)
     assert c.take() == bulk(b"v")
@@ -678,7 +686,7 @@
 def test_a_node_that_leaves_ends_in_time_whatever_its_clients_do() -> None:
     s = Sockets()
     s.client().say(b"*4\r\n")
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(1649)
     assert not s.network.hasStopped
     s.pass_time(2)
