--- /dev/null
+++ b/hookpitch/members/anti_entropy.py
@@ -0,0 +1,95 @@
+"""Comparisons of all that is known, for what gossip did not reach, and reconnects after partitions.
+
+Now and then a member sends another one a digest; where it differs, both send each other the
+partitions that differ. The interval grows while nothing differs and shrinks when something does.
+Times are milliseconds given by the caller.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from hookpitch.members.dissemination import Dissemination
+from hookpitch.members.member import Member, digest, partition_digests
+from hookpitch.members.messages import Address, MemberState, Message, MessageKind
+
+MIN_SYNC_INTERVAL_MS = 1000.0
+MAX_SYNC_INTERVAL_MS = 16000.0
+# Between two tries to reach a dead member or a seed, in case a partition has ended.
+RECONNECT_INTERVAL_MS = 5000.0
+
+
+class AntiEntropy:
+    """One member's comparisons with others."""
+
+    __slots__ = (
+        "_dissemination",
+        "_members",
+        "_own_name",
+        "_random",
+        "_reconnect_at",
+        "_seeds",
+        "_sync_at",
+        "_sync_interval_ms",
+    )
+
+    def __init__(
+        self,
+        now: float,
+        own_name: str,
+        members: Mapping[str, Member],
+        seeds: tuple[Address, ...],
+        dissemination: Dissemination,
+        random: Callable[[], float],
+    ) -> None:
+        self._own_name = own_name
+        self._members = members
+        self._seeds = seeds
+        self._dissemination = dissemination
+        self._random = random
+        self._sync_at = now
+        self._sync_interval_ms = MIN_SYNC_INTERVAL_MS
+        self._reconnect_at = now
+
+    def tick(self, now: float) -> None:
+        """Compare, and try to reconnect, where it is time to."""
+        if now >= self._sync_at:
+            self._sync_interval_ms = min(MAX_SYNC_INTERVAL_MS, 2 * self._sync_interval_ms)
+            self._sync_at = self._next_sync(now)
+            self.send_digest()
+        if now >= self._reconnect_at:
+            self._reconnect_at = now + RECONNECT_INTERVAL_MS * (0.5 + self._random())
+            self.reconnect()
+
+    def digest_received(self, now: float, source: Address, message: Message) -> None:
+        """Another member sent its digest: exchange what differs, and compare again sooner."""
+        if message.sequence == digest(self._members):
+            return
+        self._sync_interval_ms = max(MIN_SYNC_INTERVAL_MS, self._sync_interval_ms / 4)
+        self._sync_at = min(self._sync_at, self._next_sync(now))
+        self._dissemination.send_known_records(source, True, message.partition_digests)
+
+    def send_digest(self) -> None:
+        """Send the digest of all that is known to some member."""
+        for name in self._dissemination.sample(1):
+            message = Message(
+                MessageKind.DIGEST,
+                self._own_name,
+                digest(self._members),
+                partition_digests=partition_digests(self._members),
+            )
+            self._dissemination.send(name, message)
+
+    def reconnect(self) -> None:
+        """Try a dead member, or a seed that is not known: a partition may have ended."""
+        known = self._members.values()
+        dead = [m.record.address for m in known if m.record.state == MemberState.DEAD]
+        active = {m.record.address for m in known if m.is_active}
+        candidates = [address for address in (*self._seeds, *dead) if address not in active]
+        if candidates:
+            chosen = candidates[int(self._random() * len(candidates)) % len(candidates)]
+            message = Message(MessageKind.GOSSIP, self._own_name, full_sync=True)
+            self._dissemination.send_to(chosen, message)
+
+    def _next_sync(self, now: float) -> float:
+        return now + self._sync_interval_ms * (0.5 + self._random())
--- a/hookpitch/members/endpoint_exchange.py
+++ b/hookpitch/members/endpoint_exchange.py
@@ -164,6 +164,21 @@
     data: bytes
     digest: bytes
 
+    @property
+    def chunk_count(self) -> int:
+        return -(-len(self.data) // CHUNK_BYTES)
+
+    def requested_chunks(self, request: ListRequest) -> list[int]:
+        """Indices; all from the beginning where the list has changed since the last request."""
+        mask = request.chunk_mask
+        if request.digest and request.digest != self.digest:
+            mask = FIRST_CHUNKS
+        return [index for index in range(self.chunk_count) if mask >> index & 1]
+
+    def chunk(self, index: int, age_ms: float) -> ListChunk:
+        data = self.data[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES]
+        return ListChunk(self.version, age_ms, self.digest, index, self.chunk_count, data)
+
 
 class EndpointExchange:
     """One node's requests and answers. `outbox` holds what is to be sent."""
@@ -240,18 +255,15 @@
         if not held.from_discovery or age_ms > MAX_LIST_AGE_MS or held.version <= request.version:
             return
         compressed = self._compress(now, held.version, document)
-        count = -(-len(compressed.data) // CHUNK_BYTES)
-        if count > MAX_CHUNKS:
+        if compressed.chunk_count > MAX_CHUNKS:
             self._count("members.lists_long")
             return
-        mask = request.chunk_mask
-        if request.digest and request.digest != compressed.digest:
-            mask = FIRST_CHUNKS  # the list has changed meanwhile: from its beginning
-        for index in range(count):
-            if mask >> index & 1 and not self._send_chunk(
-                now, source, compressed, max(0.0, age_ms), index, count
-            ):
+        for index in compressed.requested_chunks(request):
+            # Hundreds of nodes that start at once must not take CPU and link from RPCs.
+            if not self._rate_limit.allow(now):
+                self._count("members.lists_busy")
                 return
+            self._send_chunk(source, compressed.chunk(index, max(0.0, age_ms)))
 
     def _compress(self, now: float, version: int, document: Callable[[], bytes]) -> _CompressedList:
         kept = self._compressed
@@ -262,28 +274,10 @@
         self._compressed = _CompressedList(version, now, data, list_digest(data))
         return self._compressed
 
-    def _send_chunk(
-        self,
-        now: float,
-        address: Address,
-        compressed: _CompressedList,
-        age_ms: float,
-        index: int,
-        count: int,
-    ) -> bool:
-        """Send one chunk, unless too many were sent in this second.
-
-        Hundreds of nodes that start at once must not take CPU and link from RPCs.
-        """
-        if not self._rate_limit.allow(now):
-            self._count("members.lists_busy")
-            return False
-        data = compressed.data[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES]
-        chunk = ListChunk(compressed.version, age_ms, compressed.digest, index, count, data)
+    def _send_chunk(self, address: Address, chunk: ListChunk) -> None:
+        self._count("members.lists_told")
         payload = msgspec.msgpack.encode(chunk)
         self.outbox.append((address, Message(MessageKind.LIST_CHUNK, self.name, payload=payload)))
-        self._count("members.lists_told")
-        return True
 
     # ---- chunks that come
 
--- a/hookpitch/members/membership.py
+++ b/hookpitch/members/membership.py
@@ -1,10 +1,11 @@
 """Who is in the fleet, as one member knows it: SWIM with Lifeguard's changes, as a state machine.
 
-SWIM: indirect probes (`failure_detector.py`), suspicion that its subject refutes by a higher
-incarnation (`suspicion.py`), gossip carried by the probes (`dissemination.py`). Lifeguard: a member
-that is itself slow trusts itself less; a suspicion ends sooner when others confirm it; a suspect
-learns of it from whoever probes it. Further: flap damping (`flap_damping.py`) and views that settle
-(`view.py`). Reasons: docs/members.md.
+SWIM: indirect probes (`failure_detector.py`), suspicion (`suspicion.py`) that its subject refutes
+by a higher incarnation (`identity.py`), gossip carried by the probes (`dissemination.py`).
+Lifeguard: a member that is itself slow trusts itself less; a suspicion ends sooner when others
+confirm it; a suspect learns of it from whoever probes it. Further: comparisons for what gossip
+missed (`anti_entropy.py`), flap damping (`flap_damping.py`) and views that settle (`view.py`).
+Reasons: docs/members.md.
 
 Invariants:
 
@@ -23,22 +24,21 @@
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
 
 from hookpitch.members import flap_damping, member, suspicion
+from hookpitch.members.anti_entropy import AntiEntropy
 from hookpitch.members.dissemination import Dissemination
-from hookpitch.members.errors import MembersError
 from hookpitch.members.failure_detector import (
     INDIRECT_PROBES,
     PROBE_PERIOD_MS,
     FailureDetector,
     Probe,
 )
+from hookpitch.members.identity import Identity
 from hookpitch.members.member import MAX_UNCONFIRMED, Member
 from hookpitch.members.messages import (
-    MAX_METADATA_BYTES,
     MAX_RECORDS_PER_DATAGRAM,
     Address,
     MemberState,
@@ -56,16 +56,8 @@
 PUSH_FANOUT = 2
 # Members that a refutation or a goodbye is sent to at once.
 URGENT_FANOUT = 2 * INDIRECT_PROBES
-# Between two comparisons of all that is known; the interval grows while nothing differs.
-MIN_SYNC_INTERVAL_MS = 1000.0
-MAX_SYNC_INTERVAL_MS = 16000.0
-# Between two tries to reach a dead member or a seed, in case a partition has ended.
-RECONNECT_INTERVAL_MS = 5000.0
 # How long a dead member's record is kept, so that older news of it changes nothing.
 TOMBSTONE_MS = 600000.0
-# So many claims by another to this member's name in so long, and one of the two falls silent.
-NAME_CONFLICTS = 3
-NAME_CONFLICT_WINDOW_MS = 10000.0
 MAX_MEMBERS = 2000
 MAX_FIRST_INCARNATION = 1000
 
@@ -89,7 +81,6 @@
     ) -> None:
         self.name = name
         self.address = address
-        self.seeds = seeds
         self.log = log
         self.counts: dict[str, int] = {}
         self.silenced = False
@@ -98,20 +89,18 @@
         # by what others know, never by a clock.
         incarnation = 1 + int(random() * MAX_FIRST_INCARNATION)
         own_record = Record(name, address, incarnation, MemberState.ALIVE)
-        self.members: dict[str, Member] = {name: Member(own_record, now)}
+        own = Member(own_record, now)
+        self.members: dict[str, Member] = {name: own}
+        self.identity = Identity(own)
         self.dissemination = Dissemination(name, self.members, random)
         self.detector = FailureDetector(name, self.members, self.dissemination, random)
+        self.anti_entropy = AntiEntropy(now, name, self.members, seeds, self.dissemination, random)
         self.views = ViewPublisher(now, name)
         self.due = now + PROBE_PERIOD_MS * random()
-        self._random = random
         self._watched: dict[str, None] = {}  # who is not simply alive
         self._push_pending = False
         self._ticked_at = now
         self._received_at = now
-        self._sync_at = now
-        self._sync_interval_ms = MIN_SYNC_INTERVAL_MS
-        self._reconnect_at = now
-        self._name_conflicts: deque[float] = deque(maxlen=NAME_CONFLICTS)
 
     # ---- for users
 
@@ -150,19 +139,14 @@
 
     def set_metadata(self, metadata: bytes) -> None:
         """Tell all members a few bytes about this one; the latest replace those before."""
-        if len(metadata) > MAX_METADATA_BYTES:
-            raise MembersError(f"a fact has at most {MAX_METADATA_BYTES} bytes")
-        own = self.members[self.name]
-        version = own.record.metadata_version + 1
-        own.record = replace(own.record, metadata=metadata, metadata_version=version)
+        self.identity.set_metadata(metadata)
         self.dissemination.announce(self.name)
 
     def leave(self, now: float) -> None:
         """Say goodbye to some members, who pass it on."""
         self.leaving = True
-        own = self.members[self.name]
-        own.record = replace(own.record, state=MemberState.LEFT)
-        goodbye = self._gossip(own.record)
+        self.identity.leave()
+        goodbye = self._gossip(self.identity.record)
         for name in self.dissemination.sample(URGENT_FANOUT):
             self.dissemination.send(name, goodbye)
 
@@ -177,8 +161,7 @@
             return
         self._run_probes(now)
         self._review_members(now)
-        self._sync_if_due(now)
-        self._reconnect_if_due(now)
+        self.anti_entropy.tick(now)
         self._push_changes()
         self._settle_view(now)
         self.due = max(now + 1.0, self.detector.next_due(now + PROBE_PERIOD_MS / 2))
@@ -246,37 +229,6 @@
         timeout_ms = suspicion.timeout_ms(suspect, len(self.members), penalty)
         return now - suspect.state_since >= timeout_ms
 
-    def _sync_if_due(self, now: float) -> None:
-        """Compare all that is known with another member."""
-        if now < self._sync_at:
-            return
-        self._sync_interval_ms = min(MAX_SYNC_INTERVAL_MS, 2 * self._sync_interval_ms)
-        self._sync_at = now + self._sync_interval_ms * (0.5 + self._random())
-        for name in self.dissemination.sample(1):
-            message = Message(
-                MessageKind.DIGEST,
-                self.name,
-                self.digest(),
-                partition_digests=self.partition_digests(),
-            )
-            self.dissemination.send(name, message)
-
-    def _reconnect_if_due(self, now: float) -> None:
-        if now >= self._reconnect_at:
-            self._reconnect_at = now + RECONNECT_INTERVAL_MS * (0.5 + self._random())
-            self._reconnect()
-
-    def _reconnect(self) -> None:
-        """Try a dead member, or a seed that is not known: a partition may have ended."""
-        known = self.members.values()
-        dead = [m.record.address for m in known if m.record.state == MemberState.DEAD]
-        active = {m.record.address for m in known if m.is_active}
-        candidates = [address for address in (*self.seeds, *dead) if address not in active]
-        if candidates:
-            chosen = candidates[int(self._random() * len(candidates)) % len(candidates)]
-            message = Message(MessageKind.GOSSIP, self.name, full_sync=True)
-            self.dissemination.send_to(chosen, message)
-
     def _push_changes(self) -> None:
         """Gossip that waited for probes alone would be slow to reach the last member."""
         if not self._push_pending:
@@ -351,11 +303,8 @@
             self.detector.answer_received(message)
         elif message.kind == MessageKind.PROBE_REQUEST:
             self.detector.probe_requested(now, source, message)
-        elif message.kind == MessageKind.DIGEST and message.sequence != self.digest():
-            self._sync_interval_ms = max(MIN_SYNC_INTERVAL_MS, self._sync_interval_ms / 4)
-            soon = now + self._sync_interval_ms * (0.5 + self._random())
-            self._sync_at = min(self._sync_at, soon)
-            self.dissemination.send_known_records(source, True, message.partition_digests)
+        elif message.kind == MessageKind.DIGEST:
+            self.anti_entropy.digest_received(now, source, message)
 
     def _inform_sender(self, source: Address, sender_name: str, sender: Member | None) -> None:
         """Send a newcomer all that is known, and a member that is called dead that it is."""
@@ -471,48 +420,21 @@
 
     def _apply_own_record(self, now: float, record: Record) -> None:
         """What others hold of this member; refuted where it is wrong."""
-        if self.leaving or self._gives_way(now, record):
-            return
-        own = self.members[self.name].record
-        if record.incarnation < own.incarnation:
+        if self.leaving:
             return
-        agrees = record.state == MemberState.ALIVE and record.address == self.address
-        if agrees and record.incarnation == own.incarnation:
-            return
-        self._refute(record)
-
-    def _gives_way(self, now: float, record: Record) -> bool:
-        """Whether another member uses this name, and this one falls silent.
-
-        Two members of one name would raise each other's incarnation for ever; the one with the
-        higher address goes on.
-        """
-        own = self.members[self.name].record
-        is_other = record.address != self.address and record.state <= MemberState.SUSPECTED
-        if not is_other or record.incarnation < own.incarnation:
-            return False
-        conflicts = self._name_conflicts
-        conflicts.append(now)
-        if len(conflicts) < NAME_CONFLICTS or now - conflicts[0] >= NAME_CONFLICT_WINDOW_MS:
-            return False
-        if record.address <= self.address:
-            return False
-        self.silenced = True
-        self._count("clash")
-        host, port = record.address
-        self.log(f"another member is named {self.name}, at {host}:{port}: this one is silent")
-        return True
+        if self.identity.must_give_way(now, record):
+            self.silenced = True
+            self._count("clash")
+            host, port = record.address
+            self.log(f"another member is named {self.name}, at {host}:{port}: this one is silent")
+        elif self.identity.is_wrong(record):
+            self._refute(record)
 
     def _refute(self, record: Record) -> None:
-        """Raise the own incarnation above a record of this member, or of a process before it."""
         self._count("refuted")
         if record.state == MemberState.SUSPECTED:
             self.detector.health.worsen()
-        own = self.members[self.name]
-        version = max(own.record.metadata_version, record.metadata_version) + 1
-        own.record = replace(
-            own.record, incarnation=record.incarnation + 1, metadata_version=version
-        )
+        self.identity.refute(record)
         self.dissemination.announce(self.name)
         # By gossip alone the refutation could reach the accuser too late.
         recipients = []
@@ -520,7 +442,7 @@
             recipients.append(record.accuser)
         recipients += self.dissemination.sample(URGENT_FANOUT)
         for name in dict.fromkeys(recipients):
-            self.dissemination.send(name, self._gossip(own.record))
+            self.dissemination.send(name, self._gossip(self.identity.record))
 
     # ----
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,6 +19,7 @@
 from fleet import Sockets
 
 from hookpitch.cli import main
+from hookpitch.members.anti_entropy import AntiEntropy
 from hookpitch.members.codec import MAX_BYTES, Codec
 from hookpitch.members.dissemination import Dissemination
 from hookpitch.members.failure_detector import PROBE_PERIOD_MS, Probe
@@ -620,7 +621,7 @@
             {
                 (Dissemination, "send_known_records"): _never,
                 (Dissemination, "select_gossip"): _nothing,
-                (Membership, "_reconnect"): _never,
+                (AntiEntropy, "reconnect"): _never,
             },
             "for dead",
         ),
