--- a/hookpitch/net/operator_settings.py
+++ b/hookpitch/net/operator_settings.py
@@ -20,7 +20,7 @@
 # ValueError says what is wrong.
 SECTIONS = {
     "snapshot": "hookpitch.net.snapshot_store:parse_settings",
-    "members": "hookpitch.members.port:settings",
+    "members": "hookpitch.members.port:parse_settings",
 }
 
 
