--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -14,8 +14,9 @@
 from hookpitch.balancer.deployment import parse_load_report
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate, Outcome
 from hookpitch.core.deadlines import Deadline
-from hookpitch.core.host import NO_REPORT, Attempt, Host
-from hookpitch.core.resp import ErrorReply, Parser, ProtocolError, Value, command
+from hookpitch.core.host import NO_REPORT, Host
+from hookpitch.core.resp import NEED_DATA, ErrorReply, Parser, ProtocolError, Value, command
+from hookpitch.core.rpc import Attempt
 from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES, BufferedProtocol
 from hookpitch.net.clock import Clock
@@ -161,10 +162,10 @@
     def bytes_received(self) -> None:
         while not self.paused:
             try:
-                found, reply = self.parser.next()
+                reply = self.parser.next_value()
             except ProtocolError as fault:
                 return self.spoilt(str(fault))
-            if found:
+            if reply is not NEED_DATA:
                 # Danger: what comes behind an answer would answer the next RPC. The answer itself
                 # is good.
                 self.passing = False
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -13,9 +13,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from hookpitch.core.host import Host, Rpc
+from hookpitch.core.host import Host
 from hookpitch.core.reply_slot import ReplySlot
-from hookpitch.core.resp import Parser, ProtocolError, bulk
+from hookpitch.core.resp import NEED_DATA, Parser, ProtocolError, bulk
+from hookpitch.core.rpc import Rpc
 from hookpitch.core.stream import (
     MAX_STREAMED_BYTES,
     MAX_UNSENT_BYTES,
@@ -162,11 +163,11 @@
         for _ in range(BATCH):
             if self.ending or self.paused:
                 return
-            found, words = self.parser.next()
-            if not found and self.parser.body_remaining and len(self.inward):
-                self._piece(self.parser.read_body(WRITE_CHUNK_BYTES))
-                continue
-            if not found:
+            words = self.parser.next_value()
+            if words is NEED_DATA:
+                if self.parser.body_remaining and len(self.inward):
+                    self._piece(self.parser.read_body(WRITE_CHUNK_BYTES))
+                    continue
                 return
             if words:
                 self.asked = True
@@ -373,9 +374,8 @@
         )
         self.peer_done = True
         with suppress(ProtocolError):
-            while (
-                not self.ending and self.parser.next()[0]
-            ):  # not begun yet, and nothing is sent any more
+            # Not begun yet, and nothing is sent any more.
+            while not self.ending and self.parser.next_value() is not NEED_DATA:
                 self._say(b"-ERR failed\r\n")
         self.ending = True
         self._flush()
