--- /dev/null
+++ b/hookpitch/balancer/attempt_outcomes.py
@@ -0,0 +1,93 @@
+"""What is learned from how attempts end. Look here when a limit or a failure count is wrong.
+
+No state of its own: each outcome is passed to the modules that keep the backend's values. What
+this process delayed itself counts against no backend. Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from hookpitch.balancer.backend import BackendTable
+from hookpitch.balancer.concurrency import ConcurrencyLimits
+from hookpitch.balancer.health import LocalDelay, OutlierDetector
+from hookpitch.balancer.interface import Outcome
+from hookpitch.balancer.rpc import Attempt
+from hookpitch.balancer.slow_start import SlowStart
+
+REFUSAL_WEIGHT = 0.1  # a refusal counts as an answer at the soft deadline, by this part
+FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED)
+
+
+class AttemptOutcomes:
+    """Judges backends by the ends of attempts."""
+
+    def __init__(
+        self,
+        table: BackendTable,
+        outliers: OutlierDetector,
+        concurrency: ConcurrencyLimits,
+        slow_start: SlowStart,
+        local_delay: LocalDelay,
+    ) -> None:
+        self._table = table
+        self._outliers = outliers
+        self._concurrency = concurrency
+        self._slow_start = slow_start
+        self._local_delay = local_delay
+
+    def record(self, attempt: Attempt, outcome: Outcome, took_ms: float, now: float) -> None:
+        """Learn from an attempt's end."""
+        rpc = attempt.rpc
+        backend = attempt.backend
+        if outcome <= Outcome.MISS:
+            # A miss is not a cache's full work, nor is a write the origin's usual work.
+            write_at_origin = rpc.write and backend is self._table.origin
+            full_work = outcome == Outcome.COMPLETED and not write_at_origin
+            self.record_response(attempt, took_ms, full_work, now)
+            self._outliers.confirm_suspect(rpc, backend, now)
+        elif outcome == Outcome.OVERLOADED:
+            self._record_refusal(attempt, now)
+        elif self._outliers.needs_second_opinion(backend, outcome, now):
+            self._outliers.suspect(rpc, backend)
+        elif outcome in FAILURES:
+            self._outliers.record_broken_attempt(attempt, outcome, now)
+        elif outcome == Outcome.TIMEOUT:
+            self._outliers.record_timeout(attempt, now, self._local_delay)
+
+    def record_response(
+        self, attempt: Attempt, took_ms: float, full_work: bool, now: float
+    ) -> None:
+        """Learn from an answer; `full_work`: it took as long as the backend's work does."""
+        backend = attempt.backend
+        soft_ms = attempt.rpc.method.soft_ms
+        self._outliers.record_response(backend, now)
+        if self._local_delay.covers(attempt):
+            took_ms = min(took_ms, backend.latency_ms)
+            full_work = False
+        if full_work:
+            self._concurrency.record_latency(backend, took_ms)
+        self._slow_start.record_response(backend, took_ms, soft_ms, now)
+        self._concurrency.adapt(backend, took_ms, soft_ms, full_work)
+
+    def is_late(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
+        """Tell whether a cache's answer came after the objective, by the fleet's fault."""
+        rpc = attempt.rpc
+        if outcome > Outcome.MISS and outcome != Outcome.TIMEOUT:
+            return False
+        if rpc.over_quota or attempt.stream_started or attempt.backend is self._table.origin:
+            return False
+        if self._local_delay.covers(attempt):
+            return False
+        return now - self._local_delay.read_delay_ms >= rpc.objective
+
+    def _record_refusal(self, attempt: Attempt, now: float) -> None:
+        """Take a backend's refusal; it counts as no send.
+
+        What warm backends refuse, taken for what they can do, would push those that warm up over.
+        """
+        backend = attempt.backend
+        backend.last_response_at = now
+        backend.response_count += 1
+        backend.send_count -= 1
+        soft_ms = attempt.rpc.method.soft_ms
+        backend.latency_ms += (soft_ms - backend.latency_ms) * REFUSAL_WEIGHT
+        self._slow_start.record_overload(backend)
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -11,6 +11,7 @@
 import heapq
 from zlib import crc32
 
+from hookpitch.balancer.attempt_outcomes import AttemptOutcomes
 from hookpitch.balancer.attempt_timers import AttemptTimers
 from hookpitch.balancer.backend import FOREVER, Backend, BackendTable
 from hookpitch.balancer.concurrency import ConcurrencyLimits
@@ -54,57 +55,46 @@
         self.methods: dict[str, Method] = {}
         self.rpcs: dict[str, Rpc] = {}
         self._seed = deployment.seed
-        self._draws = DrawSequence(deployment.seed)
-        self.work = PendingWork(self._draws)
-        self.table = BackendTable()
-        self.backends = self.table.backends
-        self.ring = HashRing()
-        self.method_load = MethodLoad()
-        self.placement = Placement(deployment.seed, self.table, self.ring, self.method_load)
+        self._draws = draws = DrawSequence(deployment.seed)
+        self.work = work = PendingWork(draws)
+        self.table = table = BackendTable()
+        self.backends = table.backends
+        self._compose(now, draws, work, table)
+        self._wakeup_at = FOREVER
+        self._rates_updated_at = now
+        self._rate_window_ms = DEFAULT_RATE_WINDOW_MS
+        self._tick_ms = DEFAULT_TICK_MS
+        self.reconfigured(now, deployment)
+        self.next_rate_update = now + self._rate_window_ms
+        self.next_rebalance = now + ROUND_MS * (1 + draws.fraction())
+
+    def _compose(
+        self, now: float, draws: DrawSequence, work: PendingWork, table: BackendTable
+    ) -> None:
+        """Make the objects that hold one concern each; each knows only those made before it."""
+        self.ring = ring = HashRing()
+        self.method_load = method_load = MethodLoad()
+        self.placement = placement = Placement(self._seed, table, ring, method_load)
         self.quotas = Quotas()
-        self.load_shedder = LoadShedder(self._draws, self.quotas)
-        self.local_delay = LocalDelay()
+        self.load_shedder = shedder = LoadShedder(draws, self.quotas)
+        self.local_delay = local_delay = LocalDelay()
         self.idle_connections = IdleConnections()
-        self.slow_start = SlowStart(self._draws, self.table, self.ring)
-        self.concurrency = ConcurrencyLimits(self._draws, self.table, self.slow_start)
-        self.retries = RetryPolicy(self.work, self.placement)
-        self.outliers = OutlierDetector(
-            self.table,
-            self.ring,
-            self.work,
-            self.concurrency,
-            self.slow_start,
-            self.retries,
-            self.idle_connections,
+        self.slow_start = slow_start = SlowStart(draws, table, ring)
+        self.concurrency = concurrency = ConcurrencyLimits(draws, table, slow_start)
+        self.retries = retries = RetryPolicy(work, placement)
+        self.outliers = outliers = OutlierDetector(
+            table, ring, work, concurrency, slow_start, retries, self.idle_connections
         )
         self.endpoints = EndpointList(
-            self.table,
-            self.ring,
-            self.placement,
-            self.outliers,
-            self.slow_start,
-            self.concurrency,
-            self.retries,
+            table, ring, placement, outliers, slow_start, concurrency, retries
         )
-        self.failover = Failover(self.placement, self.concurrency, self.slow_start, self.retries)
-        self.queues = BackendQueues(self.table, self.work, self.concurrency, self.retries)
+        self.failover = Failover(placement, concurrency, slow_start, retries)
+        self.queues = BackendQueues(table, work, concurrency, retries)
         self.attempt_timers = AttemptTimers(
-            self.table,
-            self.work,
-            self.concurrency,
-            self.retries,
-            self.outliers,
-            self.load_shedder,
-            self.local_delay,
+            table, work, concurrency, retries, outliers, shedder, local_delay
         )
-        self.rebalancer = Rebalancer(now, self.table, self.placement, self.method_load)
-        self._wakeup_at = FOREVER
-        self._rates_updated_at = now
-        self._rate_window_ms = DEFAULT_RATE_WINDOW_MS
-        self._tick_ms = DEFAULT_TICK_MS
-        self.reconfigured(now, deployment)
-        self.next_rate_update = now + self._rate_window_ms
-        self.next_rebalance = now + ROUND_MS * (1 + self._draws.fraction())
+        self.outcomes = AttemptOutcomes(table, outliers, concurrency, slow_start, local_delay)
+        self.rebalancer = Rebalancer(now, table, placement, method_load)
 
     @property
     def origin(self) -> Backend | None:
@@ -219,11 +209,11 @@
             return
         rpc, backend = attempt.rpc, attempt.backend
         attempt.finish(outcome)
-        if self._is_late(attempt, outcome):
+        if self.outcomes.is_late(attempt, outcome, now):
             self.load_shedder.record_rejected()
         if report and self.endpoints.nominal_sizes is None:
             backend.record_report(report)
-        self._judge(attempt, outcome, took)
+        self.outcomes.record(attempt, outcome, took, now)
         self.concurrency.pause(backend, rpc.method, outcome, took, now)
         if backend.fresh_queue or backend.retry_queue:
             self.work.freed_backends.append(backend)
@@ -244,7 +234,7 @@
         self.work.cancellations.extend(
             other for other in attempt.rpc.attempts if not other.done and other is not attempt
         )
-        self._record_response(attempt, now - attempt.sent_at, False)
+        self.outcomes.record_response(attempt, now - attempt.sent_at, False, now)
 
     def client_disconnected(self, now: float, id: str) -> None:
         """Take an RPC that nobody waits for any more."""
@@ -376,35 +366,38 @@
     # ---- one RPC; each returns True where the host was handed a decision
 
     def _route(self, rpc: Rpc, host: RouterHost) -> bool:
-        now, attempts = self.now, len(rpc.attempts)
-        max_attempts = self.retries.max_attempts
-        if (
-            rpc.rejected
-            or rpc.unservable
-            or attempts >= max_attempts
-            or rpc.deadline - now <= self.retries.margin_ms
-        ):
+        if self._is_hopeless(rpc):
             return self.reject(rpc, host)
-        if self.table.origin_kind >= 0 and (
-            rpc.write
-            or rpc.missed
-            or rpc.hedgeable_count
-            or 0 < attempts == max_attempts - 1  # the last attempt
-        ):
+        if self.table.origin_kind >= 0 and self._needs_origin(rpc):
             return self._send_or_enqueue(rpc, self.table.origin, host)
         backend = rpc.bucket.assigned
         if (
-            attempts
+            rpc.attempts
             or rpc.overflowed
             or backend is None
             or not backend.available
-            or not self.concurrency.has_capacity(backend, now)
+            or not self.concurrency.has_capacity(backend, self.now)
         ):
-            backend = self.failover.select(rpc, now)
+            backend = self.failover.select(rpc, self.now)
             if rpc.rejected:
                 return self.reject(rpc, host)
         return self._send_or_enqueue(rpc, backend, host)
 
+    def _is_hopeless(self, rpc: Rpc) -> bool:
+        """Tell whether no further attempt is to be made."""
+        return (
+            rpc.rejected
+            or rpc.unservable
+            or len(rpc.attempts) >= self.retries.max_attempts
+            or rpc.deadline - self.now <= self.retries.margin_ms
+        )
+
+    def _needs_origin(self, rpc: Rpc) -> bool:
+        """Tell whether only the origin will do: for a write, a miss, a hedge or a last attempt."""
+        if rpc.write or rpc.missed or rpc.hedgeable_count:
+            return True
+        return 0 < len(rpc.attempts) == self.retries.max_attempts - 1
+
     def _send_or_enqueue(self, rpc: Rpc, backend: Backend | None, host: RouterHost) -> bool:
         if (
             backend is None
@@ -493,61 +486,3 @@
         if rpc is None or not 0 <= number < len(rpc.attempts) or rpc.attempts[number].done:
             return None
         return rpc.attempts[number]
-
-    def _is_late(self, attempt: Attempt, outcome: Outcome) -> bool:
-        """Tell whether a cache's answer came after the objective, by the fleet's fault."""
-        rpc = attempt.rpc
-        if outcome > Outcome.MISS and outcome != Outcome.TIMEOUT:
-            return False
-        if rpc.over_quota or attempt.stream_started or attempt.backend is self.table.origin:
-            return False
-        if self.local_delay.covers(attempt):
-            return False
-        return self.now - self.local_delay.read_delay_ms >= rpc.objective
-
-    def _judge(self, attempt: Attempt, outcome: Outcome, took: float) -> None:
-        """Learn from how an attempt ended."""
-        now, rpc, backend = self.now, attempt.rpc, attempt.backend
-        if outcome <= Outcome.MISS:
-            # A miss is no full work, nor is a write that the origin takes without carrying it out.
-            full_work = outcome == Outcome.COMPLETED and not (
-                rpc.write and backend is self.table.origin
-            )
-            self._record_response(attempt, took, full_work)
-            self.outliers.confirm_suspect(rpc, backend, now)
-        elif outcome == Outcome.OVERLOADED:
-            self._record_overload(attempt)
-        elif self.outliers.needs_second_opinion(backend, outcome, now):
-            self.outliers.suspect(rpc, backend)
-        elif outcome in (
-            Outcome.ERROR,
-            Outcome.RESET,
-            Outcome.CONNECT_FAILED,
-            Outcome.MALFORMED,
-        ):
-            self.outliers.record_broken_attempt(attempt, outcome, now)
-        elif outcome == Outcome.TIMEOUT:
-            self.outliers.record_timeout(attempt, now, self.local_delay)
-
-    def _record_response(self, attempt: Attempt, took: float, full_work: bool) -> None:
-        now, backend, soft_ms = self.now, attempt.backend, attempt.rpc.method.soft_ms
-        self.outliers.record_response(backend, now)
-        if self.local_delay.covers(attempt):
-            took = min(took, backend.latency_ms)
-            full_work = False
-        if full_work:
-            self.concurrency.record_latency(backend, took)
-        self.slow_start.record_response(backend, took, soft_ms, now)
-        self.concurrency.adapt(backend, took, soft_ms, full_work)
-
-    def _record_overload(self, attempt: Attempt) -> None:
-        """Take a backend's refusal; it counts as no send.
-
-        What warm backends refuse, taken for what they can do, would push those that warm up over.
-        """
-        backend = attempt.backend
-        backend.last_response_at = self.now
-        backend.response_count += 1
-        backend.send_count -= 1
-        backend.latency_ms += (attempt.rpc.method.soft_ms - backend.latency_ms) * 0.1
-        self.slow_start.record_overload(backend)
