--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -27,7 +27,7 @@
     return made
 
 
-def test_the_papers_second_figure() -> None:
+def test_weights_and_target_point_match_the_papers_second_figure() -> None:
     a, middle, b = nodes = caches((90, 70), (60, 30), (30, 20))
     lam, mu = weights(nodes)
     assert abs(lam - 0.6) < 1e-9 and abs(mu - 0.36 / 0.52) < 1e-9
@@ -48,7 +48,7 @@
     assert migrate(nodes, {s: [BucketLoad(1.0, 1.0, Bucket(0))] for s in nodes}) == []
 
 
-def test_a_key_keeps_its_cache_and_a_round_moves_load_off_the_heaviest() -> None:
+def test_a_key_keeps_its_cache_and_rebalancing_moves_load_off_the_heaviest() -> None:
     f = fleet()
     for i in range(600):  # one cache's keys are asked for far more often than the others'
         key = f"key{i % 40}"
@@ -62,14 +62,14 @@
     assert moved[0].assigned.state == EndpointState.READY  # buckets on a draining cache go home
 
 
-def test_a_wait_in_line_ends_before_the_hard_deadline() -> None:
+def test_time_in_a_queue_ends_before_the_hard_deadline() -> None:
     f = fleet(1)
     ids = [f.arrive(f"k{i}", grace=30.0) for i in range(50)]
     f.pass_time(31.0)
     assert not f.open and set(ids) == set(f.answers)
 
 
-def test_failures_in_a_row_take_a_server_off_and_an_answer_brings_it_back() -> None:
+def test_consecutive_failures_eject_a_backend_and_a_response_recovers_it() -> None:
     f = fleet(2)
     victim = f.attempts[f.arrive("k")][0]["server"]
     for _ in range(2):  # after a reset the same server may be asked again
@@ -92,7 +92,7 @@
     raise AssertionError("shut out for good")
 
 
-def test_late_answers_from_a_busy_server_count_once() -> None:
+def test_several_silent_attempts_at_a_busy_backend_count_as_one_failure() -> None:
     f = fleet(1)
     for i in range(4):
         f.arrive(f"k{i}")
@@ -100,7 +100,7 @@
     assert f.router.backends["s0"].consecutive_failures == 1 and not f.router.backends["s0"].ejected
 
 
-def test_a_cold_server_gets_little_at_first() -> None:
+def test_a_backend_in_slow_start_gets_little_at_first() -> None:
     f = fleet(3)
     for i in range(600):
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
@@ -114,7 +114,7 @@
     assert 0 < got.count("s4") <= 0.35 * len(got) / 4
 
 
-def test_over_its_share_a_customer_is_exhausted_first() -> None:
+def test_a_tenant_over_its_quota_is_rejected_first() -> None:
     f = fleet(1, tenants=(Tenant("small", 1.0), Tenant("big", 1000.0)), max_retry_after_ms=400.0)
     mine = [f.arrive(f"a{i}", tenant="small") for i in range(30)]
     theirs = [f.arrive(f"b{i}", tenant="big") for i in range(2)]
@@ -122,7 +122,7 @@
     assert not any(r in f.answers for r in theirs)
 
 
-def test_odd_ends_of_the_settings_still_answer() -> None:
+def test_settings_at_their_limits_still_answer() -> None:
     bare = Method("read", 400.0, 1000.0, 1.0)
     for changes in (
         {"methods": (bare,), "slow_start_ms": 0.0, "overload_window_ms": 0.0},
@@ -134,7 +134,7 @@
         assert f.answers[f.arrive("")] == "exhausted"
 
 
-def test_resets_tell_of_connections_and_leave_a_server_warm() -> None:
+def test_resets_concern_connections_and_start_no_warmup() -> None:
     f = fleet(4)
     f.router.placement.recent_requests = 1e6  # the key is one of many
     victim = f.attempts[f.arrive("k")][0]["server"]
@@ -160,7 +160,7 @@
     assert f.router.backends[victim].warmup_until > f.now
 
 
-def test_the_origins_single_failures_do_not_cut_its_limit() -> None:
+def test_single_failures_of_the_origin_do_not_cut_its_concurrency_limit() -> None:
     f = fleet(2)
     for i in range(40):
         f.end(rpc := f.arrive(f"k{i}"), Outcome.MISS)
@@ -177,7 +177,7 @@
     assert f.router.backends["o1"].concurrency_limit < 1.0
 
 
-def test_refused_by_most_servers_a_node_suspects_its_own_network() -> None:
+def test_connections_refused_by_most_backends_start_no_warmup() -> None:
     f = fleet(4)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
@@ -187,7 +187,7 @@
     assert sum(s.ejected for s in caches) >= 3 and sum(s.warmup_until > f.now for s in caches) <= 2
 
 
-def test_a_node_that_starts_among_cold_caches_alone_serves_some() -> None:
+def test_a_router_that_starts_with_only_warming_caches_serves_some_rpcs() -> None:
     f = Fleet(deployment())
     cold = [entry(f"s{i}", started=f.now - 1) for i in range(4)]
     f.listed([*cold, entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
@@ -200,7 +200,9 @@
     assert 20 < sum(a == "completed" for a in f.answers.values()) < 75
 
 
-def test_a_lost_answers_transmission_is_called_off_once_while_its_server_answers_others() -> None:
+def test_an_attempt_whose_answer_is_lost_is_cancelled_once_while_its_backend_answers_others() -> (
+    None
+):
     for others, pressure, tries in ((True, 0.0, 2), (False, 0.0, 1), (True, 0.5, 1)):
         f = fleet(1)
         f.end(f.arrive("k"), Outcome.COMPLETED)
@@ -221,7 +223,7 @@
         assert len(f.attempts[rpc]) <= 2 and (tries == 2) == (f.attempts[rpc][0]["done"])
 
 
-def test_servers_that_are_gone_are_forgotten_and_an_id_that_returns_is_new_and_cold() -> None:
+def test_removed_backends_are_forgotten_and_an_id_that_returns_warms_up_as_new() -> None:
     f = fleet(2)
     for i in range(2, 40):  # each is replaced by one under a new id
         f.listed([entry(f"s{i}", started=f.now - 1)], EndpointUpdate.DELTA)
@@ -239,7 +241,7 @@
 
 
 @pytest.mark.parametrize("eased", [True, False])
-def test_what_one_slow_homes_line_gives_up_sheds_nothing_while_others_are_at_ease(
+def test_rejections_from_one_slow_caches_queue_shed_nothing_while_others_have_spare_capacity(
     eased: bool,
 ) -> None:
     fleet = Fleet(deployment(hedging_allowed=False))
@@ -264,9 +266,7 @@
     ) > 10
 
 
-def test_cold_servers_that_answer_at_once_get_more_than_their_part_and_one_that_is_full_its_part() -> (  # noqa: E501
-    None
-):
+def test_fast_warming_backends_get_a_gain_and_an_overloaded_one_loses_it() -> None:
     f = fleet(4)
     for i in range(200):  # until warm ones have a rate
         f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
@@ -301,8 +301,8 @@
     raise AssertionError("nothing was sent there")
 
 
-def test_what_warm_servers_refuse_is_no_part_of_what_a_cold_one_gets() -> None:
-    # Danger: in overload most of what is sent comes back full; a cold one sent as much falls over.
+def test_refusals_of_warm_backends_do_not_raise_the_warmup_rate() -> None:
+    # In overload most of what is sent comes back full; a cold one sent as much falls over.
     f, done = fleet(4), 0
     for i in range(1200):
         rpc = f.arrive(f"k{i}")
@@ -314,8 +314,8 @@
     assert 0 < f.router.slow_start.warm_rate < 2 * done / 12 / 4  # RPCs a second at each cache
 
 
-def test_a_key_too_heavy_for_its_cache_is_spread_by_each_nodes_own_draw() -> None:
-    # Danger: no move of whole buckets helps a cache whose one key is more than it can do.
+def test_a_hot_bucket_is_spread_by_a_draw_of_each_routers_own() -> None:
+    # No move of whole buckets helps a cache whose one key is more than it can do.
     taken = set[str]()
     for seed in range(24):
         f = fleet(16, seed=seed)
@@ -327,7 +327,7 @@
     assert len(taken) > 4
 
 
-def test_a_silent_transmission_gets_one_second_copy_and_the_first_answer_ends_both() -> None:
+def test_a_silent_attempt_gets_one_hedged_request_and_the_first_answer_ends_both() -> None:
     f = fleet(4, hedging_allowed=True)
     f.router.placement.recent_requests = 1e6
     rpc = f.arrive("k")
@@ -336,14 +336,14 @@
         len(f.attempts[rpc]) == 2 and f.attempts[rpc][0]["server"] != f.attempts[rpc][1]["server"]
     )
     assert len([out for out in f.out if out[0] == rpc]) == 2  # the first is still out
-    # Danger: the next cache along the ring would miss, and the origin be asked too late.
+    # The next cache along the ring would miss, and the origin be asked too late.
     assert f.attempts[rpc][1]["server"] == "o1"
     f.end(rpc, Outcome.COMPLETED, 1)
     assert not f.open and f.attempts[rpc][0].get("called_off")
 
 
-def test_a_few_sightings_of_a_key_spread_nothing() -> None:
-    # Danger: after a release each node has seen few RPCs; chance spreads cold keys, and every copy
+def test_a_few_requests_for_a_key_spread_nothing() -> None:
+    # After a release each node has seen few RPCs; chance spreads cold keys, and every copy
     # misses.
     f = fleet(16)
     for i in range(120):
@@ -353,8 +353,8 @@
     )
 
 
-def test_no_second_copy_is_sent_while_the_origin_is_slow() -> None:
-    # Danger: copies that a slow origin gets on top of its fetches are what stops it.
+def test_no_hedged_request_is_sent_while_the_origin_is_slow() -> None:
+    # Copies that a slow origin gets on top of its fetches are what stops it.
     f = fleet(4, hedging_allowed=True)
     f.router.placement.recent_requests, f.router.backends["o1"].latency_ms = (
         1e6,
@@ -365,8 +365,8 @@
     assert len(f.attempts[rpc]) == 1
 
 
-def test_an_origin_whose_work_varies_is_asked_no_less_whatever_is_turned_away() -> None:
-    # Danger: its limit cut by single answers, so more is turned away, so the limit is cut again.
+def test_rejections_do_not_cut_the_limit_of_an_origin_whose_work_varies() -> None:
+    # Its limit cut by single answers, so more is turned away, so the limit is cut again.
     f = fleet(2)
     f.router.load_shedder.pressure = 1.0
     for i in range(60):
@@ -387,8 +387,8 @@
     assert f.router.backends["o1"].concurrency_limit < before
 
 
-def test_without_reports_a_cache_that_answers_late_is_the_heavy_one() -> None:
-    # Danger: an overloaded cache is sent little, so the rate calls it light and gives it more.
+def test_without_load_reports_a_cache_that_answers_late_is_the_heaviest() -> None:
+    # An overloaded cache is sent little, so the rate calls it light and gives it more.
     f = fleet(4)
     f.router.placement.recent_requests = 1e6
     for i in range(400):
@@ -400,7 +400,7 @@
 
 
 @pytest.mark.parametrize("pressure", [0.0, 1.0])
-def test_what_is_over_a_share_is_let_in_while_little_is_turned_away(pressure: float) -> None:
+def test_rpcs_over_quota_are_admitted_while_little_is_rejected(pressure: float) -> None:
     f = fleet(
         8, tenants=(Tenant("small", 1.0),), over_quota_gain_factor=0.2, max_retry_after_ms=400.0
     )
@@ -414,8 +414,8 @@
 
 
 @pytest.mark.parametrize(("nodes", "limit"), [(2, 12.0), (8, 8.0), (64, 1.0), (256, 0.25)])
-def test_the_origins_limit_at_the_start_is_64_over_all_nodes(nodes: int, limit: float) -> None:
-    # Danger: with half of that, nodes exhausted 3% of a quiet start; with far more, a crowd stops
+def test_the_origins_start_limit_is_64_over_all_nodes(nodes: int, limit: float) -> None:
+    # With half of that, nodes exhausted 3% of a quiet start; with far more, a crowd stops
     # the origin.
     f = fleet(4, nodes=nodes)
     assert f.router.origin.concurrency_limit == limit
@@ -429,10 +429,10 @@
 @pytest.mark.parametrize(
     ("nodes", "rest_ms"), [(1, 1100.0), (4, 1100.0), (24, 1100.0), (300, 16000.0)]
 )
-def test_an_origin_that_is_not_reached_is_tried_by_the_fleet_and_not_by_each_node_some_times_a_second(  # noqa: E501
+def test_an_unreachable_origin_is_tried_by_the_fleet_some_times_a_second(
     nodes: int, rest_ms: float
 ) -> None:
-    # Danger: the few nodes of a small fleet rest as hundreds have to: 9 s, after a cut of 2 s had
+    # The few nodes of a small fleet rest as hundreds have to: 9 s, after a cut of 2 s had
     # ended.
     f, tried = fleet(2, nodes=nodes), list[float]()
     for i in range(2400):
@@ -447,8 +447,8 @@
     assert max(rests) <= rest_ms and len(tried) * nodes / 120 < 50
 
 
-def test_what_is_given_up_has_its_answer_in_the_same_turn_and_a_time_to_come_back() -> None:
-    # Danger: an answer held back so that its client does not ask again; it helps no one, and is not
+def test_a_rejection_is_answered_in_the_same_turn_with_a_time_to_retry() -> None:
+    # An answer held back so that its client does not ask again; it helps no one, and is not
     # allowed.
     f, came, told = (
         fleet(1, max_retry_after_ms=400.0),
--- a/tests/test_blame.py
+++ b/tests/test_health.py
@@ -34,7 +34,9 @@
 
 
 @pytest.mark.parametrize("key", ["same", ""])
-def test_rpcs_that_fail_anywhere_strike_no_server_and_go_out_twice_at_most(key: str) -> None:
+def test_rpcs_that_fail_at_any_backend_count_as_no_failure_and_are_attempted_twice_at_most(
+    key: str,
+) -> None:
     f = fleet()
     for i in range(300):  # two in five fail, as many as were seen
         f.end(f.arrive(f"good{i}"), Outcome.COMPLETED)
@@ -46,7 +48,7 @@
     )
 
 
-def test_second_opinions_are_a_part_of_the_good_answers() -> None:
+def test_second_opinions_are_limited_to_a_part_of_the_good_responses() -> None:
     f = fleet()
     twice = sum(fail(f, f.arrive(f"bad{i}")) - 1 for i in range(100))
     assert twice == 10
@@ -55,7 +57,7 @@
     assert sum(fail(f, f.arrive(f"bad{i}")) - 1 for i in range(100)) == 10
 
 
-def test_a_server_that_fails_what_others_serve_goes_off_the_path() -> None:
+def test_a_backend_that_fails_what_others_serve_is_ejected() -> None:
     f = fleet()
     for i in range(60):
         rpc = f.arrive(f"k{i}")
@@ -67,7 +69,7 @@
     )
 
 
-def test_what_is_vain_has_its_answer_in_the_same_turn_and_gives_its_token_back() -> None:
+def test_an_unservable_rpc_is_answered_in_the_same_turn_and_returns_its_token() -> None:
     f = fleet(tenants=(Tenant("c", 10.0),), max_retry_after_ms=400.0)
     share = f.router.quotas.token_buckets["c"]
     tokens = share.tokens
@@ -77,13 +79,13 @@
     assert f.answers[rpc] == "exhausted" and share.tokens == pytest.approx(tokens)
 
 
-def test_a_write_that_the_origin_fails_goes_out_twice_at_most() -> None:
+def test_a_write_that_the_origin_fails_is_attempted_twice_at_most() -> None:
     f = fleet()
     f.end(f.arrive("w", write=True), Outcome.COMPLETED)  # the origin is well
     assert fail(f, f.arrive("w", write=True)) == 2
 
 
-def test_gone_is_advice_where_the_settings_say_so_and_draining_binds() -> None:
+def test_removal_is_advisory_where_configured_and_draining_binds() -> None:
     f = fleet(2, removal_is_advisory=True)
     f.pass_time(5000.0)
     f.listed(
@@ -108,9 +110,7 @@
     assert len(f.sends) == 1
 
 
-def test_what_answered_lately_stays_on_the_path_though_listed_as_gone_and_elsewhere_gone_binds() -> (  # noqa: E501
-    None
-):
+def test_a_removed_backend_that_answered_lately_is_not_ejected() -> None:
     for advice in (True, False):
         f = fleet(1, removal_is_advisory=advice)
         f.end(f.arrive("k"), Outcome.COMPLETED)
@@ -119,7 +119,7 @@
         assert (rpc in f.open) == advice and len(f.sends) == 1 + advice
 
 
-def test_what_falls_again_soon_goes_off_at_one_failure_and_is_forgiven_later() -> None:
+def test_a_backend_that_relapses_is_ejected_at_one_failure_and_forgiven_later() -> None:
     f = fleet(1)
     s = f.router.backends["s0"]
     for n in range(3):
@@ -140,9 +140,7 @@
     assert not s.ejected
 
 
-def test_a_cache_slower_than_a_fifth_of_the_soft_deadline_gets_less_and_the_origin_does_not() -> (
-    None
-):
+def test_answers_slower_than_a_fifth_of_the_soft_deadline_cut_only_a_caches_limit() -> None:
     f = fleet(1)
     s, o = f.router.backends["s0"], f.router.origin
     before, at_origin = s.concurrency_limit, o.concurrency_limit
@@ -170,7 +168,7 @@
 
 
 @pytest.mark.parametrize("errors", [False, True])
-def test_load_measured_goes_before_load_told_and_true_reports_are_heeded_again(
+def test_measured_load_goes_before_reported_load_and_true_reports_count_again(
     errors: bool,
 ) -> None:
     f = fleet(3, nodes=2)
@@ -189,7 +187,7 @@
     assert by["s2"] == max(by.values()) > by["s1"]
 
 
-def test_a_district_whose_rpcs_all_fail_strikes_no_server_and_costs_the_others_nothing() -> None:
+def test_a_key_range_whose_rpcs_all_fail_counts_against_no_backend() -> None:
     f = fleet(tenants=(Tenant("bad", 1000.0), Tenant("good", 1000.0)), max_retry_after_ms=400.0)
     for i in range(200):
         assert fail(f, f.arrive(f"b{i}", tenant="bad")) <= 2
@@ -201,7 +199,7 @@
     assert not any(to == "o1" for _, to, _ in f.sends)
 
 
-def test_half_of_a_rack_up_and_down_by_turns_with_a_silent_list_is_not_marked_for_good() -> None:
+def test_backends_that_fail_by_turns_while_the_list_is_silent_are_not_ejected_for_good() -> None:
     f = fleet(6, nodes=1, slow_start_ms=20000.0, max_attempts=3)
     rack, wasted = {"s0", "s1"}, []
     for turn in range(6):
@@ -235,7 +233,7 @@
     assert all(f.router.backends[s].available for s in rack)
 
 
-def test_a_deduped_rpc_is_not_called_off_when_it_may_not_go_out_again() -> None:
+def test_a_deduplicated_rpc_is_not_cancelled_when_no_retry_is_allowed() -> None:
     method = Method(
         "log",
         800.0,
@@ -255,7 +253,7 @@
     assert f.answers[rpc] == "completed"
 
 
-def test_an_origin_that_answers_as_usual_is_not_crowded_however_much_is_out_there() -> None:
+def test_an_origin_with_its_baseline_latency_is_not_congested_however_much_is_in_flight() -> None:
     f = fleet(4)
     o = f.router.origin
     o.latency_ms = o.baseline_latency_ms = 50.0
@@ -267,7 +265,7 @@
     assert not f.router.concurrency.origin_congested()
 
 
-def test_what_waited_in_vain_goes_on_while_the_origin_is_at_ease() -> None:
+def test_an_rpc_whose_queue_deadline_passed_fails_over_while_the_origin_is_not_congested() -> None:
     f = fleet(2)
     first = f.arrive("k")
     home = f.router.backends[last(f, first)]
@@ -286,7 +284,7 @@
     assert waits in f.open and f.attempts[waits] and last(f, waits) == other.id
 
 
-def test_bound_methods_leave_the_rest_fewer_points_of_their_servers() -> None:
+def test_constrained_methods_reserve_capacity_on_their_backends() -> None:
     method = (
         Method("page", 400.0, 1000.0, 1.0),
         Method("status", 400.0, 1000.0, 1.0, kinds=("std",)),
@@ -300,7 +298,7 @@
     assert all(f.router.placement.bucket(n, ("std",)).primary.kind == 1 for n in range(50))
 
 
-def test_writes_slow_at_the_origin_by_nature_are_no_congestion_and_slow_reads_are() -> None:
+def test_slow_writes_do_not_cut_the_origins_limit_and_slow_reads_do() -> None:
     for write in (True, False):
         f = fleet(1)
         o = f.router.origin
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -26,7 +26,7 @@
     return f
 
 
-def test_first_and_further_transmissions_go_to_open_servers_only() -> None:
+def test_first_and_further_attempts_go_to_allowed_backends_only() -> None:
     f = fleet(max_attempts=5)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("copies", [True, False])
-def test_second_copies_and_overflow_stay_within_placement(copies: bool) -> None:
+def test_hedged_requests_and_failover_stay_within_constraints(copies: bool) -> None:
     f = fleet(hedging_allowed=copies)
     for i in range(200):  # far more than three servers are let bear
         f.arrive(f"k{i % 9}")
@@ -55,7 +55,7 @@
         return super().__getitem__(at)
 
 
-def test_a_list_without_a_server_for_a_method_costs_no_walk_round_the_ring() -> None:
+def test_a_method_without_an_allowed_backend_costs_no_walk_of_the_ring() -> None:
     f = fleet(12)
     for i in range(60):
         f.arrive(f"k{i}", "status")
@@ -66,7 +66,7 @@
     assert ring.looks < 40 * len(f.router.placement.buckets) * 6 < len(ring) * 60
 
 
-def test_a_heavy_key_is_spread_over_open_servers() -> None:
+def test_a_hot_key_is_spread_over_allowed_backends() -> None:
     taken = set[str]()
     for seed in range(12):
         f = fleet(16, seed=seed)
@@ -75,7 +75,7 @@
     assert len(taken) > 1 and all(int(id[1:]) % 2 for id in taken)
 
 
-def test_a_round_moves_no_bucket_to_a_server_that_is_not_open_to_it() -> None:
+def test_rebalancing_moves_no_bucket_to_a_backend_that_is_not_allowed() -> None:
     f = fleet(4)
     for i in range(900):  # s0 and s2 get nothing at all
         f.end(f.arrive(f"key{i % 40}"), Outcome.COMPLETED)
@@ -85,7 +85,7 @@
     assert bound and all(b.assigned.kind == 1 for b in bound)
 
 
-def test_a_server_of_another_kind_that_alone_is_up_gets_nothing() -> None:
+def test_a_backend_of_another_kind_that_alone_is_ready_gets_nothing() -> None:
     f = fleet(6)
     f.listed(
         [entry(f"s{i}", EndpointState.REMOVED, kind=1) for i in (1, 3, 5)], EndpointUpdate.DELTA
@@ -95,7 +95,7 @@
     assert f.arrive("k", "page") in f.open and f.sends  # what is bound to nothing goes on
 
 
-def test_an_entry_without_kind_or_zone_is_open_to_what_is_bound_to_nothing_only() -> None:
+def test_a_backend_without_kind_or_zone_gets_unconstrained_methods_only() -> None:
     f = fleet(0, Method("status", 400.0, 1000.0, 1.0, zones=("zone1",)))
     f.listed([entry("s1", kind=-2)])
     f.router.backends["s1"].zone = ""
@@ -104,7 +104,7 @@
     assert f.arrive("k", "page") in f.open
 
 
-def test_a_server_listed_as_another_kind_loses_what_is_bound() -> None:
+def test_a_backend_listed_as_another_kind_loses_constrained_methods() -> None:
     f = fleet(2)
     rpc = f.arrive("k")
     assert f.attempts[rpc][0]["server"] == "s1"
@@ -114,7 +114,7 @@
     assert f.sends[-1][1] == "s0"
 
 
-def test_the_settings_are_read_and_a_placement_of_a_wrong_type_is_refused() -> None:
+def test_constraints_are_read_from_settings_and_one_of_a_wrong_type_is_refused() -> None:
     method = {"name": "m", "hard_deadline_s": 1.0, "allowed_on": ["std"], "runs_in": ["north"]}
     top = {"methods": [method], "rules": {"gone_is_advice": True}}
     d = read(1, top | {"goal": {"log_loss_part": 0.2, "nines_wanted": 3}})
@@ -130,7 +130,7 @@
             read(1, {"methods": [method | {"allowed_on": bad}]})
 
 
-def test_the_judge_sees_a_transmission_that_strays_and_lets_the_origin_be() -> None:
+def test_the_judge_sees_an_attempt_outside_its_constraints_and_allows_the_origin() -> None:
     rules = Rules(bound={"status": (("std",), ())})
     for server, broken in (("s1", []), ("s0", ["placement"]), ("origin", [])):
         history = History()
@@ -143,7 +143,7 @@
         assert [b.rule for b in Judge(rules).judge(history, 60000.0)] == broken
 
 
-def test_a_node_whose_placement_is_taken_out_on_purpose_fails_the_experiment(
+def test_a_node_without_its_constraint_check_fails_the_experiment(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     x = load(Path(__file__).parent.parent / "experiments" / "core-placement.toml")
--- a/tests/test_switch.py
+++ b/tests/test_reconfiguration.py
@@ -59,7 +59,7 @@
     )
 
 
-def test_what_is_known_is_carried_over_there_and_back() -> None:
+def test_state_is_carried_over_a_change_of_settings_and_back() -> None:
     methods = (
         Method("read", 400.0, 1000.0, 1.0),
         Method("once", 400.0, 1000.0, 1.0, 0.0, Idempotency.NON_IDEMPOTENT),
@@ -120,7 +120,7 @@
     assert node.backends["s3"].reported_load == -1.0
 
 
-def test_copies_that_are_out_are_called_off_where_they_are_forbidden_from_now_on() -> None:
+def test_hedged_requests_in_flight_are_cancelled_once_hedging_is_forbidden() -> None:
     d = deployment(hedging_allowed=True)
     f = Fleet(d)
     f.listed([entry(f"s{i}") for i in range(4)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -39,7 +39,7 @@
     return [[x for x in r if x and not x.startswith("TIMER")] for r in replies], done.stderr
 
 
-def test_a_miss_goes_on_to_the_origin() -> None:
+def test_a_miss_is_sent_to_the_origin() -> None:
     replies, complaints = play(
         f"{HELLO}\n{LIST}",
         f"REQUEST node/0 r1 {KEY} 0 0.9 - - - read",
@@ -53,7 +53,7 @@
     assert replies[3:] == [[], []] and complaints == ""
 
 
-def test_bad_lines_are_named_and_harm_nothing() -> None:
+def test_malformed_lines_are_named_and_harm_nothing() -> None:
     bad = [
         "WHATEVER node/0 1",
         "REQUEST node/0 r1",
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -16,7 +16,7 @@
     return f
 
 
-def test_a_cold_server_is_not_pushed_over_by_the_sum_of_many_nodes() -> None:
+def test_a_warming_backend_is_not_overloaded_by_the_sum_of_many_nodes() -> None:
     rng, sends = random.Random(3), []
     fleets = [node(150, rng.getrandbits(53)) for _ in range(150)]
     started = 16000.0
@@ -35,7 +35,7 @@
     assert any(to == "s9" for _, to, _ in sends)
 
 
-def test_a_quota_under_one_rpc_a_window_still_lets_its_customer_in() -> None:
+def test_a_quota_under_one_rpc_a_window_still_admits_its_tenant() -> None:
     f = node(300, tenants=(Tenant("small", 87.0),), max_retry_after_ms=400.0)
     for i in range(40):
         f.pass_time(5000.0)
@@ -43,7 +43,7 @@
         f.end(f.arrive(f"k{i}", tenant="small"), Outcome.COMPLETED)  # fails where it was exhausted
 
 
-def test_failures_do_not_let_more_in_than_the_quota() -> None:
+def test_failures_admit_no_more_than_the_quota() -> None:
     f = node(1, tenants=(Tenant("big", 1.0),))
     sent = 0
     for i in range(60):
@@ -57,7 +57,7 @@
     assert sent <= 3 + 30 + 2  # saved up, earned, and rounding
 
 
-def test_rounds_move_nothing_on_a_few_answers() -> None:
+def test_rebalancing_moves_nothing_on_few_responses() -> None:
     f = node(300)
     for s in f.router.backends.values():
         s.reported_load = 50.0 if s.id == "s0" else 1.0
@@ -67,7 +67,7 @@
     assert all(b.assigned is b.primary for b in f.router.placement.buckets.values())
 
 
-def test_a_full_origin_is_asked_less_and_less_by_each_node() -> None:
+def test_an_overloaded_origin_is_asked_less_and_less_by_each_node() -> None:
     f = node(300)
     asked = []
     for i in range(60):
@@ -89,7 +89,7 @@
         assert bool(f.closed) == closed
 
 
-def test_where_holding_costs_nothing_connections_are_held_ever_longer_until_some_fail() -> None:
+def test_where_holding_costs_nothing_the_idle_limit_grows_until_a_failure() -> None:
     f = node(300)
     begun = f.router.idle_connections.idle_limit_ms
     assert (
@@ -123,7 +123,7 @@
     assert f.router.load_shedder.shed_fraction == 0.0 and f.attempts[f.arrive("last", "cheap")]
 
 
-def test_the_origins_limit_falls_when_its_mean_is_slow_not_when_its_work_varies() -> None:
+def test_the_origins_limit_falls_when_its_mean_is_slow_and_not_when_its_work_varies() -> None:
     for varies in (True, False):  # the soft deadline is 400 ms
         f = node(1)
         for i in range(100):
@@ -140,7 +140,7 @@
         ].concurrency_limit
 
 
-def test_a_silent_origin_is_struck_once_its_wait_is_over() -> None:
+def test_a_silent_origin_counts_as_failed_once_the_timeout_is_over() -> None:
     f = node(1)
     origin, struck = f.router.backends["o1"], []
     first = origin.concurrency_limit
@@ -156,9 +156,7 @@
     assert struck == sorted(struck, reverse=True) and struck[-1] < 0.3
 
 
-def test_a_process_beside_another_asks_the_origin_for_its_part_and_the_old_one_keeps_its_own() -> (
-    None
-):
+def test_a_second_process_scales_its_origin_limit_and_the_first_keeps_its_own() -> None:
     old, new = node(4), node(4)
     begun = new.router.origin.concurrency_limit
     old.end(old.arrive("k"), Outcome.MISS)
