--- a/hookpitch/balancer/quotas.py
+++ b/hookpitch/balancer/quotas.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from hookpitch.balancer.interface import Tenant
+from hookpitch.balancer.rpc import Rpc
 
 REFILL_WINDOW_MS = 2500.0
 # RPCs that may be saved up however small the quota's part is. With hundreds of nodes a part is
@@ -63,3 +64,18 @@
             if name in before:
                 before[name].exhausted(now)
                 token_bucket.tokens = min(token_bucket.capacity, before[name].tokens)
+
+    def charge(self, rpc: Rpc, tenant: str, now: float) -> bool:
+        """Take a token for an RPC, or mark it as over quota.
+
+        Returns False where its tenant has no quota.
+        """
+        token_bucket = self.token_buckets.get(tenant)
+        if token_bucket is None:
+            return False
+        if token_bucket.exhausted(now):
+            rpc.over_quota = True
+        else:
+            token_bucket.tokens -= 1
+            rpc.token_bucket = token_bucket
+        return True
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -188,14 +188,8 @@
         margin_ms = self.retries.margin_ms
         rpc.deadline = now + useful - age - margin_ms
         rpc.objective = now + known.soft_ms - age - margin_ms
-        token_bucket = self.quotas.token_buckets.get(tenant)
-        if token_bucket is not None:
-            if token_bucket.exhausted(now):
-                rpc.over_quota = True
-            else:
-                token_bucket.tokens -= 1
-                rpc.token_bucket = token_bucket
-        self.load_shedder.admit(rpc, token_bucket is not None)
+        has_quota = self.quotas.charge(rpc, tenant, now)
+        self.load_shedder.admit(rpc, has_quota)
         self.rpcs[id] = rpc
         self.work.rpcs.append(rpc)
 
@@ -207,7 +201,8 @@
         attempt = self._open_attempt(id, n)
         if attempt is None:
             return
-        rpc, backend = attempt.rpc, attempt.backend
+        rpc = attempt.rpc
+        backend = attempt.backend
         attempt.finish(outcome)
         if self.outcomes.is_late(attempt, outcome, now):
             self.load_shedder.record_rejected()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,6 +7,7 @@
 from fleet import ORIGIN, Fleet, deployment, entry
 
 from hookpitch.balancer.deployment import parse_deployment as read
+from hookpitch.balancer.errors import SettingsError
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Method, Outcome
 from hookpitch.balancer.placement import BUCKETS, Placement
 from hookpitch.fakes.history import History
@@ -130,6 +131,25 @@
             read(1, {"methods": [method | {"allowed_on": bad}]})
 
 
+@pytest.mark.parametrize(
+    ("settings", "text"),
+    [
+        ([], "settings are no JSON object"),
+        ({}, "setting methods is missing"),
+        ({"methods": [{"name": "m"}]}, "setting methods[].hard_deadline_s is missing"),
+        ({"methods": [], "overage_gain": -1}, "setting overage_gain is no figure from 0 up: -1.0"),
+        ({"methods": [], "weights": "x"}, "setting weights has an unknown value 'x'"),
+        ({"methods": 3}, "a setting of a wrong type: 'int' object is not iterable"),
+    ],
+)
+def test_a_setting_that_cannot_be_read_raises_a_settings_error_with_its_name(
+    settings: object, text: str
+) -> None:
+    with pytest.raises(SettingsError) as error:
+        read(1, settings)
+    assert str(error.value) == text and isinstance(error.value, ValueError)
+
+
 def test_the_judge_sees_an_attempt_outside_its_constraints_and_allows_the_origin() -> None:
     rules = Rules(bound={"status": (("std",), ())})
     for server, broken in (("s1", []), ("s0", ["placement"]), ("origin", [])):
