--- a/hookpitch/balancer/attempt_outcomes.py
+++ b/hookpitch/balancer/attempt_outcomes.py
@@ -69,7 +69,7 @@
         self._concurrency.adapt(backend, took_ms, soft_ms, full_work)
 
     def is_late(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
-        """Tell whether a cache's answer came after the objective, by the fleet's fault."""
+        """Return whether a cache's answer came after the objective, by the fleet's fault."""
         rpc = attempt.rpc
         if outcome > Outcome.MISS and outcome != Outcome.TIMEOUT:
             return False
@@ -80,7 +80,7 @@
         return now - self._local_delay.read_delay_ms >= rpc.objective
 
     def _record_refusal(self, attempt: Attempt, now: float) -> None:
-        """Take a backend's refusal; it counts as no send.
+        """Record a refusal by an overloaded backend; its send is not counted.
 
         What warm backends refuse, taken for what they can do, would push those that warm up over.
         """
--- a/hookpitch/balancer/attempt_timers.py
+++ b/hookpitch/balancer/attempt_timers.py
@@ -65,7 +65,7 @@
             self._record_silence(attempt, now)
 
     def _excused(self, attempt: Attempt) -> bool:
-        """Tell whether silence tells nothing: the origin is waited for."""
+        """Return whether the silence is to be ignored: the origin is waited for."""
         backend = attempt.backend
         return backend is self._table.origin and backend.last_response_at < attempt.sent_at
 
@@ -79,7 +79,7 @@
             self._retries.cancel_or_hedge(attempt, now)
 
     def _try_another(self, attempt: Attempt, calm: bool) -> bool:
-        """Tell whether another backend is to be tried; retries must not add to an overload."""
+        """Return whether another backend is to be tried; retries must not add to an overload."""
         backend, origin = attempt.backend, self._table.origin
         if self._retries.hedging_allowed:
             if origin is None:
--- a/hookpitch/balancer/concurrency.py
+++ b/hookpitch/balancer/concurrency.py
@@ -30,7 +30,7 @@
         self._slow_start = slow_start
 
     def has_capacity(self, backend: Backend, now: float) -> bool:
-        """Tell whether a backend may be sent one more attempt now."""
+        """Return whether a backend may be sent one more attempt now."""
         limit = backend.concurrency_limit
         if len(backend.in_flight) >= max(1, int(limit)):
             return False
@@ -39,7 +39,7 @@
         return now >= backend.warmup_until or self._slow_start.has_token(backend, now)
 
     def has_spare_capacity(self, backend: Backend, method: Method) -> bool:
-        """Tell whether a backend answers fast and could take more."""
+        """Return whether a backend answers fast and could take more."""
         return (
             backend.available
             and max(START_CONCURRENCY_LIMIT, 2 * len(backend.in_flight)) < backend.concurrency_limit
@@ -47,7 +47,7 @@
         )
 
     def origin_congested(self) -> bool:
-        """Tell whether the origin has no capacity for further misses."""
+        """Return whether the origin has no capacity for further misses."""
         origin = self._table.origin
         if origin is None:
             return False
--- a/hookpitch/balancer/deployment.py
+++ b/hookpitch/balancer/deployment.py
@@ -28,7 +28,7 @@
     "x0": "x0",
     "x1": "x1",
 }
-WEIGHTS = ("silent", "nominal", "rough", "live")  # what the sizes in a list tell
+WEIGHTS = ("silent", "nominal", "rough", "live")  # what sizes in an endpoint list mean
 DEDUP_SCOPES = ("all", "zone", "cell")
 EMPTY_REPORT: Report = {}
 MAX_REPORTED = 1e7  # no backend reports more: an hour has fewer milliseconds
--- a/hookpitch/balancer/endpoints.py
+++ b/hookpitch/balancer/endpoints.py
@@ -47,7 +47,7 @@
         self._retries = retries
 
     def configure(self, deployment: Deployment, nodes: int) -> None:
-        """Take new settings; kinds are numbered anew, so backends' numbers follow their names."""
+        """Apply new settings; kinds get new numbers, which backends take over by name."""
         table = self._table
         self._nodes = nodes
         self._removal_is_advisory = deployment.removal_is_advisory
@@ -98,7 +98,7 @@
         if backend is None or banned == was_banned:
             return
         if not banned:
-            # What was restarted while banned is cold, and old failures would keep it waiting.
+            # It may have restarted while banned; old failures would delay its use.
             self._outliers.reset(backend)
             backend.ejection_ms = 0.0
             self._slow_start.start_warmup(backend, now, now)
--- a/hookpitch/balancer/errors.py
+++ b/hookpitch/balancer/errors.py
@@ -2,7 +2,7 @@
 
 
 class InputError(ValueError):
-    """Something that a router is told cannot be read; the message names what is wrong."""
+    """An input of the router cannot be read; the message names what is wrong."""
 
 
 class SettingsError(InputError):
--- a/hookpitch/balancer/failover.py
+++ b/hookpitch/balancer/failover.py
@@ -68,5 +68,5 @@
         return now >= backend.warmup_until or self._slow_start.has_token(backend, now)
 
     def _may_probe(self, rpc: Rpc, backend: Backend, now: float) -> bool:
-        """Tell whether an ejected backend is tried: with one RPC, once its ejection is over."""
+        """Return whether an ejected backend is tried: with one RPC, once its ejection is over."""
         return now >= backend.ejected_until and not backend.in_flight and not rpc.over_quota
--- a/hookpitch/balancer/health.py
+++ b/hookpitch/balancer/health.py
@@ -31,11 +31,11 @@
     __slots__ = ("read_delay_ms", "stalled_at")
 
     def __init__(self) -> None:
-        self.read_delay_ms = 0.0  # for how long what has arrived stands unread
-        self.stalled_at = NEVER  # when the event loop last stood still
+        self.read_delay_ms = 0.0  # time that received data waits before it is read
+        self.stalled_at = NEVER  # the end of the last event loop stall
 
     def covers(self, attempt: Attempt) -> bool:
-        """Tell whether an attempt was in flight while the process stood still."""
+        """Return whether an attempt was in flight during an event loop stall."""
         return attempt.sent_at < self.stalled_at
 
 
@@ -63,11 +63,11 @@
         self._idle_connections = idle_connections
 
     def configure(self, deployment: Deployment) -> None:
-        """Take new settings; ejections that have begun keep their length."""
+        """Apply new settings; ejections that have begun keep their length."""
         shortest_ms = min((method.soft_ms for method in deployment.methods), default=1000.0)
         self.base_ejection_ms = 2 * shortest_ms
 
-    # ---- what tells of a backend's health
+    # ---- evidence
 
     def record_response(self, backend: Backend, now: float) -> None:
         """Count an answer, and take an ejected backend back."""
@@ -90,7 +90,7 @@
         rpc.suspect = None
 
     def needs_second_opinion(self, backend: Backend, outcome: Outcome, now: float) -> bool:
-        """Tell whether an error may be the RPC's own fault."""
+        """Return whether an error may be the RPC's own fault."""
         if outcome != Outcome.ERROR:
             return False
         return backend is not self._table.origin or not self._silent(backend, now)
@@ -130,7 +130,7 @@
         if not attempt.silence_recorded and not local_delay.covers(attempt):
             self.record_failure(backend, now)
 
-    # ---- what follows from it
+    # ---- consequences
 
     def record_failure(self, backend: Backend, now: float) -> None:
         """Count a failure, and eject the backend where it is one too many."""
@@ -180,10 +180,10 @@
         return now < backend.recovered_at + MAX_EJECTIONS * self.base_ejection_ms
 
     def _has_died(self, backend: Backend, now: float) -> bool:
-        """Tell whether a refused connection says that the backend's process is a new one.
+        """Return whether a refused connection says that the backend's process is a new one.
 
-        One that refuses after failures died and comes back cold, maybe unannounced. Where most
-        caches fail, the fault is this node's own network.
+        One that refuses connections after failures has restarted and is warming up, even if the
+        list does not say so. Where most caches fail, the fault is in this node's own network.
         """
         if backend.consecutive_failures <= 1 and not self._recovered_lately(backend, now):
             return False
--- a/hookpitch/balancer/idle_connections.py
+++ b/hookpitch/balancer/idle_connections.py
@@ -27,7 +27,7 @@
         self._growth = START_GROWTH
 
     def configure(self, deployment: Deployment, base_ejection_ms: float) -> None:
-        """Take new settings; where holding costs, the limit is where it equals a new handshake."""
+        """Apply new settings; where holding costs, the limit is where it equals a new handshake."""
         if deployment.connection_hold_cost > 0:
             self.max_idle_ms = (
                 base_ejection_ms * deployment.connection_open_cost / deployment.connection_hold_cost
@@ -48,7 +48,7 @@
         self.idle_limit_ms = min(self.max_idle_ms, self._growth * self.idle_limit_ms)
 
     def is_idle(self, backend: Backend, now: float) -> bool:
-        """Tell whether a backend's connections have been idle for too long."""
+        """Return whether a backend's connections have been idle for too long."""
         return (
             backend.connected
             and not backend.in_flight
@@ -56,5 +56,5 @@
         )
 
     def may_be_dropped(self, backend: Backend, now: float) -> bool:
-        """Tell whether the backend may have dropped its idle connections unseen."""
+        """Return whether the backend may have dropped its idle connections unseen."""
         return self.is_idle(backend, now) and self.idle_limit_ms < 0.9 * self.max_idle_ms
--- a/hookpitch/balancer/load_shedding.py
+++ b/hookpitch/balancer/load_shedding.py
@@ -3,8 +3,8 @@
 Two loads are measured. The fleet's: `pressure` and `shed_fraction` follow the part of RPCs within
 quota that were rejected or late in a rate window. The node's own: `overload` is the part of what
 arrives that the node cannot do, measured by its host. Either sheds by priority: methods of the
-least gain first, in bands as wide as their part of what arrives; what is over quota goes before
-all. Fractions are from 0 to 1, times are milliseconds.
+least gain first, in bands as wide as their fraction of arrivals; RPCs over quota are shed before
+all others. Fractions are from 0 to 1, times are milliseconds.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class PriorityBand(NamedTuple):
-    """Where the methods of one gain stand among all, by their part of what arrives."""
+    """The range that the methods of one gain take up, by their fraction of arrivals."""
 
     start: float
     width: float
@@ -54,7 +54,7 @@
         self._quotas = quotas
 
     def configure(self, deployment: Deployment, methods: dict[str, Method]) -> None:
-        """Take new settings; what was measured stays."""
+        """Apply new settings; what was measured stays."""
         self._methods = methods
         self._max_retry_after_ms = deployment.max_retry_after_ms
         self._over_quota_gain_factor = deployment.over_quota_gain_factor
@@ -84,7 +84,7 @@
         self.rejected_count += 1
 
     def is_calm(self) -> bool:
-        """Tell whether so little is rejected that a retry of what is only slow does no harm."""
+        """Return whether so little is rejected that a retry of what is only slow does no harm."""
         return self.pressure < SHED_FROM / 2
 
     def update(self) -> int:
--- a/hookpitch/balancer/placement.py
+++ b/hookpitch/balancer/placement.py
@@ -80,11 +80,11 @@
         self._methods: tuple[Method, ...] = ()
 
     def configure(self, methods: tuple[Method, ...]) -> None:
-        """Take new methods; buckets stay where they are until the ring changes."""
+        """Apply new methods; buckets stay where they are until the ring changes."""
         self._methods = methods
 
     def allows(self, target: Bucket | Method, backend: Backend) -> bool:
-        """Tell whether constraints allow a backend. One without a kind or zone fits none."""
+        """Return whether constraints allow a backend; one of unknown kind or zone meets none."""
         if target.kinds and self._table.kind_name(backend.kind) not in target.kinds:
             return backend is self._table.origin
         return not target.zones or backend.zone in target.zones or backend is self._table.origin
@@ -112,12 +112,12 @@
         self.assign_all()
 
     def assign_all(self) -> None:
-        """Assign every bucket's primary anew."""
+        """Assign the primary of every bucket again."""
         for bucket in self.buckets.values():
             self.assign_primary(bucket)
 
     def assign_primary(self, bucket: Bucket) -> None:
-        """Take a bucket's primary from the ring; a move stands while its cache is usable."""
+        """Set a bucket's primary from the ring; a move is kept while its cache is usable."""
         moved = bucket.assigned is not bucket.primary
         bucket.chain = None
         bucket.primary = next(iter(self.replicas(bucket)), None)
@@ -199,7 +199,7 @@
         """Keep room on caches that constrained methods need for what is bound to few of them.
 
         Returns True where a cache's `unconstrained_fraction` changed, so that buckets have to be
-        assigned anew.
+        assigned again.
         """
         constrained = [method for method in self._methods if method.kinds or method.zones]
         ready = [cache for cache in self._ring.caches if cache.state == EndpointState.READY]
--- a/hookpitch/balancer/queueing.py
+++ b/hookpitch/balancer/queueing.py
@@ -69,7 +69,7 @@
             self._work.rpcs.append(last.rpc)
 
     def pop(self, backend: Backend, now: float) -> Rpc | None:
-        """Return the next RPC that may still be sent to a backend; decide the others anew."""
+        """Return the next RPC that may still be sent to a backend; the others are routed again."""
         while backend.fresh_queue or backend.retry_queue:
             rpc = heapq.heappop(backend.fresh_queue or backend.retry_queue).rpc
             if not rpc.queue_deadline or rpc.closed:
--- a/hookpitch/balancer/quotas.py
+++ b/hookpitch/balancer/quotas.py
@@ -28,7 +28,7 @@
         self.filled_at = now
 
     def exhausted(self, now: float) -> bool:
-        """Refill it, and tell whether there is less than one token."""
+        """Refill it and return whether there is less than one token."""
         self.tokens = min(self.capacity, self.tokens + (now - self.filled_at) * self.rate)
         self.filled_at = now
         return self.tokens < 1
@@ -46,12 +46,12 @@
         self._nodes = 1
 
     def configure(self, tenants: tuple[Tenant, ...], nodes: int) -> None:
-        """Take new settings; `set_process_share` has to follow."""
+        """Apply new settings; `set_process_share` has to follow."""
         self._tenants = tenants
         self._nodes = nodes
 
     def set_process_share(self, now: float, process_share: float) -> None:
-        """Make the token buckets anew; tokens of tenants that remain are kept."""
+        """Rebuild the token buckets; tenants that remain keep their tokens."""
         self.process_share = process_share
         before = self.token_buckets
         rate = process_share / 1000 / self._nodes  # of a quota a second over all nodes
--- a/hookpitch/balancer/rebalancing.py
+++ b/hookpitch/balancer/rebalancing.py
@@ -142,7 +142,7 @@
         self._method_load = method_load
 
     def configure(self, nodes: int) -> None:
-        """Take the number of nodes that the fleet's traffic comes from."""
+        """Set the number of nodes that share the fleet's traffic."""
         self._nodes = nodes
 
     def rebalance(self, now: float) -> None:
--- a/hookpitch/balancer/retries.py
+++ b/hookpitch/balancer/retries.py
@@ -27,7 +27,7 @@
         self._placement = placement
 
     def configure(self, deployment: Deployment) -> None:
-        """Take new settings."""
+        """Apply new settings."""
         self.max_attempts = deployment.max_attempts
         self.hedging_allowed = deployment.hedging_allowed
         self.cancellation_enabled = deployment.cancellation_enabled
@@ -41,7 +41,7 @@
         rpc.method = rpc.method.under(method)
 
     def cancel_hedged(self, rpc: Rpc) -> None:
-        """Cancel what hedged requests may stand beside, once hedging is not allowed any more."""
+        """Cancel attempts that have been hedged, once hedging is no longer allowed."""
         self._work.cancellations.extend(
             attempt for attempt in rpc.attempts if attempt.hedgeable and not attempt.done
         )
@@ -59,7 +59,7 @@
         return FOREVER
 
     def may_attempt(self, rpc: Rpc, backend: Backend, now: float) -> bool:
-        """Tell whether constraints and idempotency allow to send an RPC to a backend."""
+        """Return whether constraints and idempotency allow to send an RPC to a backend."""
         method = rpc.method
         return (
             self._drops_repeats(rpc, backend)
@@ -79,7 +79,7 @@
         return backend.cell == first.cell
 
     def may_be_repeated_by_client(self, rpc: Rpc) -> bool:
-        """Tell whether a client that is told to retry can do no harm."""
+        """Return whether a client that is asked to retry can do no harm."""
         method = rpc.method
         if method.idempotency == Idempotency.IDEMPOTENT:
             return True
@@ -108,7 +108,7 @@
             self._work.cancellations.append(attempt)
 
     def reroute_pending(self, backend: Backend, now: float, dead: bool) -> None:
-        """Decide anew what waits for a backend and, where it is dead, what is in flight there."""
+        """Route again what is queued for a backend and, if it is dead, what is in flight there."""
         if dead:
             for attempt in backend.in_flight:
                 self.cancel_or_hedge(attempt, now)
--- a/hookpitch/balancer/ring.py
+++ b/hookpitch/balancer/ring.py
@@ -32,7 +32,7 @@
         self.points_per_size = 0.0  # set by the first caches that are listed
 
     def needs_rebuild(self, resized: list[Backend]) -> bool:
-        """Tell whether most caches are gone, or one that has points changed its size."""
+        """Return whether most caches are gone, or one that has points changed its size."""
         removed = sum(cache.state == EndpointState.REMOVED for cache in self.caches)
         return 2 * removed > len(self.caches) or any(cache.ring_points for cache in resized)
 
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -1,4 +1,4 @@
-"""The router: takes what happens, and hands one decision a call to its host.
+"""The router: accepts inputs, and hands one decision per call to its host.
 
 State: RPCs that are open, and the times of the next rate update, round and wake-up; everything
 else belongs to the module that maintains it. Inputs update what is known and append to
@@ -114,7 +114,7 @@
     # ---- inputs: they update what is known, nothing else
 
     def reconfigured(self, now: float, deployment: Deployment) -> None:
-        """Take new settings. RPCs in flight keep their deadlines; what was learned stays."""
+        """Apply new settings. RPCs in flight keep their deadlines; what was learned stays."""
         self.now = now
         self.methods = {method.name: method for method in deployment.methods}
         self._tick_ms = deployment.tick_ms or DEFAULT_TICK_MS
@@ -137,17 +137,17 @@
         self.rebalancer.configure(nodes)
 
     def update_endpoints(self, now: float, kind: EndpointUpdate, endpoints: list[Endpoint]) -> None:
-        """Take an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         self.now = now
         self.endpoints.update(kind, endpoints, now)
 
     def set_banned(self, now: float, id: str, banned: bool) -> None:
-        """Keep a backend out for an operator, or take it back; whatever any list says."""
+        """Ban a backend for an operator, or lift the ban; it outlives endpoint updates."""
         self.now = now
         self.endpoints.set_banned(id, banned, now)
 
     def set_process_count(self, now: float, processes: float) -> None:
-        """Share the node's quotas and budgets with so many processes, this one among them."""
+        """Divide the node's quotas and budgets by the number of its processes."""
         self.now = now
         share_before = self.quotas.process_share
         share = 1 / processes
@@ -167,9 +167,10 @@
         age: float = 0.0,
         work: float = 0.0,
     ) -> None:
-        """Take an RPC; `grace` is what its client waits, `age` how long it stood unread, in ms.
+        """Accept an RPC.
 
-        `work` is the work it states in ms, 0 where it states none.
+        `grace` is the time its client waits, `age` the time it waited to be read, `work` the work
+        it states (0: none), all in ms.
         """
         self.now = now
         if id in self.rpcs:
@@ -196,7 +197,7 @@
     def attempt_ended(
         self, now: float, id: str, n: int, outcome: Outcome, last: bool, took: float, report: Report
     ) -> None:
-        """Take the end of attempt `n` of an RPC, after `took` ms; `last`: the RPC ends with it."""
+        """Record the end of attempt `n` of an RPC after `took` ms; `last`: the RPC ends with it."""
         self.now = now
         attempt = self._open_attempt(id, n)
         if attempt is None:
@@ -220,7 +221,7 @@
             self.work.rpcs.append(rpc)
 
     def stream_started(self, now: float, id: str, n: int) -> None:
-        """Take the first bytes of an answer; other attempts of its RPC are cancelled."""
+        """Record the first bytes of an answer; other attempts of its RPC are cancelled."""
         self.now = now
         attempt = self._open_attempt(id, n)
         if attempt is None:
@@ -232,24 +233,24 @@
         self.outcomes.record_response(attempt, now - attempt.sent_at, False, now)
 
     def client_disconnected(self, now: float, id: str) -> None:
-        """Take an RPC that nobody waits for any more."""
+        """Close an RPC whose client has disconnected."""
         self.now = now
         rpc = self.rpcs.get(id)
         if rpc is not None and not rpc.closed:
             self._close(rpc)
 
     def timer_fired(self, now: float) -> None:
-        """Take the time that was asked for by `schedule_wakeup`."""
+        """Record that a wake-up asked for by `schedule_wakeup` is due."""
         self.now = now
 
     def overload_measured(self, now: float, overload: float, read_delay_ms: float = 0.0) -> None:
-        """Take the part of what arrives that this node cannot do, and how long it stood unread."""
+        """Record the fraction of arrivals above this node's capacity, and their read delay."""
         self.now = now
         self.local_delay.read_delay_ms = read_delay_ms
         self.load_shedder.overload_measured(overload)
 
     def event_loop_stalled(self, now: float) -> None:
-        """Take a pause of this process: what was in flight then tells nothing of its backends."""
+        """Record a stall of this process: attempts in flight then count against no backend."""
         self.now = now
         self.local_delay.stalled_at = now
 
@@ -258,7 +259,7 @@
         self.now = now
         return self.load_shedder.shed_delay(now, method, tenant, age)
 
-    # ---- decisions, one a call
+    # ---- decisions, one per call
 
     def decide(self, now: float, host: RouterHost) -> bool:
         """Hand at most one decision to the host; return False when there is none left."""
@@ -379,7 +380,7 @@
         return self._send_or_enqueue(rpc, backend, host)
 
     def _is_hopeless(self, rpc: Rpc) -> bool:
-        """Tell whether no further attempt is to be made."""
+        """Return whether no further attempt is to be made."""
         return (
             rpc.rejected
             or rpc.unservable
@@ -388,7 +389,7 @@
         )
 
     def _needs_origin(self, rpc: Rpc) -> bool:
-        """Tell whether only the origin will do: for a write, a miss, a hedge or a last attempt."""
+        """Return whether only the origin will do: a write, a miss, a hedge, a last attempt."""
         if rpc.write or rpc.missed or rpc.hedgeable_count:
             return True
         return 0 < len(rpc.attempts) == self.retries.max_attempts - 1
@@ -413,7 +414,7 @@
 
     @staticmethod
     def _is_full(backend: Backend) -> bool:
-        """Tell whether an RPC over quota would take the place of one within."""
+        """Return whether an RPC over quota would displace one within quota."""
         limit = backend.concurrency_limit
         return len(backend.in_flight) >= limit or limit < 1
 
@@ -453,9 +454,9 @@
         return True
 
     def _counts_as_rejected(self, rpc: Rpc) -> bool:
-        """Tell whether a rejection tells of an overloaded fleet.
+        """Return whether a rejection is a sign of an overloaded fleet.
 
-        What one slow cache's queue gives up while others have spare capacity does not.
+        One from a slow cache's queue, while others have spare capacity, is not.
         """
         elsewhere = rpc.rejected and self.failover.count_spare(rpc) > 1
         if elsewhere or rpc.over_quota or rpc.missed or rpc.unservable:
--- a/hookpitch/balancer/rpc.py
+++ b/hookpitch/balancer/rpc.py
@@ -16,7 +16,7 @@
     from hookpitch.balancer.placement import Bucket
     from hookpitch.balancer.quotas import TokenBucket
 
-# These tell of one connection: the same backend may be asked again.
+# Faults of one connection: the same backend may be tried again.
 CONNECTION_FAULTS = (Outcome.MALFORMED, Outcome.RESET)
 
 
--- a/hookpitch/balancer/slow_start.py
+++ b/hookpitch/balancer/slow_start.py
@@ -31,7 +31,7 @@
         self._ring = ring
 
     def configure(self, deployment: Deployment) -> None:
-        """Take new settings; warm-ups that have begun go on."""
+        """Apply new settings; warm-ups that have begun go on."""
         self.max_warmup_gain = max(1.0, deployment.overload_factor / 1.5)
         self._start_fraction = deployment.slow_start_fraction
         self.duration_ms = deployment.slow_start_ms
@@ -50,7 +50,7 @@
         backend.warmup_until = since + self.duration_ms
 
     def has_token(self, backend: Backend, now: float) -> bool:
-        """Refill a warming backend's tokens, and tell whether it may be sent one RPC."""
+        """Refill a warming backend's tokens and return whether it may be sent one RPC."""
         progress = 1.0
         if self.duration_ms:
             progress = max(0.0, 1 - (backend.warmup_until - now) / self.duration_ms)
