--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,7 +9,7 @@
 import random
 import struct
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from twisted.internet.error import ConnectBindError, ConnectionDone, UserError
 from twisted.internet.protocol import ClientFactory, Protocol
@@ -77,7 +77,7 @@
     return Endpoint(id, "zone" + id[-1], int(id[-1]), started, state, kind, size)
 
 
-def drawn(rng: random.Random) -> Deployment:
+def random_deployment(rng: random.Random) -> Deployment:
     """A deployment of any kind the wire allows."""
     methods = []
     for i in range(rng.randint(1, 4)):
@@ -129,25 +129,45 @@
     )
 
 
+@dataclass
+class SentAttempt:
+    """An attempt as the host carries it out."""
+
+    server: str
+    sent_at: float
+    ends_at: float  # it times out, or its cancellation is carried out
+    done: bool = False
+    may_have_run: bool = True
+    cancelled: bool = False
+
+    def cancel(self, now: float) -> None:
+        self.ends_at = now
+        self.cancelled = True
+
+
 class Fleet:
     """Carries a node's decisions out and fails the test where one breaks a rule."""
 
-    def __init__(self, d: Deployment, seed: int = 1) -> None:
-        self.rng, self.d, self.now = random.Random(seed), d, 1000.0
-        self.router = Router(self.now, d)
-        self.methods = {m.name: m for m in d.methods}
-        self.told: dict[str, Endpoint] = {}  # what the node was last told of each server
-        self.bound: set[str] = set()  # seen draining, and not ready since
+    def __init__(self, deployment: Deployment, seed: int = 1) -> None:
+        self.rng = random.Random(seed)
+        self.deployment = deployment
+        self.now = 1000.0
+        self.router = Router(self.now, deployment)
+        self.methods = {method.name: method for method in deployment.methods}
+        self.endpoints: dict[str, Endpoint] = {}  # as the router was last told of each
+        self.draining_ids: set[str] = set()  # seen draining, and not ready since
         self.open: dict[str, tuple[Method, float]] = {}  # RPC -> method, hard deadline
-        self.attempts: dict[str, list[dict]] = {}
-        self.out: list[tuple[str, int]] = []
+        self.attempts: dict[str, list[SentAttempt]] = {}
+        self.in_flight: list[tuple[str, int]] = []  # RPC, number of its attempt
         self.answers: dict[str, str] = {}
-        self.sends: list[tuple[float, str, str]] = []
-        self.wakes: list[float] = []
+        self.sends: list[tuple[float, str, str]] = []  # time, backend, RPC
+        self.wakeups: list[float] = []
         self.arrivals: list[float] = []
-        self.told_from: dict[str, int] = {}
-        self.logs, self.closed, self.count = [], [], 0
-        self.moods: dict[str, str] = {}
+        self.sends_before_start: dict[str, int] = {}  # by backend: when its start was listed
+        self.logs: list[str] = []
+        self.closed: list[str] = []
+        self.count = 0
+        self.behaviors: dict[str, str] = {}  # by backend, drawn
 
     # the host's side
 
@@ -159,49 +179,41 @@
         assert timeout_ms > 0 and self.now + timeout_ms <= deadline, (
             "a limit past the hard deadline"
         )
-        assert len(earlier) < self.d.max_attempts
-        assert self.d.hedging_allowed or all(t["done"] for t in earlier), "two out at once"
-        e = self.told[backend_id]
+        assert len(earlier) < self.deployment.max_attempts
+        assert self.deployment.hedging_allowed or all(t.done for t in earlier), "two out at once"
+        e = self.endpoints[backend_id]
         advice = (
-            self.d.removal_is_advisory
+            self.deployment.removal_is_advisory
             and e.state == EndpointState.REMOVED
-            and backend_id not in self.bound
+            and backend_id not in self.draining_ids
         )
         assert e.state == EndpointState.READY or advice, "rule 3: sent to a draining or gone server"
-        if e.kind != self.d.origin_kind:
-            name = self.d.kinds[e.kind] if 0 <= e.kind < len(self.d.kinds) else ""
+        if e.kind != self.deployment.origin_kind:
+            name = self.deployment.kinds[e.kind] if 0 <= e.kind < len(self.deployment.kinds) else ""
             assert not method.kinds or name in method.kinds, "placement: a kind that is not open"
             assert not method.zones or e.zone in method.zones, (
                 "placement: a location that is not open"
             )
-        ran = [t for t in earlier if t["ran"]]
+        ran = [t for t in earlier if t.may_have_run]
         if ran and method.idempotency == Idempotency.NON_IDEMPOTENT:
             raise AssertionError("rule 2: a non-retriable RPC that may have run was sent again")
         if ran and method.idempotency == Idempotency.IDEMPOTENT_WITH_KEY:
-            a, b = self.told[ran[0]["server"]], self.told[backend_id]
+            a, b = self.endpoints[ran[0].server], self.endpoints[backend_id]
             same = {"all": True, "zone": a.zone == b.zone, "cell": a.cell == b.cell}[
                 method.dedup_scope
             ]
-            assert same and self.now < ran[0]["at"] + method.dedup_window_ms, (
+            assert same and self.now < ran[0].sent_at + method.dedup_window_ms, (
                 "rule 2: outside group or window"
             )
         self.sends.append((self.now, backend_id, rpc_id))
         self._check_cold(backend_id)
-        earlier.append(
-            {
-                "server": backend_id,
-                "at": self.now,
-                "until": self.now + timeout_ms,
-                "done": False,
-                "ran": True,
-            }
-        )
-        self.out.append((rpc_id, len(earlier) - 1))
+        earlier.append(SentAttempt(backend_id, self.now, self.now + timeout_ms))
+        self.in_flight.append((rpc_id, len(earlier) - 1))
 
     def _check_cold(self, backend_id: str) -> None:
         """Rule 4: in any window no more than the multiple of a warm server's load, cut by the
         warm-up."""
-        e, d = self.told[backend_id], self.d
+        e, d = self.endpoints[backend_id], self.deployment
         age = self.now - e.started_ms
         if e.started_ms <= 0 or age >= d.slow_start_ms or e.kind == d.origin_kind:
             return
@@ -211,7 +223,7 @@
             if at > self.now - 4 * d.overload_window_ms:
                 counts[to] = counts.get(to, 0) + 1
         warm = float(max(counts.values(), default=0))  # over four windows: at least one window's
-        caches = [e for e in self.told.values() if e.kind != d.origin_kind]
+        caches = [e for e in self.endpoints.values() if e.kind != d.origin_kind]
         if all(
             0 < e.started_ms > self.now - d.slow_start_ms for e in caches
         ):  # none warm: its part of what came
@@ -219,7 +231,7 @@
                 caches
             )
         known = self.sends[
-            self.told_from.get(backend_id, 0) :
+            self.sends_before_start.get(backend_id, 0) :
         ]  # since the node could know of the start
         mine = sum(
             1 for at, to, _ in known if to == backend_id and at > self.now - d.overload_window_ms
@@ -229,8 +241,8 @@
         )
 
     def cancel(self, rpc_id: str, attempt: int) -> None:
-        assert self.d.cancellation_enabled
-        self.attempts[rpc_id][attempt].update(until=self.now, called_off=True)
+        assert self.deployment.cancellation_enabled
+        self.attempts[rpc_id][attempt].cancel(self.now)
 
     def _final(self, rpc_id: str, answer: str) -> None:
         assert rpc_id in self.open, "rule 1: a second final answer"
@@ -240,9 +252,9 @@
 
     def reject(self, rpc_id: str, retry_after_ms: float) -> None:
         method = self.methods_of(rpc_id)
-        assert 0 <= retry_after_ms <= self.d.max_retry_after_ms
+        assert 0 <= retry_after_ms <= self.deployment.max_retry_after_ms
         if method.idempotency != Idempotency.IDEMPOTENT and any(
-            t["ran"] for t in self.attempts[rpc_id]
+            t.may_have_run for t in self.attempts[rpc_id]
         ):
             deduped = method.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
             assert deduped and method.dedup_scope == "all", (
@@ -258,13 +270,13 @@
         self._final(rpc_id, "errored")
 
     def close_idle(self, backend_id: str) -> None:
-        assert backend_id in self.told and all(
-            self.attempts[r][n]["server"] != backend_id for r, n in self.out
+        assert backend_id in self.endpoints and all(
+            self.attempts[r][n].server != backend_id for r, n in self.in_flight
         )
         self.closed.append(backend_id)
 
     def schedule_wakeup(self, at_ms: float) -> None:
-        self.wakes.append(at_ms)
+        self.wakeups.append(at_ms)
 
     def log(self, text: str) -> None:
         self.logs.append(text)
@@ -284,18 +296,18 @@
         self, entries: list[Endpoint], kind: EndpointUpdate = EndpointUpdate.SNAPSHOT
     ) -> None:
         if kind != EndpointUpdate.DELTA and kind != EndpointUpdate.FAILED:
-            for id, e in self.told.items():
-                self.told[id] = Endpoint(
+            for id, e in self.endpoints.items():
+                self.endpoints[id] = Endpoint(
                     id, e.zone, e.cell, e.started_ms, EndpointState.REMOVED, e.kind, e.size
                 )
         for e in entries:
-            if e.id not in self.told or self.told[e.id].started_ms != e.started_ms:
-                self.told_from[e.id] = len(self.sends)
-            self.told[e.id] = e
+            if e.id not in self.endpoints or self.endpoints[e.id].started_ms != e.started_ms:
+                self.sends_before_start[e.id] = len(self.sends)
+            self.endpoints[e.id] = e
             if e.state == EndpointState.DRAINING:
-                self.bound.add(e.id)
+                self.draining_ids.add(e.id)
             elif e.state == EndpointState.READY:
-                self.bound.discard(e.id)
+                self.draining_ids.discard(e.id)
         if kind != EndpointUpdate.FAILED:  # what was told before stands
             self.router.update_endpoints(self.now, kind, entries)
         self.settle()
@@ -309,7 +321,7 @@
         grace: float = 0.0,
     ) -> str:
         self.count += 1
-        rpc_id, m = f"rpc{self.count}", self.methods[method or self.d.methods[0].name]
+        rpc_id, m = f"rpc{self.count}", self.methods[method or self.deployment.methods[0].name]
         grace = grace or m.hard_ms
         self.arrivals.append(self.now)
         self.open[rpc_id], self.attempts[rpc_id] = (m, self.now + grace), []
@@ -325,32 +337,32 @@
     def end(self, rpc_id: str, outcome: Outcome, n: int = -1) -> None:
         n = n if n >= 0 else len(self.attempts[rpc_id]) - 1
         tx = self.attempts[rpc_id][n]
-        tx["done"], tx["ran"] = True, tx["ran"] and outcome not in NOT_EXECUTED
-        self.out.remove((rpc_id, n))
+        tx.done, tx.may_have_run = True, tx.may_have_run and outcome not in NOT_EXECUTED
+        self.in_flight.remove((rpc_id, n))
         if outcome == Outcome.COMPLETED and rpc_id in self.open:
             self._final(rpc_id, "completed")
         last = rpc_id not in self.open
-        self.router.attempt_ended(self.now, rpc_id, n, outcome, last, self.now - tx["at"], {})
+        self.router.attempt_ended(self.now, rpc_id, n, outcome, last, self.now - tx.sent_at, {})
         self.settle()
 
     def pass_time(self, span: float) -> None:
         """Let time pass, with time-outs, cancels and wakes in their order."""
         end = self.now + span
         while True:
-            limits = [(self.attempts[r][n]["until"], r, n) for r, n in self.out]
+            limits = [(self.attempts[r][n].ends_at, r, n) for r, n in self.in_flight]
             at, r, n = min(limits, default=(float("inf"), "", 0))
-            wake = min(self.wakes, default=float("inf"))
+            wake = min(self.wakeups, default=float("inf"))
             if min(at, wake) > end:
                 break
             self.now = max(self.now, min(at, wake))
             if at <= wake:
                 self.end(
                     r,
-                    Outcome.CANCELLED if "called_off" in self.attempts[r][n] else Outcome.TIMEOUT,
+                    Outcome.CANCELLED if self.attempts[r][n].cancelled else Outcome.TIMEOUT,
                     n,
                 )
             else:
-                self.wakes.remove(wake)
+                self.wakeups.remove(wake)
                 self.router.timer_fired(self.now)
                 self.settle()
         self.now = end
@@ -361,15 +373,15 @@
         act = rng.random()
         if act < 0.4:
             key = "" if rng.random() < 0.1 else f"key{int(rng.paretovariate(0.7)) % 50}"
-            m = rng.choice(self.d.methods)
-            tenant = rng.choice([c.name for c in self.d.tenants] or [""])
+            m = rng.choice(self.deployment.methods)
+            tenant = rng.choice([c.name for c in self.deployment.tenants] or [""])
             for _ in range(rng.choice([1, 1, 1, 30])):
                 grace = m.hard_ms * rng.choice([0.02, 0.5, 1.0])
                 self.arrive(key, m.name, tenant, rng.random() < 0.1, grace)
-        elif act < 0.8 and self.out:
-            for r, n in rng.sample(self.out, min(len(self.out), 8)):
-                mood = self.moods.get(self.attempts[r][n]["server"], "well")
-                if (r, n) in self.out and mood != "silent":
+        elif act < 0.8 and self.in_flight:
+            for r, n in rng.sample(self.in_flight, min(len(self.in_flight), 8)):
+                mood = self.behaviors.get(self.attempts[r][n].server, "well")
+                if (r, n) in self.in_flight and mood != "silent":
                     odds = {
                         "well": [8, 2, 1],
                         "full": [1, 0, 8],
@@ -384,11 +396,11 @@
                         mood, rng.choice([Outcome.ERROR, Outcome.CANCELLED, Outcome.OVERLOADED])
                     )
                     self.end(r, rng.choices([Outcome.COMPLETED, Outcome.MISS, last], odds)[0], n)
-        elif act < 0.84 and self.told:
-            server = rng.choice(sorted(self.told))
-            self.moods[server] = rng.choice(["well", "silent", "full", "dead", "aside"])
-        elif act < 0.87 and self.told:
-            e = self.told[rng.choice(sorted(self.told))]
+        elif act < 0.84 and self.endpoints:
+            server = rng.choice(sorted(self.endpoints))
+            self.behaviors[server] = rng.choice(["well", "silent", "full", "dead", "aside"])
+        elif act < 0.87 and self.endpoints:
+            e = self.endpoints[rng.choice(sorted(self.endpoints))]
             state = rng.choice(
                 [
                     EndpointState.READY,
@@ -400,7 +412,7 @@
             started = self.now - 1 if e.state == EndpointState.REMOVED else e.started_ms
             kind = (
                 e.kind
-                if rng.random() < 0.7 or e.kind == self.d.origin_kind
+                if rng.random() < 0.7 or e.kind == self.deployment.origin_kind
                 else rng.choice([0, 1, -2])
             )
             changed = Endpoint(e.id, e.zone, e.cell, started, state, kind, e.size)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -158,7 +158,7 @@
     f.now += 150.0
     f.router.event_loop_stalled(f.now)
     f.pass_time(150.0)
-    assert f.out and not any(s.consecutive_failures for s in f.router.backends.values())
+    assert f.in_flight and not any(s.consecutive_failures for s in f.router.backends.values())
     f.pass_time(20.0)  # but who is silent from then on is
     assert any(s.consecutive_failures for s in f.router.backends.values())
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -71,23 +71,23 @@
 
 def test_consecutive_failures_eject_a_backend_and_a_response_recovers_it() -> None:
     f = fleet(2)
-    victim = f.attempts[f.arrive("k")][0]["server"]
+    victim = f.attempts[f.arrive("k")][0].server
     for _ in range(2):  # after a reset the same server may be asked again
-        while f.out:
-            rpc, n = f.out[0]
+        while f.in_flight:
+            rpc, n = f.in_flight[0]
             f.end(
                 rpc,
-                Outcome.RESET if f.attempts[rpc][n]["server"] == victim else Outcome.COMPLETED,
+                Outcome.RESET if f.attempts[rpc][n].server == victim else Outcome.COMPLETED,
                 n,
             )
         f.arrive("k")
-    f.end(f.out[0][0], Outcome.COMPLETED)
-    assert f.router.backends[victim].ejected and f.attempts[f.arrive("k")][0]["server"] != victim
+    f.end(f.in_flight[0][0], Outcome.COMPLETED)
+    assert f.router.backends[victim].ejected and f.attempts[f.arrive("k")][0].server != victim
     for _ in range(100):
         f.pass_time(1000.0)
         rpc = f.arrive("k")
         f.end(rpc, Outcome.COMPLETED)
-        if f.attempts[rpc][0]["server"] == victim:
+        if f.attempts[rpc][0].server == victim:
             return
     raise AssertionError("shut out for good")
 
@@ -137,14 +137,13 @@
 def test_resets_concern_connections_and_start_no_warmup() -> None:
     f = fleet(4)
     f.router.placement.recent_requests = 1e6  # the key is one of many
-    victim = f.attempts[f.arrive("k")][0]["server"]
+    victim = f.attempts[f.arrive("k")][0].server
     for _ in range(4):  # a refused dial among good answers is a chance, too
         for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.COMPLETED):
             f.end(f"rpc{f.count}", outcome)
         f.end(rpc := f.arrive("k"), Outcome.COMPLETED)
         assert (
-            f.attempts[rpc][0]["server"] == victim
-            and f.router.backends[victim].warmup_until < f.now
+            f.attempts[rpc][0].server == victim and f.router.backends[victim].warmup_until < f.now
         )
         f.arrive("k")
     for _ in range(2):
@@ -172,7 +171,7 @@
     for i in range(6):  # no good answer for longer than two soft deadlines: it has failed
         f.pass_time(900.0)
         f.end(rpc := f.arrive(f"m{i}"), Outcome.MISS)
-        while rpc in f.open and f.out:
+        while rpc in f.open and f.in_flight:
             f.end(rpc, Outcome.RESET)
     assert f.router.backends["o1"].concurrency_limit < 1.0
 
@@ -181,7 +180,7 @@
     f = fleet(4)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
-        while rpc in f.open and f.out:
+        while rpc in f.open and f.in_flight:
             f.end(rpc, Outcome.CONNECT_FAILED)
     caches = [s for s in f.router.backends.values() if s is not f.router.origin]
     assert sum(s.ejected for s in caches) >= 3 and sum(s.warmup_until > f.now for s in caches) <= 2
@@ -194,7 +193,7 @@
     for i in range(100):
         rpc = f.arrive(f"k{i}")
         f.pass_time(120.0)  # not at once: the soft deadline is 400 ms
-        if f.out:
+        if f.in_flight:
             f.end(rpc, Outcome.COMPLETED)
         f.pass_time(20.0)
     assert 20 < sum(a == "completed" for a in f.answers.values()) < 75
@@ -216,11 +215,11 @@
         assert len(f.attempts[rpc]) == tries and f.router.backends["s0"].consecutive_failures == (
             0 if others else 1
         )
-        assert {t["server"] for t in f.attempts[rpc]} == {"s0"} and sum(
-            r == rpc for r, _ in f.out
+        assert {t.server for t in f.attempts[rpc]} == {"s0"} and sum(
+            r == rpc for r, _ in f.in_flight
         ) == 1
         f.pass_time(130.0)
-        assert len(f.attempts[rpc]) <= 2 and (tries == 2) == (f.attempts[rpc][0]["done"])
+        assert len(f.attempts[rpc]) <= 2 and (tries == 2) == (f.attempts[rpc][0].done)
 
 
 def test_removed_backends_are_forgotten_and_an_id_that_returns_warms_up_as_new() -> None:
@@ -230,8 +229,8 @@
         f.listed([entry(f"s{i - 2}", EndpointState.REMOVED)], EndpointUpdate.DELTA)
         for _ in range(5):
             f.arrive(f"k{f.count}")
-            while f.out:
-                f.end(f.out[0][0], Outcome.COMPLETED)
+            while f.in_flight:
+                f.end(f.in_flight[0][0], Outcome.COMPLETED)
             f.pass_time(500.0)
     assert len(f.router.backends) <= 6 and len(f.router.caches) <= 5
     f.listed([entry("s0", started=f.now - 1)], EndpointUpdate.DELTA)
@@ -288,7 +287,7 @@
     )  # what one tells holds for all that are cold
     for i in range(600):
         rpc = f.arrive(f"n{i}")
-        if f.attempts[rpc][-1]["server"] == "s1":
+        if f.attempts[rpc][-1].server == "s1":
             f.end(rpc, Outcome.OVERLOADED)
             assert (
                 s.warmup_gain * f.router.slow_start.warmup_gain
@@ -307,7 +306,7 @@
     for i in range(1200):
         rpc = f.arrive(f"k{i}")
         while rpc in f.open:
-            at_cache = f.attempts[rpc][-1]["server"] != "o1"
+            at_cache = f.attempts[rpc][-1].server != "o1"
             done += at_cache and i % 6 == 0
             f.end(rpc, Outcome.OVERLOADED if at_cache and i % 6 else Outcome.COMPLETED)
         f.pass_time(10.0)
@@ -332,14 +331,12 @@
     f.router.placement.recent_requests = 1e6
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
-    assert (
-        len(f.attempts[rpc]) == 2 and f.attempts[rpc][0]["server"] != f.attempts[rpc][1]["server"]
-    )
-    assert len([out for out in f.out if out[0] == rpc]) == 2  # the first is still out
+    assert len(f.attempts[rpc]) == 2 and f.attempts[rpc][0].server != f.attempts[rpc][1].server
+    assert len([out for out in f.in_flight if out[0] == rpc]) == 2  # the first is still out
     # The next cache along the ring would miss, and the origin be asked too late.
-    assert f.attempts[rpc][1]["server"] == "o1"
+    assert f.attempts[rpc][1].server == "o1"
     f.end(rpc, Outcome.COMPLETED, 1)
-    assert not f.open and f.attempts[rpc][0].get("called_off")
+    assert not f.open and f.attempts[rpc][0].cancelled
 
 
 def test_a_few_requests_for_a_key_spread_nothing() -> None:
@@ -393,7 +390,7 @@
     f.router.placement.recent_requests = 1e6
     for i in range(400):
         rpc = f.arrive(f"k{i % 100}")
-        f.pass_time(60.0 if f.attempts[rpc][0]["server"] == "s0" else 5.0)
+        f.pass_time(60.0 if f.attempts[rpc][0].server == "s0" else 5.0)
         f.end(rpc, Outcome.COMPLETED)
     moved = [b for b in f.router.placement.buckets.values() if b.assigned is not b.primary]
     assert moved and all(b.primary.id == "s0" for b in moved)
@@ -438,8 +435,8 @@
     for i in range(2400):
         f.arrive(f"k{i}")
         for _ in range(5):
-            for rpc, n in list(f.out):
-                lost = f.attempts[rpc][n]["server"] == "o1"
+            for rpc, n in list(f.in_flight):
+                lost = f.attempts[rpc][n].server == "o1"
                 tried += [f.now] if lost else []
                 f.end(rpc, Outcome.CONNECT_FAILED if lost else Outcome.MISS, n)
             f.pass_time(10.0)
@@ -464,7 +461,7 @@
         came[f.arrive(f"k{i}")] = f.now
     assert len(told) > 25  # more than the line holds in time
     assert all(at == came[rpc] and 0 < ms <= 400.0 for rpc, (at, ms) in told.items())
-    waiting, given_up = set(f.open) - {rpc for rpc, _ in f.out}, f.router.reject
+    waiting, given_up = set(f.open) - {rpc for rpc, _ in f.in_flight}, f.router.reject
     turns = dict[str, float]()
     f.router.reject = lambda rpc, host: (turns.setdefault(rpc.id, f.now), given_up(rpc, host))[1]
     f.pass_time(900.0)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -23,7 +23,7 @@
 
 
 def last(f: Fleet, rpc: str) -> str:
-    return f.attempts[rpc][-1]["server"]
+    return f.attempts[rpc][-1].server
 
 
 def fail(f: Fleet, rpc: str, outcome: Outcome = Outcome.ERROR) -> int:
@@ -158,11 +158,11 @@
     rpc = f.arrive(key)
     s, n = last(f, rpc), len(f.attempts[rpc]) - 1
     f.pass_time(took.get(s, 4.0))
-    f.out.remove((rpc, n))
+    f.in_flight.remove((rpc, n))
     f._final(rpc, "completed")
     report = {"inflight": told.get(s, 0.5)}
     f.router.attempt_ended(
-        f.now, rpc, n, Outcome.COMPLETED, True, f.now - f.attempts[rpc][n]["at"], report
+        f.now, rpc, n, Outcome.COMPLETED, True, f.now - f.attempts[rpc][n].sent_at, report
     )
     f.settle()
 
@@ -206,7 +206,7 @@
         tried = 0
         for i in range(150):  # down for 1.5 s: dials are refused; the list says nothing
             rpc = f.arrive(f"k{(turn * 150 + i) % 200}")
-            while (rpc, n := len(f.attempts[rpc]) - 1) in f.out:
+            while (rpc, n := len(f.attempts[rpc]) - 1) in f.in_flight:
                 down = last(f, rpc) in rack
                 tried += down
                 f.end(rpc, Outcome.CONNECT_FAILED if down else Outcome.COMPLETED, n)
@@ -248,7 +248,7 @@
     f.pass_time(200.0)
     f.end(other, Outcome.COMPLETED)  # the origin answers, so the first looks lost
     f.pass_time(500.0)
-    assert "called_off" not in f.attempts[rpc][0] and rpc in f.open
+    assert not f.attempts[rpc][0].cancelled and rpc in f.open
     f.end(rpc, Outcome.COMPLETED)
     assert f.answers[rpc] == "completed"
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -31,7 +31,7 @@
     f = fleet(max_attempts=5)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
-        while rpc in f.open and f.attempts[rpc] and not f.attempts[rpc][-1]["done"]:
+        while rpc in f.open and f.attempts[rpc] and not f.attempts[rpc][-1].done:
             f.end(rpc, Outcome.OVERLOADED if len(f.attempts[rpc]) % 2 else Outcome.RESET)
     assert {to for _, to, _ in f.sends} <= {"s1", "s3", "s5", "o1"}
 
@@ -108,7 +108,7 @@
 def test_a_backend_listed_as_another_kind_loses_constrained_methods() -> None:
     f = fleet(2)
     rpc = f.arrive("k")
-    assert f.attempts[rpc][0]["server"] == "s1"
+    assert f.attempts[rpc][0].server == "s1"
     f.end(rpc, Outcome.COMPLETED)
     f.listed([entry("s1", kind=0), entry("s0", kind=1)], EndpointUpdate.DELTA)
     f.arrive("k")
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -127,10 +127,10 @@
     f.router.placement.recent_requests = 1e6
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
-    assert len(f.attempts[rpc]) == 2 and not f.attempts[rpc][0].get("called_off")
+    assert len(f.attempts[rpc]) == 2 and not f.attempts[rpc][0].cancelled
     f.router.reconfigured(f.now, replace(d, hedging_allowed=False))
     f.settle()
-    assert f.attempts[rpc][0].get("called_off") and not f.attempts[rpc][1].get("called_off")
+    assert f.attempts[rpc][0].cancelled and not f.attempts[rpc][1].cancelled
 
 
 def test_how_late_counts_as_away_goes_by_the_new_deadlines() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from fleet import DISCOVERY, ORIGIN, Fleet, Storm, drawn, entry
+from fleet import DISCOVERY, ORIGIN, Fleet, Storm, entry, random_deployment
 
 from hookpitch.balancer.interface import EndpointUpdate
 
@@ -12,7 +12,7 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_rules_hold_under_any_order_of_input(seed: int) -> None:
     rng = random.Random(seed)
-    fleet = Fleet(drawn(rng), seed)
+    fleet = Fleet(random_deployment(rng), seed)
     sizes = [rng.choice([0.5, 1.0, 2.0]) for _ in range(rng.randint(1, 9))]
     servers = [entry(f"s{i}", size=size, kind=i % 2) for i, size in enumerate(sizes)]
     origin = [entry("o1", kind=ORIGIN)] if rng.random() < 0.9 else []
@@ -30,7 +30,7 @@
 def test_same_input_gives_the_same_decisions() -> None:
     runs = []
     for _ in range(2):
-        fleet = Fleet(drawn(random.Random(5)), 5)
+        fleet = Fleet(random_deployment(random.Random(5)), 5)
         fleet.listed([entry(f"s{i}") for i in range(6)] + [entry("o1", kind=ORIGIN)])
         for _ in range(500):
             fleet.step()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -52,7 +52,7 @@
         sent += bool(f.attempts[rpc])
         assert not f.attempts[rpc] or not f.router.rpcs[rpc].over_quota
         f.pass_time(500.0)
-        if (rpc, 0) in f.out:
+        if (rpc, 0) in f.in_flight:
             f.end(rpc, Outcome.TIMEOUT)
     assert sent <= 3 + 30 + 2  # saved up, earned, and rounding
 
@@ -73,7 +73,7 @@
     for i in range(60):
         rpc = f.arrive(f"k{i}")
         f.end(rpc, Outcome.MISS)
-        while (rpc, n := len(f.attempts[rpc]) - 1) in f.out:
+        while (rpc, n := len(f.attempts[rpc]) - 1) in f.in_flight:
             asked.append(f.now)
             f.end(rpc, Outcome.OVERLOADED, n)
         f.pass_time(500.0)
@@ -106,7 +106,7 @@
     after = f.router.idle_connections.idle_limit_ms
     f.pass_time(6000.0)
     assert after < f.router.idle_connections.idle_limit_ms < 1.5 * after  # and from then on slowly
-    f.router.reconfigured(f.now, f.d)
+    f.router.reconfigured(f.now, f.deployment)
     assert f.router.idle_connections.idle_limit_ms < f.router.idle_connections.max_idle_ms
 
 
@@ -130,9 +130,9 @@
             for k in range(6):
                 f.end(f.arrive(f"k{i}/{k}"), Outcome.MISS)
             f.pass_time(20.0 if varies else 250.0)
-            for k, (rpc, n) in enumerate(f.out.copy()):
+            for k, (rpc, n) in enumerate(f.in_flight.copy()):
                 f.pass_time(230.0 if varies and k == i % 6 == 0 else 0.0)
-                if (rpc, n) in f.out:
+                if (rpc, n) in f.in_flight:
                     f.end(rpc, Outcome.COMPLETED, n)
             f.pass_time(100.0)
         assert (f.router.backends["o1"].concurrency_limit > 6.0) == varies, f.router.backends[
@@ -170,5 +170,5 @@
     )
     new.router.set_process_count(new.now, 1)
     assert new.router.origin.concurrency_limit == begun
-    new.router.reconfigured(new.now, new.d)
+    new.router.reconfigured(new.now, new.deployment)
     assert new.router.origin.concurrency_limit == begun
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -45,10 +45,8 @@
     f, rng = fleet(), random.Random(seed)
     for i in range(600):
         rpc = f.arrive("heavy" if rng.random() < 0.3 else f"k{rng.randrange(300)}")
-        while (rpc, n := len(f.attempts[rpc]) - 1) in f.out:
-            f.end(
-                rpc, Outcome.RESET if f.attempts[rpc][n]["server"] == "s2" else Outcome.COMPLETED, n
-            )
+        while (rpc, n := len(f.attempts[rpc]) - 1) in f.in_flight:
+            f.end(rpc, Outcome.RESET if f.attempts[rpc][n].server == "s2" else Outcome.COMPLETED, n)
         if i % 10 == 0:
             f.pass_time(20.0)
     assert f.router.backends["s2"].ejected
@@ -64,7 +62,7 @@
     """A node that starts so much later and recalls it."""
     f = Fleet(deployment(nodes=1, slow_start_ms=20000.0))
     f.now = x.written_at_ms + later_ms
-    f.router = type(f.router)(f.now, f.d)
+    f.router = type(f.router)(f.now, f.deployment)
     f.listed(servers, EndpointUpdate.CACHED)
     restore(f.router, f.now, x)
     return f
