--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -10,7 +10,6 @@
 
 from collections.abc import Mapping, Sequence
 
-from hookpitch.balancer.decisions import Router
 from hookpitch.balancer.interface import (
     Deployment,
     Endpoint,
@@ -19,6 +18,7 @@
     Outcome,
     Report,
 )
+from hookpitch.balancer.router import Router
 from hookpitch.core.admission import Admission
 from hookpitch.core.counter_names import OUTCOME_COUNTERS, UPDATE_COUNTERS, FinalResult
 from hookpitch.core.counters import Counters
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -1,7 +1,7 @@
 """What is taken from a running node for its snapshot, and what of one a node that starts may
 believe.
 
-Each thing learned fades with its age a: it counts by 0.5 ** (a / HALF_MS), between what a node
+Each thing learned fades with its age a: it counts by 0.5 ** (a / HALF_LIFE_MS), between what a node
 that knows
 nothing begins with and what was learned. So a snapshot of an hour ago shuns nobody and trusts
 nobody:
@@ -20,7 +20,7 @@
 - the list goes before the one told at the start where its version is higher; discovery's goes
   before both.
 
-The functions know the decisions' own state (`balancer/decisions.py`) and change it through this
+The functions know the decisions' own state (`balancer/router.py`) and change it through this
 one place.
 """
 
@@ -28,8 +28,10 @@
 
 from collections.abc import Mapping
 
-from hookpitch.balancer.decisions import BUCKETS, START_LIMIT, Router, Server
+from hookpitch.balancer.backend import START_CONCURRENCY_LIMIT, Backend
 from hookpitch.balancer.interface import Endpoint, EndpointState
+from hookpitch.balancer.placement import BUCKETS
+from hookpitch.balancer.router import Router
 from hookpitch.startup.snapshot_format import (
     BackendSnapshot,
     EndpointSnapshot,
@@ -38,137 +40,165 @@
     Snapshot,
 )
 
-HALF_MS = 60000.0  # what was learned so long ago counts by half
-MOVED_LEAST = 0.25  # the weight from which on a moved bucket stays where it was moved
+HALF_LIFE_MS = 60000.0  # what was learned so long ago counts by half
+MIN_WEIGHT = 0.25  # the weight from which on a moved bucket stays where it was moved
 
 
-def taken(
+def capture(
     router: Router, now: float, fleet: str, name: str, seq: int, dials: Mapping[str, str]
 ) -> Snapshot:
     """What is known at `now`; `seq` and `dials` as discovery has them. At most a few thousand
     short steps."""
     past = lambda at: at if 0 < at < float("inf") else 0.0  # noqa: E731
     servers = sorted(
-        router.servers.values(), key=lambda s: (s is not router.origin, -s.heard, s.id)
+        router.backends.values(), key=lambda s: (s is not router.origin, -s.response_count, s.id)
     )
     moved, heavy = [], []
-    for (number, kinds, zones), b in router.buckets.items():
-        if b.at is not None and b.at is not b.home:
-            moved.append((-b.rate, MovedBucket(number, kinds, zones, b.at.id)))
-        if b.seen >= 2:
-            heavy.append((-b.seen, HotBucket(number, kinds, zones, b.seen)))
+    for (number, kinds, zones), b in router.placement.buckets.items():
+        if b.assigned is not None and b.assigned is not b.primary:
+            moved.append((-b.rate, MovedBucket(number, kinds, zones, b.assigned.id)))
+        if b.recent_requests >= 2:
+            heavy.append((-b.recent_requests, HotBucket(number, kinds, zones, b.recent_requests)))
     first = lambda pair: pair[0]  # noqa: E731
     return Snapshot(
         fleet,
         name,
-        router.kinds,
+        router.table.kind_names,
         now,
         seq,
         tuple(
             EndpointSnapshot(
-                s.id, s.zone, s.cell, past(s.started), int(s.listed), s.kind, s.size, dials[s.id]
+                s.id,
+                s.zone,
+                s.cell,
+                past(s.started_at),
+                int(s.listed_state),
+                s.kind,
+                s.size,
+                dials[s.id],
             )
             for s in servers
-            if s.id in dials and s.listed != EndpointState.REMOVED
+            if s.id in dials and s.listed_state != EndpointState.REMOVED
         ),
         tuple(
             BackendSnapshot(
                 s.id,
-                past(s.started),
-                s.limit,
-                s.latency,
-                s.usual,
-                s.failures,
-                s.backoff,
-                past(s.off_until) if s.off else 0.0,
-                past(s.cold_until),
+                past(s.started_at),
+                s.concurrency_limit,
+                s.latency_ms,
+                s.baseline_latency_ms,
+                s.consecutive_failures,
+                s.ejection_ms,
+                past(s.ejected_until) if s.ejected else 0.0,
+                past(s.warmup_until),
             )
             for s in servers
         ),
         tuple(m for _, m in sorted(moved, key=first)),
         tuple(h for _, h in sorted(heavy, key=first)),
-        router.seen,
-        router.work,
-        router.warm_rate,
-        min(router.idle, 1e9),
+        router.placement.recent_requests,
+        router.concurrency.unit_latency_ms,
+        router.slow_start.warm_rate,
+        min(router.idle_connections.idle_limit_ms, 1e9),
         tuple(router.bans),
     )
 
 
-def entries(x: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
+def endpoints(snapshot: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
     """The list that it holds, and where its servers are dialled."""
     some = [
-        Endpoint(e.id, e.zone, e.cell, e.started, EndpointState(e.state), e.kind, e.size)
-        for e in x.listed
+        Endpoint(e.id, e.zone, e.cell, e.started_at_ms, EndpointState(e.state), e.kind, e.size)
+        for e in snapshot.endpoints
         if e.state in (EndpointState.READY, EndpointState.DRAINING)
     ]
-    return some, {e.id: e.dial for e in x.listed}
+    return some, {e.id: e.address for e in snapshot.endpoints}
 
 
-def recalled(router: Router, now: float, x: Snapshot) -> str:
+def restore(router: Router, now: float, snapshot: Snapshot) -> str:
     """Told to a node that has its first list and no RPC yet; says in a few words what was
     believed."""
-    age = max(0.0, now - x.written)
-    weight = 0.5 ** (age / HALF_MS)
+    age = max(0.0, now - snapshot.written_at_ms)
+    weight = 0.5 ** (age / HALF_LIFE_MS)
 
     def between(start: float, learned: float) -> float:
         return start + (learned - start) * weight
 
-    known = {k.id: k for k in x.servers}
-    believed: list[tuple[Server, BackendSnapshot]] = []
-    for s in router.servers.values():
+    known = {k.id: k for k in snapshot.backends}
+    believed: list[tuple[Backend, BackendSnapshot]] = []
+    for s in router.backends.values():
         k = known.get(s.id)
-        started = s.started if s.started > 0 else 0.0
+        started = s.started_at if s.started_at > 0 else 0.0
         # Danger: what a process had earned, believed of the one after it, which is cold.
-        if k is not None and s.state == EndpointState.READY and started <= k.started:
+        if k is not None and s.state == EndpointState.READY and started <= k.started_at_ms:
             believed.append((s, k))
     for s, k in believed:
-        s.limit = max(s.least, between(s.limit, k.limit))
-        s.latency, s.usual = k.latency * (weight > MOVED_LEAST), k.usual * (weight > MOVED_LEAST)
-        cold = min(k.cold_until, now + router.slow_start_ms)
-        if cold > max(now, s.cold_until) and s is not router.origin:
-            s.cold_until, s.refilled, s.tokens, s.ok = cold, now, 0.0, False
+        s.concurrency_limit = max(
+            s.min_concurrency_limit, between(s.concurrency_limit, k.concurrency_limit)
+        )
+        s.latency_ms, s.baseline_latency_ms = (
+            k.latency_ms * (weight > MIN_WEIGHT),
+            k.baseline_latency_ms * (weight > MIN_WEIGHT),
+        )
+        cold = min(k.warmup_until_ms, now + router.slow_start.duration_ms)
+        if cold > max(now, s.warmup_until) and s is not router.origin:
+            s.warmup_until, s.warmup_refilled_at, s.warmup_tokens, s.available = (
+                cold,
+                now,
+                0.0,
+                False,
+            )
     caches = [(s, k) for s, k in believed if s is not router.origin]
-    off = [(s, k) for s, k in caches if now < k.off_until]
+    off = [(s, k) for s, k in caches if now < k.ejected_until_ms]
     ready = sum(s.state == EndpointState.READY for s in router.caches)
     if (
         len(off) < ready
     ):  # Danger: all shunned for what one snapshot says; then no one answers at all.
         for s, k in off:
-            s.off, s.ok, s.limit, s.failures = True, False, min(s.limit, START_LIMIT), k.failures
-            s.backoff = min(8 * router.pause, between(router.pause, k.backoff))
-            s.off_until = now + min(k.off_until - now, s.backoff) * weight
+            s.ejected, s.available, s.concurrency_limit, s.consecutive_failures = (
+                True,
+                False,
+                min(s.concurrency_limit, START_CONCURRENCY_LIMIT),
+                k.consecutive_failures,
+            )
+            s.ejection_ms = min(
+                8 * router.outliers.base_ejection_ms,
+                between(router.outliers.base_ejection_ms, k.ejection_ms),
+            )
+            s.ejected_until = now + min(k.ejected_until_ms - now, s.ejection_ms) * weight
     else:
         off = []
-    router.work, router.warm_rate = (
-        x.work * (weight > MOVED_LEAST),
-        between(router.warm_rate, x.warm_rate),
+    router.concurrency.unit_latency_ms, router.slow_start.warm_rate = (
+        snapshot.work_ms * (weight > MIN_WEIGHT),
+        between(router.slow_start.warm_rate, snapshot.warm_rate_per_s),
     )
-    if x.idle > 0:
-        router.idle = min(router.held, max(x.idle, router.idle * (1 - weight)))
+    if snapshot.max_idle_ms > 0:
+        router.idle_connections.idle_limit_ms = min(
+            router.idle_connections.max_idle_ms,
+            max(snapshot.max_idle_ms, router.idle_connections.idle_limit_ms * (1 - weight)),
+        )
     places = {(m.kinds, m.zones) for m in router.methods.values()}
     heavy = 0
-    for h in x.heavy:
+    for h in snapshot.hot_buckets:
         if (h.kinds, h.zones) in places and 0 <= h.number < BUCKETS:
-            b = router._bucket(h.number, h.kinds, h.zones)
-            b.seen += h.seen * weight
-    router.seen += x.sighted * weight
-    for b in list(router.buckets.values()):
-        if b.seen > 0:
-            router._heavy(b)
-            heavy += b.wide > 0
+            b = router.placement.bucket(h.number, h.kinds, h.zones)
+            b.recent_requests += h.request_count * weight
+    router.placement.recent_requests += snapshot.request_count * weight
+    for b in list(router.placement.buckets.values()):
+        if b.recent_requests > 0:
+            router.placement.track_hot_bucket(b)
+            heavy += b.spread_size > 0
     moved = 0
-    for m in x.moved if weight >= MOVED_LEAST else ():
-        to = router.servers.get(m.to)
+    for m in snapshot.moved_buckets if weight >= MIN_WEIGHT else ():
+        to = router.backends.get(m.backend_id)
         fits = (m.kinds, m.zones) in places and 0 <= m.number < BUCKETS
         if not fits or to is None or to.state != EndpointState.READY or to is router.origin:
             continue
-        b = router._bucket(m.number, m.kinds, m.zones)
-        if router._open(b, to):
-            b.at, b.chain, moved = to, None, moved + 1
-    for id in x.bans:
+        b = router.placement.bucket(m.number, m.kinds, m.zones)
+        if router.placement.allows(b, to):
+            b.assigned, b.chain, moved = to, None, moved + 1
+    for id in snapshot.banned_ids:
         router.set_banned(now, id, True)
     return (
         f"{len(believed)} servers known, {len(off)} off the path, {moved} buckets moved, {heavy} heavy, "  # noqa: E501
-        f"{len(x.bans)} banned, {age / 1000:.0f} s old"
+        f"{len(snapshot.banned_ids)} banned, {age / 1000:.0f} s old"
     )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,7 @@
 
 from hookpitch.balancer.interface import Method, Tenant
 from hookpitch.core.admission import UNLIMITED, Admission
-from hookpitch.net.prioritized_reactor import TURN_EVENTS, PrioritizedReactor, Server
+from hookpitch.net.prioritized_reactor import EVENTS_PER_TURN, PrioritizedReactor, Server
 
 SOFT = 200.0  # ms: a soft deadline, and the CPU time of an RPC that is let in or turned away
 TAKEN, REFUSED = 0.5, 0.06
@@ -137,7 +137,7 @@
             counts[name] += sum(
                 f.router.shed_delay(f.now, name, "", 0.0) >= 0 for _ in range(count)
             )
-        f.router.shares["small"].tokens = 0.0
+        f.router.quotas.token_buckets["small"].tokens = 0.0
         counts["small"] += f.router.shed_delay(f.now, "high", "small", 0.0) >= 0
     assert counts["high"] == 0 and 0.5 < counts["low"] / 12000 < 0.95, (
         "half of all, each of low gain"
@@ -158,9 +158,9 @@
     f.now += 150.0
     f.router.event_loop_stalled(f.now)
     f.pass_time(150.0)
-    assert f.out and not any(s.failures for s in f.router.servers.values())
+    assert f.out and not any(s.consecutive_failures for s in f.router.backends.values())
     f.pass_time(20.0)  # but who is silent from then on is
-    assert any(s.failures for s in f.router.servers.values())
+    assert any(s.consecutive_failures for s in f.router.backends.values())
 
 
 def test_answers_that_came_during_a_pause_are_read_before_deadlines_are_run() -> None:
@@ -202,7 +202,7 @@
 
 def test_a_shed_rpc_leaves_no_state_behind() -> None:
     s = Sockets()
-    s.node.host.router.burden = 1.0
+    s.node.host.router.load_shedder.overload = 1.0
     before = len(s.clock.deadlines)
     c = s.client()
     for n in range(20):
@@ -233,7 +233,7 @@
 def test_at_the_connection_limit_new_clients_are_rejected_and_backends_can_be_reached() -> None:
     s = Sockets(sockets=64)
     s.network.ways |= {7000: "silent", 7001: "silent"}
-    held = [s.client() for _ in range(s.node.clients.room)]
+    held = [s.client() for _ in range(s.node.clients.max_connections)]
     for n, line in enumerate(held):
         line.say(get(f"r{n}", f"key{n}"))
     late = [s.client(get(f"l{n}", f"key{n}")) for n in range(40)]
@@ -245,7 +245,9 @@
     assert s.network.dials, "room for servers is kept apart"
     s.pass_time(1000)
     answers = [line.take() for line in held]
-    assert all(answers) and len(answers) == s.node.clients.room, "one final answer to each"
+    assert all(answers) and len(answers) == s.node.clients.max_connections, (
+        "one final answer to each"
+    )
     held[0].say(get("again"))
     assert serve(s) and b"v" in held[0].take()
 
@@ -265,8 +267,8 @@
         def stopListening(self) -> None:  # noqa: N802
             pass
 
-    s.node.port = Port()
-    s.node.leave()
+    s.node.listening_port = Port()
+    s.node.shut_down()
     s.pass_time(501)
     for _ in range(20):
         serve(s)
@@ -296,18 +298,18 @@
 
 def test_reactor_iterations_are_short_and_backends_come_first() -> None:
     reactor, order = PrioritizedReactor(), list[str]()
-    made = [FromClient(order, "client") for _ in range(3 * TURN_EVENTS)] + [
+    made = [FromClient(order, "client") for _ in range(3 * EVENTS_PER_TURN)] + [
         Selectable(order, "server")
     ]
     for one in made:
         reactor.addReader(one)
     reactor.doPoll(0)
-    assert 0 < len(order) <= TURN_EVENTS
+    assert 0 < len(order) <= EVENTS_PER_TURN
     for _ in range(3):
         reactor.doPoll(0)
-    assert order.count("server") >= 1 and len(order) >= 3 * TURN_EVENTS, "each had its turn"
+    assert order.count("server") >= 1 and len(order) >= 3 * EVENTS_PER_TURN, "each had its turn"
     begun = order.index("server")
-    turn = order[begun // TURN_EVENTS * TURN_EVENTS :]
+    turn = order[begun // EVENTS_PER_TURN * EVENTS_PER_TURN :]
     assert turn[0] == "server" or begun < 3, "before the clients of its turn"
     for one in made:
         reactor.removeReader(one)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -14,19 +14,19 @@
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
 from hookpitch.net import snapshot_store
-from hookpitch.net.operator_settings import load as load_operator
+from hookpitch.net.operator_settings import load_operator_settings as load_operator
 from hookpitch.startup.snapshot_format import (
-    BYTES_MOST,
     FORMAT,
     HEAD,
+    MAX_BYTES,
     BackendSnapshot,
     HotBucket,
     MovedBucket,
     Snapshot,
-    read,
-    write,
+    decode,
+    encode,
 )
-from hookpitch.startup.snapshot_state import entries, recalled, taken
+from hookpitch.startup.snapshot_state import capture, endpoints, restore
 from hookpitch.testbed.experiment import read as read_experiment
 from hookpitch.testbed.run import Run
 
@@ -45,48 +45,60 @@
     f, rng = fleet(), random.Random(seed)
     for i in range(600):
         rpc = f.arrive("heavy" if rng.random() < 0.3 else f"k{rng.randrange(300)}")
-        while (rpc, n := len(f.txs[rpc]) - 1) in f.out:
-            f.end(rpc, Outcome.RESET if f.txs[rpc][n]["server"] == "s2" else Outcome.COMPLETED, n)
+        while (rpc, n := len(f.attempts[rpc]) - 1) in f.out:
+            f.end(
+                rpc, Outcome.RESET if f.attempts[rpc][n]["server"] == "s2" else Outcome.COMPLETED, n
+            )
         if i % 10 == 0:
             f.pass_time(20.0)
-    assert f.router.servers["s2"].off
-    f.router.servers["s0"].limit = 9.0  # grown in use
+    assert f.router.backends["s2"].ejected
+    f.router.backends["s0"].concurrency_limit = 9.0  # grown in use
     return f
 
 
 def learned(f: Fleet, **changes: object) -> Snapshot:
-    return msgspec.structs.replace(taken(f.router, f.now, "fleet", "n1", 41, DIALS), **changes)
+    return msgspec.structs.replace(capture(f.router, f.now, "fleet", "n1", 41, DIALS), **changes)
 
 
 def begun(x: Snapshot, later_ms: float, servers: list = SERVERS) -> Fleet:
     """A node that starts so much later and recalls it."""
     f = Fleet(deployment(nodes=1, slow_start_ms=20000.0))
-    f.now = x.written + later_ms
+    f.now = x.written_at_ms + later_ms
     f.router = type(f.router)(f.now, f.d)
     f.listed(servers, EndpointUpdate.CACHED)
-    recalled(f.router, f.now, x)
+    restore(f.router, f.now, x)
     return f
 
 
 def test_what_was_learned_comes_back_and_fades_with_its_age() -> None:
     f = busy()
-    x = read(write(learned(f)))
+    x = decode(encode(learned(f)))
     assert x == learned(f)
-    best = max((s for s in f.router.caches if not s.off), key=lambda s: s.limit)
-    limits = [begun(x, ms).router.servers[best.id].limit for ms in (0.0, 60000.0, 3600000.0)]
-    assert limits[0] == pytest.approx(best.limit) and limits[0] > limits[1] > limits[2]
+    best = max((s for s in f.router.caches if not s.ejected), key=lambda s: s.concurrency_limit)
+    limits = [
+        begun(x, ms).router.backends[best.id].concurrency_limit for ms in (0.0, 60000.0, 3600000.0)
+    ]
+    assert limits[0] == pytest.approx(best.concurrency_limit) and limits[0] > limits[1] > limits[2]
     assert limits[2] == pytest.approx(2.0, abs=0.01)
     now, later = begun(x, 100.0), begun(x, 3600000.0)
-    assert now.router.servers["s2"].off and not later.router.servers["s2"].off
-    assert now.router.work == f.router.work and later.router.work == 0.0
+    assert now.router.backends["s2"].ejected and not later.router.backends["s2"].ejected
+    assert (
+        now.router.concurrency.unit_latency_ms == f.router.concurrency.unit_latency_ms
+        and later.router.concurrency.unit_latency_ms == 0.0
+    )
 
 
 def test_a_heavy_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
-    (key,) = [k for k, b in f.router.buckets.items() if b.wide]
+    (key,) = [k for k, b in f.router.placement.buckets.items() if b.spread_size]
     new = begun(learned(f), 500.0)
-    assert new.router.buckets[key].wide > 0 and len(new.router._taking(new.router.buckets[key])) > 1
-    assert not any(b.wide for b in begun(learned(f), 3600000.0).router.buckets.values())
+    assert (
+        new.router.placement.buckets[key].spread_size > 0
+        and len(new.router.placement.replicas(new.router.placement.buckets[key])) > 1
+    )
+    assert not any(
+        b.spread_size for b in begun(learned(f), 3600000.0).router.placement.buckets.values()
+    )
 
 
 def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> (  # noqa: E501
@@ -97,27 +109,28 @@
         BackendSnapshot(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0)
         for e in SERVERS
     )
-    new = begun(learned(f, servers=known), 100.0)
-    assert not any(s.off for s in new.router.caches)
+    new = begun(learned(f, backends=known), 100.0)
+    assert not any(s.ejected for s in new.router.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
-    new = begun(learned(f, servers=known), 100.0, alone)
-    assert not new.router.servers["s3"].off and new.txs[new.arrive("k")]
-    assert begun(learned(f, servers=known[:2]), 100.0).router.servers["s0"].off
+    new = begun(learned(f, backends=known), 100.0, alone)
+    assert not new.router.backends["s3"].ejected and new.attempts[new.arrive("k")]
+    assert begun(learned(f, backends=known[:2]), 100.0).router.backends["s0"].ejected
 
 
 def test_a_server_that_started_since_is_cold_whatever_the_snapshot_says() -> None:
     f = busy()
     x = learned(f)
-    fresh = [replace(e, started_ms=x.written + 500.0) if e.id == "s1" else e for e in SERVERS]
+    fresh = [replace(e, started_ms=x.written_at_ms + 500.0) if e.id == "s1" else e for e in SERVERS]
     new = begun(x, 1000.0, fresh)
-    s = new.router.servers["s1"]
-    assert s.cold_until > new.now and s.limit <= 2.0 and not s.ok
+    s = new.router.backends["s1"]
+    assert s.warmup_until > new.now and s.concurrency_limit <= 2.0 and not s.available
     # And one that was cold as it was written is so for the rest of its time, no longer.
     cold = tuple(
-        replace_known(k, cold_until=x.written + 9e9) if k.id == "s1" else k for k in x.servers
+        replace_known(k, warmup_until_ms=x.written_at_ms + 9e9) if k.id == "s1" else k
+        for k in x.backends
     )
-    new = begun(msgspec.structs.replace(x, servers=cold), 1000.0)
-    assert new.now < new.router.servers["s1"].cold_until <= new.now + 20000.0
+    new = begun(msgspec.structs.replace(x, backends=cold), 1000.0)
+    assert new.now < new.router.backends["s1"].warmup_until <= new.now + 20000.0
 
 
 def replace_known(k: BackendSnapshot, **changes: object) -> BackendSnapshot:
@@ -126,60 +139,60 @@
 
 def test_buckets_stay_moved_while_that_is_young_and_only_to_servers_that_serve() -> None:
     f = fleet()
-    b = f.router._bucket(77)
-    to = next(s.id for s in f.router.caches if s is not b.home)
+    b = f.router.placement.bucket(77)
+    to = next(s.id for s in f.router.caches if s is not b.primary)
     x = learned(
         f,
-        moved=(
+        moved_buckets=(
             MovedBucket(77, (), (), to),
             MovedBucket(78, ("other",), (), to),
             MovedBucket(10**9, (), (), to),
         ),
     )
-    assert begun(x, 1000.0).router.buckets[77, (), ()].at.id == to
-    assert (77, (), ()) not in begun(x, 600000.0).router.buckets
+    assert begun(x, 1000.0).router.placement.buckets[77, (), ()].assigned.id == to
+    assert (77, (), ()) not in begun(x, 600000.0).router.placement.buckets
     gone = [replace(e, state=EndpointState.DRAINING) if e.id == to else e for e in SERVERS]
-    assert (77, (), ()) not in begun(x, 1000.0, gone).router.buckets
+    assert (77, (), ()) not in begun(x, 1000.0, gone).router.placement.buckets
 
 
 def test_a_ban_by_hand_outlasts_the_process() -> None:
     f = fleet()
     f.router.set_banned(f.now, "s4", True)
     new = begun(learned(f), 60000.0)
-    assert new.router.servers["s4"].state == EndpointState.DRAINING
+    assert new.router.backends["s4"].state == EndpointState.DRAINING
     new.router.set_banned(new.now, "s4", False)
-    assert new.router.servers["s4"].state == EndpointState.READY
+    assert new.router.backends["s4"].state == EndpointState.READY
 
 
 def test_what_is_cut_or_turned_at_any_byte_is_never_taken() -> None:
-    data = write(learned(busy()))
+    data = encode(learned(busy()))
     for end in range(len(data)):
         with pytest.raises(ValueError):
-            read(data[:end])
+            decode(data[:end])
     rng = random.Random(4)
     for at in range(len(data)):
         turned = bytearray(data)
         turned[at] ^= 1 << rng.randrange(8)
         with pytest.raises(ValueError):
-            read(bytes(turned))
+            decode(bytes(turned))
     with pytest.raises(ValueError, match="torn"):
-        read(data + b"x")
+        decode(data + b"x")
 
 
 def test_a_newer_version_is_told_and_unknown_fields_are_skipped() -> None:
     from hashlib import blake2b
 
-    data = write(learned(fleet()))
+    data = encode(learned(fleet()))
     newer = HEAD.pack(b"HKPS", FORMAT + 1, *HEAD.unpack_from(data)[2:]) + data[HEAD.size :]
     with pytest.raises(ValueError, match="newer version"):
-        read(newer)
+        decode(newer)
     body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {"later": [1, 2]})
     check = blake2b(body, digest_size=16).digest()
-    assert read(HEAD.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
+    assert decode(HEAD.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
     for field, value in (("written", float("nan")), ("sighted", -1.0), ("seq", "x")):
         body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {field: value})
         with pytest.raises(ValueError):
-            read(
+            decode(
                 HEAD.pack(b"HKPS", FORMAT, len(body), blake2b(body, digest_size=16).digest()) + body
             )
 
@@ -193,8 +206,8 @@
         MovedBucket(n % 4096, ("kind" * 20,), ("zone" * 20,), "s" * 200) for n in range(9000)
     )
     heavy = tuple(HotBucket(n, (), (), 9.0) for n in range(4096))
-    data = write(learned(fleet(), servers=many, moved=moved, heavy=heavy))
-    assert len(data) <= BYTES_MOST and read(data).heavy[0] == heavy[0]
+    data = encode(learned(fleet(), backends=many, moved_buckets=moved, hot_buckets=heavy))
+    assert len(data) <= MAX_BYTES and decode(data).hot_buckets[0] == heavy[0]
 
 
 # ---- on a disk
@@ -203,11 +216,11 @@
 def node(path: Path, **told: object) -> Sockets:
     """A node that is up, with its snapshot there."""
     s = Sockets(1)
-    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **told})
+    kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **told})
     s.node.snapshot_store = snapshot_store.SnapshotStore(
-        kept, s.node, lambda work, then: then(snapshot_store.done(work))
+        kept, s.node, lambda work, then: then(snapshot_store.failure_of(work))
     )
-    s.node.snapshot_store.recall()
+    s.node.snapshot_store.restore()
     return s
 
 
@@ -215,8 +228,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "n.snapshot"
-    old, new = write(learned(fleet(), seq=1)), write(learned(fleet(), seq=2))
-    snapshot_store.store(str(path), old)
+    old, new = encode(learned(fleet(), version=1)), encode(learned(fleet(), version=2))
+    snapshot_store.replace_file(str(path), old)
     real, left = os.write, [0]
 
     def some(held: int, data: bytes) -> int:
@@ -232,22 +245,25 @@
     for end in range(len(new)):
         left[0] = end
         with pytest.raises(OSError):
-            snapshot_store.store(str(path), new)
-        assert snapshot_store.load(str(path)).seq == 1
+            snapshot_store.replace_file(str(path), new)
+        assert snapshot_store.load_snapshot(str(path)).version == 1
     left[0] = len(new)
-    snapshot_store.store(str(path), new)
-    assert snapshot_store.load(str(path)).seq == 2
+    snapshot_store.replace_file(str(path), new)
+    assert snapshot_store.load_snapshot(str(path)).version == 2
 
 
 def test_a_node_recalls_what_the_process_before_it_wrote(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
     s = node(path)
     assert s.counters.counts["snapshot.none"] == 1
-    s.node.discovery.seq = 77
+    s.node.discovery.version = 77
     s.pass_time(11000)
-    assert s.counters.counts["snapshot.written"] >= 1 and snapshot_store.load(str(path)).seq == 77
+    assert (
+        s.counters.counts["snapshot.written"] >= 1
+        and snapshot_store.load_snapshot(str(path)).version == 77
+    )
     again = node(path)
-    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.seq == 77
+    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.version == 77
     c = again.client()
     c.say(get("r1"))
     again.pass_time(1)
@@ -270,7 +286,7 @@
     before = b""
     if told != "":
         s = node(path)
-        s.node.snapshot_store.write()
+        s.node.snapshot_store.save()
         before = path.read_bytes()
         before = before[:-1] if told is None else before
         path.write_bytes(before)
@@ -279,14 +295,14 @@
     s.node.logger = type(
         "Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")}
     )()
-    kept = snapshot_store.Settings(str(path), **{"fleet": "f", **(told or {})})
+    kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **(told or {})})
     s.node.snapshot_store = snapshot_store.SnapshotStore(kept, s.node, lambda *_: None)
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
-    s.node.snapshot_store.recall()
+    s.node.snapshot_store.restore()
     assert len(lines) == 1 and said in lines[0]
     assert not before or path.read_bytes() == before
-    assert s.node.host.router.servers["s0"].state == EndpointState.READY
+    assert s.node.host.router.backends["s0"].state == EndpointState.READY
 
 
 def test_a_disk_that_fails_or_stalls_holds_up_nothing_and_is_told_once(tmp_path: Path) -> None:
@@ -294,23 +310,23 @@
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
     s = node(tmp_path / "n.snapshot", every_s=0.5)
-    s.node.snapshot_store.away = lambda work, then: None  # it never answers
+    s.node.snapshot_store.run_elsewhere = lambda work, then: None  # it never answers
     s.pass_time(5000)
-    s.node.leave()
+    s.node.shut_down()
     s.pass_time(3000)
     assert s.network.hasStopped  # the node ends nevertheless
 
 
 def test_no_device_or_link_is_read_in_its_place(tmp_path: Path) -> None:
     target = tmp_path / "real"
-    target.write_bytes(write(learned(fleet())))
+    target.write_bytes(encode(learned(fleet())))
     (tmp_path / "link").symlink_to(target)
     os.mkfifo(tmp_path / "pipe")
     for name in ("link", "pipe"):
         with pytest.raises(ValueError):
-            snapshot_store.load(str(tmp_path / name))
+            snapshot_store.load_snapshot(str(tmp_path / name))
     with pytest.raises(ValueError):
-        snapshot_store.load("/dev/zero")
+        snapshot_store.load_snapshot("/dev/zero")
 
 
 @pytest.mark.parametrize(
@@ -333,7 +349,7 @@
 
 def test_on_call_staff_can_read_one(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
-    path.write_bytes(write(learned(busy())))
+    path.write_bytes(encode(learned(busy())))
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
     assert said.exit_code == 0 and "node n1 of fleet fleet" in said.output and "s2" in said.output
     said = CliRunner().invoke(main, ["snapshot", "show", "--json", str(path)])
@@ -363,5 +379,5 @@
 
 
 def test_a_list_of_before_is_dialled_where_it_says() -> None:
-    some, dials = entries(learned(fleet()))
+    some, dials = endpoints(learned(fleet()))
     assert {e.id for e in some} == set(DIALS) and dials == DIALS
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -94,7 +94,7 @@
     while not server.paused and sent < MAX_STREAMED_BYTES:
         server.say(bytes(65536))
         sent += 65536
-    room = s.node.clients.stream_room
+    room = s.node.clients.stream_buffer_bytes
     assert server.paused and sent <= room + 2 * 65536
     client.reads = True
     client.take()
@@ -110,10 +110,10 @@
 
 def test_many_streams_share_the_unsent_bytes_allowed() -> None:
     s = Sockets()
-    alone = s.node.clients.stream_room
-    s.node.clients.streams = 200
-    assert s.node.clients.stream_room < alone
-    s.node.clients.streams = 0
+    alone = s.node.clients.stream_buffer_bytes
+    s.node.clients.active_streams = 200
+    assert s.node.clients.stream_buffer_bytes < alone
+    s.node.clients.active_streams = 0
 
 
 def test_a_streamed_reply_waits_for_the_replies_before_it() -> None:
@@ -139,7 +139,7 @@
     heads(server)
     client.end()
     s.pass_time(1)
-    assert server.ended and not s.node.host.rpcs.pending and not s.node.clients.streams
+    assert server.ended and not s.node.host.rpcs.pending and not s.node.clients.active_streams
 
 
 def test_a_large_body_of_the_origin_is_streamed_and_a_truncated_one_is_aborted() -> None:
