--- a/hookpitch/core/resp.py
+++ b/hookpitch/core/resp.py
@@ -109,12 +109,8 @@
             if item is NEED_DATA:
                 return NEED_DATA
             if isinstance(item, _OpenArray):
-                if len(self._open_arrays) >= MAX_ARRAY_DEPTH:
-                    raise ProtocolError("arrays too deep")
-                if item.length:
-                    self._open_arrays.append(item)
-                    continue
-                item = item.items
+                self._open_arrays.append(item)
+                continue
             value = self._add_to_open_array(item)
             if value is not NEED_DATA:
                 return value
@@ -196,8 +192,7 @@
         if kind == b"$":
             return self._read_bulk(text)
         if kind == b"*":
-            length = _parse_integer(text, -1, MAX_ARRAY_ITEMS)
-            return None if length < 0 else _OpenArray(length)
+            return self._open_array(text)
         if kind == b"+":
             return SimpleString(text)
         if kind == b"-":
@@ -206,6 +201,15 @@
             return _parse_integer(text, MIN_INTEGER, MAX_INTEGER)
         raise ProtocolError("no such type")
 
+    def _open_array(self, length_text: bytes) -> Value | _OpenArray:
+        """Return an array without items for the header of one; a null or empty one is complete."""
+        length = _parse_integer(length_text, -1, MAX_ARRAY_ITEMS)
+        if length < 0:
+            return None
+        if len(self._open_arrays) >= MAX_ARRAY_DEPTH:
+            raise ProtocolError("arrays too deep")
+        return _OpenArray(length) if length else []
+
     def _read_line(self) -> bytes | None:
         """Read a line with its line end; None until it is complete."""
         end = self.ring.find_line_end(self._scanned)
--- a/hookpitch/core/rpc_timers.py
+++ b/hookpitch/core/rpc_timers.py
@@ -38,6 +38,9 @@
                 self._attempt_timed_out(now, attempt)
         if rpc.pending and now >= rpc.hard_deadline:
             self._hard_deadline_passed(now, rpc)
+        self._rearm(rpc)
+
+    def _rearm(self, rpc: Rpc) -> None:
         due = [attempt.deadline for attempt in rpc.attempts if not attempt.done]
         if rpc.pending:
             due.append(rpc.hard_deadline)
