--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -44,7 +44,7 @@
         self.send(head)
         if more:
             self.send_chunks(more)
-        if not self._flowing:
+        if not self.write_pending:
             self.whole()
 
     def request(self, attempt: Attempt) -> Sequence[bytes]:
@@ -87,7 +87,7 @@
         attempt, self.attempt = self.attempt, None
         pools = self.pool.pools
         now = pools.clock.now()
-        if reuse and not self.waiting:
+        if reuse and not self.has_unsent_bytes:
             self.pool.free(self)
         else:
             # Danger: an answer without an end is out as long as its connection, beside the next
@@ -120,7 +120,7 @@
         if attempt is not None:
             # Danger: taken for never sent, an RPC that ran would run twice. Only what stands in our
             # own ring was surely not written whole.
-            whole = not self.waiting
+            whole = not self.has_unsent_bytes
             if whole:
                 # Danger: a machine that was cut off resets all connections from before, RPC after
                 # RPC.
@@ -133,7 +133,7 @@
 class CacheConnection(BackendConnection):
     def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
-        self.parser = Parser(self.inward, most=MOST)
+        self.parser = Parser(self.input_buffer, most=MOST)
         self.passing = False  # a value passes in pieces
 
     def request(self, attempt: Attempt) -> Sequence[bytes]:
@@ -147,7 +147,12 @@
         return (command(*words, rpc.value),)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.passing and not len(self.inward) and not self.paused and self.attempt is not None:
+        if (
+            self.passing
+            and not len(self.input_buffer)
+            and not self.paused
+            and self.attempt is not None
+        ):
             # A large value goes past the ring.
             most = self.parser.passing
             part = data if len(data) <= most else data[:most]
@@ -174,7 +179,7 @@
             if not self.passing and not self.begun(self.parser.passing):
                 return
             self.passing = True
-            if self.paused or not len(self.inward):
+            if self.paused or not len(self.input_buffer):
                 return
             self.pool.pools.host.stream_chunk(
                 self.pool.pools.clock.now(), self.attempt, self.parser.part(WRITE_CHUNK_BYTES)
--- /dev/null
+++ b/hookpitch/net/client_connection.py
@@ -0,0 +1,466 @@
+"""One client's connection: RESP2 commands in, one reply to each in the order of the commands.
+
+State: a parser, a queue with a slot for each command's reply, the RPCs that are open, and the
+answers that are streamed rather than held. Invariants: replies leave in the order of the commands;
+of several streamed answers only the one at the head of the queue is being sent; nothing is read
+while `closing`. A command that stands unread in the kernel counts as received: its time runs.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from contextlib import suppress
+from typing import TYPE_CHECKING
+
+from twisted.internet.interfaces import IHalfCloseableProtocol
+from twisted.internet.protocol import connectionDone
+from twisted.python.failure import Failure
+from zope.interface import implementer
+
+from hookpitch.core.host import Rpc
+from hookpitch.core.reply_slot import ReplySlot
+from hookpitch.core.resp import Malformed, Parser, bulk
+from hookpitch.core.stream import MOST, ChunkedValue, Stream
+from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES, BufferedProtocol
+
+if TYPE_CHECKING:
+    from hookpitch.net.client_registry import ClientRegistry
+
+RPC_WORDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
+
+# What a client sends while it is not read waits in the kernel, its time runs, and it would be sent
+# on after its deadline. So these two bounds lie far beyond what a client has out in earnest.
+MAX_UNREAD_REPLY_BYTES = 1 << 23
+MAX_PENDING_COMMANDS = 4096
+
+COMMANDS_PER_TURN = 32  # then other connections have their turn
+VALUE_PROGRESS_BYTES = 4096  # of a large value, after which its client counts as active
+LINGER_MS = 100.0  # between the end of sending and the close, for the last reply to arrive
+STALE_READ_MS = 50.0  # a command read later than this may be of a client that has left since
+REFUSED_VALUE = ChunkedValue()  # stands for a large value for which there is no memory
+
+FAILED = b"-ERR failed\r\n"
+BUSY = b"-BUSY\r\n"
+
+
+@implementer(IHalfCloseableProtocol)
+class ClientConnection(BufferedProtocol):
+    """Reads commands, hands RPCs to the host and sends its answers; times are Unix ms."""
+
+    def __init__(self, registry: ClientRegistry) -> None:
+        super().__init__()
+        self.registry = registry
+        self.host = registry.host
+        self.clock = registry.clock
+        self.parser = Parser(self.input_buffer, commands_only=True, most=MOST)
+        self.number = -1  # of its slot among the host's connections
+
+        self.pending_replies: deque[ReplySlot] = deque()  # one for each command, in order
+        self.rpcs: dict[ReplySlot, Rpc] = {}  # open ones
+        self.streams: dict[ReplySlot, Stream] = {}  # answers whose first bytes have come
+        self.current_stream: Stream | None = None  # the one that is being sent
+        self.value: ChunkedValue | None = None  # a large value of a command, as it arrives
+
+        self.closing = False  # nothing more is read
+        self.lost = False
+        self.over_limit = False  # answered that there is no room, then closed
+        self.has_sent_command = False  # a complete one
+        self.close_scheduled = False  # as one of many in a drain
+        self.sender_left = False  # the client had ended its sending as its commands were read
+        self.peer_finished = False  # the client has ended its sending, and all of it was read
+        self._finished = False  # our sending has ended, or is about to
+        self._parsing = False
+
+        self.active_at = 0.0  # the last reply, or a command's first byte; at first the connect
+        self.last_byte_at = 0.0
+
+    def connectionMade(self) -> None:
+        """Registers the connection, which may close another for it."""
+        super().connectionMade()
+        self.number = self.host.connections.add(self)
+        self.active_at = self.last_byte_at = self.clock.now()
+        self.registry.connection_made(self)
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no command is in work and no part of one has come."""
+        return (
+            not self.pending_replies
+            and not len(self.output_buffer)
+            and not self.closing
+            and self.parser.between
+        )
+
+    @property
+    def is_between_commands(self) -> bool:
+        """Whether a complete command has come at some time and no part of another since."""
+        return self.has_sent_command and self.parser.between
+
+    # ---- commands
+
+    def rawDataReceived(self, data: bytes) -> None:
+        """Large values go past the ring."""
+        self.last_byte_at = self.clock.now()
+        if self.has_sent_command and self.parser.between:
+            self.active_at = self.last_byte_at
+        if self.parser.passing and not len(self.input_buffer) and not self.closing:
+            remaining = self.parser.passing
+            part = data if len(data) <= remaining else data[:remaining]
+            self.parser.passing -= len(part)
+            self._store_value_bytes(part)
+            data = data[len(part) :]
+            if not data:
+                return
+        super().rawDataReceived(data)
+
+    def _store_value_bytes(self, data: bytes) -> None:
+        if self.value is None:
+            size = self.parser.passing + len(data)
+            has_memory = self.host.value_budget.take(size)
+            self.value = ChunkedValue() if has_memory else REFUSED_VALUE
+            self.active_at = self.clock.now()
+        if self.value is not REFUSED_VALUE:
+            before = self.value.length // VALUE_PROGRESS_BYTES
+            self.value.add(data)
+            if self.value.length // VALUE_PROGRESS_BYTES > before:
+                # A large value that comes slowly must not look like a client that says nothing.
+                self.active_at = self.clock.now()
+
+    def _release_value(self) -> None:
+        """Gives back the memory of a large value that no RPC has taken over."""
+        if self.value is not None and self.value is not REFUSED_VALUE:
+            self.host.value_budget.give_back(self.value.length + self.parser.passing)
+        self.value = None
+
+    def bytes_received(self) -> None:
+        """Runs what commands are complete, a batch at a time."""
+        if self._parsing or self.lost:
+            return
+        self._parsing = True
+        try:
+            age_ms = self.unread_age_ms()
+            # What was read too late would be sent for a client that has left.
+            self.sender_left = age_ms > STALE_READ_MS and self.peer_ended()
+            self._run_commands(age_ms)
+        except Malformed as fault:
+            self.host.counters.add("clients.malformed")
+            self._reply(b"-ERR %b\r\n" % str(fault).encode())
+            self.closing = True
+        finally:
+            self._parsing = False
+        self._stop_reading_if_draining()
+        if self.closing:
+            self.input_buffer.skip(len(self.input_buffer))
+        self._send_replies()
+        self.update_eviction_order()
+
+    def _run_commands(self, age_ms: float) -> None:
+        for _ in range(COMMANDS_PER_TURN):
+            if self.closing or self.paused:
+                return
+            found, words = self.parser.next()
+            if not found and self.parser.passing and len(self.input_buffer):
+                self._store_value_bytes(self.parser.part(WRITE_CHUNK_BYTES))
+                continue
+            if not found:
+                return
+            if words:
+                self.has_sent_command = True
+                self._run_command(words, age_ms)
+                if len(self.pending_replies) >= MAX_PENDING_COMMANDS:
+                    self.host.counters.add("clients.paused")
+                    self.pauseProducing()
+        # Hundreds of commands that came at once would keep all deadlines waiting until each was
+        # decided.
+        self.clock.deadlines.add(self.clock.now(), lambda _: self.bytes_received())
+
+    def _run_command(self, words: list[bytes], age_ms: float) -> None:
+        words[0] = words[0].upper()
+        handle = HANDLERS.get(words[0], ClientConnection._handle_unknown)
+        handle(self, words, age_ms)
+        self._release_value()
+
+    def _handle_rpc(self, words: list[bytes], age_ms: float) -> None:
+        slot = ReplySlot()
+        self.pending_replies.append(slot)
+        if self.sender_left or self.registry.fails_new_requests:
+            self.host.counters.add("rpcs.client_left")
+            slot.answer = FAILED
+            return
+        if self.over_limit:
+            self._reject_rpc(slot, words, "rpcs.no_room")
+            self.closing = True
+            return
+        if self.value is REFUSED_VALUE:
+            self._reject_rpc(slot, words, "rpcs.no_memory")
+            return
+        rpc = None
+        if len(words) == RPC_WORDS[words[0]]:
+            if self.value is not None:
+                words[4] = self.value
+            rpc = self.host.accept(self.clock.now(), self, slot, words, age_ms)
+            if rpc is not None:
+                self.value = None  # it is the RPC's now
+        if slot.answer is not None:
+            return
+        if rpc is None:
+            self.host.counters.add("clients.wrong")
+            slot.answer = b"-ERR wrong number of words, unknown class or bad wait\r\n"
+        elif rpc.open:
+            self.rpcs[slot] = rpc
+
+    def _reject_rpc(self, slot: ReplySlot, words: list[bytes], counter: str) -> None:
+        self.host.counters.add(counter)
+        self.host.record_rejected(words)
+        slot.answer = BUSY
+
+    def _handle_ping(self, words: list[bytes], _: float) -> None:
+        if self.registry.reports_draining:
+            self._reply(b"-ERR draining\r\n")
+        elif len(words) > 1:
+            self._reply(bulk(words[1]))
+        else:
+            self._reply(b"+PONG\r\n")
+
+    def _handle_info(self, _words: list[bytes], _: float) -> None:
+        self._reply(bulk(self.registry.info()))
+
+    def _handle_ignored(self, _words: list[bytes], _: float) -> None:
+        """Commands that client libraries send first and that mean nothing here."""
+        self._reply(b"+OK\r\n")
+
+    def _handle_quit(self, _words: list[bytes], _: float) -> None:
+        self._reply(b"+OK\r\n")
+        self.closing = True
+
+    def _handle_unknown(self, _words: list[bytes], _: float) -> None:
+        self.host.counters.add("clients.wrong")
+        self._reply(b"-ERR unknown command\r\n")
+
+    # ---- replies
+
+    def _reply(self, answer: bytes) -> None:
+        self.pending_replies.append(ReplySlot(answer))
+
+    def reply(self, slot: ReplySlot, answer: bytes) -> None:
+        """The host's final answer to the RPC of a slot."""
+        slot.answer = answer
+        self.rpcs.pop(slot, None)
+        if self.streams.pop(slot, None) is not None:
+            self.registry.active_streams -= 1
+            self.current_stream = None  # `answer` is the rest of it
+        if not self.lost:
+            self._send_replies()
+
+    def _send_replies(self) -> None:
+        """Sends the replies that are known, up to the first that is not."""
+        while self.pending_replies and self.pending_replies[0].answer is not None:
+            self.send(self.pending_replies.popleft().answer)
+            self.registry.mark_active(self)
+        if self.pending_replies and self.current_stream is None:
+            stream = self.streams.get(self.pending_replies[0])
+            if stream is not None:
+                self._start_stream(stream)
+        if len(self.output_buffer) > MAX_UNREAD_REPLY_BYTES:
+            if not self.paused and not self.closing:
+                self.pauseProducing()
+            self.registry.limit_reply_memory()
+        self._resume_reading()
+        if not self.pending_replies:
+            self.update_eviction_order()
+        self._close_if_done()
+
+    # ---- streamed answers
+
+    def stream_started(self, slot: ReplySlot, stream: Stream) -> None:
+        """The answer to the RPC of a slot has begun to arrive in pieces."""
+        self.streams[slot] = stream
+        self.registry.active_streams += 1
+        if self.lost or self.pending_replies[0] is not slot:
+            stream.source.hold()  # the replies before it go first
+        else:
+            self._start_stream(stream)
+
+    def _start_stream(self, stream: Stream) -> None:
+        self.current_stream = stream
+        self.send(b"$%d\r\n" % stream.length)
+        stream.source.go()
+
+    def stream_chunk(self, slot: ReplySlot, data: bytes) -> None:
+        """More of the answer that is being sent."""
+        self.send(data)
+        # Where a server gives faster than the client reads, the value would be held here.
+        buffered = len(self.output_buffer)
+        if buffered > self.registry.stream_buffer_bytes and self.current_stream is not None:
+            self.current_stream.source.hold()
+
+    def resume_writing(self) -> None:
+        """The client has read: a held stream may go on."""
+        super().resume_writing()
+        if self.current_stream is not None:
+            self.current_stream.moved = self.clock.now()
+            if 2 * len(self.output_buffer) <= self.registry.stream_buffer_bytes:
+                self.current_stream.source.go()
+
+    def stream_aborted(self, slot: ReplySlot) -> None:
+        """The rest of a streamed answer will not come."""
+        self.rpcs.pop(slot, None)
+        stream = self.streams.pop(slot, None)
+        if stream is not None:
+            self.registry.active_streams -= 1
+        if self.current_stream is not stream:
+            slot.answer = FAILED  # nothing of it was sent
+        else:
+            # The client can't be told: it would take what comes next for the rest of the value.
+            self.current_stream = None
+            self.closing = True
+            self.pending_replies.clear()
+        if not self.lost:
+            self._send_replies()
+
+    # ---- back-pressure and draining
+
+    def _resume_reading(self) -> None:
+        has_eased = (
+            2 * len(self.output_buffer) <= MAX_UNREAD_REPLY_BYTES
+            and 2 * len(self.pending_replies) <= MAX_PENDING_COMMANDS
+        )
+        if self.paused and has_eased and not self.closing and not self.lost:
+            self.resumeProducing()
+            self.bytes_received()  # what was read before the pause
+
+    def update_eviction_order(self) -> None:
+        """Moves to the end of the line of those that may be closed to make room, or out of it."""
+        self.registry.forget_eviction(self)
+        if (
+            not self.pending_replies
+            and not self.closing
+            and not self.lost
+            and not len(self.output_buffer)
+        ):
+            self.registry.add_eviction_candidate(self)
+
+    def _stop_reading_if_draining(self) -> None:
+        """In a drain nothing is read any more once no command stands in part.
+
+        A pipeline that never rests would otherwise never end, and what is read after the end of
+        sending is lost.
+        """
+        if (
+            self.registry.draining
+            and self.has_sent_command
+            and self.pending_replies
+            and not self.closing
+            and self.parser.between
+        ):
+            self.closing = True
+            self.pauseProducing()
+
+    def all_written(self) -> None:
+        """The client has read all replies."""
+        self.advance()
+
+    def advance(self) -> None:
+        """Takes the next step that is due: read on, drain or close."""
+        if self.registry.draining and not self.lost and not self.closing:
+            self._read_now()  # a command that stands unread in the kernel counts as received
+            if not self.lost:
+                self._stop_reading_if_draining()
+        self._resume_reading()
+        self.update_eviction_order()
+        self._close_if_done()
+
+    def drain_now(self, now: float) -> None:
+        """Closes an idle connection; one that is in use is closed once all is answered."""
+        self.close_scheduled = False
+        self.advance()
+
+    def _read_now(self) -> None:
+        getattr(self.transport, "doRead", lambda: None)()
+
+    # ---- ending
+
+    def disconnected(self) -> bool:
+        """Whether the client has closed its connection or ended its sending, read or not."""
+        return self.lost or self.peer_ended()
+
+    def _close_if_done(self) -> None:
+        # A command that has come in part is a client that waits: a draining node reads it first.
+        if self.lost:
+            return
+        if self.closing and not self.pending_replies and not len(self.output_buffer):
+            self.finish()
+        elif (
+            self.registry.draining
+            and self.is_idle
+            and self.has_sent_command
+            and not self.close_scheduled
+        ):
+            self.close_scheduled = True
+            self.clock.deadlines.add(self.clock.now(), self._close_if_idle)
+
+    def _close_if_idle(self, now: float) -> None:
+        self.close_scheduled = False
+        if not self.lost and self.is_idle and self.registry.draining:
+            # An RPC that comes between the last look and the close would be lost.
+            if self.has_kernel_bytes():
+                self._read_now()
+            if not self.lost and self.is_idle:
+                self.finish()
+
+    def finish(self) -> None:
+        """Ends our sending in this very turn, and closes the connection a moment later.
+
+        A close over unread bytes resets the connection, and the last reply is lost with it.
+        """
+        self.closing = True
+        if self._finished or (self.write_pending and self._plain_transport is not None):
+            return  # what waits to be written goes first
+        self._finished = True
+        if not self.peer_finished and self.shutdown_write():
+            until = self.clock.now() + LINGER_MS
+            self.clock.deadlines.add(until, lambda _: self.lost or self.close_now())
+        else:
+            self.transport.loseConnection()
+
+    def readConnectionLost(self) -> None:
+        """The client has ended its sending and may still read."""
+        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=True)
+        self.peer_finished = True
+        with suppress(Malformed):
+            # Commands not begun yet fail: nothing is sent to servers any more.
+            while not self.closing and self.parser.next()[0]:
+                self._reply(FAILED)
+        self.closing = True
+        self._send_replies()
+
+    def writeConnectionLost(self) -> None:
+        """Our own end of sending; nothing is left to do."""
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Releases all that the connection held, and lets the host drop its RPCs."""
+        self.lost = True
+        self._release_value()
+        self.host.connections.free(self.number)
+        self.registry.connection_lost(self)
+        self.pending_replies.clear()
+        self.current_stream = None
+        self.registry.active_streams -= len(self.streams)
+        self.streams.clear()
+        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=False)
+        self.rpcs.clear()
+        self.registry.check_all_closed()
+
+
+Handler = Callable[[ClientConnection, list[bytes], float], None]
+
+HANDLERS: dict[bytes, Handler] = {
+    b"OBJ.GET": ClientConnection._handle_rpc,
+    b"OBJ.SET": ClientConnection._handle_rpc,
+    b"PING": ClientConnection._handle_ping,
+    b"INFO": ClientConnection._handle_info,
+    b"CLIENT": ClientConnection._handle_ignored,
+    b"SELECT": ClientConnection._handle_ignored,
+    b"QUIT": ClientConnection._handle_quit,
+}
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -63,7 +63,7 @@
         self.send(request + self.http.send(h11.EndOfMessage()))
 
     def bytes_received(self) -> None:
-        self.http.receive_data(self.inward.read(len(self.inward)))
+        self.http.receive_data(self.input_buffer.read(len(self.input_buffer)))
         try:
             while not self.over:
                 event = self.http.next_event()
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -51,8 +51,8 @@
         if self.attempt is None:
             return self.spoilt("nobody asked")
         if not self.paused:
-            if len(self.inward):
-                self.http.receive_data(self.inward.read(len(self.inward)))
+            if len(self.input_buffer):
+                self.http.receive_data(self.input_buffer.read(len(self.input_buffer)))
             self._read()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -9,7 +9,7 @@
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.core.resp import bulk, command
 from hookpitch.core.stream import MOST
-from hookpitch.net import client_registry
+from hookpitch.net import client_connection
 from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES
 
 VALUE = b"*3\r\n" + bulk(b"v") + bulk(b"hit") + bulk(b"outstanding=1,recent_ms=2.5")
@@ -443,7 +443,7 @@
 def test_a_client_that_does_not_read_waits_and_then_is_cut_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_registry, "UNREAD_MOST", 1 << 20)
+    monkeypatch.setattr(client_connection, "MAX_UNREAD_REPLY_BYTES", 1 << 20)
     s = Sockets(memory_mb=64)
     c, other = s.client(), s.client()
     c.reads = False
@@ -453,7 +453,7 @@
         serve(s, big, 0)
         if c.paused:
             break
-    assert c.paused and 1 << 20 < len(c.protocol.outward) < 2 << 20
+    assert c.paused and 1 << 20 < len(c.protocol.output_buffer) < 2 << 20
     c.reads = True
     assert len(c.take()) > 1 << 20 and not c.paused
     s.node.clients.max_reply_bytes = 1 << 20
@@ -468,18 +468,18 @@
 def test_a_burst_of_commands_leaves_others_their_turn_and_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_registry, "DUE_MOST", 1024)
+    monkeypatch.setattr(client_connection, "MAX_PENDING_COMMANDS", 1024)
     s = Sockets()
     c, other = s.client(), s.client()
     c.say(command(b"PING") * 100 + b"".join(get(f"r{i}") for i in range(3000)))
     said = c.take()
-    assert len(c.protocol.due) + said.count(b"+PONG") == 32
+    assert len(c.protocol.pending_replies) + said.count(b"+PONG") == 32
     other.say(command(b"PING"))
     assert other.take() == b"+PONG\r\n"
     for _ in range(2000):
         s.pass_time(1)
         serve(s)
-        assert len(c.protocol.due) <= 1024
+        assert len(c.protocol.pending_replies) <= 1024
         said += c.take()
     assert said.count(b"+PONG") == 100 and said.count(b"$1\r\nv") + said.count(b"-") == 3000
 
