--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -1,4 +1,8 @@
-"""The origin: HTTP/1.1, one RPC at a time on each connection."""
+"""The origin: HTTP/1.1 through h11, one attempt at a time on each connection.
+
+State: h11's connection, and of the response its status, headers and body. A body over
+`VALUE_MOST` bytes whose length is told is streamed, any other is held whole.
+"""
 
 from __future__ import annotations
 
@@ -15,102 +19,134 @@
 from hookpitch.core.host import Attempt
 from hookpitch.core.resp import VALUE_MOST
 from hookpitch.core.stream import MOST, ChunkedValue
-from hookpitch.net.backend_pools import BackendConnection, BackendPool
+from hookpitch.net.backend_connection import BackendConnection
+from hookpitch.net.backend_pool import BackendPool
+
+BODY_TOO_LONG = "a body too long"
 
 
 class OriginConnection(BackendConnection):
+    """A GET for each read, a PUT for each write."""
+
     def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
         self.http = h11.Connection(h11.CLIENT)
-        self.status, self.headers, self.body = 0, dict[bytes, bytes](), bytearray()
-        self.passing = False  # the body passes in pieces
+        self._reset_response()
 
-    def request(self, attempt: Attempt) -> Sequence[bytes]:
-        rpc, write = attempt.rpc, attempt.rpc.value is not None
+    def _reset_response(self) -> None:
+        self.status = 0  # 0 until the response's head has come
+        self.headers: dict[bytes, bytes] = {}
+        self.body = bytearray()
+        self.streaming = False  # the body is being passed on in pieces
+
+    # ---- the request
+
+    def encode_request(self, attempt: Attempt) -> Sequence[bytes]:
+        """The request's head and body; a large body in pieces."""
+        value = attempt.rpc.value
+        parts = [self.http.send(self._request_head(attempt))]
+        if isinstance(value, ChunkedValue):
+            parts += [self.http.send(h11.Data(data=part)) for part in value.parts]
+        elif value is not None:
+            parts.append(self.http.send(h11.Data(data=value)))
+        parts.append(self.http.send(h11.EndOfMessage()))
+        self._reset_response()
+        if isinstance(value, ChunkedValue) and value.parts:
+            return [part for part in parts if part]
+        return (b"".join(part for part in parts if part),)
+
+    def _request_head(self, attempt: Attempt) -> h11.Request:
+        rpc = attempt.rpc
         host, port = self.pool.address
-        extras = attempt.extras(self.pool.pools.clock.now())
-        headers = [("Host", f"{host}:{port}"), ("X-Request-Id", rpc.id), ("X-Extras", extras)]
-        if write:
+        headers = [
+            ("Host", f"{host}:{port}"),
+            ("X-Request-Id", rpc.id),
+            ("X-Extras", attempt.extras(self.clock.now())),
+        ]
+        method = "GET"
+        if rpc.value is not None:
+            method = "PUT"
             headers.append(("Content-Length", str(len(rpc.value))))
-        request = h11.Request(
-            method="PUT" if write else "GET", target="/" + quote(rpc.key, safe=""), headers=headers
-        )
-        parts = [self.http.send(request)]
-        large = rpc.value.parts if isinstance(rpc.value, ChunkedValue) else ()
-        for part in large or ((rpc.value,) if write else ()):
-            parts.append(self.http.send(h11.Data(data=part)))
-        parts.append(self.http.send(h11.EndOfMessage()))
-        self.status, self.headers, self.body, self.passing = 0, {}, bytearray(), False
-        return (
-            [part for part in parts if part]
-            if large
-            else (b"".join(part for part in parts if part),)
-        )
+        return h11.Request(method=method, target="/" + quote(rpc.key, safe=""), headers=headers)
+
+    # ---- the response
 
     def bytes_received(self) -> None:
+        """Reads the response as far as it has come."""
         if self.attempt is None:
-            return self.spoilt("nobody asked")
+            self.fail_malformed("nobody asked")
+            return
         if not self.paused:
             if len(self.input_buffer):
                 self.http.receive_data(self.input_buffer.read(len(self.input_buffer)))
-            self._read()
+            self._read_events()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """A clean end may complete a body that has no length of its own."""
         if self.attempt is not None and self.status and reason.check(ConnectionDone):
-            with suppress(h11.RemoteProtocolError):  # a body that only the connection's end ends
+            with suppress(h11.RemoteProtocolError):
                 self.http.receive_data(b"")
                 while not isinstance(event := self.http.next_event(), h11.EndOfMessage):
                     if isinstance(event, h11.Data):
-                        self._data(bytes(event.data))
-                self._whole()
+                        self._handle_data(bytes(event.data))
+                self._handle_end()
         super().connectionLost(reason)
 
-    def _read(self) -> None:
+    def _read_events(self) -> None:
         try:
             while not self.paused:
                 event = self.http.next_event()
                 if isinstance(event, h11.Response):
-                    self.status, self.headers = event.status_code, dict(event.headers)
-                    if not self._begin():
+                    self.status = event.status_code
+                    self.headers = dict(event.headers)
+                    if not self._handle_head():
                         return
                 elif isinstance(event, h11.Data):
-                    self._data(bytes(event.data))
+                    self._handle_data(bytes(event.data))
                     if len(self.body) > MOST:
-                        return self.spoilt("a body too long")
+                        self.fail_malformed(BODY_TOO_LONG)
+                        return
                 elif isinstance(event, h11.EndOfMessage):
-                    return self._whole()
+                    self._handle_end()
+                    return
                 elif not isinstance(event, h11.InformationalResponse):
                     return  # more is needed, or the connection ends
         except h11.RemoteProtocolError as fault:
-            self.spoilt(str(fault))
+            self.fail_malformed(str(fault))
 
-    def _begin(self) -> bool:
+    def _handle_head(self) -> bool:
+        """Begins a stream where the body is large; False where the attempt has ended."""
         length = self.headers.get(b"content-length", b"")
-        size = int(length) if self.status == 200 and length.isdigit() and len(length) < 20 else 0
+        is_sized = self.status == 200 and length.isdigit() and len(length) < 20
+        size = int(length) if is_sized else 0
         if size > MOST:
-            self.spoilt("a body too long")
-        elif size > VALUE_MOST:
-            self.passing = self.begun(size)
-            return self.passing
-        return size <= MOST
-
-    def _data(self, data: bytes) -> None:
-        if self.passing and self.attempt is not None:
-            self.pool.pools.host.stream_chunk(self.pool.pools.clock.now(), self.attempt, data)
+            self.fail_malformed(BODY_TOO_LONG)
+            return False
+        if size > VALUE_MOST:
+            self.streaming = self.start_stream(size)
+            return self.streaming
+        return True
+
+    def _handle_data(self, data: bytes) -> None:
+        if self.streaming and self.attempt is not None:
+            self.host.stream_chunk(self.clock.now(), self.attempt, data)
         else:
             self.body += data
 
-    def _whole(self) -> None:
-        never = self.headers.get(b"x-not-run") == b"1"
+    def _handle_end(self) -> None:
+        was_not_run = self.headers.get(b"x-not-run") == b"1"
+        value = None
         if self.status == 200:
             outcome = Outcome.COMPLETED
+            value = bytes(self.body)
+        elif self.status in (503, 504) and was_not_run:
+            outcome = Outcome.OVERLOADED
         else:
-            outcome = Outcome.OVERLOADED if self.status in (503, 504) and never else Outcome.ERROR
-        reuse = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
-        reuse = (
-            reuse and not self.http.trailing_data[0]
-        )  # what comes behind would answer the next RPC
+            outcome = Outcome.ERROR
+        is_complete = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
+        # What comes behind a response would answer the next RPC.
+        reuse = is_complete and not self.http.trailing_data[0]
         if reuse:
             self.http.start_next_cycle()
-        value = bytes(self.body) if outcome == Outcome.COMPLETED else None
-        self.over(outcome, value, self.headers.get(b"x-load", b"").decode("latin-1"), reuse)
+        load = self.headers.get(b"x-load", b"").decode("latin-1")
+        self.finish(outcome, value, load, reuse)
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -15,7 +15,7 @@
 METHODS = [
     method("read"),
     method("once", "fragile"),
-    method("known", "dedup", window_s=4.0, dedup_scope="all"),
+    method("known", "dedup", window_s=4.0, group="all"),
 ]
 
 
@@ -59,9 +59,9 @@
 @pytest.mark.parametrize(
     "new",
     [
-        method("known", "dedup", window_s=0.001, dedup_scope="all"),
+        method("known", "dedup", window_s=0.001, group="all"),
         method("known", "fragile"),
-        method("known", "dedup", window_s=4.0, dedup_scope="cell"),
+        method("known", "dedup", window_s=4.0, group="cell"),
     ],
 )
 def test_what_may_have_run_is_sent_again_only_as_both_settings_allow(
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -19,7 +19,7 @@
 METHODS = [
     method("read"),
     method("once", "fragile"),
-    method("known", "dedup", window_s=0.6, dedup_scope="all"),
+    method("known", "dedup", window_s=0.6, group="all"),
 ]
 
 
