--- a/hookpitch/net/buffered_protocol.py
+++ b/hookpitch/net/buffered_protocol.py
@@ -191,7 +191,7 @@
             self.transport.loseConnection()
 
     def shutdown_write(self) -> bool:
-        """Ends our sending in this very turn and stops reading; False where that is not possible."""
+        """Ends our sending in this very turn and stops reading; False where it can't be done."""
         if not self.can_end_now:
             return False
         try:
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -153,7 +153,7 @@
             self.clock.deadlines.add(until, lambda _: self._close_over_limit(newcomer))
 
     def _close_over_limit(self, client: ClientConnection) -> None:
-        """Closes at once: its descriptor is needed by others, who must not wait for another turn."""
+        """Closes at once: others need its descriptor and must not wait for another turn."""
         is_answered = not client.pending_replies and not len(client.output_buffer)
         if client.lost or not is_answered or not client.parser.between:
             return
@@ -164,7 +164,7 @@
 
     @property
     def stream_buffer_bytes(self) -> int:
-        """Bytes that one streamed answer may have waiting for its reader: less with more of them."""
+        """Bytes that each streamed answer may have unread: less with more of them."""
         most, least = ROOM
         share = self.max_reply_bytes // (4 * max(1, self.active_streams))
         return max(least, min(most, share))
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,7 +8,7 @@
 
 from hookpitch.balancer.interface import EndpointUpdate
 from hookpitch.core.chance import draws
-from hookpitch.net.discovery import retry_after_ms
+from hookpitch.net.discovery_watch import retry_after_ms
 from hookpitch.simwire.adapter import Seat
 from hookpitch.startup.poll_schedule import (
     FAR,
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -113,7 +113,7 @@
         except OSError:
             pass
         assert sent < 1 << 23, "taken in without a bound"
-        r.log("discovery answers badly")
+        r.log("discovery_response_invalid")
         assert r.memory_kb() < before + 4096
         r.watch(r.change(6, 0, health="terminating"))
         r.until(lambda: r.count("lists.delta") == 1)
@@ -124,7 +124,7 @@
         empty = b'{"seq":6,"whole":true,"hosts":[]}'
         for n, bad in enumerate((b"<html>", b"{}", b"[1]", empty, b"{]", b"\xff"), 1):
             tell(r.watch(), bad)
-            r.log("discovery answers badly", n)
+            r.log("discovery_response_invalid", n)
         r.watch(r.change(6, 0, health="terminating"))
         r.until(lambda: r.count("lists.delta") == 1)
 
