--- a/hookpitch/fakes/load_clients.py
+++ b/hookpitch/fakes/load_clients.py
@@ -21,7 +21,15 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.core.resp import VALUE_MOST, Fault, Malformed, Parser, command
+from hookpitch.core.resp import (
+    MAX_BULK_BYTES,
+    NEED_DATA,
+    ErrorReply,
+    NeedData,
+    Parser,
+    ProtocolError,
+    command,
+)
 from hookpitch.core.ring import Ring
 from hookpitch.fakes.history import History
 
@@ -147,8 +155,10 @@
             self.crowd.reactor.callLater(READ_PAUSE_S, self.read_on)
         try:
             while True:
-                found, answer = self.large() or self.parser.next()
-                if not found:
+                answer = self.large()
+                if answer is None:
+                    answer = self.parser.next_value()
+                if answer is NEED_DATA:
                     return
                 if not self.due:
                     self.crowd.history.add(
@@ -156,20 +166,20 @@
                     )
                     continue
                 self.answered(self.due.popleft(), answer)
-        except Malformed:
+        except ProtocolError:
             self.transport.loseConnection()
 
-    def large(self) -> tuple[bool, bytes | None] | None:
+    def large(self) -> bytes | NeedData | None:
         """A value too large for the parser, once it is whole; None where something else comes
         next."""
         head = self.ring.peek(16)
         end = head.find(b"\r\n")
-        if head[:1] != b"$" or not head[1:end].isdigit() or int(head[1:end]) <= VALUE_MOST:
+        if head[:1] != b"$" or not head[1:end].isdigit() or int(head[1:end]) <= MAX_BULK_BYTES:
             return None
         whole = end + 2 + int(head[1:end]) + 2
         if len(self.ring) < whole:
-            return False, None
-        return True, self.ring.read(whole)[end + 2 : -2]
+            return NEED_DATA
+        return self.ring.read(whole)[end + 2 : -2]
 
     def read_on(self) -> None:
         if not self.lost:
@@ -178,7 +188,7 @@
     def answered(self, asked: Asked, answer: object) -> None:
         crowd = self.crowd
         asked.open = False
-        if isinstance(answer, Fault):
+        if isinstance(answer, ErrorReply):
             how = "exhausted" if answer.startswith(b"BUSY") else "errored"
         elif isinstance(answer, bytes) and answer.startswith(f"{asked.rpc}:{asked.key}:".encode()):
             how = "completed"
--- a/hookpitch/net/backend_connection.py
+++ b/hookpitch/net/backend_connection.py
@@ -15,9 +15,10 @@
 
 from hookpitch.balancer.deployment import report
 from hookpitch.balancer.interface import Outcome
-from hookpitch.core.host import NO_REPORT, Attempt
-from hookpitch.core.resp import Fault, Malformed, Parser, Value, command
-from hookpitch.core.stream import MOST, ChunkedValue
+from hookpitch.core.host import NO_REPORT
+from hookpitch.core.resp import NEED_DATA, ErrorReply, Parser, ProtocolError, Value, command
+from hookpitch.core.rpc import Attempt
+from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES, BufferedProtocol
 
 if TYPE_CHECKING:
@@ -48,7 +49,7 @@
     def begin(self, attempt: Attempt) -> None:
         """Sends the request of an attempt."""
         self.attempt = attempt
-        attempt.holder = self
+        attempt.carrier = self
         attempt.written = True
         head, *chunks = self.encode_request(attempt)
         self.send(head)
@@ -71,12 +72,12 @@
 
     # ---- a streamed response (core.stream.Source)
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Reads no more for now."""
         if not self.paused and not self.lost:
             self.pauseProducing()
 
-    def go(self) -> None:
+    def resume(self) -> None:
         """Reads on."""
         if self.paused and not self.lost:
             self.resumeProducing()
@@ -151,7 +152,7 @@
 
     def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
-        self.parser = Parser(self.input_buffer, most=MOST)
+        self.parser = Parser(self.input_buffer, max_value_bytes=MAX_STREAMED_BYTES)
         self.streaming = False  # the response's value is being passed on in pieces
 
     def encode_request(self, attempt: Attempt) -> Sequence[bytes]:
@@ -162,7 +163,7 @@
             return (command(*words),)
         if isinstance(rpc.value, ChunkedValue):
             head = command(*words).replace(b"*4", b"*5", 1) + b"$%d\r\n" % len(rpc.value)
-            return (head, *rpc.value.parts, b"\r\n")
+            return (head, *rpc.value.chunks, b"\r\n")
         return (command(*words, rpc.value),)
 
     def rawDataReceived(self, data: bytes) -> None:
@@ -170,9 +171,9 @@
         attempt = self.attempt
         is_past_ring = self.streaming and not len(self.input_buffer) and not self.paused
         if is_past_ring and attempt is not None:
-            remaining = self.parser.passing
+            remaining = self.parser.body_remaining
             part = data if len(data) <= remaining else data[:remaining]
-            self.parser.passing -= len(part)
+            self.parser.body_remaining -= len(part)
             self.host.stream_chunk(self.clock.now(), attempt, part)
             data = data[len(part) :]
             if not data:
@@ -183,23 +184,23 @@
         """Reads the response as far as it has come."""
         while not self.paused:
             try:
-                found, reply = self.parser.next()
-            except Malformed as fault:
+                reply = self.parser.next_value()
+            except ProtocolError as fault:
                 self.fail_malformed(str(fault))
                 return
-            if found:
+            if reply is not NEED_DATA:
                 self.streaming = False
                 # What comes behind a response would answer the next RPC. The response is good.
-                self._handle_reply(reply, self.attempt is not None and self.parser.between)
+                self._handle_reply(reply, self.attempt is not None and self.parser.at_boundary)
                 return
-            if not self.parser.passing:
+            if not self.parser.body_remaining:
                 return
-            if not self.streaming and not self.start_stream(self.parser.passing):
+            if not self.streaming and not self.start_stream(self.parser.body_remaining):
                 return
             self.streaming = True
             if self.paused or not len(self.input_buffer):
                 return
-            part = self.parser.part(WRITE_CHUNK_BYTES)
+            part = self.parser.read_body(WRITE_CHUNK_BYTES)
             self.host.stream_chunk(self.clock.now(), self.attempt, part)
 
     def _handle_reply(self, reply: Value, reuse: bool) -> None:
@@ -210,7 +211,7 @@
                 outcome = Outcome.MISS if value is None else Outcome.COMPLETED
                 self.finish(outcome, value, load, reuse)
                 return
-        elif isinstance(reply, Fault):
+        elif isinstance(reply, ErrorReply):
             words = reply.decode("latin-1").split(" ")
             if words[0] in ("BUSY", "ERR"):
                 load = words[-1] if "=" in words[-1] else ""
--- a/hookpitch/net/backend_pool.py
+++ b/hookpitch/net/backend_pool.py
@@ -17,7 +17,7 @@
 
 from hookpitch.balancer.interface import Outcome
 from hookpitch.core.deadlines import Deadline
-from hookpitch.core.host import Attempt
+from hookpitch.core.rpc import Attempt
 from hookpitch.net.backend_connection import BackendConnection
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
         if len(self.connects) <= len(self.waiting) and not self._connect():
             return False
         self.waiting.append(attempt)
-        attempt.holder = self
+        attempt.carrier = self
         return True
 
     def _is_clean(self, connection: BackendConnection) -> bool:
@@ -95,7 +95,7 @@
         now = self.clock.now()
         while self.waiting:
             attempt = self.waiting.popleft()
-            if now < attempt.begin_by:
+            if now < attempt.start_by:
                 connection.begin(attempt)
                 return
             # Rule 2: when it was decided on, its servers would still have recognized a repeat.
@@ -125,7 +125,7 @@
 
     def _forget_connect(self, connect: _Connect) -> None:
         self.connects.pop(connect, None)
-        self.clock.deadlines.drop(connect.deadline)
+        self.clock.deadlines.cancel(connect.deadline)
 
     def connect_failed(self, connect: _Connect, outcome: Outcome) -> None:
         """A connect has failed, was abandoned, or (OBSOLETE) had no descriptor here."""
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate
-from hookpitch.core.host import Attempt, Host
+from hookpitch.core.host import Host
+from hookpitch.core.rpc import Attempt
 from hookpitch.net.backend_connection import BackendConnection, CacheConnection
 from hookpitch.net.backend_pool import BackendPool, ConnectionType
 from hookpitch.net.clock import Clock
@@ -49,24 +50,24 @@
 
     def dispatch(self, now: float, attempt: Attempt) -> bool:
         """Sends an attempt to its server; False where no connection can be had."""
-        pool = self.by_backend.get(attempt.server)
+        pool = self.by_backend.get(attempt.backend_id)
         return pool is not None and pool.dispatch(attempt)
 
     def cancel(self, now: float, attempt: Attempt) -> None:
         """Withdraws an attempt: its connection is reset, or it waits no longer."""
-        holder = attempt.holder
-        if isinstance(holder, BackendConnection) and holder.attempt is attempt:
-            holder.attempt = None
-            holder.reset_now()
-        elif isinstance(holder, BackendPool) and attempt in holder.waiting:
-            holder.waiting.remove(attempt)
+        carrier = attempt.carrier
+        if isinstance(carrier, BackendConnection) and carrier.attempt is attempt:
+            carrier.attempt = None
+            carrier.reset_now()
+        elif isinstance(carrier, BackendPool) and attempt in carrier.waiting:
+            carrier.waiting.remove(attempt)
 
     def has_unread_response(self, attempt: Attempt) -> bool:
         """Reads what stands unread for an attempt; whether that has ended it."""
-        holder = attempt.holder
-        is_sent = isinstance(holder, BackendConnection) and holder.attempt is attempt
-        if is_sent and holder.has_kernel_bytes():
-            getattr(holder.transport, "doRead", lambda: None)()
+        carrier = attempt.carrier
+        is_sent = isinstance(carrier, BackendConnection) and carrier.attempt is attempt
+        if is_sent and carrier.has_kernel_bytes():
+            getattr(carrier.transport, "doRead", lambda: None)()
         return attempt.done
 
     # ---- servers
--- a/hookpitch/net/client_connection.py
+++ b/hookpitch/net/client_connection.py
@@ -18,10 +18,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from hookpitch.core.host import Rpc
 from hookpitch.core.reply_slot import ReplySlot
-from hookpitch.core.resp import Malformed, Parser, bulk
-from hookpitch.core.stream import MOST, ChunkedValue, Stream
+from hookpitch.core.resp import NEED_DATA, Parser, ProtocolError, bulk
+from hookpitch.core.rpc import Rpc
+from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue, Stream
 from hookpitch.net.buffered_protocol import WRITE_CHUNK_BYTES, BufferedProtocol
 
 if TYPE_CHECKING:
@@ -53,7 +53,9 @@
         self.registry = registry
         self.host = registry.host
         self.clock = registry.clock
-        self.parser = Parser(self.input_buffer, commands_only=True, most=MOST)
+        self.parser = Parser(
+            self.input_buffer, commands_only=True, max_value_bytes=MAX_STREAMED_BYTES
+        )
         self.number = -1  # of its slot among the host's connections
 
         self.pending_replies: deque[ReplySlot] = deque()  # one for each command, in order
@@ -89,25 +91,25 @@
             not self.pending_replies
             and not len(self.output_buffer)
             and not self.closing
-            and self.parser.between
+            and self.parser.at_boundary
         )
 
     @property
     def is_between_commands(self) -> bool:
         """Whether a complete command has come at some time and no part of another since."""
-        return self.has_sent_command and self.parser.between
+        return self.has_sent_command and self.parser.at_boundary
 
     # ---- commands
 
     def rawDataReceived(self, data: bytes) -> None:
         """Large values go past the ring."""
         self.last_byte_at = self.clock.now()
-        if self.has_sent_command and self.parser.between:
+        if self.has_sent_command and self.parser.at_boundary:
             self.active_at = self.last_byte_at
-        if self.parser.passing and not len(self.input_buffer) and not self.closing:
-            remaining = self.parser.passing
+        if self.parser.body_remaining and not len(self.input_buffer) and not self.closing:
+            remaining = self.parser.body_remaining
             part = data if len(data) <= remaining else data[:remaining]
-            self.parser.passing -= len(part)
+            self.parser.body_remaining -= len(part)
             self._store_value_bytes(part)
             data = data[len(part) :]
             if not data:
@@ -116,13 +118,13 @@
 
     def _store_value_bytes(self, data: bytes) -> None:
         if self.value is None:
-            size = self.parser.passing + len(data)
-            has_memory = self.host.value_budget.take(size)
+            size = self.parser.body_remaining + len(data)
+            has_memory = self.host.value_budget.reserve(size)
             self.value = ChunkedValue() if has_memory else REFUSED_VALUE
             self.active_at = self.clock.now()
         if self.value is not REFUSED_VALUE:
             before = self.value.length // VALUE_PROGRESS_BYTES
-            self.value.add(data)
+            self.value.append(data)
             if self.value.length // VALUE_PROGRESS_BYTES > before:
                 # A large value that comes slowly must not look like a client that says nothing.
                 self.active_at = self.clock.now()
@@ -130,7 +132,7 @@
     def _release_value(self) -> None:
         """Gives back the memory of a large value that no RPC has taken over."""
         if self.value is not None and self.value is not REFUSED_VALUE:
-            self.host.value_budget.give_back(self.value.length + self.parser.passing)
+            self.host.value_budget.release(self.value.length + self.parser.body_remaining)
         self.value = None
 
     def bytes_received(self) -> None:
@@ -143,7 +145,7 @@
             # What was read too late would be sent for a client that has left.
             self.sender_left = age_ms > STALE_READ_MS and self.peer_ended()
             self._run_commands(age_ms)
-        except Malformed as fault:
+        except ProtocolError as fault:
             self.host.counters.add("clients.malformed")
             self._reply(b"-ERR %b\r\n" % str(fault).encode())
             self.closing = True
@@ -159,11 +161,11 @@
         for _ in range(COMMANDS_PER_TURN):
             if self.closing or self.paused:
                 return
-            found, words = self.parser.next()
-            if not found and self.parser.passing and len(self.input_buffer):
-                self._store_value_bytes(self.parser.part(WRITE_CHUNK_BYTES))
-                continue
-            if not found:
+            words = self.parser.next_value()
+            if words is NEED_DATA:
+                if self.parser.body_remaining and len(self.input_buffer):
+                    self._store_value_bytes(self.parser.read_body(WRITE_CHUNK_BYTES))
+                    continue
                 return
             if words:
                 self.has_sent_command = True
@@ -207,7 +209,7 @@
         if rpc is None:
             self.host.counters.add("clients.wrong")
             slot.answer = b"-ERR wrong number of words, unknown class or bad wait\r\n"
-        elif rpc.open:
+        elif rpc.pending:
             self.rpcs[slot] = rpc
 
     def _reject_rpc(self, slot: ReplySlot, words: list[bytes], counter: str) -> None:
@@ -278,14 +280,14 @@
         self.streams[slot] = stream
         self.registry.active_streams += 1
         if self.lost or self.pending_replies[0] is not slot:
-            stream.source.hold()  # the replies before it go first
+            stream.source.pause()  # the replies before it go first
         else:
             self._start_stream(stream)
 
     def _start_stream(self, stream: Stream) -> None:
         self.current_stream = stream
         self.send(b"$%d\r\n" % stream.length)
-        stream.source.go()
+        stream.source.resume()
 
     def stream_chunk(self, slot: ReplySlot, data: bytes) -> None:
         """More of the answer that is being sent."""
@@ -293,15 +295,15 @@
         # Where a server gives faster than the client reads, the value would be held here.
         buffered = len(self.output_buffer)
         if buffered > self.registry.stream_buffer_bytes and self.current_stream is not None:
-            self.current_stream.source.hold()
+            self.current_stream.source.pause()
 
     def resume_writing(self) -> None:
         """The client has read: a held stream may go on."""
         super().resume_writing()
         if self.current_stream is not None:
-            self.current_stream.moved = self.clock.now()
+            self.current_stream.last_progress = self.clock.now()
             if 2 * len(self.output_buffer) <= self.registry.stream_buffer_bytes:
-                self.current_stream.source.go()
+                self.current_stream.source.resume()
 
     def stream_aborted(self, slot: ReplySlot) -> None:
         """The rest of a streamed answer will not come."""
@@ -352,7 +354,7 @@
             and self.has_sent_command
             and self.pending_replies
             and not self.closing
-            and self.parser.between
+            and self.parser.at_boundary
         ):
             self.closing = True
             self.pauseProducing()
@@ -428,9 +430,9 @@
         """The client has ended its sending and may still read."""
         self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=True)
         self.peer_finished = True
-        with suppress(Malformed):
+        with suppress(ProtocolError):
             # Commands not begun yet fail: nothing is sent to servers any more.
-            while not self.closing and self.parser.next()[0]:
+            while not self.closing and self.parser.next_value() is not NEED_DATA:
                 self._reply(FAILED)
         self.closing = True
         self._send_replies()
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import Factory
 
 from hookpitch.core.host import Host
-from hookpitch.core.stream import ROOM
+from hookpitch.core.stream import MAX_UNSENT_BYTES, MIN_UNSENT_BYTES
 from hookpitch.net.client_connection import LINGER_MS, ClientConnection
 from hookpitch.net.clock import Clock
 
@@ -77,7 +77,7 @@
     def info(self) -> bytes:
         """The reply to INFO: gauges and counters, one a line."""
         gauges = f"clients.open:{len(self.connections)}\r\nrpcs.open:{len(self.host.rpcs)}\r\n"
-        return (gauges + self.host.counters.lines()).encode()
+        return (gauges + self.host.counters.render()).encode()
 
     # ---- the set of connections
 
@@ -155,7 +155,7 @@
     def _close_over_limit(self, client: ClientConnection) -> None:
         """Closes at once: others need its descriptor and must not wait for another turn."""
         is_answered = not client.pending_replies and not len(client.output_buffer)
-        if client.lost or not is_answered or not client.parser.between:
+        if client.lost or not is_answered or not client.parser.at_boundary:
             return
         if not client.closing:
             self.host.counters.add(CloseReason.SILENT.value)
@@ -165,17 +165,16 @@
     @property
     def stream_buffer_bytes(self) -> int:
         """Bytes that each streamed answer may have unread: less with more of them."""
-        most, least = ROOM
         share = self.max_reply_bytes // (4 * max(1, self.active_streams))
-        return max(least, min(most, share))
+        return max(MIN_UNSENT_BYTES, min(MAX_UNSENT_BYTES, share))
 
     def limit_reply_memory(self) -> None:
         """Aborts the connection with most unread replies once all together hold too much.
 
         Clients that ask and never read would let the node be killed for its memory.
         """
-        if sum(client.output_buffer.room for client in self.connections) > self.max_reply_bytes:
-            worst = max(self.connections, key=lambda client: client.output_buffer.room)
+        if sum(client.output_buffer.capacity for client in self.connections) > self.max_reply_bytes:
+            worst = max(self.connections, key=lambda client: client.output_buffer.capacity)
             self.host.counters.add("clients.cut_off")
             worst.transport.abortConnection()
 
@@ -252,7 +251,7 @@
         """Ends all connections but those on which a command stands in part: no time is left."""
         self.fails_new_requests = True  # a command that is complete only now is answered at once
         for client in list(self.connections):
-            if client.pending_replies or client.parser.between:
+            if client.pending_replies or client.parser.at_boundary:
                 client.closing = True
                 client.pending_replies.clear()
                 client.finish()
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -12,13 +12,13 @@
 from typing import Any, NamedTuple
 
 from hookpitch.balancer.interface import Endpoint, EndpointState, EndpointUpdate
-from hookpitch.core.chance import draws
 from hookpitch.core.deadlines import Deadline
 from hookpitch.core.host import Host
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery_watch import Watch, WatchFactory
 from hookpitch.net.endpoint_list import EndpointList, EndpointListError, parse_endpoint_list
-from hookpitch.startup.poll_schedule import FAR, PollSchedule, WatchLoss
+from hookpitch.startup.poll_schedule import NEVER, PollSchedule, WatchLoss
 
 DEFAULT_POLL_INTERVAL_MS = 10000.0
 CONNECT_TIMEOUT_FACTOR = 4  # times the timeout of a connect to a server
@@ -60,7 +60,7 @@
             clock.now(),
             deployment.nodes,
             deployment.poll_interval_ms or DEFAULT_POLL_INTERVAL_MS,
-            draws(deployment.seed, "ask"),
+            seeded_random(deployment.seed, "ask"),
             not deployment.polling_required,
         )
         self._next_poll: Deadline | None = None
@@ -73,10 +73,10 @@
 
     def schedule_poll(self) -> None:
         """Sets the next poll to when the schedule wants it."""
-        self.clock.deadlines.drop(self._next_poll)
+        self.clock.deadlines.cancel(self._next_poll)
         self._next_poll = None
-        if self.poll_schedule.at < FAR:
-            self._next_poll = self.clock.deadlines.add(self.poll_schedule.at, self._poll)
+        if self.poll_schedule.due_at < NEVER:
+            self._next_poll = self.clock.deadlines.add(self.poll_schedule.due_at, self._poll)
 
     def _poll(self, now: float) -> None:
         if self.poll_schedule.due(now):
--- a/hookpitch/net/discovery_watch.py
+++ b/hookpitch/net/discovery_watch.py
@@ -53,7 +53,7 @@
         """Asks for all changes since the version that is held."""
         super().connectionMade()
         # A discovery that was cut off never answers, and its watch would hang for good.
-        self.set_silence_timeout(self.discovery.poll_schedule.response_timeout)
+        self.set_silence_timeout(self.discovery.poll_schedule.response_timeout_ms)
         host, port = self.discovery.address
         target = f"/v1/servers?follow=1&since={self.discovery.version}"
         headers = [("Host", f"{host}:{port}")]
@@ -99,7 +99,7 @@
     def set_silence_timeout(self, timeout_ms: float) -> None:
         """How long the watch may be silent from now on."""
         clock = self.discovery.clock
-        clock.deadlines.drop(self._silence)
+        clock.deadlines.cancel(self._silence)
         until = clock.now() + timeout_ms
         self._silence = clock.deadlines.add(until, lambda _: self.end(WatchLoss.SILENT))
 
@@ -115,7 +115,7 @@
         if self.ended:
             return
         self.ended = True
-        self.discovery.clock.deadlines.drop(self._silence)
+        self.discovery.clock.deadlines.cancel(self._silence)
         if self.transport is not None:
             self.transport.abortConnection()
         elif self.connector is not None:
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -1,7 +1,7 @@
 """The origin: HTTP/1.1 through h11, one attempt at a time on each connection.
 
 State: h11's connection, and of the response its status, headers and body. A body over
-`VALUE_MOST` bytes whose length is told is streamed, any other is held whole.
+`MAX_BULK_BYTES` bytes whose length is told is streamed, any other is held whole.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from twisted.python.failure import Failure
 
 from hookpitch.balancer.interface import Outcome
-from hookpitch.core.host import Attempt
-from hookpitch.core.resp import VALUE_MOST
-from hookpitch.core.stream import MOST, ChunkedValue
+from hookpitch.core.resp import MAX_BULK_BYTES
+from hookpitch.core.rpc import Attempt
+from hookpitch.core.stream import MAX_STREAMED_BYTES, ChunkedValue
 from hookpitch.net.backend_connection import BackendConnection
 from hookpitch.net.backend_pool import BackendPool
 
@@ -46,12 +46,12 @@
         value = attempt.rpc.value
         parts = [self.http.send(self._request_head(attempt))]
         if isinstance(value, ChunkedValue):
-            parts += [self.http.send(h11.Data(data=part)) for part in value.parts]
+            parts += [self.http.send(h11.Data(data=part)) for part in value.chunks]
         elif value is not None:
             parts.append(self.http.send(h11.Data(data=value)))
         parts.append(self.http.send(h11.EndOfMessage()))
         self._reset_response()
-        if isinstance(value, ChunkedValue) and value.parts:
+        if isinstance(value, ChunkedValue) and value.chunks:
             return [part for part in parts if part]
         return (b"".join(part for part in parts if part),)
 
@@ -103,7 +103,7 @@
                         return
                 elif isinstance(event, h11.Data):
                     self._handle_data(bytes(event.data))
-                    if len(self.body) > MOST:
+                    if len(self.body) > MAX_STREAMED_BYTES:
                         self.fail_malformed(BODY_TOO_LONG)
                         return
                 elif isinstance(event, h11.EndOfMessage):
@@ -119,10 +119,10 @@
         length = self.headers.get(b"content-length", b"")
         is_sized = self.status == 200 and length.isdigit() and len(length) < 20
         size = int(length) if is_sized else 0
-        if size > MOST:
+        if size > MAX_STREAMED_BYTES:
             self.fail_malformed(BODY_TOO_LONG)
             return False
-        if size > VALUE_MOST:
+        if size > MAX_BULK_BYTES:
             self.streaming = self.start_stream(size)
             return self.streaming
         return True
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -29,7 +29,7 @@
 
 from fleet import SETTINGS, listed_host
 
-from hookpitch.core.resp import Parser, Value
+from hookpitch.core.resp import NEED_DATA, Parser, Value
 from hookpitch.core.ring import Ring
 
 ROOT = Path(__file__).parent.parent
@@ -41,7 +41,7 @@
     """One connection, from the peer's side."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.parser = sock, Parser(Ring(), most=1 << 22)
+        self.sock, self.parser = sock, Parser(Ring(), max_value_bytes=1 << 22)
         sock.settimeout(WAIT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -52,8 +52,8 @@
         """The next value or command. EOFError at the connection's end, ConnectionResetError at its
         reset."""
         while True:
-            found, value = self.parser.next()
-            if found:
+            value = self.parser.next_value()
+            if value is not NEED_DATA:
                 return value
             data = self.sock.recv(65536)
             if not data:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,9 @@
     fleet.pass_time(30000.0)  # whatever was open has ended by now
     assert not fleet.open
     assert not fleet.router.rpcs, "records outlive their RPCs"
-    assert not any(s.first or s.again or s.live for s in fleet.router.servers.values())
+    assert not any(
+        s.fresh_queue or s.retry_queue or s.in_flight for s in fleet.router.backends.values()
+    )
 
 
 def test_same_input_gives_the_same_decisions() -> None:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Values too large to hold: answers in pieces, writes held once."""
+"""Values too large to hold: streamed replies, and large writes under a memory budget."""
 
 from dataclasses import replace
 
@@ -6,9 +6,9 @@
 import pytest
 from fleet import ORIGIN_PORT, Line, Sockets, get
 
-from hookpitch.core.resp import Parser, bulk, command
+from hookpitch.core.resp import NEED_DATA, Parser, bulk, command
 from hookpitch.core.ring import Ring
-from hookpitch.core.stream import HELD, MOST, ChunkedValue, Stream
+from hookpitch.core.stream import MAX_STREAMED_BYTES, TAIL_BYTES, ChunkedValue, Stream
 
 LARGE = 300_000
 VALUE = bytes(range(256)) * (LARGE // 256 + 1)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000, 65536, LARGE])
-def test_a_large_answer_passes_whole_in_whatever_pieces_it_comes(size: int) -> None:
+def test_a_large_reply_is_streamed_completely_however_it_is_split(size: int) -> None:
     s, client, server = begun()
     reply = b"*3\r\n" + bulk(VALUE) + REST
     got = b""
@@ -46,21 +46,21 @@
     assert s.request(server.port) and s.counters.counts["completed.read"] == 1
 
 
-def test_the_first_bytes_go_on_at_once_and_the_last_wait_for_the_whole_reply() -> None:
+def test_a_stream_starts_at_once_and_its_tail_waits_for_the_complete_reply() -> None:
     s, client, server = begun()
     heads(server)
     server.say(VALUE[:1000])
     assert client.take() == b"$%d\r\n" % LARGE + VALUE[:1000]
     server.say(VALUE[1000:])
-    assert client.take() == VALUE[1000:-HELD]
+    assert client.take() == VALUE[1000:-TAIL_BYTES]
     server.say(b"\r\n" + REST[:-1])
     assert not client.take()
     server.say(REST[-1:])
-    assert client.take() == VALUE[-HELD:] + b"\r\n"
+    assert client.take() == VALUE[-TAIL_BYTES:] + b"\r\n"
 
 
 @pytest.mark.parametrize("end", [b"xx" + REST, b"\r\n!what\r\n", b"\r\n$9\r\nhit", None])
-def test_a_spoilt_answer_never_becomes_whole_and_the_client_can_tell(end: bytes | None) -> None:
+def test_a_malformed_reply_is_never_completed_and_the_client_can_tell(end: bytes | None) -> None:
     s, client, server = begun()
     heads(server)
     server.say(VALUE)
@@ -72,10 +72,10 @@
     s.pass_time(1)
     assert client.ended
     counts = s.counters.counts
-    assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.open
+    assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.rpcs.pending
 
 
-def test_no_deadline_cuts_off_what_the_server_still_gives_but_silence_does() -> None:
+def test_a_stream_is_ended_by_silence_and_by_no_deadline() -> None:
     s, client, server = begun()
     heads(server)
     for at in range(0, 10_000, 1000):
@@ -86,12 +86,12 @@
     assert client.ended and server.ended and s.counters.counts["streams.silent"] == 1
 
 
-def test_a_slow_reader_stops_the_server_and_a_dead_one_is_let_go() -> None:
+def test_a_slow_reader_pauses_the_backend_and_one_that_stops_is_dropped() -> None:
     s, client, server = begun()
     client.reads = False
-    heads(server, MOST)
+    heads(server, MAX_STREAMED_BYTES)
     sent = 0
-    while not server.paused and sent < MOST:
+    while not server.paused and sent < MAX_STREAMED_BYTES:
         server.say(bytes(65536))
         sent += 65536
     room = s.node.clients.stream_buffer_bytes
@@ -108,7 +108,7 @@
     assert client.ended
 
 
-def test_many_streams_share_what_may_wait() -> None:
+def test_many_streams_share_the_unsent_bytes_allowed() -> None:
     s = Sockets()
     alone = s.node.clients.stream_buffer_bytes
     s.node.clients.active_streams = 200
@@ -116,7 +116,7 @@
     s.node.clients.active_streams = 0
 
 
-def test_an_answer_behind_another_waits_and_goes_on_in_its_order() -> None:
+def test_a_streamed_reply_waits_for_the_replies_before_it() -> None:
     s = Sockets()
     client = s.client()
     client.say(get("a") + get("b", "other"))
@@ -134,15 +134,15 @@
     assert client.take() == bulk(b"v") + bulk(VALUE)
 
 
-def test_a_client_that_leaves_in_the_middle_frees_the_server() -> None:
+def test_a_client_that_disconnects_during_a_stream_frees_its_backend() -> None:
     s, client, server = begun()
     heads(server)
     client.end()
     s.pass_time(1)
-    assert server.ended and not s.node.host.open and not s.node.clients.active_streams
+    assert server.ended and not s.node.host.rpcs.pending and not s.node.clients.active_streams
 
 
-def test_a_large_body_of_the_origin_passes_and_one_cut_short_breaks() -> None:
+def test_a_large_body_of_the_origin_is_streamed_and_a_truncated_one_is_aborted() -> None:
     for whole in (True, False):
         s, client, server = begun()
         server.say(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
@@ -155,7 +155,7 @@
         if not whole:
             o.end()
         s.pass_time(1)
-        assert len(client.take()) == LARGE - 5000 + (2 if whole else -HELD)
+        assert len(client.take()) == LARGE - 5000 + (2 if whole else -TAIL_BYTES)
         s.pass_time(1)
         assert client.ended is not whole
 
@@ -167,14 +167,14 @@
     return command(b"OBJ.SET", b"k", id.encode(), b"c=read,d=900", value)
 
 
-def test_a_large_write_goes_to_the_origin_whole_and_its_memory_is_given_back() -> None:
+def test_a_large_write_reaches_the_origin_and_its_memory_is_released() -> None:
     s = Sockets()
     client = s.client()
     data = write("a", VALUE)
     for at in range(0, len(data), 3000):
         client.say(data[at : at + 3000])
     s.pass_time(1)
-    assert s.node.host.value_budget.now == LARGE
+    assert s.node.host.value_budget.used == LARGE
     (o,) = s.network.to(ORIGIN_PORT)
     server = h11.Connection(h11.SERVER)
     server.receive_data(o.take())
@@ -184,24 +184,24 @@
         body += bytes(event.data)
     assert body == VALUE and isinstance(event, h11.EndOfMessage)
     o.say(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
-    assert client.take() == bulk(b"ok") and s.node.host.value_budget.now == 0
+    assert client.take() == bulk(b"ok") and s.node.host.value_budget.used == 0
 
 
-def test_many_large_writes_are_refused_before_memory_is_gone() -> None:
+def test_large_writes_over_the_memory_budget_are_rejected() -> None:
     s = Sockets(memory_mb=32)
     clients = [s.client() for _ in range(6)]
     for n, client in enumerate(clients):
-        client.say(write(f"w{n}", bytes(MOST)))
+        client.say(write(f"w{n}", bytes(MAX_STREAMED_BYTES)))
     s.pass_time(1)
     said = [client.take() for client in clients]
     assert said.count(b"-BUSY\r\n") == 4 and s.counters.counts["rejected.read"] == 4
     for client in clients:
         client.end()
     s.pass_time(1)
-    assert s.node.host.value_budget.now == 0
+    assert s.node.host.value_budget.used == 0
 
 
-def test_a_write_that_comes_slowly_is_no_silent_client_and_one_that_stops_is() -> None:
+def test_a_slow_large_write_keeps_its_connection_and_a_stalled_one_does_not() -> None:
     s = Sockets()
     client = s.client()
     data = write("a", VALUE)
@@ -210,7 +210,7 @@
         s.pass_time(1000)
     assert not client.ended
     s.pass_time(3000)
-    assert client.ended and s.node.host.value_budget.now == 0
+    assert client.ended and s.node.host.value_budget.used == 0
 
 
 @pytest.mark.parametrize(
@@ -223,42 +223,46 @@
         + b"\r\n$4194305\r\n",
     ],
 )
-def test_only_a_value_may_be_large(said: bytes) -> None:
+def test_only_a_value_may_exceed_the_bulk_limit(said: bytes) -> None:
     s = Sockets()
     client = s.client()
     client.say(said)
     assert client.take().startswith(b"-ERR")
     s.pass_time(1)
-    assert client.ended and s.node.host.value_budget.now == 0
+    assert client.ended and s.node.host.value_budget.used == 0
 
 
-def test_what_passes_and_what_is_held_is_what_came() -> None:
-    for size in (1, HELD - 1, HELD, HELD + 1, 5000):
+def test_what_a_stream_passes_on_plus_its_tail_is_what_it_was_fed() -> None:
+    for size in (1, TAIL_BYTES - 1, TAIL_BYTES, TAIL_BYTES + 1, 5000):
         stream = Stream(None, LARGE, 0.0, 0.0)
-        out = b"".join(stream.piece(VALUE[at : at + size]) for at in range(0, LARGE, size))
-        assert out + stream.held == VALUE and len(stream.held) == HELD and not stream.left
+        out = b"".join(stream.feed(VALUE[at : at + size]) for at in range(0, LARGE, size))
+        assert (
+            out + stream.tail == VALUE and len(stream.tail) == TAIL_BYTES and not stream.remaining
+        )
     pieces = ChunkedValue()
     for at in range(0, LARGE, 7):
-        pieces.add(VALUE[at : at + 7])
-    assert b"".join(pieces.parts) == VALUE and len(pieces) == LARGE and len(pieces.parts) < 12
+        pieces.append(VALUE[at : at + 7])
+    assert b"".join(pieces.chunks) == VALUE and len(pieces) == LARGE and len(pieces.chunks) < 12
 
 
-def test_the_parser_tells_of_a_large_value_and_goes_on_behind_it() -> None:
+def test_the_parser_announces_an_oversized_value_and_continues_after_it() -> None:
     ring = Ring()
-    parser = Parser(ring, most=MOST)
+    parser = Parser(ring, max_value_bytes=MAX_STREAMED_BYTES)
     ring.write(b"*3\r\n" + bulk(VALUE) + REST + b"+OK\r\n")
-    assert parser.next() == (False, None) and parser.passing == LARGE
+    assert parser.next_value() is NEED_DATA and parser.body_remaining == LARGE
     got = b""
-    while parser.passing:
-        got += parser.part(65536)
+    while parser.body_remaining:
+        got += parser.read_body(65536)
     assert (
-        got == VALUE and parser.next() == (True, [b"", b"hit", None]) and parser.next()[1] == b"OK"
+        got == VALUE and parser.next_value() == [b"", b"hit", None] and parser.next_value() == b"OK"
     )
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @pytest.mark.parametrize("first", ["cache", "origin"])
-def test_of_two_copies_the_first_to_begin_passes_and_no_other(first: str, cancelling: bool) -> None:
+def test_of_two_hedged_attempts_only_the_first_to_start_is_streamed(
+    first: str, cancelling: bool
+) -> None:
     s = Sockets()
     d = s.node.host.deployment
     s.node.host.reconfigured(
