--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("how", ["fin", "close", "reset"])
-def test_a_request_that_is_read_after_its_client_has_gone_is_not_sent_on(
+def test_a_request_read_after_its_client_disconnected_is_not_forwarded(
     tmp_path: Path, how: str
 ) -> None:
     with real(tmp_path) as r:
@@ -75,7 +75,7 @@
         asks_next(r, line, "r2")
 
 
-def test_a_client_that_ends_its_sending_with_its_request_and_reads_is_answered(
+def test_a_client_that_half_closes_after_its_request_is_answered(
     tmp_path: Path,
 ) -> None:
     with real(tmp_path) as r:
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("order", ["miss first", "close first"])
 @pytest.mark.parametrize("how", ["fin", "close", "reset"])
-def test_nothing_further_is_sent_for_a_client_that_left_as_a_server_answered(
+def test_no_retry_is_sent_for_a_client_that_disconnected_as_a_server_answered(
     tmp_path: Path, how: str, order: str
 ) -> None:
     with real(tmp_path) as r:
@@ -109,7 +109,7 @@
         assert b"X-Request-Id: w1\r\n" in r.origin.accept().head(), "sent on for nobody"
 
 
-def test_a_client_with_thousands_out_that_is_not_read_any_more_is_seen_to_go(
+def test_the_disconnect_of_a_client_with_thousands_of_pending_commands_is_detected(
     tmp_path: Path,
 ) -> None:
     with real(tmp_path) as r:
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("last", [QUIT, b"*1\r\n$x\r\n"])
-def test_bytes_that_come_as_a_connection_ends_do_not_take_its_last_answers(
+def test_bytes_received_as_a_connection_closes_do_not_lose_its_last_replies(
     tmp_path: Path, last: bytes
 ) -> None:
     with real(tmp_path) as r:
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("sent", ["before", "after"])
-def test_a_pipeline_that_goes_on_at_a_shutdown_ends_between_two_commands(
+def test_a_pipeline_that_continues_during_a_shutdown_ends_between_two_commands(
     tmp_path: Path, sent: str
 ) -> None:
     with real(tmp_path) as r:
@@ -177,7 +177,7 @@
             client.value()
 
 
-def test_a_command_that_stands_in_part_at_a_shutdown_is_served(tmp_path: Path) -> None:
+def test_a_partly_received_command_at_a_shutdown_is_served(tmp_path: Path) -> None:
     with real(tmp_path) as r:
         line, client, text = warm(r), r.client(), get("r1", wait=5000)
         client.say(text[:30])
@@ -190,7 +190,7 @@
         assert r.left() == 0
 
 
-def test_what_is_open_at_the_end_of_a_shutdown_is_answered(tmp_path: Path) -> None:
+def test_an_rpc_in_flight_at_the_end_of_a_shutdown_is_answered(tmp_path: Path) -> None:
     with Real(tmp_path, 1, methods=METHODS[2:]) as r:
         client, text = r.client(), get("r1", method="short", wait=1000)
         client.say(text[:30])
@@ -206,7 +206,7 @@
         assert r.left() == 0 and time.monotonic() < began + 2.2
 
 
-def test_an_idle_client_that_asks_as_the_node_leaves_is_answered_or_may_ask_again(
+def test_an_idle_client_that_sends_during_a_shutdown_is_answered_or_can_retry(
     tmp_path: Path,
 ) -> None:
     for before in (True, False):  # the last look at its connection
@@ -228,7 +228,7 @@
                 assert line.ended() in ("fin", "reset"), "read after the shutdown and sent on"
 
 
-def test_commands_of_one_byte_at_a_time_are_commands(tmp_path: Path) -> None:
+def test_commands_received_one_byte_at_a_time_are_served(tmp_path: Path) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
         for byte in get("r1", wait=5000):
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -23,7 +23,7 @@
     return time.monotonic() - began
 
 
-def test_a_call_that_is_accepted_and_never_answered_is_followed_by_another_in_time(
+def test_a_poll_that_is_accepted_and_never_answered_is_repeated_in_time(
     tmp_path: Path,
 ) -> None:
     with Real(tmp_path, rules=RULES) as r:
@@ -41,9 +41,7 @@
 
 
 @pytest.mark.parametrize("what", [b"", b'{"seq":6,', b" "])
-def test_a_watch_that_says_nothing_whole_is_opened_anew_in_time(
-    tmp_path: Path, what: bytes
-) -> None:
+def test_a_watch_without_complete_objects_is_reopened_in_time(tmp_path: Path, what: bytes) -> None:
     with Real(tmp_path, rules=RULES) as r:
         watch = r.watch(r.change(6, 0))
         r.until(lambda: r.count("lists.delta") == 1)
@@ -62,7 +60,7 @@
         r.until(lambda: r.count("lists.delta") == 2)
 
 
-def test_a_list_that_comes_slowly_but_comes_is_waited_for(tmp_path: Path) -> None:
+def test_a_list_that_arrives_slowly_is_waited_for(tmp_path: Path) -> None:
     with Real(tmp_path, rules=RULES) as r:
         watch = r.watch()
         text = json.dumps({"seq": 6, "whole": True, "hosts": r.hosts * 12}, indent=2).encode()
@@ -76,7 +74,7 @@
 
 @pytest.mark.parametrize("indent", [None, 1, "\t"])
 @pytest.mark.parametrize("piece", [1, 7, 1 << 20])
-def test_lists_may_come_indented_and_in_pieces(
+def test_lists_may_be_indented_and_arrive_in_pieces(
     tmp_path: Path, indent: str | int | None, piece: int
 ) -> None:
     with Real(tmp_path) as r:
@@ -90,7 +88,7 @@
         assert r.count("lists.asked") == 1 and r.count("lists.failed") == 0
 
 
-def test_a_list_that_ends_torn_tells_nothing_and_the_next_call_brings_it(tmp_path: Path) -> None:
+def test_a_truncated_list_is_ignored_and_the_next_poll_fetches_it(tmp_path: Path) -> None:
     with Real(tmp_path) as r:
         watch, told = r.watch(), json.dumps(r.change(6, 0, health="terminating"), indent=1).encode()
         tell(watch, told[:-1])
@@ -100,7 +98,7 @@
         r.until(lambda: r.count("lists.delta") == 1)
 
 
-def test_an_endless_list_harms_nobody(tmp_path: Path) -> None:
+def test_an_endless_list_is_abandoned_and_the_node_serves_on(tmp_path: Path) -> None:
     with Real(tmp_path, limits={"memory_mb": 32, "sockets": 256}) as r:
         before = r.memory_kb()
         watch = r.watch()
@@ -119,7 +117,7 @@
         r.until(lambda: r.count("lists.delta") == 1)
 
 
-def test_what_is_no_list_is_told_in_a_line_and_asked_for_again(tmp_path: Path) -> None:
+def test_an_invalid_list_is_logged_and_polled_for_again(tmp_path: Path) -> None:
     with Real(tmp_path) as r:
         empty = b'{"seq":6,"whole":true,"hosts":[]}'
         for n, bad in enumerate((b"<html>", b"{}", b"[1]", empty, b"{]", b"\xff"), 1):
@@ -129,7 +127,7 @@
         r.until(lambda: r.count("lists.delta") == 1)
 
 
-def test_a_watch_with_beats_alone_is_not_asked_for_anew(tmp_path: Path) -> None:
+def test_a_watch_with_only_heartbeats_is_not_reopened(tmp_path: Path) -> None:
     with Real(tmp_path, rules=RULES | {"ask_within_s": 2.0}) as r:
         watch = r.watch()
         for _ in range(8):  # nothing has changed
@@ -138,7 +136,7 @@
         assert r.count("lists.asked") == 1
 
 
-def test_where_lists_are_pushed_the_first_list_and_each_after_a_loss_is_asked_for_at_once(
+def test_where_lists_are_pushed_the_first_poll_and_each_after_a_loss_is_immediate(
     tmp_path: Path,
 ) -> None:
     with Real(tmp_path, rules=RULES, discovery="pushed", balancers=200) as r:
@@ -153,7 +151,7 @@
         assert r.discovery.dialled(0.5)
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_down(tmp_path: Path) -> None:
+def test_idle_clients_that_use_all_descriptors_do_not_block_discovery(tmp_path: Path) -> None:
     with Real(tmp_path, limits={"memory_mb": 64, "sockets": 96}) as r:
         r.discovery.accept().reset()
         idle: list[Line] = []
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -39,7 +39,7 @@
     return client, line
 
 
-def test_what_is_out_of_a_class_that_vanishes_is_finished_as_it_came(tmp_path: Path) -> None:
+def test_rpcs_in_flight_of_a_removed_method_finish_under_the_old_settings(tmp_path: Path) -> None:
     with real(tmp_path) as r:
         client, line = asked(r, "read")
         reload(r, methods=[method("other")])
@@ -64,7 +64,7 @@
         method("known", "dedup", window_s=4.0, group="cell"),
     ],
 )
-def test_what_may_have_run_is_sent_again_only_as_both_settings_allow(
+def test_an_rpc_that_may_have_executed_is_retried_only_if_both_settings_allow(
     tmp_path: Path, new: dict[str, Any]
 ) -> None:
     with real(tmp_path, 2) as r:
@@ -86,7 +86,7 @@
         assert r.count("upstream_requests") == 1 and not r.caches[1 - n].dialled(0)
 
 
-def test_a_class_that_was_bound_less_before_goes_again_as_it_came(tmp_path: Path) -> None:
+def test_a_relaxed_retry_rule_does_not_apply_to_an_rpc_in_flight(tmp_path: Path) -> None:
     with real(tmp_path) as r:
         client, line = asked(r, "once")
         reload(r, methods=[method("read"), method("once")])  # it may run again, from now on
@@ -97,7 +97,9 @@
 @pytest.mark.parametrize(
     "order", [[signal.SIGHUP, signal.SIGTERM], [signal.SIGTERM, signal.SIGHUP]]
 )
-def test_a_reload_beside_the_end_loses_nothing(tmp_path: Path, order: list[signal.Signals]) -> None:
+def test_a_reload_during_a_shutdown_loses_nothing(
+    tmp_path: Path, order: list[signal.Signals]
+) -> None:
     with real(tmp_path) as r:
         client, line = asked(r, "read")
         r.told["settings"]["methods"] = [method("other", soft_s=0.1)]
@@ -116,9 +118,7 @@
 @pytest.mark.parametrize(
     "text", ["", "{", '{"discovery": "127.0.0.1:1", "settings": {"methods": []}}', "[]"]
 )
-def test_a_file_that_is_half_written_or_takes_all_classes_away_changes_nothing(
-    tmp_path: Path, text: str
-) -> None:
+def test_a_truncated_file_or_one_without_methods_changes_nothing(tmp_path: Path, text: str) -> None:
     with real(tmp_path) as r:
         client, line = asked(r, "read")
         r.path.write_text(text)
@@ -128,7 +128,7 @@
         assert client.value() == b"v" and r.count("config_reload_errors") == 1
 
 
-def test_a_reload_that_moves_discovery_asks_there_at_once_whatever_the_old_one_says(
+def test_a_reload_with_a_new_discovery_address_polls_there_at_once(
     tmp_path: Path,
 ) -> None:
     with real(tmp_path) as r:
@@ -149,7 +149,7 @@
         assert client.value() == b"v"
 
 
-def test_shares_and_counters_go_by_name_and_not_by_place(tmp_path: Path) -> None:
+def test_quotas_and_counters_go_by_name_and_not_by_position(tmp_path: Path) -> None:
     with real(tmp_path) as r:
         line = None
         for n in range(3):
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(
     "what", [{"health": "terminating"}, {"health": "terminated"}, {"dial": "127.0.0.1:1"}]
 )
-def test_what_waits_for_a_dial_is_not_begun_once_its_server_is_none(
+def test_an_attempt_waiting_for_a_connect_is_not_sent_once_its_server_is_unavailable(
     tmp_path: Path, what: Settings
 ) -> None:
     with late(tmp_path) as r:
@@ -74,7 +74,7 @@
         assert line.value()[2] == b"r2"  # the first that is ever written to it
 
 
-def test_what_waits_for_a_dial_is_decided_anew_once_its_server_was_started_anew(
+def test_an_attempt_waiting_for_a_connect_is_rerouted_once_its_server_restarted(
     tmp_path: Path,
 ) -> None:
     with late(tmp_path, 2) as r:
@@ -89,7 +89,9 @@
         assert r.count("upstream_requests") == 0 and r.count("dials.given_up") == 1
 
 
-def test_a_dial_that_comes_up_with_bytes_on_it_leaves_nobody_waiting(tmp_path: Path) -> None:
+def test_a_connection_that_opens_with_unread_bytes_leaves_no_attempt_waiting(
+    tmp_path: Path,
+) -> None:
     with late(tmp_path) as r:
         client = ask(r, "r1")
         r.until(lambda: any(cache.syn_sent() for cache in r.caches))
@@ -104,7 +106,7 @@
         assert r.count("connections.unclean") == r.count("tx.connect_failed") == 1
 
 
-def test_a_server_is_told_of_the_time_that_is_left_when_it_is_begun(tmp_path: Path) -> None:
+def test_a_server_is_sent_the_time_remaining_when_the_attempt_starts(tmp_path: Path) -> None:
     with late(tmp_path) as r:
         began = time.monotonic()
         client = ask(r, "r1")
@@ -125,7 +127,7 @@
         assert client.value() == b"v"
 
 
-def test_a_repeat_is_not_begun_after_its_servers_have_forgotten(tmp_path: Path) -> None:
+def test_a_retry_does_not_start_after_the_deduplication_window(tmp_path: Path) -> None:
     with late(tmp_path) as r:
         r.caches[0].empty()
         client = ask(r, "r1", "known")
@@ -141,7 +143,7 @@
         asks_next(r, line, "r2")
 
 
-def test_a_repeat_within_the_window_is_begun(tmp_path: Path) -> None:
+def test_a_retry_starts_within_the_deduplication_window(tmp_path: Path) -> None:
     with late(tmp_path) as r:
         r.caches[0].empty()
         client = ask(r, "r1", "known")
@@ -156,7 +158,7 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @pytest.mark.parametrize("how", ["fin", "close", "reset"])
-def test_a_dial_that_comes_up_for_a_client_that_has_gone_begins_nothing(
+def test_a_connect_that_completes_after_the_client_disconnected_starts_nothing(
     tmp_path: Path, how: str, cancelling: bool
 ) -> None:
     with late(tmp_path, cancelling=cancelling) as r:
@@ -168,7 +170,7 @@
         asks_next(r, r.caches[0].accept(), "r2")
 
 
-def test_an_idle_connection_that_its_server_closed_unseen_is_not_used(tmp_path: Path) -> None:
+def test_an_idle_connection_closed_by_its_server_is_not_used(tmp_path: Path) -> None:
     with Real(tmp_path, 1, methods=METHODS) as r:
         for id, end in (("r2", "fin"), ("r3", "close"), ("r4", "reset")):
             client = r.client()
@@ -188,7 +190,7 @@
             line.close()
 
 
-def test_a_connection_that_its_server_closes_after_the_command_may_have_run(tmp_path: Path) -> None:
+def test_a_command_may_have_executed_if_its_connection_closes_after_it(tmp_path: Path) -> None:
     with Real(tmp_path, 1, methods=METHODS) as r:
         for end in ("close", "reset"):
             client = r.client()
@@ -210,7 +212,7 @@
 
 @pytest.mark.parametrize("together", [True, False])
 @pytest.mark.parametrize("how", ["fin", "reset"])
-def test_an_answer_without_a_length_ends_with_its_connection_and_not_with_a_reset(
+def test_a_response_without_a_length_ends_with_a_close_and_not_with_a_reset(
     tmp_path: Path, how: str, together: bool
 ) -> None:
     with Real(tmp_path, 1, methods=METHODS) as r:
@@ -243,7 +245,7 @@
         b"*3\r\n$4194305\r\n",
     ],
 )
-def test_what_cannot_be_read_is_reset_before_the_next_transmission(
+def test_a_malformed_response_resets_its_connection_before_the_next_attempt(
     tmp_path: Path, bad: bytes
 ) -> None:
     with Real(tmp_path, 2, methods=METHODS) as r:
@@ -260,7 +262,7 @@
         assert client.value() == b"v"
 
 
-def test_an_origin_that_comes_back_as_it_has_failed_again_and_again_is_asked_within_a_second(
+def test_a_recovered_origin_is_tried_within_a_second_after_repeated_failures(
     tmp_path: Path,
 ) -> None:
     with Real(tmp_path, 1, methods=[method("read", soft_s=0.2)]) as r:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -54,7 +54,7 @@
         line.say(b"%x\r\n%b\r\n" % (len(data), data))
 
 
-def test_an_rpc_goes_to_a_cache_and_its_value_back() -> None:
+def test_an_rpc_is_sent_to_a_cache_and_its_value_returned() -> None:
     s = Sockets()
     c = s.client()
     c.say(command(b"PING") + get("r1"))
@@ -69,7 +69,7 @@
     assert len(s.network.to(7000) + s.network.to(7001)) == 1  # the connection was used again
 
 
-def test_a_miss_goes_on_to_the_origin_and_a_write_straight_there() -> None:
+def test_a_miss_is_forwarded_to_the_origin_and_a_write_goes_there_directly() -> None:
     s = Sockets()
     c = s.client()
     c.say(get("r1"))
@@ -89,7 +89,7 @@
     assert c.take() == bulk(b"receipt") and len(s.network.to(ORIGIN_PORT)) == 1
 
 
-def test_what_the_origin_answers() -> None:
+def test_origin_responses_map_to_replies() -> None:
     never = b"X-Not-Run: 1\r\n"
     cases = [
         (http(500), b"-ERR"),
@@ -109,7 +109,7 @@
         assert c.take().startswith(said), answer
 
 
-def test_answers_come_in_the_order_of_their_commands() -> None:
+def test_replies_are_sent_in_the_order_of_their_commands() -> None:
     s = Sockets()
     c = s.client()
     c.say(get("r1", "aa") + get("r2", "bb") + command(b"PING"))
@@ -124,7 +124,7 @@
     assert c.take() == bulk(b"first") + bulk(b"second") + b"+PONG\r\n"
 
 
-def test_a_refused_dial_never_ran_and_a_reset_may_have() -> None:
+def test_an_rpc_was_not_executed_after_a_refused_connect_and_may_have_been_after_a_reset() -> None:
     s = Sockets()
     for port in PORTS:
         s.network.ways[port] = "refused"
@@ -144,7 +144,7 @@
     assert c.take() == b"-ERR failed\r\n" and s.counters.counts["tx.sent"] == 1
 
 
-def test_a_connection_that_breaks_before_the_last_byte_never_ran() -> None:
+def test_an_rpc_whose_connection_breaks_before_its_last_byte_was_not_executed() -> None:
     s = Sockets()
     for port in PORTS:
         s.network.ways[port] = "refused"
@@ -161,7 +161,7 @@
     assert s.counters.counts == s.counters.counts | {"tx.connect_failed": 1, "tx.sent": 2}
 
 
-def test_a_silent_dial_fails_in_time_and_what_waits_takes_the_first_free_connection() -> None:
+def test_a_silent_connect_times_out_and_waiting_attempts_use_the_first_free_connection() -> None:
     s = Sockets(1)
     s.network.ways[7000] = "silent"
     c = s.client()
@@ -183,7 +183,7 @@
     assert c.take() == bulk(b"v") * 2
 
 
-def test_a_transmission_waited_out_closes_its_connection() -> None:
+def test_an_attempt_that_times_out_closes_its_connection() -> None:
     s = Sockets(1)
     c = s.client()
     c.say(get("r1", wait=100))
@@ -194,7 +194,7 @@
     assert s.counters.counts["tx.timeout"] == 1
 
 
-def test_idle_connections_are_not_used_near_their_end() -> None:
+def test_idle_connections_are_not_used_near_the_server_idle_timeout() -> None:
     s = Sockets(1)
     s.node.pools.idle_timeout_ms = 500.0
     c = s.client()
@@ -207,7 +207,7 @@
     assert len(serve(s)) == 1
 
 
-def test_answers_of_no_known_form_are_failures() -> None:
+def test_malformed_responses_are_failures() -> None:
     short, wrong = b"*2\r\n$1\r\nv\r\n$-1\r\n", b"*3\r\n:1\r\n$-1\r\n$-1\r\n"
     for answer in (b"-SYNTAX\r\n", b"+OK\r\n", short, b"rubbish\r\n", wrong):
         s = Sockets(1)
@@ -224,7 +224,7 @@
     )  # the report at an error's end was read
 
 
-def test_a_good_answer_with_more_behind_it_counts_and_its_connection_ends() -> None:
+def test_a_valid_response_with_trailing_bytes_counts_and_closes_its_connection() -> None:
     report = b"*3\r\n" + bulk(b"v") + bulk(b"hit")
     for answer, ended in (
         (VALUE + VALUE, True),
@@ -253,7 +253,7 @@
         assert c.take() == said and (s.network.to(ORIGIN_PORT) == []) == bool(behind)
 
 
-def test_bytes_that_came_since_the_last_answer_answer_no_other_rpc() -> None:
+def test_unsolicited_bytes_answer_no_later_rpc() -> None:
     for pending in (VALUE, b""):
         s = Sockets(1)
         c = s.client()
@@ -268,7 +268,7 @@
         assert c.take() == bulk(b"v") + bulk(b"w")
 
 
-def test_spoilt_answers_say_nothing_of_a_server_that_gives_good_ones_too() -> None:
+def test_malformed_responses_do_not_eject_a_server_that_also_sends_valid_ones() -> None:
     s = Sockets(1)
     c = s.client()
     origin_limit = s.node.host.router.backends["o1"].concurrency_limit
@@ -297,7 +297,7 @@
     assert any("off the path" in line for line in s.logs)
 
 
-def test_malformed_input_is_told_so_and_closed_after_the_answers_due() -> None:
+def test_malformed_input_is_answered_with_an_error_and_closed_after_pending_replies() -> None:
     s = Sockets()
     c = s.client()
     c.say(get("r1") + b"GET / HTTP/1.1\r\n")
@@ -307,7 +307,7 @@
     assert c.ended
 
 
-def test_wrong_commands_are_told_so_and_the_connection_goes_on() -> None:
+def test_invalid_commands_are_answered_with_an_error_and_the_connection_stays_open() -> None:
     s = Sockets()
     c = s.client()
     for words in (
@@ -336,7 +336,7 @@
     assert c.take().startswith(bulk(b"there") + b"$") and not s.node.host.rpcs
 
 
-def test_the_id_of_an_open_rpc_is_turned_away_until_that_one_is_over() -> None:
+def test_the_id_of_an_rpc_in_flight_is_rejected_until_it_ends() -> None:
     s = Sockets()
     c, other = s.client(), s.client()
     c.say(get("r1"))
@@ -346,7 +346,7 @@
     assert len(serve(s)) == 1 and other.take() == bulk(b"v") and not s.node.host.rpcs.ids
 
 
-def test_clients_that_say_nothing_or_half_of_a_command_are_closed_and_no_others() -> None:
+def test_silent_clients_and_those_with_a_partial_command_are_closed_and_no_others() -> None:
     s = Sockets()
     silent, half, later, busy, unread, kept = (s.client() for _ in range(6))
     half.say(get("r1")[:30])
@@ -364,7 +364,7 @@
     assert later.ended and not kept.ended and not unread.ended and busy.take()
 
 
-def test_idle_connections_are_closed_once_half_of_the_room_is_used_the_longest_idle_first() -> None:
+def test_idle_connections_are_evicted_longest_idle_first_above_half_of_the_limit() -> None:
     s = Sockets(sockets=64)  # clients hold 21
     lines = [s.client() for _ in range(14)]
     for i, line in enumerate(lines):
@@ -383,7 +383,7 @@
     )
 
 
-def test_pools_of_servers_that_are_gone_are_forgotten_and_an_id_that_returns_is_new() -> None:
+def test_pools_of_removed_servers_are_dropped_and_a_returning_id_gets_a_new_one() -> None:
     s = Sockets(1)
     c = s.client()
     c.say(get("r1"))
@@ -398,7 +398,7 @@
     assert list(s.node.pools.by_backend) == ["o1"]
 
 
-def test_a_customer_over_its_share_is_known_by_its_name() -> None:
+def test_a_tenant_over_its_quota_is_identified_by_name() -> None:
     s = Sockets()
     c = s.client()
     c.say(get("r1").replace(b"c=read,d=900", b"c=read,t=abc"))
@@ -412,7 +412,7 @@
     )
 
 
-def test_a_client_that_left_is_sent_nothing_and_what_it_asked_is_called_off() -> None:
+def test_a_disconnected_client_is_sent_nothing_and_its_attempts_are_cancelled() -> None:
     s = Sockets()
     c = s.client()
     c.say(get("r1"))
@@ -422,7 +422,7 @@
     assert not s.network.to(7000) + s.network.to(7001) and not s.node.host.rpcs
 
 
-def test_where_nothing_may_be_called_off_a_gone_clients_transmission_ends_by_itself() -> None:
+def test_without_cancellation_the_attempt_of_a_disconnected_client_ends_by_itself() -> None:
     s = Sockets()
     s.node.host.deployment = replace(s.node.host.deployment, cancellation_enabled=False)
     s.node.host.router.retries.cancellation_enabled = False
@@ -433,7 +433,7 @@
     assert len(serve(s)) == 1 and not s.node.host.rpcs and s.counters.counts["tx.completed"] == 1
 
 
-def test_after_a_fin_what_is_out_may_answer_and_nothing_further_is_sent() -> None:
+def test_after_a_half_close_attempts_in_flight_may_answer_and_no_more_are_sent() -> None:
     for reply, said in ((VALUE, bulk(b"v")), (MISS, b"-ERR failed\r\n")):
         s = Sockets()
         c = s.client()
@@ -447,7 +447,7 @@
         assert c.ended and s.counters.counts["tx.sent"] == 1 and not s.node.host.rpcs
 
 
-def test_a_client_that_does_not_read_waits_and_then_is_cut_off(
+def test_a_client_that_does_not_read_is_paused_and_then_aborted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "MAX_UNREAD_REPLY_BYTES", 1 << 20)
@@ -472,7 +472,7 @@
     assert c.ended and not other.ended
 
 
-def test_a_burst_of_commands_leaves_others_their_turn_and_is_bounded(
+def test_a_burst_of_commands_is_bounded_and_does_not_starve_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "MAX_PENDING_COMMANDS", 1024)
@@ -491,7 +491,7 @@
     assert said.count(b"+PONG") == 100 and said.count(b"$1\r\nv") + said.count(b"-") == 3000
 
 
-def test_idle_clients_make_room_for_new_ones() -> None:
+def test_idle_clients_are_evicted_for_new_ones() -> None:
     s = Sockets(sockets=64)
     lines = []
     for _ in range(60):
@@ -502,7 +502,7 @@
     assert len(s.node.clients.connections) == 21 and not lines[-1].ended
 
 
-def test_without_descriptors_idle_connections_go_first_then_rpcs_are_exhausted() -> None:
+def test_without_descriptors_idle_connections_close_first_then_rpcs_are_rejected() -> None:
     s = Sockets()
     s.node.pools.max_descriptors = 1
     c = s.client()
@@ -517,7 +517,7 @@
     assert b"$1\r\nv" in c.take() and s.node.pools.descriptors_used <= 2
 
 
-def test_after_a_reset_older_idle_connections_are_not_tried_one_by_one() -> None:
+def test_after_a_reset_older_idle_connections_are_not_tried() -> None:
     s = Sockets(1)
     c = s.client()
     c.say(get("r1") + get("r2"))
@@ -529,7 +529,7 @@
     assert not [line for line in s.network.to(7000) if not line.got]
 
 
-def test_a_call_of_discovery_that_never_comes_up_is_given_up_in_time() -> None:
+def test_a_discovery_connect_that_never_completes_times_out() -> None:
     s = Sockets()
     s.network.ways[DISCOVERY] = "silent"
     watch(s)
@@ -539,7 +539,7 @@
     assert dial.port == DISCOVERY and s.counters.counts["lists.failed"] >= 2
 
 
-def test_discovery_is_followed_and_a_dial_may_change() -> None:
+def test_endpoint_updates_are_applied_and_addresses_may_change() -> None:
     s = Sockets()
     assert s.network.to(DISCOVERY)[0].got.startswith(
         b"GET /v1/servers?follow=1&since=5 HTTP/1.1\r\nHost: "
@@ -565,7 +565,7 @@
     assert [p for p in PORTS if s.network.to(p)] != [asked]
 
 
-def test_lists_that_are_empty_or_old_are_not_taken() -> None:
+def test_empty_and_older_lists_are_not_applied() -> None:
     s = Sockets()
     old = {"seq": 3, "whole": True, "hosts": s.hosts[1:]}
     watch(s, {"seq": 9, "whole": True, "hosts": []})
@@ -586,7 +586,7 @@
     )
 
 
-def test_a_discovery_that_counts_anew_and_tells_changes_alone_is_asked_for_the_whole_list() -> None:
+def test_restarted_versions_with_only_deltas_lead_to_a_poll_for_the_complete_list() -> None:
     s = Sockets()
     for told in ({"seq": 3, "whole": False, "hosts": []}, b"", b""):
         watch(s, told)
@@ -613,7 +613,7 @@
     )
 
 
-def test_a_body_that_the_connections_end_ends_is_whole_unless_its_length_was_told() -> None:
+def test_a_body_ended_by_the_connection_is_complete_unless_it_had_a_length() -> None:
     for head, said in ((b"", bulk(b"val")), (b"Content-Length: 9\r\n", b"-ERR failed\r\n")):
         s = Sockets()
         c = s.client()
@@ -624,7 +624,7 @@
         assert c.take() == said and s.node.pools.descriptors_used == 0
 
 
-def test_a_watch_that_ends_lies_or_falls_silent_is_asked_for_anew() -> None:
+def test_a_watch_that_ends_or_is_invalid_or_silent_is_reopened() -> None:
     half = b'{"seq":9,"whole":true,"hosts":[{"host":"x"}]}'
     bad = [b"{]", b"[]", b'{"seq":1}', half, b"\xff", b"[" * 99999]
     for line in bad:
@@ -653,7 +653,7 @@
     assert s.counters.counts["lists.failed"] == 2
 
 
-def test_a_node_that_leaves_serves_on_then_answers_what_it_took() -> None:
+def test_a_node_shutting_down_keeps_serving_then_answers_what_it_accepted() -> None:
     s = Sockets()
     idle, busy, halfway = s.client(), s.client(), s.client()
     s.node.shut_down()
@@ -670,7 +670,7 @@
     assert busy.ended and halfway.ended and s.network.hasStopped
 
 
-def test_a_node_that_leaves_reads_what_came_before_it_closes() -> None:
+def test_a_node_shutting_down_reads_what_arrived_before_it_closes() -> None:
     s = Sockets()
     c = s.client()
     unread = [get("r1")]
@@ -683,7 +683,7 @@
     assert c.ended and s.network.hasStopped
 
 
-def test_a_node_that_leaves_ends_in_time_whatever_its_clients_do() -> None:
+def test_a_node_shutting_down_ends_in_time_whatever_its_clients_do() -> None:
     s = Sockets()
     s.client().say(b"*4\r\n")
     s.node.shut_down()
