--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -206,26 +206,26 @@
         assert r.left() == 0 and time.monotonic() < began + 2.2
 
 
+@pytest.mark.parametrize("before", [True, False])  # the last look at its connection
 def test_an_idle_client_that_sends_during_a_shutdown_is_answered_or_can_retry(
-    tmp_path: Path,
+    tmp_path: Path, before: bool
 ) -> None:
-    for before in (True, False):  # the last look at its connection
-        with real(tmp_path) as r:
-            line, client = warm(r), r.client()
-            knows(r, client)
-            r.signal(signal.SIGTERM)
-            if before:
-                r.stop()  # held still while it serves on
-                client.say(get("r1", wait=5000))
-                r.go_on()
-                assert line.value()[2] == b"r1"
-                line.say(VALUE)
-                assert client.value() == b"v"
-            assert client.ended() == "fin"
-            if not before:
-                client.say(get("r1", wait=5000))
-                assert r.left() == 0
-                assert line.ended() in ("fin", "reset"), "read after the shutdown and sent on"
+    with real(tmp_path) as r:
+        line, client = warm(r), r.client()
+        knows(r, client)
+        r.signal(signal.SIGTERM)
+        if before:
+            r.stop()  # held still while it serves on
+            client.say(get("r1", wait=5000))
+            r.go_on()
+            assert line.value()[2] == b"r1"
+            line.say(VALUE)
+            assert client.value() == b"v"
+        assert client.ended() == "fin"
+        if not before:
+            client.say(get("r1", wait=5000))
+            assert r.left() == 0
+            assert line.ended() in ("fin", "reset"), "read after the shutdown and sent on"
 
 
 def test_commands_received_one_byte_at_a_time_are_served(tmp_path: Path) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -89,24 +89,25 @@
     assert c.take() == bulk(b"receipt") and len(s.network.to(ORIGIN_PORT)) == 1
 
 
-def test_origin_responses_map_to_replies() -> None:
-    never = b"X-Not-Run: 1\r\n"
-    cases = [
-        (http(500), b"-ERR"),
-        (http(503, extra=never), b"-BUSY"),
-        (http(504), b"-ERR"),
-        (b"rubbish\r\n\r\n", b"-ERR"),
-        (http(200, b"x" * (MAX_STREAMED_BYTES + 1)), b"-ERR"),
-    ]
-    for answer, said in cases:
-        s = Sockets()
-        c = s.client()
-        c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v"))
-        s.pass_time(1)
-        for _ in range(40):  # one that never ran may be sent again
-            origin(s, answer)
-            s.pass_time(10)
-        assert c.take().startswith(said), answer
+@pytest.mark.parametrize(
+    ("response", "reply"),
+    [
+        pytest.param(http(500), b"-ERR", id="500"),
+        pytest.param(http(503, extra=b"X-Not-Run: 1\r\n"), b"-BUSY", id="503-not-run"),
+        pytest.param(http(504), b"-ERR", id="504"),
+        pytest.param(b"rubbish\r\n\r\n", b"-ERR", id="no-http"),
+        pytest.param(http(200, b"x" * (MAX_STREAMED_BYTES + 1)), b"-ERR", id="too-long"),
+    ],
+)
+def test_origin_responses_map_to_replies(response: bytes, reply: bytes) -> None:
+    s = Sockets()
+    c = s.client()
+    c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v"))
+    s.pass_time(1)
+    for _ in range(40):  # one that was not executed may be sent again
+        origin(s, response)
+        s.pass_time(10)
+    assert c.take().startswith(reply)
 
 
 def test_replies_are_sent_in_the_order_of_their_commands() -> None:
@@ -207,14 +208,25 @@
     assert len(serve(s)) == 1
 
 
-def test_malformed_responses_are_failures() -> None:
-    short, wrong = b"*2\r\n$1\r\nv\r\n$-1\r\n", b"*3\r\n:1\r\n$-1\r\n$-1\r\n"
-    for answer in (b"-SYNTAX\r\n", b"+OK\r\n", short, b"rubbish\r\n", wrong):
-        s = Sockets(1)
-        c = s.client()
-        c.say(get("r1", method="once"))
-        serve(s, answer)
-        assert c.take() == b"-ERR failed\r\n", answer
+@pytest.mark.parametrize(
+    "response",
+    [
+        pytest.param(b"-SYNTAX\r\n", id="unknown-error"),
+        pytest.param(b"+OK\r\n", id="simple-string"),
+        pytest.param(b"*2\r\n$1\r\nv\r\n$-1\r\n", id="two-elements"),
+        pytest.param(b"rubbish\r\n", id="no-resp"),
+        pytest.param(b"*3\r\n:1\r\n$-1\r\n$-1\r\n", id="integer-value"),
+    ],
+)
+def test_malformed_responses_are_failures(response: bytes) -> None:
+    s = Sockets(1)
+    c = s.client()
+    c.say(get("r1", method="once"))
+    serve(s, response)
+    assert c.take() == b"-ERR failed\r\n"
+
+
+def test_the_load_report_of_an_error_is_read() -> None:
     s = Sockets(1)
     c = s.client()
     c.say(get("r1"))
@@ -224,48 +236,59 @@
     )  # the report at an error's end was read
 
 
-def test_a_valid_response_with_trailing_bytes_counts_and_closes_its_connection() -> None:
-    report = b"*3\r\n" + bulk(b"v") + bulk(b"hit")
-    for answer, ended in (
-        (VALUE + VALUE, True),
-        (VALUE + b"\xff\r", True),
-        (report + bulk(b"a=?,;"), False),
-        (report + b":5\r\n", False),
-        (report + bulk(b"outstanding=nan"), False),
-        (report + bulk(b"outstanding=1e300"), False),
-    ):
-        s = Sockets(1)
-        c = s.client()
-        c.say(get("r1"))
-        serve(s, answer)
-        s.pass_time(1)
-        assert c.take() == bulk(b"v") and (s.network.to(7000) == []) == ended, answer
-        assert (
-            0 <= s.node.host.router.backends["s0"].reported_load + 1 < 3
-        )  # figures that cannot be spoil no belief
-    for behind, said in ((b"more", bulk(b"one")), (b"", bulk(b"one"))):
-        s = Sockets()
-        c = s.client()
-        c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v"))
-        s.pass_time(1)
-        origin(s, b"HTTP/1.1 102 X\r\n\r\n" + http(200, b"one") + behind)
-        s.pass_time(1)
-        assert c.take() == said and (s.network.to(ORIGIN_PORT) == []) == bool(behind)
+HIT_HEAD = b"*3\r\n" + bulk(b"v") + bulk(b"hit")  # its load report comes behind
 
 
-def test_unsolicited_bytes_answer_no_later_rpc() -> None:
-    for pending in (VALUE, b""):
-        s = Sockets(1)
-        c = s.client()
-        c.say(get("r1"))
-        serve(s)
-        (old,) = s.network.to(7000)
-        old.pending = pending
-        c.say(get("r2"))
-        s.pass_time(1)
-        assert (not old.ended and b"r2" in old.got) != bool(pending) and not c.paused
-        assert serve(s, b"*3\r\n" + bulk(b"w") + b"$-1\r\n$-1\r\n")[0][2] == b"r2"
-        assert c.take() == bulk(b"v") + bulk(b"w")
+@pytest.mark.parametrize(
+    ("response", "ended"),
+    [
+        pytest.param(VALUE + VALUE, True, id="second-response"),
+        pytest.param(VALUE + b"\xff\r", True, id="noise"),
+        pytest.param(HIT_HEAD + bulk(b"a=?,;"), False, id="malformed-report"),
+        pytest.param(HIT_HEAD + b":5\r\n", False, id="integer-report"),
+        pytest.param(HIT_HEAD + bulk(b"outstanding=nan"), False, id="nan-load"),
+        pytest.param(HIT_HEAD + bulk(b"outstanding=1e300"), False, id="impossible-load"),
+    ],
+)
+def test_a_valid_response_with_trailing_bytes_counts_and_closes_its_connection(
+    response: bytes, ended: bool
+) -> None:
+    s = Sockets(1)
+    c = s.client()
+    c.say(get("r1"))
+    serve(s, response)
+    s.pass_time(1)
+    assert c.take() == bulk(b"v") and (s.network.to(7000) == []) == ended
+    # Impossible load reports change no estimate.
+    assert 0 <= s.node.host.router.backends["s0"].reported_load + 1 < 3
+
+
+@pytest.mark.parametrize("trailing", [b"more", b""])
+def test_a_valid_origin_response_counts_and_closes_its_connection_if_bytes_follow(
+    trailing: bytes,
+) -> None:
+    s = Sockets()
+    c = s.client()
+    c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v"))
+    s.pass_time(1)
+    origin(s, b"HTTP/1.1 102 X\r\n\r\n" + http(200, b"one") + trailing)
+    s.pass_time(1)
+    assert c.take() == bulk(b"one") and (s.network.to(ORIGIN_PORT) == []) == bool(trailing)
+
+
+@pytest.mark.parametrize("unsolicited", [VALUE, b""])
+def test_unsolicited_bytes_answer_no_later_rpc(unsolicited: bytes) -> None:
+    s = Sockets(1)
+    c = s.client()
+    c.say(get("r1"))
+    serve(s)
+    (old,) = s.network.to(7000)
+    old.pending = unsolicited
+    c.say(get("r2"))
+    s.pass_time(1)
+    assert (not old.ended and b"r2" in old.got) != bool(unsolicited) and not c.paused
+    assert serve(s, b"*3\r\n" + bulk(b"w") + b"$-1\r\n$-1\r\n")[0][2] == b"r2"
+    assert c.take() == bulk(b"v") + bulk(b"w")
 
 
 def test_malformed_responses_do_not_eject_a_server_that_also_sends_valid_ones() -> None:
@@ -433,18 +456,22 @@
     assert len(serve(s)) == 1 and not s.node.host.rpcs and s.counters.counts["tx.completed"] == 1
 
 
-def test_after_a_half_close_attempts_in_flight_may_answer_and_no_more_are_sent() -> None:
-    for reply, said in ((VALUE, bulk(b"v")), (MISS, b"-ERR failed\r\n")):
-        s = Sockets()
-        c = s.client()
-        c.say(get("r1"))
-        s.pass_time(1)
-        c.say(command(b"PING") * 32 + get("r2") * 3 + b"*1\r\n")  # more than is taken at a time
-        c.protocol.readConnectionLost()
-        serve(s, reply)
-        assert c.take() == said + b"+PONG\r\n" * 32 + b"-ERR failed\r\n" * 3
-        s.pass_time(2000)
-        assert c.ended and s.counters.counts["tx.sent"] == 1 and not s.node.host.rpcs
+@pytest.mark.parametrize(
+    ("response", "reply"), [(VALUE, bulk(b"v")), (MISS, b"-ERR failed\r\n")], ids=["hit", "miss"]
+)
+def test_after_a_half_close_attempts_in_flight_may_answer_and_no_more_are_sent(
+    response: bytes, reply: bytes
+) -> None:
+    s = Sockets()
+    c = s.client()
+    c.say(get("r1"))
+    s.pass_time(1)
+    c.say(command(b"PING") * 32 + get("r2") * 3 + b"*1\r\n")  # more than is read in a turn
+    c.protocol.readConnectionLost()
+    serve(s, response)
+    assert c.take() == reply + b"+PONG\r\n" * 32 + b"-ERR failed\r\n" * 3
+    s.pass_time(2000)
+    assert c.ended and s.counters.counts["tx.sent"] == 1 and not s.node.host.rpcs
 
 
 def test_a_client_that_does_not_read_is_paused_and_then_aborted(
@@ -613,15 +640,21 @@
     )
 
 
-def test_a_body_ended_by_the_connection_is_complete_unless_it_had_a_length() -> None:
-    for head, said in ((b"", bulk(b"val")), (b"Content-Length: 9\r\n", b"-ERR failed\r\n")):
-        s = Sockets()
-        c = s.client()
-        c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v"))
-        s.pass_time(1)
-        origin(s, b"HTTP/1.1 200 X\r\n" + head + b"\r\nval")
-        s.network.to(ORIGIN_PORT)[0].end()
-        assert c.take() == said and s.node.pools.descriptors_used == 0
+@pytest.mark.parametrize(
+    ("header", "reply"),
+    [(b"", bulk(b"val")), (b"Content-Length: 9\r\n", b"-ERR failed\r\n")],
+    ids=["no-length", "length"],
+)
+def test_a_body_ended_by_the_connection_is_complete_unless_it_had_a_length(
+    header: bytes, reply: bytes
+) -> None:
+    s = Sockets()
+    c = s.client()
+    c.say(command(b"OBJ.SET", b"k", b"r1", b"c=once,d=900", b"v"))
+    s.pass_time(1)
+    origin(s, b"HTTP/1.1 200 X\r\n" + header + b"\r\nval")
+    s.network.to(ORIGIN_PORT)[0].end()
+    assert c.take() == reply and s.node.pools.descriptors_used == 0
 
 
 def test_a_watch_that_ends_or_is_invalid_or_silent_is_reopened() -> None:
