--- a/hookpitch/__main__.py
+++ b/hookpitch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m hookpitch`: one node on sockets."""
+"""`python -m hookpitch`: one node on sockets, as a process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 import signal
 import sys
 import time
+from collections.abc import Mapping
 from functools import partial
+from typing import Any
 
 from twisted.internet.error import CannotListenError
 
@@ -19,66 +21,99 @@
 from hookpitch.net.node import SocketNode
 from hookpitch.net.node_config import load_node_config, load_reloaded_config
 
-LISTEN_TRIES, LISTEN_PAUSE_S = 30, 0.1
+LISTEN_ATTEMPTS = 30
+LISTEN_RETRY_S = 0.1
+EXIT_CANNOT_START = 2
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
+    """Run a node until it has shut down. Returns the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a node to reload
     try:
-        told, sections = load_node_config(os.environ), {}
-        if os.environ.get("HOOKPITCH_CONFIG"):  # what is off is not even imported
-            from hookpitch.net.operator_settings import operator_settings_from
-
-            sections = operator_settings_from(os.environ).sections
-    except ValueError as fault:
-        print(f"hookpitch: cannot start: {fault}", file=sys.stderr)
-        return 2
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = (
-        told.descriptor_limit
-        if hard == resource.RLIM_INFINITY
-        else min(told.descriptor_limit, hard)
-    )
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    # Danger: Twisted's timers go by the wall clock, and one set back would hold up every deadline.
-    counters = Counters()
+        config = load_node_config(os.environ)
+        sections = _operator_sections(os.environ)
+    except ValueError as error:
+        return _cannot_start(error)
+    _limit_descriptors(config.descriptor_limit)
     reactor = prioritized_reactor.install()
+    # Twisted's timers would go by the wall clock; one that is set back would delay every deadline.
     reactor.seconds = time.monotonic
-    logger = log.start_logging(told.name, counters)
-    node = SocketNode(reactor, Clock(reactor), told, counters, logger)
+    counters = Counters()
+    logger = log.start_logging(config.name, counters)
+    node = SocketNode(reactor, Clock(reactor), config, counters, logger)
+    _attach_subsystems(node, sections)
+    # Before the node listens: a signal that comes as soon as the log says "serving" must neither be
+    # lost nor end the process.
+    _handle_signals(reactor, node)
+    try:
+        _start(node)
+    except CannotListenError as error:
+        return _cannot_start(error)
+    gc.collect()
+    gc.freeze()
+    reactor.run(installSignalHandlers=False)
+    logger.info("shutdown_complete", **counters.counts)
+    return 0
+
+
+def _cannot_start(error: Exception) -> int:
+    print(f"hookpitch: cannot start: {error}", file=sys.stderr)
+    return EXIT_CANNOT_START
+
+
+def _operator_sections(environment: Mapping[str, str]) -> Mapping[str, Any]:
+    """The operator's settings by section; without a file its reader is not even imported."""
+    if not environment.get("HOOKPITCH_CONFIG"):
+        return {}
+    from hookpitch.net.operator_settings import operator_settings_from
+
+    return operator_settings_from(environment).sections
+
+
+def _limit_descriptors(limit: int) -> None:
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if hard_limit != resource.RLIM_INFINITY:
+        limit = min(limit, hard_limit)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard_limit))
+
+
+def _attach_subsystems(node: SocketNode, sections: Mapping[str, Any]) -> None:
+    """Import and attach what the operator turned on."""
     if "snapshot" in sections:
         from hookpitch.net.snapshot_store import SnapshotStore, run_in_thread
 
         node.snapshot_store = SnapshotStore(
-            sections["snapshot"], node, partial(run_in_thread, reactor)
+            sections["snapshot"], node, partial(run_in_thread, node.reactor)
         )
     if "members" in sections:
         from hookpitch.members.port import attach
 
         attach(sections["members"], node)
-    # Danger: a signal that comes as soon as the log says "serving" would be lost, or end the node.
-    reload = partial(node.reload, partial(load_reloaded_config, os.environ))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload))
+
+
+def _handle_signals(reactor: Any, node: SocketNode) -> None:  # noqa: ANN401 - see SocketNode
+    """SIGHUP reloads the configuration; SIGTERM and SIGINT begin a graceful shutdown."""
+    reload_config = partial(node.reload, partial(load_reloaded_config, os.environ))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_config))
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: reactor.callFromThread(node.shut_down))
-    for tries in range(LISTEN_TRIES):
+
+
+def _start(node: SocketNode) -> None:
+    """Start, waiting for the process before this one to release the address.
+
+    Raises CannotListenError where the address stays in use, or cannot be used at all.
+    """
+    for attempt in range(1, LISTEN_ATTEMPTS + 1):
         try:
             node.start()
-            break
-        except CannotListenError as fault:
-            # Danger: the process before may still hold the address for a moment.
-            if (
-                tries == LISTEN_TRIES - 1
-                or getattr(fault.socketError, "errno", 0) != errno.EADDRINUSE
-            ):
-                print(f"hookpitch: cannot start: {fault}", file=sys.stderr)
-                return 2
-            time.sleep(LISTEN_PAUSE_S)
-    gc.collect()
-    gc.freeze()
-    reactor.run(installSignalHandlers=False)
-    logger.info("left", **counters.counts)
-    return 0
+        except CannotListenError as error:
+            in_use = getattr(error.socketError, "errno", 0) == errno.EADDRINUSE
+            if attempt == LISTEN_ATTEMPTS or not in_use:
+                raise
+            time.sleep(LISTEN_RETRY_S)
+        else:
+            return
 
 
 if __name__ == "__main__":
--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -1,7 +1,8 @@
-"""The operators' door: one line to a connection, one answer, and the connection ends.
+"""The admin server: an operator's connection carries one line, one answer, and ends.
 
-Invariants: at most `MAX_CALLERS` connections wait at once, each for `CALL_TIMEOUT_MS` and with
-`MAX_LINE_BYTES` at most; no call's work grows with open RPCs or clients. Words and answers are the operators' page's.
+Invariants: at most `MAX_CALLERS` connections wait for their line at once, each for at most
+`CALL_TIMEOUT_MS` and `MAX_LINE_BYTES`; no command's cost grows with open RPCs or clients. The
+commands and their answers are specified on the operators' page.
 """
 
 from __future__ import annotations
@@ -16,110 +17,157 @@
 from hookpitch.core.deadlines import Deadline
 from hookpitch.net.clock import Clock
 
-MAX_CALLERS = 8  # at once; the one that has been silent for longest gives way
-MAX_CLOSING = 4  # more, whose answer is still being read
-CALL_TIMEOUT_MS = 3000.0  # a caller has its answer in hand by then, or goes
-MAX_LINE_BYTES = 512  # bytes
-YES, NO = b"YES", b"NO"
+MAX_CALLERS = 8  # waiting at once; with one more, the oldest is closed
+MAX_CLOSING = 4  # further connections, whose answer is still being read
+CALL_TIMEOUT_MS = 3000.0  # from the connection's start until it is aborted
+MAX_LINE_BYTES = 512
+YES = b"YES"
+NO = b"NO "
+END = b"END"
+USAGE = "calls are STATUS, METRICS, MEMBERS, SUSPEND ID, RESTORE ID, PAUSE, RESUME"
 
 
 class AdminTarget(Protocol):
-    """What the door needs of the node. Each call says why not, or nothing where it is done."""
+    """What operators' commands act on. Where an answer is a reason, '' means success."""
 
-    def not_ready_reason(self) -> str: ...
-    def metrics(self) -> list[tuple[str, int]]: ...
-    def membership_lines(self) -> list[str]: ...  # of the members, where it is one
-    def suspend(self, id: str) -> str: ...
-    def restore(self, id: str) -> str: ...
-    def pause(self) -> str: ...
-    def resume(self) -> str: ...
+    def not_ready_reason(self) -> str:
+        """Why health checks should fail."""
+
+    def metrics(self) -> list[tuple[str, int]]:
+        """Names and values, in the order in which they are sent."""
+
+    def membership_lines(self) -> list[str]:
+        """The members of the fleet; none where the node is no member."""
+
+    def suspend(self, server_id: str) -> str:
+        """Ban a backend; the reason where that is refused."""
+
+    def restore(self, server_id: str) -> str:
+        """End a backend's ban; the reason where that is refused."""
+
+    def pause(self) -> str:
+        """Drain the node; the reason where that is refused."""
+
+    def resume(self) -> str:
+        """End the drain; the reason where that is refused."""
 
 
 class AdminConnection(LineOnlyReceiver):
+    """One operator's connection."""
+
     MAX_LENGTH = MAX_LINE_BYTES
     delimiter = b"\n"
 
     def __init__(self, server: AdminServer) -> None:
-        self.server = server
+        self._server = server
         self.deadline: Deadline | None = None
 
-    def connectionMade(self) -> None:  # noqa: N802
-        self.server.came(self)
+    def connectionMade(self) -> None:
+        """Count against the limits."""
+        self._server.connection_opened(self)
 
-    def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        # Danger: a caller that goes on writing would have its further lines done as well.
-        if self in self.server.waiting:
-            self.server.count("door.calls")
-            self.say(self.server.answer(line.removesuffix(b"\r")))
+    def lineReceived(self, line: bytes) -> None:
+        """Answer the first line; further ones are ignored."""
+        if self in self._server.waiting:
+            self._server.count("door.calls")
+            self._answer_and_close(self._server.answer(line.removesuffix(b"\r")))
 
-    def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        if self in self.server.waiting:
-            self.say(NO + b" a line has at most %d bytes" % MAX_LINE_BYTES)
+    def lineLengthExceeded(self, line: bytes) -> None:
+        """Refuse the line."""
+        if self in self._server.waiting:
+            self._answer_and_close(NO + b"a line has at most %d bytes" % MAX_LINE_BYTES)
 
-    def say(self, answer: bytes) -> None:
-        """The answer, and the end. What the caller has not read goes with the connection in the
-        end."""
-        self.server.waiting.pop(self, None)
+    def _answer_and_close(self, answer: bytes) -> None:
+        """What the caller has not read at its deadline is discarded with the connection."""
+        self._server.waiting.pop(self, None)
         self.transport.write(answer + b"\n")
         self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        self.server.waiting.pop(self, None)
-        self.server.connections -= 1
-        self.server.clock.deadlines.drop(self.deadline)
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Give the place back."""
+        self._server.connection_closed(self)
 
 
 class AdminServer(Factory):
+    """Accepts operators' connections and answers their commands."""
+
     noisy = False
 
-    def __init__(self, clock: Clock, node: AdminTarget, count: Callable[[str], None]) -> None:
-        self.clock, self.node, self.count = clock, node, count
-        self.waiting: dict[AdminConnection, None] = {}  # without an answer yet, the oldest first
-        self.connections = 0  # connections, also those whose answer is still being written
-        calls = {b"STATUS": node.not_ready_reason, b"PAUSE": node.pause, b"RESUME": node.resume}
-        self._plain: dict[bytes, Callable[[], str]] = calls
-        self._named: dict[bytes, Callable[[str], str]] = {
-            b"SUSPEND": node.suspend,
-            b"RESTORE": node.restore,
+    def __init__(self, clock: Clock, target: AdminTarget, count: Callable[[str], None]) -> None:
+        self._clock = clock
+        self._target = target
+        self.count = count
+        self.waiting: dict[AdminConnection, None] = {}  # for their line, the oldest first
+        self.connections = 0  # including those whose answer is still being written
+        self._commands: dict[bytes, Callable[[], str]] = {
+            b"STATUS": target.not_ready_reason,
+            b"PAUSE": target.pause,
+            b"RESUME": target.resume,
+        }
+        self._commands_with_id: dict[bytes, Callable[[str], str]] = {
+            b"SUSPEND": target.suspend,
+            b"RESTORE": target.restore,
+        }
+        self._listings: dict[bytes, Callable[[], bytes]] = {
+            b"METRICS": self._metrics,
+            b"MEMBERS": self._members,
         }
 
-    def buildProtocol(self, addr: Any) -> AdminConnection | None:  # noqa: ANN401, N802
-        # Danger: callers that read nothing hold their connection until its time is up.
-        return AdminConnection(self) if self.connections < MAX_CALLERS + MAX_CLOSING else None
+    def buildProtocol(self, addr: Any) -> AdminConnection | None:  # noqa: ANN401 - Twisted's own type
+        """None, which closes the connection, where callers that read nothing hold all places."""
+        if self.connections >= MAX_CALLERS + MAX_CLOSING:
+            return None
+        return AdminConnection(self)
 
-    def came(self, caller: AdminConnection) -> None:
+    def connection_opened(self, connection: AdminConnection) -> None:
+        """Wait for its line; where too many wait, the oldest is aborted."""
         self.connections += 1
-        self.waiting[caller] = None
+        self.waiting[connection] = None
         if len(self.waiting) > MAX_CALLERS:
-            first = next(iter(self.waiting))
-            del self.waiting[first]
-            first.transport.abortConnection()
-        caller.deadline = self.clock.deadlines.add(
-            self.clock.now() + CALL_TIMEOUT_MS, lambda _: caller.transport.abortConnection()
+            oldest = next(iter(self.waiting))
+            del self.waiting[oldest]
+            oldest.transport.abortConnection()
+        connection.deadline = self._clock.deadlines.add(
+            self._clock.now() + CALL_TIMEOUT_MS, lambda _: connection.transport.abortConnection()
         )
 
+    def connection_closed(self, connection: AdminConnection) -> None:
+        """Forget it."""
+        self.waiting.pop(connection, None)
+        self.connections -= 1
+        self._clock.deadlines.drop(connection.deadline)
+
     def answer(self, line: bytes) -> bytes:
-        """The answer to one call, without its line's end."""
+        """The answer to one line; neither has its line end."""
         words = line.split()
         name = words[0] if words else b""
-        if name == b"METRICS" and len(words) == 1:
-            return (
-                b"".join(b"svc.%b=%d\n" % (n.encode(), v) for n, v in self.node.metrics()) + b"END"
-            )
-        if name == b"MEMBERS" and len(words) == 1:
-            lines = self.node.membership_lines()
-            return "\n".join([*lines, "END"]).encode() if lines else NO + b" no members here"
-        if name in self._plain and len(words) == 1:
-            why = self._plain[name]()
-        elif name in self._named and len(words) == 2:
+        if name in self._listings and len(words) == 1:
+            return self._listings[name]()
+        reason = self._run(name, words[1:])
+        return NO + reason.encode() if reason else YES
+
+    def _run(self, name: bytes, arguments: list[bytes]) -> str:
+        """Run one command. Returns why it was refused, or ''."""
+        if name in self._commands_with_id:
+            if len(arguments) != 1:
+                return f"{name.decode()} takes one id"
             try:
-                why = self._named[name](words[1].decode())
+                server_id = arguments[0].decode()
             except UnicodeDecodeError:
-                why = "the id cannot be read"
-        elif name in self._named:
-            why = f"{name.decode()} takes one id"
-        elif name in self._plain or name == b"METRICS":
-            why = f"{name.decode()} takes nothing"
-        else:
-            why = "calls are STATUS, METRICS, MEMBERS, SUSPEND ID, RESTORE ID, PAUSE, RESUME"
-        return NO + b" " + why.encode() if why else YES
+                return "the id cannot be read"
+            return self._commands_with_id[name](server_id)
+        if name in self._commands and not arguments:
+            return self._commands[name]()
+        if name in self._commands or name == b"METRICS":
+            return f"{name.decode()} takes nothing"
+        return USAGE
+
+    def _metrics(self) -> bytes:
+        lines = [f"svc.{name}={value}\n" for name, value in self._target.metrics()]
+        return "".join(lines).encode() + END
+
+    def _members(self) -> bytes:
+        lines = self._target.membership_lines()
+        if not lines:
+            return NO + b"no members here"
+        return "\n".join(lines).encode() + b"\n" + END
--- a/hookpitch/net/clock.py
+++ b/hookpitch/net/clock.py
@@ -1,5 +1,7 @@
-"""The clock: one monotonic clock, its offset to Unix time fixed at the start, and the one
-wake-up."""
+"""The node's clock: Unix time in milliseconds that never jumps, and the wake-up of its deadlines.
+
+The offset of the monotonic clock to Unix time is taken once, at construction.
+"""
 
 from __future__ import annotations
 
@@ -11,43 +13,47 @@
 
 
 class Clock:
-    """Tells milliseconds of Unix time that never jump, and runs the deadlines."""
+    """Returns the time, and runs the deadlines by one timer of the reactor's."""
 
     def __init__(
         self,
-        reactor: Any,  # noqa: ANN401
-        monotonic: Callable[[], float] = time.monotonic,  # noqa: ANN401
+        reactor: Any,  # noqa: ANN401 - Twisted's and the simulation's have no common type
+        monotonic: Callable[[], float] = time.monotonic,
         unix: Callable[[], float] = time.time,
     ) -> None:
-        self._reactor, self._monotonic = reactor, monotonic
-        self._offset = unix() - monotonic()
-        self._call: Any = None
+        """`monotonic` and `unix` return seconds."""
+        self._reactor = reactor
+        self._monotonic = monotonic
+        self._offset_s = unix() - monotonic()
+        self._timer: Any = None
         self.deadlines = Deadlines(self._arm)
-        self.on_late: Callable[[float, float], None] | None = None  # told the time and by how much
+        # Called with the time and the delay before deadlines that are later than the threshold run.
+        self.on_late: Callable[[float, float], None] | None = None
         self.late_threshold_ms = float("inf")
 
     def now(self) -> float:
-        return (self._monotonic() + self._offset) * 1000
+        """Milliseconds of Unix time."""
+        return (self._monotonic() + self._offset_s) * 1000
 
     def _arm(self, at: float) -> None:
-        delay = max(0.0, at - self.now()) / 1000
-        if self._call is not None and self._call.active():
-            self._call.reset(delay)
+        delay_s = max(0.0, at - self.now()) / 1000
+        if self._timer is not None and self._timer.active():
+            self._timer.reset(delay_s)
         else:
-            self._call = self._reactor.callLater(delay, self._run)
+            self._timer = self._reactor.callLater(delay_s, self._run)
 
     def _run(self) -> None:
-        self._call = None
+        self._timer = None
         now = self.now()
-        by = now - self.deadlines.first
-        if by > self.late_threshold_ms and self.on_late is not None:
-            # Danger: after a pause, what came in time stands unread, and its deadline would be seen
-            # first.
-            self.on_late(now, by)
-            self._call = self._reactor.callLater(0, self._run_all)
+        late_ms = now - self.deadlines.first
+        if late_ms > self.late_threshold_ms and self.on_late is not None:
+            # After a stall, responses that came in time are still unread: they are read first, and
+            # the deadlines run in the next turn.
+            self.on_late(now, late_ms)
+            self._timer = self._reactor.callLater(0, self._run_due)
             return
         self.deadlines.run(now)
 
-    def _run_all(self) -> None:
-        self._call = None
+    def _run_due(self) -> None:
+        self._timer = None
         self.deadlines.run(self.now())
--- /dev/null
+++ b/hookpitch/net/lifecycle.py
@@ -0,0 +1,224 @@
+"""The service life of one node's process: start, serve, graceful shutdown, stop.
+
+On SIGTERM a process that has its own socket serves on for `SHUTDOWN_DELAY_MS`, so that clients see
+the failing health check first; then it stops listening, answers what it has read, and stops the
+reactor. A process whose socket is inherited stops accepting at once: another process accepts from
+the same socket. Invariants: states only advance; the shutdown ends within its longest deadline,
+whatever clients do.
+"""
+
+from __future__ import annotations
+
+import os
+import socket
+from collections.abc import Mapping
+from enum import IntEnum
+from typing import TYPE_CHECKING, Any, Protocol
+
+from hookpitch.balancer.interface import Endpoint
+from hookpitch.core.host import Host
+from hookpitch.net.admin import MAX_CALLERS, AdminServer
+from hookpitch.net.clients import Clients
+from hookpitch.net.clock import Clock
+from hookpitch.net.discovery import Discovery
+from hookpitch.net.hot_restart import HotRestart
+from hookpitch.net.node_config import NodeConfig
+from hookpitch.net.startup_monitor import StartupMonitor
+
+if TYPE_CHECKING:
+    from hookpitch.net.snapshot_store import SnapshotStore
+
+LISTEN_BACKLOG = 4096
+FIRST_LIST_TIMEOUT_MS = 1500.0  # after which a process with an inherited socket serves anyway
+SHUTDOWN_DELAY_MS = 500.0  # from the shutdown's start until the node stops listening
+IDLE_CLOSE_SPREAD_MS = 400.0  # over which idle connections are closed while another process serves
+FINAL_RESPONSE_MS = 150.0  # after the longest deadline, for the last responses to be written
+# Part of FINAL_RESPONSE_MS for them to arrive: the process's end resets connections with bytes
+# unread.
+FINAL_DELIVERY_MS = 40.0
+FINAL_SNAPSHOT_MS = 100.0  # for the last snapshot to be written
+
+
+class Membership(Protocol):
+    """The node as a member of the fleet (`members/port.py`)."""
+
+    def start(self, reactor: Any) -> None:  # noqa: ANN401 - see SocketNode
+        """Listen for datagrams and join."""
+
+    def leave(self) -> None:
+        """Announce the end and stop listening."""
+
+    def lines(self) -> list[str]:
+        """The members as this node sees them, for operators."""
+
+
+class LifecycleNode(Protocol):
+    """What the lifecycle needs of its node."""
+
+    reactor: Any
+    clock: Clock
+    config: NodeConfig
+    host: Host
+    clients: Clients
+    discovery: Discovery
+    admin_server: AdminServer
+    startup_monitor: StartupMonitor
+    hot_restart: HotRestart
+    membership: Membership | None
+    snapshot_store: SnapshotStore | None
+    logger: Any
+
+    def apply_cached_endpoints(
+        self, version: int, endpoints: list[Endpoint], addresses: Mapping[str, str]
+    ) -> None:
+        """Serve by these endpoints until discovery sends a list."""
+
+
+class State(IntEnum):
+    """Where the process is in its life; it only rises."""
+
+    STARTING = 0
+    SERVING = 1
+    SHUTTING_DOWN = 2
+
+
+class Lifecycle:
+    """Starts and stops one node's parts in order."""
+
+    def __init__(self, node: LifecycleNode) -> None:
+        self._node = node
+        self.state = State.STARTING
+        self.listening_port: Any = None  # the clients'
+        self._admin_port: Any = None
+        self._final_snapshot_begun = False
+
+    # ---- start
+
+    def start(self) -> None:
+        """Listen, restore and serve.
+
+        Raises CannotListenError where the clients' address is taken; it may then be called again.
+        """
+        node = self._node
+        config = node.config
+        self._listen_for_operators()
+        if config.inherited_descriptor is None:
+            address, port = config.listen_address
+            self.listening_port = node.reactor.listenTCP(
+                port, node.clients, backlog=LISTEN_BACKLOG, interface=address
+            )
+        node.apply_cached_endpoints(
+            config.endpoints_version, list(config.initial_endpoints), config.addresses
+        )
+        if node.snapshot_store is not None:
+            node.snapshot_store.restore()
+        node.startup_monitor.start()
+        if node.membership is not None:
+            node.membership.start(node.reactor)
+        if config.admin_address is not None and config.shared_directory:
+            node.hot_restart.start()
+        if config.inherited_descriptor is None:
+            node.discovery.begin()
+            self._serve()
+        else:
+            self._serve_after_first_list()
+
+    def _listen_for_operators(self) -> None:
+        node = self._node
+        if node.config.admin_address is None or self._admin_port is not None:
+            return
+        # An operator's command must not wait behind hundreds of clients.
+        listen = getattr(node.reactor, "listen_prioritized", node.reactor.listenTCP)
+        address, port = node.config.admin_address
+        self._admin_port = listen(port, node.admin_server, MAX_CALLERS, address)
+
+    def _serve_after_first_list(self) -> None:
+        """The initial endpoints may be outdated and clients connect at once, so discovery's first
+        list is awaited; but a discovery that is down must not keep the node from serving."""
+        node = self._node
+        node.discovery.first = self._serve
+        node.discovery.watch(node.clock.now())
+        node.clock.deadlines.add(node.clock.now() + FIRST_LIST_TIMEOUT_MS, lambda _: self._serve())
+
+    def _serve(self) -> None:
+        """Accept clients from now on."""
+        node = self._node
+        node.discovery.first = None
+        if self.state is not State.STARTING:
+            return
+        self.state = State.SERVING
+        address, port = node.config.listen_address
+        descriptor = node.config.inherited_descriptor
+        if descriptor is not None:
+            # The socket is shared with other processes: it is adopted unchanged, and closing it
+            # here leaves it open there.
+            os.set_blocking(descriptor, False)
+            family = socket.AF_INET6 if ":" in address else socket.AF_INET
+            self.listening_port = node.reactor.adoptStreamPort(descriptor, family, node.clients)
+        node.logger.info(
+            "serving", listen=f"{address}:{port}", servers=len(node.config.initial_endpoints)
+        )
+
+    # ---- graceful shutdown
+
+    def shut_down(self) -> None:
+        """Begin the graceful shutdown; a second call changes nothing."""
+        if self.state is State.SHUTTING_DOWN:
+            return
+        self.state = State.SHUTTING_DOWN
+        node = self._node
+        node.logger.info("graceful_shutdown_started")
+        if node.membership is not None:
+            node.membership.leave()
+        longest_rpc_ms = node.host.patience  # includes RPCs accepted under earlier settings
+        delay_ms = SHUTDOWN_DELAY_MS if node.config.inherited_descriptor is None else 0.0
+        stop_listening_at = node.clock.now() + delay_ms
+        # A connection that is closed last may send one more request just before, which may take
+        # its whole time.
+        end_at = (
+            stop_listening_at + self._idle_close_spread_ms() + longest_rpc_ms + FINAL_RESPONSE_MS
+        )
+        deadlines = node.clock.deadlines
+        deadlines.add(stop_listening_at, lambda _: self._stop_listening())
+        deadlines.add(end_at - FINAL_DELIVERY_MS, lambda _: self._fail_open_rpcs())
+        deadlines.add(end_at, lambda _: self._end())
+
+    def _stop_listening(self) -> None:
+        if self._node.config.inherited_descriptor is None:
+            self._accept_all()
+        if self.listening_port is not None:
+            self.listening_port.stopListening()
+        self._node.clients.leave(self._end, self._idle_close_spread_ms())
+
+    def _accept_all(self) -> None:
+        """Accept what the kernel has completed and a busy loop has not: closing the socket would
+        reset it."""
+        sessions = -1
+        while sessions != getattr(self.listening_port, "sessionno", -1):
+            sessions = self.listening_port.sessionno
+            self.listening_port.doRead()
+
+    def _idle_close_spread_ms(self) -> float:
+        if self._node.config.inherited_descriptor is None:
+            return 0.0
+        return IDLE_CLOSE_SPREAD_MS
+
+    def _fail_open_rpcs(self) -> None:
+        """The time is over: answer what is open with an error, and close every connection."""
+        self._node.host.give_up_all(self._node.clock.now())
+        self._node.clients.end_all()
+
+    def _end(self) -> None:
+        node = self._node
+        store = node.snapshot_store
+        if store is not None and not self._final_snapshot_begun:
+            # The last snapshot holds what was learned since the one before; a disk that stalls must
+            # not delay the end for long.
+            self._final_snapshot_begun = True
+            store.save()
+            wait_ms = FINAL_SNAPSHOT_MS if store.writing else 0.0
+            node.clock.deadlines.add(node.clock.now() + wait_ms, lambda _: self._end())
+            return
+        node.hot_restart.stop()
+        if node.reactor.running:
+            node.reactor.stop()
--- a/hookpitch/net/log.py
+++ b/hookpitch/net/log.py
@@ -1,4 +1,4 @@
-"""Log lines, written with structlog: one JSON object a line, on standard error."""
+"""The node's log: one JSON object a line, on standard error, written with structlog."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 from hookpitch.core.counters import Counters
 
-MAX_FAULT_LINES = 64  # of faults in full; further ones are only counted
+MAX_FAULT_LINES = 64  # faults that are logged; further ones are only counted
+STANDARD_ERROR = 2
 
 
-class _Sink:
-    """Danger: a log that nobody reads or holds any more must not stop the node. Lines are left
-    out."""
+class _LossyStream:
+    """Writes to a descriptor and drops what it does not take: a log that nobody reads must not stop
+    the node."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -30,28 +31,29 @@
             os.write(self._descriptor, text.encode(errors="replace"))
 
     def flush(self) -> None:
-        pass
+        """Nothing is buffered."""
 
 
-def start_logging(name: str, counters: Counters) -> Any:  # noqa: ANN401
-    """The node's logger. Faults that Twisted catches go there as well, and are counted."""
+def start_logging(name: str, counters: Counters) -> Any:  # noqa: ANN401 - structlog's are made at run time
+    """The logger of the node `name`. Errors that Twisted catches are logged and counted too."""
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.add_log_level,
             structlog.processors.JSONRenderer(),
         ],
-        logger_factory=structlog.WriteLoggerFactory(file=_Sink(2)),  # type: ignore[arg-type]
+        logger_factory=structlog.WriteLoggerFactory(file=_LossyStream(STANDARD_ERROR)),  # type: ignore[arg-type]
     )
     logger = structlog.get_logger().bind(node=name)
 
     def observe(event: dict[str, Any]) -> None:
-        if event.get("log_level") in (LogLevel.error, LogLevel.critical):
-            counters.add("faults")
-            if counters.counts["faults"] <= MAX_FAULT_LINES:
-                failure = event.get("log_failure")
-                text = failure.getTraceback() if failure else str(event.get("log_format"))
-                logger.error("fault", text=text)
+        if event.get("log_level") not in (LogLevel.error, LogLevel.critical):
+            return
+        counters.add("faults")
+        if counters.counts["faults"] <= MAX_FAULT_LINES:
+            failure = event.get("log_failure")
+            text = failure.getTraceback() if failure else str(event.get("log_format"))
+            logger.error("fault", text=text)
 
     globalLogPublisher.addObserver(observe)
     return logger
--- a/hookpitch/net/loop_monitor.py
+++ b/hookpitch/net/loop_monitor.py
@@ -1,4 +1,4 @@
-"""The node's pulse: a beat a window, by which the node sees how late its own loop is."""
+"""Measures how late the event loop runs, once every admission window."""
 
 from __future__ import annotations
 
@@ -10,27 +10,31 @@
 
 
 class LoopMonitor:
-    """Tells the host of each beat, and at once of a loop that was away."""
-
-    def __init__(self, clock: Clock, host: Host, cpu: Callable[[], float]) -> None:
-        """`cpu` tells the process's CPU time in seconds."""
-        self.clock, self.host, self._cpu, self._used = clock, host, cpu, cpu()
-        clock.on_late = self._late
+    """Ends the host's admission windows, and reports a stall of the loop as soon as it is over."""
+
+    def __init__(self, clock: Clock, host: Host, cpu_time: Callable[[], float]) -> None:
+        """`cpu_time` returns the CPU seconds that the process has used."""
+        self._clock = clock
+        self._host = host
+        self._cpu_time = cpu_time
+        self._window_start_cpu_s = cpu_time()
+        clock.on_late = self._report_stall
         self.reconfigured()
-        self._next()
+        self._schedule()
 
     def reconfigured(self) -> None:
-        """How late counts as away, by the settings' shortest soft deadline."""
-        self.clock.late_threshold_ms = AWAY * self.host.admission.aim
+        """Take the settings' latency objective: being late by a multiple of it is a stall."""
+        self._clock.late_threshold_ms = AWAY * self._host.admission.aim
 
-    def _next(self) -> None:
-        due = self.clock.now() + self.host.admission.window
-        self.clock.deadlines.add(due, lambda now: self._beat(now, now - due))
+    def _schedule(self) -> None:
+        due = self._clock.now() + self._host.admission.window
+        self._clock.deadlines.add(due, lambda now: self._end_window(now, now - due))
 
-    def _beat(self, now: float, late: float) -> None:
-        self._next()
-        self._used = self._cpu()
-        self.host.end_window(now, late, self._used * 1000)
+    def _end_window(self, now: float, late_ms: float) -> None:
+        self._schedule()
+        self._window_start_cpu_s = self._cpu_time()
+        self._host.end_window(now, late_ms, self._window_start_cpu_s * 1000)
 
-    def _late(self, now: float, by: float) -> None:
-        self.host.loop_late(now, by, (self._cpu() - self._used) * 1000)
+    def _report_stall(self, now: float, late_ms: float) -> None:
+        cpu_ms = (self._cpu_time() - self._window_start_cpu_s) * 1000
+        self._host.loop_late(now, late_ms, cpu_ms)
--- a/hookpitch/net/node_config.py
+++ b/hookpitch/net/node_config.py
@@ -1,4 +1,9 @@
-"""What a node is told when it starts, from the environment and the file that it names."""
+"""The configuration of one node: a JSON file that `PROXY_CONFIG` names, and the environment.
+
+`load_node_config` reads both at the start. `load_reloaded_config` reads the file again on SIGHUP;
+the environment is as old as the process, so there the file alone counts. Both check the whole
+file, and raise ValueError (mostly ConfigError) with one line that names what is wrong.
+"""
 
 from __future__ import annotations
 
@@ -11,177 +16,200 @@
 
 from hookpitch.balancer.deployment import deployment
 from hookpitch.balancer.interface import Deployment, Endpoint
+from hookpitch.net.config_error import ConfigError
 from hookpitch.net.discovery import read
 
+Address = tuple[str, int]
+
 RESTART_ONLY = ("name", "listen", "management", "seed", "limits")  # a running node keeps these
+DEFAULT_DESCRIPTORS = 1024
 MIN_DESCRIPTORS = 64
-MIN_MEMORY_MB = 32  # MB
+DEFAULT_MEMORY_MB = 192
+MIN_MEMORY_MB = 32
+MAX_SEED_DIGITS = 64
+MAX_DESCRIPTOR_DIGITS = 9
+NO_ENDPOINTS: Mapping[str, Any] = {"seq": 0, "whole": True, "hosts": []}
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """One node's place in the deployment."""
+    """What one process of one node is started with."""
 
     name: str
-    listen_address: tuple[str, int]
-    discovery_address: tuple[str, int]
+    listen_address: Address  # the clients'
+    discovery_address: Address
     descriptor_limit: int
     memory_mb: int
     deployment: Deployment
-    endpoints_version: int
+    endpoints_version: int  # of the initial endpoints
     initial_endpoints: tuple[Endpoint, ...]
-    addresses: Mapping[str, str]
-    admin_address: tuple[str, int] | None = (
-        None  # the operators' door; None where neither place names one
-    )
-    inherited_descriptor: int | None = (
-        None  # the descriptor of the clients' listening socket, if inherited
-    )
-    shared_directory: str = ""  # a folder that this node's processes share
-    process_id: str = (
-        ""  # what tells this process from the node's others; its number, where nothing is said
-    )
-    restart_only: Mapping[str, Any] = field(
-        default_factory=dict
-    )  # as the file had what only a restart changes
+    addresses: Mapping[str, str]  # of the initial endpoints, by id
+    admin_address: Address | None = None
+    inherited_descriptor: int | None = None  # of the listening socket, where it is inherited
+    shared_directory: str = ""  # shared by all processes of this node; '': there is none
+    process_id: str = ""  # unlike that of the node's other processes; '': the system's
+    restart_only: Mapping[str, Any] = field(default_factory=dict)  # by name, as in the file
+
+
+@dataclass(frozen=True, slots=True)
+class ReloadedConfig:
+    """What a running node takes from its file."""
+
+    discovery_address: Address
+    deployment: Deployment | None  # None where the file has no settings: those in force stay
+    restart_only: Mapping[str, Any]  # by name, as in the file
 
 
 def load_node_config(environment: Mapping[str, str]) -> NodeConfig:
-    """ValueError says in one line what is wrong."""
+    """The file that the environment names, with the environment's own values before the file's."""
     return parse_node_config(_read_file(environment), environment)
 
 
-def parse_node_config(top: Mapping[str, Any], environment: Mapping[str, str]) -> NodeConfig:
+def parse_node_config(document: Mapping[str, Any], environment: Mapping[str, str]) -> NodeConfig:
     """The same from the file's JSON object."""
-
-    def told(name: str) -> str:
-        value = environment.get(f"PROXY_{name.upper()}") or top.get(name)
-        if not isinstance(value, str) or not value:
-            raise ValueError(f"{name} is missing")
-        return value
-
-    number, limits = _seed(top), top.get("limits") or {}
+    seed = _seed(document)
+    limits = document.get("limits") or {}
     if not isinstance(limits, dict):
-        raise ValueError("limits is no JSON object")
-    d = _deployment(number, top.get("settings"))
-    known = top.get("known")
+        raise ConfigError("limits is no JSON object")
+    settings = _deployment(seed, document.get("settings"))
+    known = document.get("known")
     version, _, endpoints, addresses = read(
-        {"seq": 0, "whole": True, "hosts": []} if known is None else known, d.kinds
+        NO_ENDPOINTS if known is None else known, settings.kinds
     )
+    name = _required(document, environment, "name")
+    listen_address = _required_address(document, environment, "listen")
     return NodeConfig(
-        name=told("name"),
-        listen_address=_address(told("listen"), "listen"),
-        discovery_address=_address(told("discovery"), "discovery"),
-        descriptor_limit=_integer(limits.get("sockets", 1024), "limits.sockets", MIN_DESCRIPTORS),
-        memory_mb=_integer(limits.get("memory_mb", 192), "limits.memory_mb", MIN_MEMORY_MB),
-        deployment=d,
+        name=name,
+        listen_address=listen_address,
+        discovery_address=_required_address(document, environment, "discovery"),
+        descriptor_limit=_integer(
+            limits.get("sockets", DEFAULT_DESCRIPTORS), "limits.sockets", MIN_DESCRIPTORS
+        ),
+        memory_mb=_integer(
+            limits.get("memory_mb", DEFAULT_MEMORY_MB), "limits.memory_mb", MIN_MEMORY_MB
+        ),
+        deployment=settings,
         endpoints_version=version,
         initial_endpoints=tuple(endpoints),
         addresses=addresses,
-        admin_address=_admin_address(environment.get("PROXY_MANAGEMENT") or top.get("management")),
+        admin_address=_admin_address(
+            environment.get("PROXY_MANAGEMENT") or document.get("management")
+        ),
         inherited_descriptor=check_inherited_descriptor(
-            environment.get("PROXY_INHERITED_FD"), _address(told("listen"), "listen")
+            environment.get("PROXY_INHERITED_FD"), listen_address
         ),
         shared_directory=environment.get("TMPDIR", ""),
-        restart_only={name: top[name] for name in RESTART_ONLY if name in top},
+        restart_only=_restart_only(document),
     )
 
 
-@dataclass(frozen=True, slots=True)
-class ReloadedConfig:
-    """What a running node takes from its file when it is read anew."""
-
-    discovery_address: tuple[str, int]
-    deployment: Deployment | None  # None where the file has no settings: those that act stay
-    restart_only: Mapping[str, Any]  # what only a restart changes, as the file has it
-
-
 def load_reloaded_config(environment: Mapping[str, str]) -> ReloadedConfig:
-    """The file, read and checked whole. ValueError says in one line what is wrong; the environment
-    is as old
-    as the process, so here the file alone counts."""
-    top = _read_file(environment)
-    value = top.get("discovery")
-    if not isinstance(value, str):
-        raise ValueError("discovery is missing")
-    settings = top.get("settings")
-    d = None if settings is None else _deployment(_seed(top), settings)
-    if d is not None and not d.methods:
-        raise ValueError("settings have no methods")
-    fixed = {name: top[name] for name in RESTART_ONLY if name in top}
-    return ReloadedConfig(_address(value, "discovery"), d, fixed)
-
+    """The file that the environment names; the environment's other values are not used."""
+    document = _read_file(environment)
+    discovery = document.get("discovery")
+    if not isinstance(discovery, str):
+        raise ConfigError("discovery is missing")
+    settings = document.get("settings")
+    reloaded = None if settings is None else _deployment(_seed(document), settings)
+    if reloaded is not None and not reloaded.methods:
+        raise ConfigError("settings have no methods")
+    return ReloadedConfig(
+        discovery_address=_address(discovery, "discovery"),
+        deployment=reloaded,
+        restart_only=_restart_only(document),
+    )
 
-def _deployment(seed: int, settings: object) -> Deployment:
-    """On sockets a list has to be asked for, where the settings don't say that it is pushed."""
-    d = deployment(seed, settings)
-    pushed = isinstance(settings, dict) and settings.get("discovery") == "pushed"
-    return replace(d, polling_required=not pushed)
 
+def check_inherited_descriptor(text: str | None, listen_address: Address) -> int | None:
+    """The number of a descriptor that listens at the address; None where the text names none.
 
-def _seed(top: Mapping[str, Any]) -> int:
-    seed = top.get("seed", 0)
-    return _integer(int(seed, 16) if isinstance(seed, str) and _hex(seed) else seed, "seed", 0)
+    The descriptor itself is left as it is. Raises ConfigError where it is anything else.
+    """
+    if not text:
+        return None
+    if not text.isdigit() or len(text) > MAX_DESCRIPTOR_DIGITS:
+        raise ConfigError(f"inherited_fd '{text}' is no descriptor's number")
+    descriptor = int(text)
+    try:
+        # Closing the duplicate leaves the socket open.
+        with socket.socket(fileno=os.dup(descriptor)) as duplicate:
+            listens = duplicate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+            is_tcp = duplicate.type == socket.SOCK_STREAM
+            address = duplicate.getsockname()
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"inherited_fd {descriptor} is no open socket: {error}") from None
+    if not listens or not is_tcp:
+        raise ConfigError(f"inherited_fd {descriptor} is no listening socket")
+    if not isinstance(address, tuple) or address[:2] != listen_address:
+        host, port = listen_address
+        raise ConfigError(f"inherited_fd {descriptor} listens at {address}, not at {host}:{port}")
+    return descriptor
 
 
 def _read_file(environment: Mapping[str, str]) -> dict[str, Any]:
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise ValueError("PROXY_CONFIG names no file")
+        raise ConfigError("PROXY_CONFIG names no file")
     try:
         with open(path, encoding="utf-8") as file:
-            top = json.load(file)
-    except (OSError, ValueError, RecursionError) as fault:
-        raise ValueError(f"{path}: {fault}") from None
-    if not isinstance(top, dict):
-        raise ValueError(f"{path}: no JSON object")
-    return top
+            document = json.load(file)
+    except (OSError, ValueError, RecursionError) as error:
+        raise ConfigError(f"{path}: {error}") from None
+    if not isinstance(document, dict):
+        raise ConfigError(f"{path}: no JSON object")
+    return document
+
+
+def _deployment(seed: int, settings: object) -> Deployment:
+    """The settings; on sockets discovery is polled unless they say that it pushes."""
+    pushed = isinstance(settings, dict) and settings.get("discovery") == "pushed"
+    return replace(deployment(seed, settings), polling_required=not pushed)
+
 
+def _restart_only(document: Mapping[str, Any]) -> dict[str, Any]:
+    return {name: document[name] for name in RESTART_ONLY if name in document}
 
-def _hex(text: str) -> bool:
-    return 0 < len(text) <= 64 and all(c in "0123456789abcdefABCDEF" for c in text)
 
+def _seed(document: Mapping[str, Any]) -> int:
+    seed = document.get("seed", 0)
+    if isinstance(seed, str) and _is_hexadecimal(seed):
+        seed = int(seed, 16)
+    return _integer(seed, "seed", 0)
 
-def _admin_address(value: Any) -> tuple[str, int] | None:  # noqa: ANN401
+
+def _is_hexadecimal(text: str) -> bool:
+    return 0 < len(text) <= MAX_SEED_DIGITS and all(c in "0123456789abcdefABCDEF" for c in text)
+
+
+def _required(document: Mapping[str, Any], environment: Mapping[str, str], name: str) -> str:
+    value = environment.get(f"PROXY_{name.upper()}") or document.get(name)
+    if not isinstance(value, str) or not value:
+        raise ConfigError(f"{name} is missing")
+    return value
+
+
+def _required_address(
+    document: Mapping[str, Any], environment: Mapping[str, str], name: str
+) -> Address:
+    return _address(_required(document, environment, name), name)
+
+
+def _admin_address(value: object) -> Address | None:
     if value is None or value == "":
         return None
     if not isinstance(value, str):
-        raise ValueError("management is no address with a port")
+        raise ConfigError("management is no address with a port")
     return _address(value, "management")
 
 
-def check_inherited_descriptor(text: str | None, listen: tuple[str, int]) -> int | None:
-    """A descriptor that holds the clients' listening socket, checked and left as it is."""
-    if not text:
-        return None
-    if not text.isdigit() or len(text) > 9:
-        raise ValueError(f"inherited_fd '{text}' is no descriptor's number")
-    number = int(text)
-    try:
-        with socket.socket(
-            fileno=os.dup(number)
-        ) as held:  # closing the duplicate leaves the socket as it is
-            listens = held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-            tcp, address = held.type == socket.SOCK_STREAM, held.getsockname()
-    except (OSError, ValueError) as fault:
-        raise ValueError(f"inherited_fd {number} is no open socket: {fault}") from None
-    if not listens or not tcp:
-        raise ValueError(f"inherited_fd {number} is no listening socket")
-    if not isinstance(address, tuple) or address[:2] != listen:
-        raise ValueError(
-            f"inherited_fd {number} listens at {address}, not at {listen[0]}:{listen[1]}"
-        )
-    return number
-
-
-def _integer(value: Any, name: str, least: int) -> int:  # noqa: ANN401
+def _integer(value: object, name: str, least: int) -> int:
     if not isinstance(value, int | float) or not least <= value < float("inf"):
-        raise ValueError(f"{name} is no number from {least} up")
+        raise ConfigError(f"{name} is no number from {least} up")
     return int(value)
 
 
-def _address(text: str, name: str) -> tuple[str, int]:
+def _address(text: str, name: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{name} '{text}' is no address with a port")
+        raise ConfigError(f"{name} '{text}' is no address with a port")
     return host.strip("[]"), int(port)
--- /dev/null
+++ b/hookpitch/net/operator_commands.py
@@ -0,0 +1,167 @@
+"""What operators ask of a node through the admin server: status, metrics, bans and drains.
+
+A command is checked here and published by `HotRestart`, which hands it to `apply` in every process
+of the node, in the same order. A ban keeps a backend out until it is restored. A drain makes health
+checks fail at once and, `DRAIN_DELAY_MS` later, closes client connections as they become idle;
+resuming ends it.
+"""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+from hookpitch.core.host import Host
+from hookpitch.net.clients import Clients
+from hookpitch.net.clock import Clock
+from hookpitch.net.hot_restart import HotRestart
+from hookpitch.net.lifecycle import Lifecycle, Membership, State
+from hookpitch.net.shared_state import Command, Verb
+from hookpitch.net.startup_monitor import StartupMonitor
+
+DRAIN_DELAY_MS = 500.0  # from PAUSE until idle connections are closed: clients see the check first
+NO_SUCH_SERVER = "no such cache server"
+SHUTTING_DOWN = "leaving"
+
+
+class CommandNode(Protocol):
+    """What the commands need of their node."""
+
+    clock: Clock
+    host: Host
+    clients: Clients
+    lifecycle: Lifecycle
+    startup_monitor: StartupMonitor
+    hot_restart: HotRestart
+    membership: Membership | None
+    logger: Any
+
+
+class OperatorCommands:
+    """The admin server's target. Commands return why they were refused, or ''."""
+
+    def __init__(self, node: CommandNode) -> None:
+        self._node = node
+        self.draining = False
+        self._drain_changes = 0  # so that a drain's delayed step is skipped once it has ended
+
+    # ---- status
+
+    def not_ready_reason(self) -> str:
+        """Why health checks should fail, or ''."""
+        state = self._node.lifecycle.state
+        if state is State.SHUTTING_DOWN:
+            return SHUTTING_DOWN
+        if self.draining:
+            return "draining"
+        if state is State.STARTING:
+            return "starting"
+        if not self._node.host.router.servers:
+            return "no list of servers yet"
+        return ""
+
+    def metrics(self) -> list[tuple[str, int]]:
+        """The documented counters and gauges, in a fixed order."""
+        host = self._node.host
+        counts = host.counters.counts
+        by_method = [
+            (f"{name}.{method.name}", counts.get(f"{name}.{method.name}", 0))
+            for name in ("completed", "rejected", "failed")
+            for method in host.deployment.methods
+        ]
+        members, unavailable = host.endpoint_counts()
+        return [
+            *by_method,
+            ("upstream_requests", counts.get("upstream_requests", 0)),
+            ("pending", host.open),
+            ("members", members),
+            ("members_unavailable", unavailable),
+            ("config_reloads", counts.get("config_reloads", 0)),
+            ("config_reload_errors", counts.get("config_reload_errors", 0)),
+            ("config_changes", counts.get("config_changes", 0)),
+            ("start_phase", int(self._node.startup_monitor.phase)),
+        ]
+
+    def membership_lines(self) -> list[str]:
+        """The members as this node sees them; none where it is no member."""
+        membership = self._node.membership
+        return [] if membership is None else membership.lines()
+
+    # ---- commands
+
+    def suspend(self, server_id: str) -> str:
+        """Ban a backend."""
+        return self._change_ban(Verb.SUSPEND, server_id)
+
+    def restore(self, server_id: str) -> str:
+        """End a backend's ban."""
+        return self._change_ban(Verb.RESTORE, server_id)
+
+    def pause(self) -> str:
+        """Drain this node."""
+        return self._change_drain(Verb.PAUSE)
+
+    def resume(self) -> str:
+        """End the drain."""
+        return self._change_drain(Verb.RESUME)
+
+    def _change_ban(self, verb: Verb, server_id: str) -> str:
+        if not self._node.host.bannable(server_id):
+            return NO_SUCH_SERVER
+        self._node.hot_restart.publish(Command(verb, server_id))
+        return ""
+
+    def _change_drain(self, verb: Verb) -> str:
+        if self._node.lifecycle.state is State.SHUTTING_DOWN:
+            return SHUTTING_DOWN
+        self._node.hot_restart.publish(Command(verb))
+        return ""
+
+    # ---- in each process
+
+    def apply(self, command: Command) -> None:
+        """Carry a published command out; one that changes nothing is ignored."""
+        if command.verb in (Verb.SUSPEND, Verb.RESTORE):
+            self._apply_ban(command)
+        elif command.verb in (Verb.PAUSE, Verb.RESUME):
+            self._apply_drain(command)
+
+    def in_force(self) -> list[Command]:
+        """The commands that would bring a new process to this one's bans and drain."""
+        commands = [Command(Verb.SUSPEND, server_id) for server_id in self._node.host.router.bans]
+        if self.draining:
+            commands.append(Command(Verb.PAUSE))
+        return commands
+
+    def _apply_ban(self, command: Command) -> None:
+        node = self._node
+        banned = command.verb is Verb.SUSPEND
+        if banned == (command.target in node.host.router.bans):
+            return
+        self._log(command)
+        node.host.ban(node.clock.now(), command.target, banned)
+
+    def _apply_drain(self, command: Command) -> None:
+        node = self._node
+        draining = command.verb is Verb.PAUSE
+        if draining == self.draining:
+            return
+        self._log(command)
+        self.draining = draining
+        node.clients.paused = draining
+        self._drain_changes += 1
+        if draining:
+            change = self._drain_changes
+            node.clock.deadlines.add(
+                node.clock.now() + DRAIN_DELAY_MS, lambda _: self._close_idle_clients(change)
+            )
+        elif node.lifecycle.state is not State.SHUTTING_DOWN:
+            node.clients.draining = False
+
+    def _close_idle_clients(self, change: int) -> None:
+        if change == self._drain_changes:
+            self._node.clients.drain()
+
+    def _log(self, command: Command) -> None:
+        self._node.logger.info(
+            "operator_command", command=command.verb.value, target=command.target
+        )
--- a/hookpitch/net/operator_settings.py
+++ b/hookpitch/net/operator_settings.py
@@ -1,10 +1,7 @@
-"""The operator's own settings: `deploy/node.toml`, one section a subsystem, all optional, all off
-by default.
+"""The operator's own settings: a TOML file (`deploy/node.toml`), one optional section a subsystem.
 
-Read by `--config` or `HOOKPITCH_CONFIG`; where neither names a file, nothing is read. Checked
-whole at the
-start: an unknown section or name is refused with its place. A subsystem adds its section to
-`SECTIONS`.
+Named by `--config` or `HOOKPITCH_CONFIG`; without a file every subsystem is off. The file is
+checked whole at the start: an unknown section or name is refused with its place.
 """
 
 from __future__ import annotations
@@ -16,9 +13,11 @@
 from pathlib import Path
 from typing import Any
 
-# By name: what reads and checks a section, `module:function`, imported where a file has it.
-# ValueError says what is wrong.
-SECTIONS = {
+from hookpitch.net.config_error import ConfigError
+
+# What reads and checks each section, as `module:function`. A module is imported only where the
+# file has its section; the function raises ValueError with the name that is wrong.
+SECTION_PARSERS = {
     "snapshot": "hookpitch.net.snapshot_store:parse_settings",
     "members": "hookpitch.members.port:settings",
 }
@@ -26,36 +25,41 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """What the operator turned on, by section."""
+    """The parsed sections, by name."""
 
     sections: Mapping[str, Any] = field(default_factory=dict)
 
     def summary(self) -> str:
+        """What is on, in a few words."""
         return f"sections {', '.join(self.sections)}" if self.sections else "nothing is turned on"
 
 
 def load_operator_settings(path: Path) -> OperatorSettings:
-    """ValueError says in one line what is wrong, and where."""
+    """Read and check a file. Raises ConfigError with one line."""
     try:
-        top = tomllib.loads(path.read_text(encoding="utf-8"))
-    except (OSError, ValueError) as fault:
-        raise ValueError(f"{path}: {fault}") from None
+        tables = tomllib.loads(path.read_text(encoding="utf-8"))
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"{path}: {error}") from None
     sections = {}
-    for name, table in top.items():
-        if name not in SECTIONS:
-            known = ", ".join(sorted(SECTIONS)) or "none yet"
-            raise ValueError(f"{path}: {name}: no such section; known are {known}")
+    for name, table in tables.items():
+        if name not in SECTION_PARSERS:
+            known = ", ".join(sorted(SECTION_PARSERS))
+            raise ConfigError(f"{path}: {name}: no such section; known are {known}")
         if not isinstance(table, dict):
-            raise ValueError(f"{path}: {name}: wants a section")
+            raise ConfigError(f"{path}: {name}: wants a section")
         try:
-            module, _, function = SECTIONS[name].partition(":")
-            sections[name] = getattr(import_module(module), function)(table)
-        except ValueError as fault:
-            raise ValueError(f"{path}: {name}.{fault}") from None
+            sections[name] = _section_parser(name)(table)
+        except ValueError as error:
+            raise ConfigError(f"{path}: {name}.{error}") from None
     return OperatorSettings(sections)
 
 
+def _section_parser(name: str) -> Any:  # noqa: ANN401 - each section has a type of its own
+    module, _, function = SECTION_PARSERS[name].partition(":")
+    return getattr(import_module(module), function)
+
+
 def operator_settings_from(environment: Mapping[str, str]) -> OperatorSettings:
-    """Where the environment names no file: nothing is on."""
+    """The settings of the file that the environment names; none where it names no file."""
     path = environment.get("HOOKPITCH_CONFIG")
     return load_operator_settings(Path(path)) if path else OperatorSettings()
--- a/hookpitch/net/prioritized_reactor.py
+++ b/hookpitch/net/prioritized_reactor.py
@@ -1,7 +1,7 @@
-"""The node's reactor: Twisted's on epoll, with short turns in which servers' answers go before new
-work.
+"""The node's reactor: Twisted's on epoll, with short turns in which backends' responses are handled
+before clients' requests.
 
-Source: `EPollReactor.doPoll` of Twisted; only the order and the number of the events taken differ.
+After `EPollReactor.doPoll` of Twisted; only the order and the number of the events differ.
 """
 
 from __future__ import annotations
@@ -16,68 +16,79 @@
 from twisted.internet.tcp import Port, Server
 from twisted.python import log
 
-EVENTS_PER_TURN = (
-    48  # looked at between two looks at the deadlines; the kernel gives those left over next time
-)
-ACCEPTS_PER_TURN = 16  # new connections taken in one turn
-LATER = (Server, Port)  # clients and their door
+# Events handled between two looks at the deadlines; the kernel reports the rest in the next turn.
+EVENTS_PER_TURN = 48
+ACCEPTS_PER_TURN = 16
+LOW_PRIORITY = (Server, Port)  # clients' connections and their listening socket
 
 
 class AdminConnection(Server):
-    """An operator's connection: not among those that wait for others in a turn."""
+    """An operator's connection, which does not wait behind clients."""
 
 
 class AdminPort(Port):
+    """The operators' listening socket, which does not wait behind clients either."""
+
     transport = AdminConnection
 
 
 class PrioritizedReactor(EPollReactor):
-    def listenFirst(self, port: int, factory: Any, backlog: int, interface: str) -> Port:  # noqa: ANN401, N802
-        """As `listenTCP`, for connections that go before clients in each turn."""
-        door = AdminPort(port, factory, backlog, interface, self)
-        door.startListening()
-        return door
-
-    def doPoll(self, timeout: float | None) -> None:  # noqa: N802
-        """One turn. Danger: hundreds of ready clients in one turn hold up every deadline and every
-        answer."""
+    """Handles what is not a client's first."""
+
+    def listen_prioritized(
+        self,
+        port: int,
+        factory: Any,  # noqa: ANN401 - Twisted's factories have no common type
+        backlog: int,
+        interface: str,
+    ) -> Port:
+        """As `listenTCP`, for connections that are handled before clients in each turn."""
+        admin_port = AdminPort(port, factory, backlog, interface, self)
+        admin_port.startListening()
+        return admin_port
+
+    def doPoll(self, timeout: float | None) -> None:
+        """One turn, short enough that hundreds of ready clients hold up neither deadlines nor
+        responses."""
         try:
-            found = self._poller.poll(-1 if timeout is None else timeout, EVENTS_PER_TURN)
-        except OSError as fault:
-            if fault.errno == errno.EINTR:
+            events = self._poller.poll(-1 if timeout is None else timeout, EVENTS_PER_TURN)
+        except OSError as error:
+            if error.errno == errno.EINTR:
                 return
             raise
-        selectables, later = self._selectables, []
-        for fd, event in found:
-            selectable = selectables.get(fd)
-            if type(selectable) in LATER:
-                later.append((fd, event))
+        low_priority = []
+        for descriptor, event in events:
+            selectable = self._selectables.get(descriptor)
+            if type(selectable) in LOW_PRIORITY:
+                low_priority.append((descriptor, event))
             elif selectable is not None:
-                self._act(selectable, fd, event)
-        for fd, event in later:
-            selectable = selectables.get(fd)  # what came before may have closed it
-            if selectable is not None:
-                self._act(selectable, fd, event)
-                if isinstance(selectable, Port) and selectable.numberAccepts > ACCEPTS_PER_TURN:
-                    # Danger: Twisted takes ever more at a time while a burst lasts.
-                    selectable.numberAccepts = ACCEPTS_PER_TURN
-
-    def _act(self, selectable: Any, fd: int, event: int) -> None:  # noqa: ANN401
+                self._handle(selectable, descriptor, event)
+        for descriptor, event in low_priority:
+            selectable = self._selectables.get(descriptor)  # an earlier event may have closed it
+            if selectable is None:
+                continue
+            self._handle(selectable, descriptor, event)
+            if isinstance(selectable, Port):
+                # Twisted raises the number as long as a burst of connections lasts.
+                selectable.numberAccepts = min(selectable.numberAccepts, ACCEPTS_PER_TURN)
+
+    doIteration = doPoll
+
+    def _handle(self, selectable: Any, descriptor: int, event: int) -> None:  # noqa: ANN401 - any of Twisted's
         if event != EPOLLIN:
-            return self._doReadOrWrite(selectable, fd, event)
+            self._doReadOrWrite(selectable, descriptor, event)
+            return
         try:
-            why = selectable.doRead()
-        except Exception:  # one connection's fault ends that connection, as in Twisted's own loop
-            why = sys.exc_info()[1]
+            failure = selectable.doRead()
+        except Exception:  # an error ends its connection alone, as in Twisted's own loop
+            failure = sys.exc_info()[1]
             log.err()
-        if why:
-            self._disconnectSelectable(selectable, why, True)
-
-    doIteration = doPoll  # noqa: N815
+        if failure:
+            self._disconnectSelectable(selectable, failure, True)
 
 
 def install() -> PrioritizedReactor:
-    """Make it the process's reactor; to be called before `twisted.internet.reactor` is imported."""
+    """Make it the process's reactor; called before `twisted.internet.reactor` is imported."""
     reactor = PrioritizedReactor()
     installReactor(reactor)
     return reactor
--- /dev/null
+++ b/hookpitch/net/resource_budget.py
@@ -0,0 +1,60 @@
+"""How a node divides its file descriptors and its memory among its parts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from hookpitch.net.admin import MAX_CALLERS, MAX_CLOSING
+from hookpitch.net.node_config import NodeConfig
+
+# Standard input, output and error, the poller's, discovery's two, and Twisted's reserve.
+PROCESS_DESCRIPTORS = 14
+# The admin server's, the inherited socket's and the shared files'.
+ADMIN_DESCRIPTORS = MAX_CALLERS + MAX_CLOSING + 4
+MIN_REJECTED_CLIENTS = 4
+
+
+@dataclass(frozen=True, slots=True)
+class DescriptorBudget:
+    """File descriptors by use; what is left over is the process's own."""
+
+    backends: int  # connections to cache servers and the origin
+    clients: int  # connections that are served
+    idle_clients: int  # open connections from which on idle ones are closed
+    rejected_clients: int  # connections beyond `clients`, open until an error is sent
+
+    @classmethod
+    def of(cls, config: NodeConfig) -> DescriptorBudget:
+        """Half of the limit for backends, the rest for clients, after the process's own."""
+        limit = config.descriptor_limit
+        own = PROCESS_DESCRIPTORS
+        if config.admin_address is not None:
+            own += ADMIN_DESCRIPTORS
+        idle_clients = limit // 3
+        rejected_clients = max(MIN_REJECTED_CLIENTS, limit // 32)
+        backends = min(limit // 2, limit - idle_clients - rejected_clients - own)
+        return cls(
+            backends=backends,
+            clients=limit - backends - rejected_clients - own,
+            idle_clients=idle_clients,
+            rejected_clients=rejected_clients,
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class MemoryBudgets:
+    """Bytes that one use may hold at most."""
+
+    unread_response_bytes: int  # responses that clients have not read
+    value_bytes: int  # values of requests in flight
+    endpoint_list_bytes: int  # one list or change of discovery's
+
+    @classmethod
+    def of(cls, config: NodeConfig) -> MemoryBudgets:
+        """A half, a quarter and a thirty-second of the node's memory."""
+        memory_bytes = config.memory_mb << 20
+        return cls(
+            unread_response_bytes=memory_bytes // 2,
+            value_bytes=memory_bytes // 4,
+            endpoint_list_bytes=memory_bytes // 32,
+        )
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -1,16 +1,13 @@
-"""What the processes of one node must all know, as lines in a file that they share; see
-docs/design.md.
+"""The file that all processes of one node share: a command of operators a line; docs/design.md.
 
-Each call that changes something (a ban, its end, the drain, its end) is a line with its own
-checksum:
+Each command that changes something (a ban, its end, a drain, its end, a process's start) is a line
+with its own checksum:
 
     1 SUSPEND s-5be2a07c 6d1f03b2
 
-Lines are appended under a lock, so their order is the same for all readers, and each reader
-follows from
-where it was. A process holds a lock on a file of its own for as long as it lives, by which the
-others see it.
-A line that is torn, of another version or wrong is passed over and told once.
+Lines are appended under a lock, so all readers see one order, and each reader continues from where
+it was. A process holds a lock on a file of its own for as long as it lives, by which the others
+find it. A line that is torn, of another version or wrong is skipped, and reported once.
 """
 
 from __future__ import annotations
@@ -19,145 +16,196 @@
 import fcntl
 import os
 from collections.abc import Callable, Iterator
+from enum import StrEnum
 from pathlib import Path
+from typing import NamedTuple
 from urllib.parse import quote, unquote
 from zlib import crc32
 
 VERSION = "1"
-VERBS = ("SUSPEND", "RESTORE", "PAUSE", "RESUME", "START")
-FILE_MOST = 1 << 16  # bytes, from which on the file is written anew when no other process reads it
-READ_MOST = 1 << 20  # bytes of a file that are read at all
+NO_TARGET = "-"
+COMPACT_BYTES = 1 << 16  # from which on the file is rewritten while no other process reads it
+MAX_READ_BYTES = 1 << 20  # read at once
+LOGGED_LINE_BYTES = 80
+OWNER_ONLY = 0o600
 
 
-def encode_command(verb: str, what: str) -> bytes:
-    """One call as it stands in the file."""
-    body = f"{VERSION} {verb} {quote(what, safe='') or '-'}"
+class Verb(StrEnum):
+    """What a command does, as it stands in the file."""
+
+    SUSPEND = "SUSPEND"
+    RESTORE = "RESTORE"
+    PAUSE = "PAUSE"
+    RESUME = "RESUME"
+    START = "START"  # a process has started
+
+
+class Command(NamedTuple):
+    """One line of the file; `target` is a server's id, a process's id or ''."""
+
+    verb: Verb
+    target: str = ""
+
+
+class SharedStateError(OSError):
+    """The file cannot be used as it is."""
+
+
+def encode_command(command: Command) -> bytes:
+    """The command's line."""
+    body = f"{VERSION} {command.verb} {quote(command.target, safe='') or NO_TARGET}"
     return f"{body} {crc32(body.encode()):08x}\n".encode()
 
 
-def decode_command(text: bytes) -> tuple[str, str] | None:
-    """The call of one line without its end; None where it is none of ours."""
-    body, _, check = text.rpartition(b" ")
+def decode_command(line: bytes) -> Command | None:
+    """The command of a line without its end; None where the line is torn, foreign or wrong."""
+    body, _, checksum = line.rpartition(b" ")
     words = body.split(b" ")
-    if len(words) != 3 or words[0] != VERSION.encode() or check != b"%08x" % crc32(body):
+    if len(words) != 3 or words[0] != VERSION.encode() or checksum != b"%08x" % crc32(body):
+        return None
+    verb, target = words[1].decode("latin-1"), words[2].decode("latin-1")
+    if verb not in Verb.__members__:
         return None
-    verb, what = words[1].decode("latin-1"), words[2].decode("latin-1")
-    return (verb, "" if what == "-" else unquote(what)) if verb in VERBS else None
+    return Command(Verb(verb), "" if target == NO_TARGET else unquote(target))
 
 
 class SharedState:
-    """The shared file of one node, as one of its processes sees it.
-
-    Raises OSError from the constructor alone, where the folder cannot be used.
-    """
-
-    def __init__(self, folder: str, name: str, log: Callable[[str], None], me: str = "") -> None:
-        """`me`: what tells this process from the others; its number, where nothing is said."""
-        self._log, self._me = log, me or str(os.getpid())
+    """One process's view of its node's file."""
+
+    def __init__(
+        self, folder: str, name: str, on_damage: Callable[[str], None], process_id: str = ""
+    ) -> None:
+        """Raises OSError where the folder cannot be used; no method does.
+
+        `on_damage` is called once, with a reason, where the file cannot be read or written, or a
+        line is wrong. `process_id` is the operating system's where none is given.
+        """
+        self._on_damage = on_damage
+        self._damage_reported = False
+        self._process_id = process_id or str(os.getpid())
         self._stem = Path(folder) / f"hookpitch-{quote(name, safe='')}"
         self._file = _open(f"{self._stem}.calls", os.O_RDWR | os.O_CREAT | os.O_APPEND)
-        self._at, self._told = 0, False
-        self.other_processes: list[
-            str
-        ] = []  # processes of this node that were alive at the last look
-        self._alive = _open(f"{self._stem}.{self._me}.live", os.O_RDWR | os.O_CREAT)
-        fcntl.flock(self._alive, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        self._read_bytes = 0  # of the file, so far
+        self.other_processes: list[str] = []  # alive when last looked for
+        self._own_lock = _open(self._lock_path, os.O_RDWR | os.O_CREAT)
+        fcntl.flock(self._own_lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         self.find_other_processes()
-        self.append("START", self._me)
+        self.append(Command(Verb.START, self._process_id))
+
+    @property
+    def _lock_path(self) -> str:
+        return f"{self._stem}.{self._process_id}.live"
 
-    def read_new(self) -> Iterator[tuple[str, str]]:
-        """All calls since the last time, in order, those of this process among them."""
+    def read_new(self) -> Iterator[Command]:
+        """All commands since the last call, in order, this process's own among them."""
         try:
-            size = os.fstat(self._file).st_size
-            if size < self._at:  # written anew by another
-                self._at = 0
-            text = (
-                os.pread(self._file, min(size - self._at, READ_MOST), self._at)
-                if size > self._at
-                else b""
-            )
-        except OSError as fault:
-            self._odd(str(fault))
+            text = self._read_text()
+        except OSError as error:
+            self._report_damage(str(error))
             return
-        whole = text.rfind(b"\n") + 1
-        self._at += whole
-        for part in text[:whole].split(b"\n"):
-            if part:
-                call = decode_command(part)
-                if call is None:
-                    self._odd(f"a line that is none: {part[:80]!r}")
-                else:
-                    yield call
-
-    def append(self, verb: str, what: str = "") -> bool:
-        """Append a call; False where that failed, and it holds in this process alone."""
+        complete_bytes = text.rfind(b"\n") + 1
+        self._read_bytes += complete_bytes
+        for line in text[:complete_bytes].split(b"\n"):
+            if not line:
+                continue
+            command = decode_command(line)
+            if command is None:
+                self._report_damage(f"a line that is no command: {line[:LOGGED_LINE_BYTES]!r}")
+            else:
+                yield command
+
+    def _read_text(self) -> bytes:
+        size = os.fstat(self._file).st_size
+        if size < self._read_bytes:  # another process has rewritten it
+            self._read_bytes = 0
+        unread_bytes = size - self._read_bytes
+        if unread_bytes == 0:
+            return b""
+        return os.pread(self._file, min(unread_bytes, MAX_READ_BYTES), self._read_bytes)
+
+    def append(self, command: Command) -> bool:
+        """Add a command; False where that failed, so that other processes do not see it."""
         try:
             with _locked(self._file):
-                size = os.fstat(self._file).st_size
-                # Danger: what a process began to write as it was killed would spoil the next line.
-                torn = size > 0 and os.pread(self._file, 1, size - 1) != b"\n"
-                data = (b"\n" if torn else b"") + encode_command(verb, what)
-                if os.write(self._file, data) != len(data):
-                    raise OSError("no room")
-            return True
-        except OSError as fault:
-            self._odd(str(fault))
+                self._write_line(encode_command(command))
+        except OSError as error:
+            self._report_damage(str(error))
             return False
-
-    def compact(self, calls: list[tuple[str, str]]) -> None:
-        """Where no other process reads it and it has grown, the file holds just these calls from
-        now on."""
+        return True
+
+    def _write_line(self, line: bytes) -> None:
+        size = os.fstat(self._file).st_size
+        # A process that was killed while it wrote leaves part of a line, which must not spoil this
+        # one.
+        torn = size > 0 and os.pread(self._file, 1, size - 1) != b"\n"
+        data = b"\n" + line if torn else line
+        if os.write(self._file, data) != len(data):
+            raise SharedStateError("no room")
+
+    def compact(self, in_force: list[Command]) -> None:
+        """Replace a long file with the commands in force, if no other process reads it."""
         with contextlib.suppress(OSError), _locked(self._file):
-            if os.fstat(self._file).st_size > FILE_MOST and not self.find_other_processes():
-                data = b"".join(encode_command(*call) for call in calls)
-                os.ftruncate(self._file, 0)
-                os.write(self._file, data)
-                self._at = len(data)
+            if os.fstat(self._file).st_size <= COMPACT_BYTES or self.find_other_processes():
+                return
+            data = b"".join(encode_command(command) for command in in_force)
+            os.ftruncate(self._file, 0)
+            os.write(self._file, data)
+            self._read_bytes = len(data)
 
     def find_other_processes(self) -> list[str]:
-        """The other processes of this node that live."""
+        """The ids of this node's other live processes; locks of dead ones are removed."""
         self.other_processes = []
         for path in sorted(self._stem.parent.glob(f"{self._stem.name}.*.live")):
-            who = path.name.rsplit(".", 2)[1]
-            if who == self._me:
-                continue
-            try:
-                held = os.open(path, os.O_RDWR | os.O_NOFOLLOW | os.O_CLOEXEC)
-            except OSError:
-                continue
-            try:
-                fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                path.unlink(missing_ok=True)
-            except OSError:
-                self.other_processes.append(who)
-            finally:
-                os.close(held)
+            process_id = path.name.rsplit(".", 2)[1]
+            if process_id != self._process_id and _is_locked_by_another(path):
+                self.other_processes.append(process_id)
         return self.other_processes
 
     def close(self) -> None:
+        """Give up this process's lock."""
         with contextlib.suppress(OSError):
-            os.unlink(f"{self._stem}.{self._me}.live")
-        os.close(self._alive)
+            os.unlink(self._lock_path)
+        os.close(self._own_lock)
         os.close(self._file)
 
-    def _odd(self, why: str) -> None:
-        if not self._told:  # Danger: a spoilt file told of at each look
-            self._told = True
-            self._log(f"the file that this node's processes share: {why}")
+    def _report_damage(self, reason: str) -> None:
+        if self._damage_reported:  # a damaged file would be reported at each read
+            return
+        self._damage_reported = True
+        self._on_damage(reason)
+
+
+def _is_locked_by_another(path: Path) -> bool:
+    """Whether a live process holds the lock; the file of a dead one is removed."""
+    try:
+        descriptor = os.open(path, os.O_RDWR | os.O_NOFOLLOW | os.O_CLOEXEC)
+    except OSError:
+        return False
+    try:
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        path.unlink(missing_ok=True)
+    except OSError:
+        return True
+    finally:
+        os.close(descriptor)
+    return False
 
 
 def _open(path: str, flags: int) -> int:
-    held = os.open(path, flags | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
-    if os.fstat(held).st_uid != os.geteuid():
-        os.close(held)
-        raise OSError(f"{path} belongs to somebody else")
-    return held
+    descriptor = os.open(path, flags | os.O_NOFOLLOW | os.O_CLOEXEC, OWNER_ONLY)
+    if os.fstat(descriptor).st_uid != os.geteuid():
+        os.close(descriptor)
+        raise SharedStateError(f"{path} belongs to somebody else")
+    return descriptor
 
 
 @contextlib.contextmanager
 def _locked(file: int) -> Iterator[None]:
-    # Danger: a process that was stopped with the lock in hand must not stop this one: the write is
-    # one call, so without the lock only a torn line before it can do harm.
+    """Hold the file's lock if it is free.
+
+    A process that was stopped while it held the lock must not stop this one. Each write is one
+    call, so without the lock only a torn line before it can do harm.
+    """
     held = False
     with contextlib.suppress(OSError):
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -1,18 +1,15 @@
-"""The snapshot on a disk that lasts: `[snapshot]` in the operator's file; off where there is none.
+"""One node's snapshot file: `[snapshot]` in the operator's file; off, and not imported, without it.
 
     [snapshot]
-    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: the node's; the folder has to be there
-    fleet = "sydney"                              # snapshots of another fleet are left alone
+    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: the node's; the folder has to exist
+    fleet = "sydney"                              # snapshots of another fleet are ignored
     every_s = 10.0
     oldest_s = 3600.0
 
-A file is written beside the old one, forced to the disk, and put in its place by one rename: a
-reader sees
-the old or the new one, whole. A thread of its own writes: a disk that stalls must not stop RPCs,
-and while
-one write is out no other begins. What cannot be read is told in one line, and left where it is
-until the
-next write. Invariants: at most one write is out; the file has at most `BYTES_MOST` bytes.
+A snapshot is written to a file beside the old one, forced to the disk, and renamed over it: a
+reader sees the old or the new one, complete. A thread of its own writes, as a disk that stalls must
+not stop RPCs. What cannot be read is logged once, and left until the next write. Invariants: at
+most one write is under way; a file has at most `BYTES_MOST` bytes after its head.
 """
 
 from __future__ import annotations
@@ -22,19 +19,42 @@
 from collections.abc import Callable, Mapping
 from contextlib import suppress
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 from urllib.parse import quote
 
+from hookpitch.balancer.interface import Endpoint
+from hookpitch.core.chance import draws
+from hookpitch.core.host import Host
+from hookpitch.net.backend_pools import BackendPools
+from hookpitch.net.clock import Clock
+from hookpitch.net.config_error import ConfigError
+from hookpitch.net.discovery import Discovery
+from hookpitch.net.node_config import NodeConfig
+
 if TYPE_CHECKING:
-    from hookpitch.net.node import SocketNode
     from hookpitch.startup.snapshot_format import Snapshot
 
-EVERY_LEAST_S, EVERY_MOST_S = 0.5, 3600.0
-EARLY_MS = 3600000.0  # a snapshot from so far ahead of this clock is of no known age
+MIN_EVERY_S = 0.5
+MAX_EVERY_S = 3600.0
+MIN_OLDEST_S = 1.0
+MAX_OLDEST_S = 1e9
+# A snapshot that is further ahead of this clock has no known age.
+MAX_CLOCK_SKEW_MS = 3600000.0
+# Part of the interval by which one write follows another; nodes that share a disk must not all
+# write at once.
+INTERVAL_BASE = 0.9
+INTERVAL_JITTER = 0.2
+OWNER_ONLY = 0o600
+
+
+class SnapshotError(ValueError):
+    """There is no snapshot to restore; the text says why in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotSettings:
+    """The operator's `[snapshot]` section."""
+
     path: str
     fleet: str = ""
     every_s: float = 10.0
@@ -42,75 +62,81 @@
 
 
 def parse_settings(table: Mapping[str, Any]) -> SnapshotSettings:
-    """The operator's section, checked; ValueError begins with the name that is wrong."""
+    """Check the section. Raises ConfigError, whose text begins with the name that is wrong."""
+    known = SnapshotSettings.__slots__
     for name in table:
-        if name not in SnapshotSettings.__slots__:
-            raise ValueError(
-                f"{name}: no such setting; known are {', '.join(SnapshotSettings.__slots__)}"
-            )
-    path, fleet = table.get("path"), table.get("fleet", "")
+        if name not in known:
+            raise ConfigError(f"{name}: no such setting; known are {', '.join(known)}")
+    path = table.get("path")
     if not isinstance(path, str) or not path or "\0" in path:
-        raise ValueError("path: wants a file's name")
+        raise ConfigError("path: wants a file's name")
+    fleet = table.get("fleet", "")
     if not isinstance(fleet, str):
-        raise ValueError("fleet: wants a name")
-    spans = {}
-    for name, least, most in (("every_s", EVERY_LEAST_S, EVERY_MOST_S), ("oldest_s", 1.0, 1e9)):
-        value = table.get(name, getattr(SnapshotSettings(""), name))
-        if (
-            isinstance(value, bool)
-            or not isinstance(value, int | float)
-            or not least <= value <= most
-        ):
-            raise ValueError(f"{name}: wants {least:g} to {most:g}")
-        spans[name] = float(value)
+        raise ConfigError("fleet: wants a name")
+    defaults = SnapshotSettings(path)
+    every_s = _seconds(table, "every_s", defaults.every_s, MIN_EVERY_S, MAX_EVERY_S)
+    oldest_s = _seconds(table, "oldest_s", defaults.oldest_s, MIN_OLDEST_S, MAX_OLDEST_S)
     try:
-        import msgspec  # noqa: F401
+        import msgspec  # noqa: F401 - an extra that only snapshots need
     except ImportError:
-        raise ValueError(
+        raise ConfigError(
             "path: snapshots need msgspec, which comes with hookpitch[snapshot]"
         ) from None
-    return SnapshotSettings(path, fleet, **spans)
+    return SnapshotSettings(path, fleet, every_s, oldest_s)
+
+
+def _seconds(
+    table: Mapping[str, Any], name: str, default: float, least: float, most: float
+) -> float:
+    value = table.get(name, default)
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not least <= value <= most:
+        raise ConfigError(f"{name}: wants {least:g} to {most:g}")
+    return float(value)
+
+
+# ---- files
 
 
 def load_snapshot(path: str) -> Snapshot:
-    """ValueError says in one line why there is none."""
+    """Read and check a file. Raises ValueError with one line where it holds no snapshot."""
     from hookpitch.startup.snapshot_format import BYTES_MOST, HEAD, read
 
+    max_bytes = BYTES_MOST + HEAD.size
     try:
-        held = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
-    except OSError as fault:
-        raise ValueError(fault.strerror or str(fault)) from None
+        descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
+    except OSError as error:
+        raise SnapshotError(_reason(error)) from None
     try:
-        if not stat.S_ISREG(os.fstat(held).st_mode):
-            raise ValueError("no regular file")
+        if not stat.S_ISREG(os.fstat(descriptor).st_mode):
+            raise SnapshotError("no regular file")
         data = b""
-        while part := os.read(held, BYTES_MOST + HEAD.size + 1 - len(data)):
+        while part := os.read(descriptor, max_bytes + 1 - len(data)):
             data += part
-    except OSError as fault:
-        raise ValueError(fault.strerror or str(fault)) from None
+    except OSError as error:
+        raise SnapshotError(_reason(error)) from None
     finally:
-        os.close(held)
-    if len(data) > BYTES_MOST + HEAD.size:
-        raise ValueError(f"longer than {BYTES_MOST} bytes")
+        os.close(descriptor)
+    if len(data) > max_bytes:
+        raise SnapshotError(f"longer than {BYTES_MOST} bytes")
     return read(data)
 
 
 def replace_file(path: str, data: bytes) -> None:
-    """The old file or the new one, never a part. Raises OSError."""
-    beside = f"{path}.new"
-    with suppress(FileNotFoundError):  # of a process that died as it wrote
-        os.unlink(beside)
-    held = os.open(
-        beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600
-    )
+    """Put the data in the file's place: readers see the old file or the new one. Raises OSError."""
+    temporary = f"{path}.new"
+    with suppress(FileNotFoundError):  # left by a process that died while it wrote
+        os.unlink(temporary)
+    flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC
+    descriptor = os.open(temporary, flags, OWNER_ONLY)
     try:
-        view = memoryview(data)
-        while view:
-            view = view[os.write(held, view) :]
-        os.fsync(held)
+        rest = memoryview(data)
+        while rest:
+            rest = rest[os.write(descriptor, rest) :]
+        os.fsync(descriptor)
     finally:
-        os.close(held)
-    os.rename(beside, path)
+        os.close(descriptor)
+    os.rename(temporary, path)
     folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(folder)
@@ -118,95 +144,140 @@
         os.close(folder)
 
 
-def run_in_thread(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:  # noqa: ANN401
-    """The work in a thread of its own; then `then` on the reactor's."""
+def run_in_thread(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:  # noqa: ANN401 - see Clock
+    """Do the work in a thread of its own; then call `then` with its failure in the reactor's."""
     from threading import Thread
 
-    def both() -> None:
-        why = failure_of(work)
-        reactor.callFromThread(then, why)
+    def work_and_report() -> None:
+        reactor.callFromThread(then, failure_of(work))
 
-    # Danger: a process that cannot end, as its disk does not answer: the thread does not hold it.
-    Thread(target=both, name="snapshot", daemon=True).start()
+    # A daemon thread: a disk that does not respond must not keep the process from ending.
+    Thread(target=work_and_report, name="snapshot", daemon=True).start()
 
 
 def failure_of(work: Callable[[], None]) -> str:
-    """Why it failed, or nothing."""
+    """Do the work. Returns why it failed, or ''."""
     try:
         work()
-    except OSError as fault:
-        return fault.strerror or str(fault)
+    except OSError as error:
+        return _reason(error)
     return ""
 
 
+def _reason(error: OSError) -> str:
+    return error.strerror or str(error)
+
+
+# ---- a node's
+
+
+class SnapshotNode(Protocol):
+    """What a snapshot store needs of its node."""
+
+    config: NodeConfig
+    clock: Clock
+    host: Host
+    pools: BackendPools
+    discovery: Discovery
+    logger: Any
+
+    def apply_cached_endpoints(
+        self, version: int, endpoints: list[Endpoint], addresses: Mapping[str, str]
+    ) -> None:
+        """Serve by these endpoints until discovery sends a list."""
+
+
 class SnapshotStore:
-    """One node's snapshot: recalled at its start, written by turns and as it leaves."""
+    """One node's snapshot: restored at the start, written periodically and at the shutdown."""
 
     def __init__(
         self,
-        told: SnapshotSettings,
-        node: SocketNode,
+        settings: SnapshotSettings,
+        node: SnapshotNode,
         run_elsewhere: Callable[[Callable[[], None], Callable[[str], None]], None],
     ) -> None:
-        """`run_elsewhere(work, then)` does the work elsewhere and calls `then` here with why it
-        failed, or nothing."""
-        self.told, self.node, self.run_elsewhere = told, node, run_elsewhere
-        self.path = told.path.replace("{name}", quote(node.config.name, safe=""))
-        self.writing, self._failing = False, False
-        from hookpitch.core.chance import draws
-
-        self._chance = draws(node.config.deployment.seed, "keep")
+        """`run_elsewhere(work, then)` does the work without blocking, and calls `then` in the
+        reactor's thread with why it failed, or ''."""
+        self._settings = settings
+        self._node = node
+        self.run_elsewhere = run_elsewhere
+        self.path = settings.path.replace("{name}", quote(node.config.name, safe=""))
+        self.writing = False
+        self._failing = False  # whether the last write failed
+        self._random = draws(node.config.deployment.seed, "keep")
 
     def restore(self) -> None:
-        """Called once, between the list told at the start and the first RPC."""
-        from hookpitch.startup.snapshot_state import entries, recalled
-
-        node, now = self.node, self.node.clock.now()
+        """Apply the file's snapshot; called once, after the initial endpoints and before RPCs."""
+        node = self._node
+        now = node.clock.now()
         try:
-            x = load_snapshot(self.path)
-            if (x.fleet, x.node) != (self.told.fleet, node.config.name):
-                raise ValueError(f"of node {x.node!r} of fleet {x.fleet!r}")
-            if x.kinds != node.config.deployment.kinds:
-                raise ValueError("of a fleet with other kinds of machines")
-            if not -EARLY_MS <= now - x.written <= self.told.oldest_s * 1000:
-                raise ValueError(f"{(now - x.written) / 1000:.0f} s old")
-        except ValueError as fault:
-            node.logger.info("no snapshot", path=self.path, why=str(fault))
+            snapshot = load_snapshot(self.path)
+            self._check(snapshot, now)
+        except ValueError as error:
+            node.logger.info("snapshot_not_restored", path=self.path, reason=str(error))
             node.host.counters.add("snapshot.none")
         else:
-            listed, dials = entries(x)
-            if x.seq > node.discovery.seq and listed:
-                node.apply_cached_endpoints(x.seq, listed, dials)
-            node.logger.info(
-                "snapshot", path=self.path, believed=recalled(node.host.router, now, x)
-            )
-            node.host.counters.add("snapshot.recalled")
-        # Danger: hundreds of nodes on one disk that write in the same moment.
-        node.clock.deadlines.add(now + self.told.every_s * 1000 * self._chance(), self._turn)
-
-    def _turn(self, now: float) -> None:
+            self._apply(snapshot, now)
+        first_interval_ms = self._settings.every_s * 1000 * self._random()
+        node.clock.deadlines.add(now + first_interval_ms, self._save_periodically)
+
+    def _check(self, snapshot: Snapshot, now: float) -> None:
+        """Raise SnapshotError where the snapshot is not this node's, or too old."""
+        config = self._node.config
+        if (snapshot.fleet, snapshot.node) != (self._settings.fleet, config.name):
+            raise SnapshotError(f"of node {snapshot.node!r} of fleet {snapshot.fleet!r}")
+        if snapshot.kinds != config.deployment.kinds:
+            raise SnapshotError("of a fleet with other kinds of machines")
+        age_ms = now - snapshot.written
+        if not -MAX_CLOCK_SKEW_MS <= age_ms <= self._settings.oldest_s * 1000:
+            raise SnapshotError(f"{age_ms / 1000:.0f} s old")
+
+    def _apply(self, snapshot: Snapshot, now: float) -> None:
+        from hookpitch.startup.snapshot_state import entries, recalled
+
+        node = self._node
+        endpoints, addresses = entries(snapshot)
+        if snapshot.seq > node.discovery.seq and endpoints:
+            node.apply_cached_endpoints(snapshot.seq, endpoints, addresses)
+        restored = recalled(node.host.router, now, snapshot)
+        node.logger.info("snapshot_restored", path=self.path, summary=restored)
+        node.host.counters.add("snapshot.recalled")
+
+    def _save_periodically(self, now: float) -> None:
         self.save()
-        span = self.told.every_s * 1000 * (0.9 + 0.2 * self._chance())
-        self.node.clock.deadlines.add(now + span, self._turn)
+        interval_ms = (
+            self._settings.every_s * 1000 * (INTERVAL_BASE + INTERVAL_JITTER * self._random())
+        )
+        self._node.clock.deadlines.add(now + interval_ms, self._save_periodically)
 
     def save(self) -> None:
+        """Begin to write a snapshot, unless a write is under way or there are no endpoints: an
+        empty snapshot would replace what was learned before."""
         from hookpitch.startup.snapshot_format import write
         from hookpitch.startup.snapshot_state import taken
 
-        node = self.node
-        # Danger: a node without any list would write nothing over what it had learned.
+        node = self._node
         if self.writing or not node.host.router.servers:
             return
-        seq, dials = node.discovery.seq, node.pools.dials()
-        data = write(
-            taken(node.host.router, node.clock.now(), self.told.fleet, node.config.name, seq, dials)
+        snapshot = taken(
+            node.host.router,
+            node.clock.now(),
+            self._settings.fleet,
+            node.config.name,
+            node.discovery.seq,
+            node.pools.dials(),
         )
+        data = write(snapshot)
         self.writing = True
-        self.run_elsewhere(lambda: replace_file(self.path, data), self._over)
+        self.run_elsewhere(lambda: replace_file(self.path, data), self._on_written)
 
-    def _over(self, why: str) -> None:
+    def _on_written(self, failure: str) -> None:
         self.writing = False
-        self.node.host.counters.add("snapshot.failed" if why else "snapshot.written")
-        if bool(why) != self._failing:  # Danger: a disk that is full told of at each turn
-            self._failing = bool(why)
-            self.node.logger.info("snapshot", path=self.path, why=why or "written again")
+        self._node.host.counters.add("snapshot.failed" if failure else "snapshot.written")
+        if bool(failure) == self._failing:  # a full disk is logged once, not at each write
+            return
+        self._failing = bool(failure)
+        if failure:
+            self._node.logger.info("snapshot_write_failed", path=self.path, reason=failure)
+        else:
+            self._node.logger.info("snapshot_write_recovered", path=self.path)
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -12,7 +12,8 @@
 from hookpitch.members.port import Settings as MemberSettings
 from hookpitch.members.port import attach
 from hookpitch.net.clock import Clock
-from hookpitch.net.node import LISTEN_BACKLOG, SocketNode
+from hookpitch.net.lifecycle import LISTEN_BACKLOG
+from hookpitch.net.node import SocketNode
 from hookpitch.net.node_config import load_reloaded_config, parse_node_config
 from hookpitch.net.snapshot_store import SnapshotSettings, SnapshotStore, failure_of
 from hookpitch.testbed.simulation import Machine
@@ -110,8 +111,10 @@
         self.start()
         self.run.counted(self, self.counters)
         self.machine.kill()
-        if self.node.shared_state is not None:  # the kernel lets go of a dead process's locks
-            self.node.shared_state.close()
+        if (
+            self.node.hot_restart.shared_state is not None
+        ):  # the kernel lets go of a dead process's locks
+            self.node.hot_restart.shared_state.close()
         self.node, self.machine, self.counters, self.door = old, machine, counters, door
 
     def _when_ready(
@@ -120,7 +123,7 @@
         run = self.run
         if self.node is None:
             return
-        if self.node.not_ready_reason():
+        if self.node.commands.not_ready_reason():
             if run.now() > latest:
                 run.history.add(
                     run.now(), "call", self.name, what="late: a new process says no for 6 s"
@@ -172,5 +175,6 @@
         called."""
         words = line.split()
         if len(words) == 1:
-            return getattr(self.node, words[0].lower())()
-        return getattr(self.run.chance.choice(self.processes()), words[0].lower())(words[1])
+            return getattr(self.node.commands, words[0].lower())()
+        process = self.run.chance.choice(self.processes())
+        return getattr(process.commands, words[0].lower())(words[1])
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -637,7 +637,7 @@
             self.logs.append(
                 (at, node.name, f"{event}: {line['what']}" if "what" in line else event)
             )
-            if event == "left":
+            if event == "shutdown_complete":
                 mine = self.counters.setdefault(node.name, {})
                 for name, count in line.items():
                     if name not in plain:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -244,7 +244,7 @@
         def stopListening(self) -> None:  # noqa: N802
             pass
 
-    s.node.listening_port = Port()
+    s.node.lifecycle.listening_port = Port()
     s.node.shut_down()
     s.pass_time(501)
     for _ in range(20):
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -107,7 +107,7 @@
             r.signal(number)
         r.go_on()
         r.log("reloaded")
-        r.log("leaving")
+        r.log("graceful_shutdown_started")
         line.say(VALUE)
         assert client.value() == b"v" and client.ended() == "fin"
         assert r.left() == 0
@@ -123,7 +123,7 @@
         client, line = asked(r, "read")
         r.path.write_text(text)
         r.signal(signal.SIGHUP)
-        r.log("not reloaded")
+        r.log("reload_failed")
         line.say(VALUE)
         assert client.value() == b"v" and r.count("config_reload_errors") == 1
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -772,7 +772,7 @@
     ]
     found, early, later = verdict(logs)
     assert len(found) == 11 and early == {"n11"} and {"n0", "n1", "n2"} <= later
-    views = {n.node.peers.members.view.members for n in run.nodes.values() if n.node is not None}
+    views = {n.node.membership.members.view.members for n in run.nodes.values() if n.node is not None}
     assert views == {tuple(sorted(f"n{n}" for n in range(11)))}
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,8 +9,9 @@
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, MAX_CLOSING
+from hookpitch.net.lifecycle import State
 from hookpitch.net.node_config import check_inherited_descriptor
-from hookpitch.net.shared_state import SharedState, decode_command, encode_command
+from hookpitch.net.shared_state import Command, SharedState, Verb, decode_command, encode_command
 
 
 def call(s: Sockets, text: bytes) -> bytes:
@@ -198,7 +199,7 @@
     assert busy.take() == late.take() == b"$1\r\nv\r\n" and busy.ended and late.ended
     mute = s.client()
     s.pass_time(1500)
-    assert mute.ended and not s.node.shutting_down
+    assert mute.ended and s.node.lifecycle.state is State.SERVING
     assert call(s, b"RESUME\n") == b"YES\n"
     back = s.client()
     back.say(b"*1\r\n$4\r\nPING\r\n")
@@ -229,11 +230,11 @@
 
 def test_calls_are_seen_by_both_in_one_order(tmp_path: Path) -> None:
     one, told = handover(tmp_path, []), []
-    one.append("SUSPEND", "s 1/é")
-    one.append("PAUSE")
+    one.append(Command(Verb.SUSPEND, "s 1/é"))
+    one.append(Command(Verb.PAUSE))
     file = os.open(next(tmp_path.glob("*.calls")), os.O_RDWR | os.O_APPEND)
-    os.write(file, encode_command("RESTORE", "s2")[:9])  # killed as it wrote
-    one.append("RESUME")
+    os.write(file, encode_command(Command(Verb.RESTORE, "s2"))[:9])  # killed as it wrote
+    one.append(Command(Verb.RESUME))
     two = SharedState(str(tmp_path), "n/0", told.append, "2")
     assert two.other_processes and one.find_other_processes() == ["2"]
     calls = [("SUSPEND", "s 1/é"), ("PAUSE", ""), ("RESUME", "")]
@@ -246,7 +247,9 @@
 
 @pytest.mark.parametrize("verb", ["SUSPEND", "PAUSE"])
 def test_a_record_cut_or_changed_at_any_byte_is_none(verb: str) -> None:
-    whole = encode_command(verb, "s-5be2a07c" if verb == "SUSPEND" else "").rstrip(b"\n")
+    whole = encode_command(Command(Verb(verb), "s-5be2a07c" if verb == "SUSPEND" else "")).rstrip(
+        b"\n"
+    )
     assert decode_command(whole) is not None
     for n in range(len(whole)):
         assert decode_command(whole[:n]) is None
@@ -257,12 +260,12 @@
 def test_a_file_that_grew_is_written_anew_only_where_nobody_else_reads_it(tmp_path: Path) -> None:
     one = handover(tmp_path, [])
     for _ in range(1500):
-        one.append("SUSPEND", "s1")
-        one.append("RESTORE", "s1")
+        one.append(Command(Verb.SUSPEND, "s1"))
+        one.append(Command(Verb.RESTORE, "s1"))
     assert len(news(one)) == 3000
-    one.compact([("SUSPEND", "s2")])
+    one.compact([Command(Verb.SUSPEND, "s2")])
     assert not list(one.read_new())
-    one._at = 0
+    one._read_bytes = 0
     assert list(one.read_new()) == [("SUSPEND", "s2")]
 
 
@@ -279,10 +282,10 @@
     s.pass_time(300)
     servers, room = s.node.pools.most, s.node.clients.room
     other = SharedState(str(tmp_path), "n0", s.logs.append, "2")
-    other.append("SUSPEND", "s1")
+    other.append(Command(Verb.SUSPEND, "s1"))
     s.pass_time(250)
     assert (
-        s.node.process_count == 2
+        s.node.hot_restart.process_count == 2
         and s.node.pools.most == servers // 2
         and s.node.clients.room == room // 2
     )
@@ -293,30 +296,30 @@
     other.close()
     s.pass_time(250)
     assert (
-        s.node.process_count == 1
+        s.node.hot_restart.process_count == 1
         and s.node.pools.most == servers
         and s.node.host.router.part == 1.0
     )
-    s.node.shared_state.close()
+    s.node.hot_restart.shared_state.close()
 
 
 def test_a_process_that_starts_beside_another_has_its_bans_and_its_drain_and_one_alone_its_bans(
     tmp_path: Path,
 ) -> None:
     other = SharedState(str(tmp_path), "n0", print, "2")
-    other.append("SUSPEND", "s1")
-    other.append("PAUSE")
+    other.append(Command(Verb.SUSPEND, "s1"))
+    other.append(Command(Verb.PAUSE))
     beside = Sockets(shared=str(tmp_path))
     assert (
         call(beside, b"STATUS\n") == b"NO draining\n"
         and figures(beside)["members_unavailable"] == 1
     )
-    beside.node.shared_state.close()
-    beside.node.shared_state = None
+    beside.node.hot_restart.shared_state.close()
+    beside.node.hot_restart.shared_state = None
     other.close()
     alone = Sockets(shared=str(tmp_path))
     assert call(alone, b"STATUS\n") == b"YES\n" and figures(alone)["members_unavailable"] == 1
-    alone.node.shared_state.close()
+    alone.node.hot_restart.shared_state.close()
 
 
 # ---- the inherited socket
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -51,8 +51,8 @@
     c.say(get("r1"))
     serve(s)
     assert c.take() and s.counters.counts.get("start.phase", 0) == 0
-    figures = dict(s.node.metrics())
-    assert figures["start_phase"] == Phase.KNOWN and s.node.not_ready_reason() == ""
+    figures = dict(s.node.commands.metrics())
+    assert figures["start_phase"] == Phase.KNOWN and s.node.commands.not_ready_reason() == ""
     s.pass_time(300)
     watch(s, {"seq": 6, "whole": True, "hosts": s.hosts})
     for n in range(40):
@@ -61,7 +61,7 @@
         s.pass_time(300)
         if n % 6 == 5:
             watch(s, b"")
-    assert dict(s.node.metrics())["start_phase"] == Phase.ORDINARY
+    assert dict(s.node.commands.metrics())["start_phase"] == Phase.ORDINARY
     assert s.counters.counts["start.listed_ms"] < 1000
 
 
@@ -69,13 +69,13 @@
     s = Sockets(1)
     s.network.ways[DISCOVERY] = "silent"
     s.pass_time(LISTED_MS + ANSWERED_MS + KNOWN_MS + 2000)
-    assert dict(s.node.metrics())["start_phase"] == Phase.ORDINARY
+    assert dict(s.node.commands.metrics())["start_phase"] == Phase.ORDINARY
     assert s.counters.counts["start.unlisted"] == 1 and "start.unanswered" not in s.counters.counts
 
 
 def test_a_node_without_any_list_says_that_it_is_not_ready() -> None:
     s = Sockets(1)
     s.node.host.router.servers.clear()  # it was told none
-    assert s.node.not_ready_reason() == "no list of servers yet"
+    assert s.node.commands.not_ready_reason() == "no list of servers yet"
     watch(s, {"seq": 6, "whole": True, "hosts": Sockets(1).hosts})
-    assert s.node.not_ready_reason() == ""
+    assert s.node.commands.not_ready_reason() == ""
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -153,7 +153,7 @@
     for bad in ("{", "[1]", "{}", '{"discovery": "nowhere"}', '{"discovery": 5}'):
         path.write_text(bad)
         reload()
-        assert said.pop() == "not reloaded" and not said and s.network.to(DISCOVERY), bad
+        assert said.pop() == "reload_failed" and not said and s.network.to(DISCOVERY), bad
     path.write_text(json.dumps({"discovery": "127.0.0.3:8600"}))
     reload()
     s.pass_time(1)
@@ -179,12 +179,12 @@
 ) -> None:
     s, path, said = Sockets(), tmp_path / "node.json", list[tuple[str, str]]()
     s.info = lambda event, **values: said.append(
-        (event, str(values.get("changed") or values.get("what")))
+        (event, str(values.get("changed") or values.get("setting")))
     )
     reload = partial(s.node.reload, partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
     told = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": deepcopy(SETTINGS)}
     reload()
-    assert [event for event, _ in said] == ["not reloaded"]
+    assert [event for event, _ in said] == ["reload_failed"]
     assert (
         s.counters.counts["config_reload_errors"] == 1 and "config_changes" not in s.counters.counts
     )
@@ -192,7 +192,7 @@
     path.write_text(json.dumps(told | {"seed": 9, "listen": "127.0.0.1:1", "name": "other"}))
     said.clear()
     reload()
-    stays = [what for event, what in said if event == "stays until a restart"]
+    stays = [what for event, what in said if event == "change_requires_restart"]
     assert sorted(stays) == ["listen", "name", "seed"] and said[-1] == (
         "reloaded",
         "hedging_allowed",
@@ -221,7 +221,7 @@
         for event, number in (
             ("serving", signal.SIGHUP),
             ("reloaded", signal.SIGTERM),
-            ("left", 0),
+            ("shutdown_complete", 0),
         ):
             assert any(f'"{event}"' in line for line in node.stderr), event
             node.send_signal(number)
@@ -278,7 +278,7 @@
             for value in ({}, 7, *(SETTINGS | change for change in wrong)):
                 path.write_text(json.dumps(old | {"settings": value}))
                 reload()
-                assert s.logs[-1] == "not reloaded" and s.node.host.router.copies, value
+                assert s.logs[-1] == "reload_failed" and s.node.host.router.copies, value
         else:
             path.write_text(json.dumps(told))
             reload()
