--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -135,7 +135,7 @@
         """Forget it."""
         self.waiting.pop(connection, None)
         self.connections -= 1
-        self._clock.deadlines.drop(connection.deadline)
+        self._clock.deadlines.cancel(connection.deadline)
 
     def answer(self, line: bytes) -> bytes:
         """The answer to one line; neither has its line end."""
--- a/hookpitch/net/clock.py
+++ b/hookpitch/net/clock.py
@@ -45,7 +45,7 @@
     def _run(self) -> None:
         self._timer = None
         now = self.now()
-        late_ms = now - self.deadlines.first
+        late_ms = now - self.deadlines.next_due
         if late_ms > self.late_threshold_ms and self.on_late is not None:
             # After a stall, responses that came in time are still unread: they are read first, and
             # the deadlines run in the next turn.
--- a/hookpitch/net/hot_restart.py
+++ b/hookpitch/net/hot_restart.py
@@ -12,7 +12,7 @@
 
 from hookpitch.core.host import Host
 from hookpitch.net.backend_pools import BackendPools
-from hookpitch.net.clients import Clients
+from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.clock import Clock
 from hookpitch.net.node_config import NodeConfig
 from hookpitch.net.shared_state import Command, SharedState, Verb
@@ -37,7 +37,7 @@
     config: NodeConfig
     host: Host
     pools: BackendPools
-    clients: Clients
+    clients: ClientRegistry
     commands: CommandTarget
     logger: Any
 
@@ -121,15 +121,15 @@
         node.host.router.set_process_count(node.clock.now(), process_count)
         # Open connections stay, or clients would be rejected unread; their number only grows no
         # more.
-        node.pools.most = max(
+        node.pools.max_descriptors = max(
             capacity.backend_connections // process_count,
-            min(capacity.backend_connections, node.pools.held),
+            min(capacity.backend_connections, node.pools.descriptors_used),
         )
-        node.clients.room = max(
+        node.clients.max_connections = max(
             capacity.client_connections // process_count,
-            min(capacity.client_connections, len(node.clients.open)),
+            min(capacity.client_connections, len(node.clients.connections)),
         )
-        node.host.value_budget.most = capacity.value_bytes // process_count
+        node.host.value_budget.limit = capacity.value_bytes // process_count
 
     def _log_damage(self, reason: str) -> None:
         self._node.logger.info("shared_state_damaged", reason=reason)
--- a/hookpitch/net/lifecycle.py
+++ b/hookpitch/net/lifecycle.py
@@ -18,7 +18,7 @@
 from hookpitch.balancer.interface import Endpoint
 from hookpitch.core.host import Host
 from hookpitch.net.admin import MAX_CALLERS, AdminServer
-from hookpitch.net.clients import Clients
+from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import Discovery
 from hookpitch.net.hot_restart import HotRestart
@@ -59,7 +59,7 @@
     clock: Clock
     config: NodeConfig
     host: Host
-    clients: Clients
+    clients: ClientRegistry
     discovery: Discovery
     admin_server: AdminServer
     startup_monitor: StartupMonitor
@@ -118,7 +118,7 @@
         if config.admin_address is not None and config.shared_directory:
             node.hot_restart.start()
         if config.inherited_descriptor is None:
-            node.discovery.begin()
+            node.discovery.schedule_poll()
             self._serve()
         else:
             self._serve_after_first_list()
@@ -136,14 +136,14 @@
         """The initial endpoints may be outdated and clients connect at once, so discovery's first
         list is awaited; but a discovery that is down must not keep the node from serving."""
         node = self._node
-        node.discovery.first = self._serve
-        node.discovery.watch(node.clock.now())
+        node.discovery.on_first_list = self._serve
+        node.discovery.start_watch(node.clock.now())
         node.clock.deadlines.add(node.clock.now() + FIRST_LIST_TIMEOUT_MS, lambda _: self._serve())
 
     def _serve(self) -> None:
         """Accept clients from now on."""
         node = self._node
-        node.discovery.first = None
+        node.discovery.on_first_list = None
         if self.state is not State.STARTING:
             return
         self.state = State.SERVING
@@ -170,7 +170,9 @@
         node.logger.info("graceful_shutdown_started")
         if node.membership is not None:
             node.membership.leave()
-        longest_rpc_ms = node.host.patience  # includes RPCs accepted under earlier settings
+        longest_rpc_ms = (
+            node.host.stream_timeout_ms
+        )  # includes RPCs accepted under earlier settings
         delay_ms = SHUTDOWN_DELAY_MS if node.config.inherited_descriptor is None else 0.0
         stop_listening_at = node.clock.now() + delay_ms
         # A connection that is closed last may send one more request just before, which may take
@@ -188,7 +190,7 @@
             self._accept_all()
         if self.listening_port is not None:
             self.listening_port.stopListening()
-        self._node.clients.leave(self._end, self._idle_close_spread_ms())
+        self._node.clients.shut_down(self._end, self._idle_close_spread_ms())
 
     def _accept_all(self) -> None:
         """Accept what the kernel has completed and a busy loop has not: closing the socket would
@@ -205,8 +207,8 @@
 
     def _fail_open_rpcs(self) -> None:
         """The time is over: answer what is open with an error, and close every connection."""
-        self._node.host.give_up_all(self._node.clock.now())
-        self._node.clients.end_all()
+        self._node.host.fail_all(self._node.clock.now())
+        self._node.clients.close_all()
 
     def _end(self) -> None:
         node = self._node
--- a/hookpitch/net/loop_monitor.py
+++ b/hookpitch/net/loop_monitor.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 
-from hookpitch.core.admission import AWAY
 from hookpitch.core.host import Host
 from hookpitch.net.clock import Clock
 
@@ -23,11 +22,11 @@
         self._schedule()
 
     def reconfigured(self) -> None:
-        """Take the settings' latency objective: being late by a multiple of it is a stall."""
-        self._clock.late_threshold_ms = AWAY * self._host.admission.aim
+        """Take the delay from which on being late is a stall from the settings."""
+        self._clock.late_threshold_ms = self._host.admission.pause_threshold_ms
 
     def _schedule(self) -> None:
-        due = self._clock.now() + self._host.admission.window
+        due = self._clock.now() + self._host.admission.window_ms
         self._clock.deadlines.add(due, lambda now: self._end_window(now, now - due))
 
     def _end_window(self, now: float, late_ms: float) -> None:
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -16,7 +16,7 @@
 from hookpitch.core.host import Host
 from hookpitch.net.admin import AdminServer
 from hookpitch.net.backend_pools import BackendPools
-from hookpitch.net.clients import Clients
+from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import Discovery
 from hookpitch.net.hot_restart import HotRestart, ProcessCapacity
@@ -54,7 +54,7 @@
         memory = MemoryBudgets.of(config)
         self.host = Host(clock.now(), config.deployment, clock.deadlines, counters, logger)
         self.pools = BackendPools(reactor, clock, self.host, descriptors.backends, OriginConnection)
-        self.clients = Clients(
+        self.clients = ClientRegistry(
             self.host,
             clock,
             descriptors.idle_clients,
@@ -62,7 +62,7 @@
             descriptors.clients,
             descriptors.rejected_clients,
         )
-        self.host.value_budget.most = memory.value_bytes
+        self.host.value_budget.limit = memory.value_bytes
         self.loop_monitor = LoopMonitor(clock, self.host, cpu_time)
         self.discovery = Discovery(
             reactor,
@@ -101,5 +101,5 @@
         self, version: int, endpoints: list[Endpoint], addresses: Mapping[str, str]
     ) -> None:
         """Serve by these endpoints until discovery sends a list; `addresses` by endpoint id."""
-        self.discovery.seq = version
+        self.discovery.version = version
         self.host.update_endpoints(self.clock.now(), EndpointUpdate.CACHED, endpoints, addresses)
--- a/hookpitch/net/node_config.py
+++ b/hookpitch/net/node_config.py
@@ -17,7 +17,7 @@
 from hookpitch.balancer.deployment import deployment
 from hookpitch.balancer.interface import Deployment, Endpoint
 from hookpitch.net.config_error import ConfigError
-from hookpitch.net.discovery import read
+from hookpitch.net.endpoint_list import parse_endpoint_list
 
 Address = tuple[str, int]
 
@@ -73,7 +73,7 @@
         raise ConfigError("limits is no JSON object")
     settings = _deployment(seed, document.get("settings"))
     known = document.get("known")
-    version, _, endpoints, addresses = read(
+    version, _, endpoints, addresses = parse_endpoint_list(
         NO_ENDPOINTS if known is None else known, settings.kinds
     )
     name = _required(document, environment, "name")
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from hookpitch.core.host import Host
-from hookpitch.net.clients import Clients
+from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.clock import Clock
 from hookpitch.net.hot_restart import HotRestart
 from hookpitch.net.lifecycle import Lifecycle, Membership, State
@@ -28,7 +28,7 @@
 
     clock: Clock
     host: Host
-    clients: Clients
+    clients: ClientRegistry
     lifecycle: Lifecycle
     startup_monitor: StartupMonitor
     hot_restart: HotRestart
@@ -55,7 +55,7 @@
             return "draining"
         if state is State.STARTING:
             return "starting"
-        if not self._node.host.router.servers:
+        if not self._node.host.router.backends:
             return "no list of servers yet"
         return ""
 
@@ -72,7 +72,7 @@
         return [
             *by_method,
             ("upstream_requests", counts.get("upstream_requests", 0)),
-            ("pending", host.open),
+            ("pending", host.pending_rpcs),
             ("members", members),
             ("members_unavailable", unavailable),
             ("config_reloads", counts.get("config_reloads", 0)),
@@ -147,7 +147,7 @@
             return
         self._log(command)
         self.draining = draining
-        node.clients.paused = draining
+        node.clients.reports_draining = draining
         self._drain_changes += 1
         if draining:
             change = self._drain_changes
--- a/hookpitch/net/reload.py
+++ b/hookpitch/net/reload.py
@@ -56,7 +56,7 @@
             _apply_deployment(node, config.deployment)
     host, port = config.discovery_address
     node.logger.info("reloaded", discovery=f"{host}:{port}", changed=",".join(changed) or "nothing")
-    node.discovery.move(config.discovery_address, not LIST_SETTINGS.isdisjoint(changed))
+    node.discovery.change_address(config.discovery_address, not LIST_SETTINGS.isdisjoint(changed))
 
 
 def changed_settings(before: Deployment, after: Deployment) -> list[str]:
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -9,7 +9,7 @@
 A snapshot is written to a file beside the old one, forced to the disk, and renamed over it: a
 reader sees the old or the new one, complete. A thread of its own writes, as a disk that stalls must
 not stop RPCs. What cannot be read is logged once, and left until the next write. Invariants: at
-most one write is under way; a file has at most `BYTES_MOST` bytes after its head.
+most one write is under way; a file has at most `MAX_BYTES` bytes after its head.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from urllib.parse import quote
 
 from hookpitch.balancer.interface import Endpoint
-from hookpitch.core.chance import draws
 from hookpitch.core.host import Host
+from hookpitch.core.seeded_random import seeded_random
 from hookpitch.net.backend_pools import BackendPools
 from hookpitch.net.clock import Clock
 from hookpitch.net.config_error import ConfigError
@@ -100,9 +100,9 @@
 
 def load_snapshot(path: str) -> Snapshot:
     """Read and check a file. Raises ValueError with one line where it holds no snapshot."""
-    from hookpitch.startup.snapshot_format import BYTES_MOST, HEAD, read
+    from hookpitch.startup.snapshot_format import HEAD, MAX_BYTES, decode
 
-    max_bytes = BYTES_MOST + HEAD.size
+    max_bytes = MAX_BYTES + HEAD.size
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
     except OSError as error:
@@ -118,8 +118,8 @@
     finally:
         os.close(descriptor)
     if len(data) > max_bytes:
-        raise SnapshotError(f"longer than {BYTES_MOST} bytes")
-    return read(data)
+        raise SnapshotError(f"longer than {MAX_BYTES} bytes")
+    return decode(data)
 
 
 def replace_file(path: str, data: bytes) -> None:
@@ -204,7 +204,7 @@
         self.path = settings.path.replace("{name}", quote(node.config.name, safe=""))
         self.writing = False
         self._failing = False  # whether the last write failed
-        self._random = draws(node.config.deployment.seed, "keep")
+        self._random = seeded_random(node.config.deployment.seed, "keep")
 
     def restore(self) -> None:
         """Apply the file's snapshot; called once, after the initial endpoints and before RPCs."""
@@ -228,18 +228,18 @@
             raise SnapshotError(f"of node {snapshot.node!r} of fleet {snapshot.fleet!r}")
         if snapshot.kinds != config.deployment.kinds:
             raise SnapshotError("of a fleet with other kinds of machines")
-        age_ms = now - snapshot.written
+        age_ms = now - snapshot.written_at_ms
         if not -MAX_CLOCK_SKEW_MS <= age_ms <= self._settings.oldest_s * 1000:
             raise SnapshotError(f"{age_ms / 1000:.0f} s old")
 
     def _apply(self, snapshot: Snapshot, now: float) -> None:
-        from hookpitch.startup.snapshot_state import entries, recalled
+        from hookpitch.startup.snapshot_state import endpoints, restore
 
         node = self._node
-        endpoints, addresses = entries(snapshot)
-        if snapshot.seq > node.discovery.seq and endpoints:
-            node.apply_cached_endpoints(snapshot.seq, endpoints, addresses)
-        restored = recalled(node.host.router, now, snapshot)
+        listed, addresses = endpoints(snapshot)
+        if snapshot.version > node.discovery.version and listed:
+            node.apply_cached_endpoints(snapshot.version, listed, addresses)
+        restored = restore(node.host.router, now, snapshot)
         node.logger.info("snapshot_restored", path=self.path, summary=restored)
         node.host.counters.add("snapshot.recalled")
 
@@ -253,21 +253,21 @@
     def save(self) -> None:
         """Begin to write a snapshot, unless a write is under way or there are no endpoints: an
         empty snapshot would replace what was learned before."""
-        from hookpitch.startup.snapshot_format import write
-        from hookpitch.startup.snapshot_state import taken
+        from hookpitch.startup.snapshot_format import encode
+        from hookpitch.startup.snapshot_state import capture
 
         node = self._node
-        if self.writing or not node.host.router.servers:
+        if self.writing or not node.host.router.backends:
             return
-        snapshot = taken(
+        snapshot = capture(
             node.host.router,
             node.clock.now(),
             self._settings.fleet,
             node.config.name,
-            node.discovery.seq,
-            node.pools.dials(),
+            node.discovery.version,
+            node.pools.addresses(),
         )
-        data = write(snapshot)
+        data = encode(snapshot)
         self.writing = True
         self.run_elsewhere(lambda: replace_file(self.path, data), self._on_written)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,13 @@
 """KNOWN-RED.txt: tests that fail because of a known fault which is not fixed yet.
 
-One entry a line, four fields set apart by ` | `, in any number; blank lines and `#` lines are comments:
+One entry a line, four fields set apart by ` | `, in any number; blank lines and `#` lines are
+comments:
 
     tests/test_x.py::test_name | command and seed | what was seen | issue N
 
-The listed tests are expected to fail, strictly, and are printed. One that passes, one that names no test
-and a malformed entry fail the run. Runs on processes that could not be judged are counted and printed.
+The listed tests are expected to fail, strictly, and are printed. One that passes, one that names no
+test and a malformed entry fail the run. Runs on processes that could not be judged are counted and
+printed.
 """
 
 from __future__ import annotations
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -103,7 +103,7 @@
     s = Sockets(3)
     call(s, b"SUSPEND s1\n")
     assert (figures(s)["members"], figures(s)["members_unavailable"]) == (3, 1)
-    s.node.discovery.told(
+    s.node.discovery.list_received(
         b'{"seq":6,"whole":false,"hosts":[%s]}'
         % (str(listed_host("s2", 7002, health="terminating")).replace("'", '"').encode())
     )
@@ -118,7 +118,7 @@
     before = len(fleet.sends)
     for n in range(count):
         rpc = fleet.arrive(key=f"k{n}")
-        if rpc in fleet.open and fleet.txs[rpc]:
+        if rpc in fleet.open and fleet.attempts[rpc]:
             fleet.end(rpc, Outcome.COMPLETED)
         fleet.pass_time(5)
     return {server for _, server, _ in fleet.sends[before:]}
@@ -142,7 +142,7 @@
     fleet.listed([entry("s2")], EndpointUpdate.DELTA)
     fleet.listed([entry("s1"), entry("s3")])
     fleet.listed([entry("s1"), entry("s2"), entry("s3")])
-    assert "s2" not in asked(fleet) and fleet.router.servers["s2"].state != EndpointState.READY
+    assert "s2" not in asked(fleet) and fleet.router.backends["s2"].state != EndpointState.READY
 
 
 def test_two_bans_are_undone_by_one_call_and_the_server_comes_back_cold_and_without_strikes() -> (
@@ -150,14 +150,19 @@
 ):
     fleet = banned_fleet()
     fleet.router.set_banned(fleet.now, "s2", True)
-    b = fleet.router.servers["s2"]
-    b.failures, b.off, b.off_until, b.backoff = 3, True, fleet.now + 1e6, 1e6
+    b = fleet.router.backends["s2"]
+    b.consecutive_failures, b.ejected, b.ejected_until, b.ejection_ms = (
+        3,
+        True,
+        fleet.now + 1e6,
+        1e6,
+    )
     fleet.router.set_banned(fleet.now, "s2", False)
     assert (
         b.state == EndpointState.READY
-        and fleet.now < b.cold_until
-        and not b.off
-        and b.failures == 0
+        and fleet.now < b.warmup_until
+        and not b.ejected
+        and b.consecutive_failures == 0
     )
     assert "s2" in asked(fleet, 400)
 
@@ -168,12 +173,12 @@
     for n in range(30):
         fleet.arrive(key=f"k{n}")
     fleet.settle()
-    a = fleet.router.servers["s1"]
-    assert a.first
+    a = fleet.router.backends["s1"]
+    assert a.fresh_queue
     fleet.router.set_banned(fleet.now, "s1", True)
     fleet.settle()
-    assert not a.first and not a.again
-    assert not [rpc for rpc in fleet.router.rpcs.values() if not rpc.live and not rpc.closed]
+    assert not a.fresh_queue and not a.retry_queue
+    assert not [rpc for rpc in fleet.router.rpcs.values() if not rpc.in_flight and not rpc.closed]
 
 
 # ---- drains
@@ -280,16 +285,16 @@
 def test_two_processes_hold_what_one_may_and_the_last_gets_all_back(tmp_path: Path) -> None:
     s = Sockets(shared=str(tmp_path), sockets=384)
     s.pass_time(300)
-    servers, room = s.node.pools.most, s.node.clients.room
+    servers, room = s.node.pools.max_descriptors, s.node.clients.max_connections
     other = SharedState(str(tmp_path), "n0", s.logs.append, "2")
     other.append(Command(Verb.SUSPEND, "s1"))
     s.pass_time(250)
     assert (
         s.node.hot_restart.process_count == 2
-        and s.node.pools.most == servers // 2
-        and s.node.clients.room == room // 2
+        and s.node.pools.max_descriptors == servers // 2
+        and s.node.clients.max_connections == room // 2
     )
-    assert s.node.host.router.part == 0.5 and figures(s)["members_unavailable"] == 1
+    assert s.node.host.router.process_share == 0.5 and figures(s)["members_unavailable"] == 1
     call(s, b"PAUSE\n")
     call(s, b"RESTORE s1\n")
     assert [verb for verb, _ in other.read_new()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
@@ -297,8 +302,8 @@
     s.pass_time(250)
     assert (
         s.node.hot_restart.process_count == 1
-        and s.node.pools.most == servers
-        and s.node.host.router.part == 1.0
+        and s.node.pools.max_descriptors == servers
+        and s.node.host.router.process_share == 1.0
     )
     s.node.hot_restart.shared_state.close()
 
@@ -386,7 +391,7 @@
     for client in idle:
         client.say(b"*1\r\n$4\r\nPING\r\n")
         assert client.take() == b"+PONG\r\n"
-    s.node.clients.leave(lambda: done.append(1), 400.0)
+    s.node.clients.shut_down(lambda: done.append(1), 400.0)
     s.pass_time(100)
     assert 3 <= sum(client.ended for client in idle) <= 7
     late = next(client for client in reversed(idle) if not client.ended)
