--- a/hookpitch/cli/__init__.py
+++ b/hookpitch/cli/__init__.py
@@ -4,9 +4,10 @@
 
 import click
 
+from hookpitch.cli.check import check
 from hookpitch.cli.lab import lab
 from hookpitch.cli.members import members
-from hookpitch.cli.node import check, node
+from hookpitch.cli.node import node
 from hookpitch.cli.snapshot import snapshot
 from hookpitch.cli.standin import standin
 
--- a/hookpitch/cli/__main__.py
+++ b/hookpitch/cli/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m hookpitch.cli`."""
+
 from hookpitch.cli import main
 
 main()
--- /dev/null
+++ b/hookpitch/cli/lab/run.py
@@ -0,0 +1,138 @@
+"""`hookpitch lab run`."""
+
+from __future__ import annotations
+
+import json
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from hookpitch.cli.errors import exit_on, fail
+from hookpitch.cli.lab.files import find_experiment
+
+if TYPE_CHECKING:
+    from hookpitch.testbed.experiment import Experiment
+    from hookpitch.testbed.run import Ended
+
+MAX_LINES = 5  # printed of each kind of finding
+EXIT_BROKEN = 1
+EXIT_VOID = 3
+
+
+@click.command()
+@click.argument("names", nargs=-1, required=True)
+@click.option(
+    "--clock", type=click.Choice(["virtual", "wall"]), default="virtual", show_default=True
+)
+@click.option("--seed", type=int, help="In place of the file's.")
+@click.option(
+    "--json", "json_path", type=click.Path(path_type=Path), help="Write the figures there."
+)
+@click.option("--report", type=click.Path(path_type=Path), help="Write an HTML page there.")
+@click.option(
+    "--logs", type=click.Path(path_type=Path), help="Keep every process's log there (wall)."
+)
+def run(
+    names: tuple[str, ...],
+    clock: str,
+    seed: int | None,
+    json_path: Path | None,
+    report: Path | None,
+    logs: Path | None,
+) -> None:
+    """Run experiments. Exit 0: rules and expectations hold; 1: not; 2: a file is wrong, or a run
+    did not come about; 3: the rig fell behind, and nothing is judged."""
+    from hookpitch.testbed.metrics import summary
+
+    if clock == "wall" and len(names) > 1:
+        fail("one experiment at a time with --clock wall: its reactor runs once")
+    results: list[dict[str, Any]] = []
+    for name in names:
+        experiment = _load(name)
+        run_seed = experiment.seed if seed is None else seed
+        if clock == "virtual":
+            ended = _run_in_virtual_time(experiment, run_seed)
+        else:
+            ended = _run_on_processes(experiment, run_seed, logs)
+        figures = summary(ended)
+        results.append(figures)
+        _print_result(figures)
+    if json_path is not None:
+        json_path.write_text(json.dumps(results if len(results) > 1 else results[0], indent=1))
+    if report is not None:
+        from hookpitch.testbed.report import page
+
+        report.write_text("".join(page(figures) for figures in results))
+    sys.exit(_exit_code(results))
+
+
+def _load(name: str) -> Experiment:
+    from hookpitch.testbed.experiment import load
+
+    with exit_on(ValueError):
+        return load(find_experiment(name))
+
+
+def _run_in_virtual_time(experiment: Experiment, seed: int) -> Ended:
+    from hookpitch.testbed.run import Run
+
+    return Run(experiment, seed).run()
+
+
+def _run_on_processes(experiment: Experiment, seed: int, logs: Path | None) -> Ended:
+    from hookpitch.testbed.process_run import run_on_loopback
+
+    show_progress = sys.stderr.isatty()
+    with exit_on(ValueError):
+        ended = run_on_loopback(experiment, seed, logs, _progress if show_progress else None)
+    if show_progress:
+        click.echo(err=True)
+    return ended
+
+
+def _progress(text: str) -> None:
+    click.echo(f"\r{text}", err=True, nl=False)
+
+
+def _exit_code(results: list[dict[str, Any]]) -> int:
+    if any(figures["void"] for figures in results):
+        return EXIT_VOID
+    return 0 if all(_holds(figures) for figures in results) else EXIT_BROKEN
+
+
+def _holds(figures: dict[str, Any]) -> bool:
+    """Whether no rule was broken, nothing raised, and every expectation holds."""
+    return (
+        not figures["broken"]
+        and not figures["programs"]
+        and all(expected["holds"] for expected in figures["expected"])
+    )
+
+
+def _print_result(figures: dict[str, Any]) -> None:
+    whole = figures["whole"]
+    click.echo(
+        f"{figures['name']}: served {whole['served']:.3f}, p99 {whole['p99_ms']:.0f} ms, "
+        f"{whole['transmissions']:.2f} transmissions an RPC, {figures['rpcs']} RPCs "
+        f"in {figures['real_s']:.1f} s, "
+        f"digest {figures['digest'][:12]}"
+    )
+    for text in figures["void"]:
+        click.echo(f"  void: {text}")
+    for text in figures["programs"][:MAX_LINES]:
+        click.echo(f"  raised: {text}")
+    if figures["rig"]:
+        who, late_ms = max(figures["rig"].items(), key=lambda item: item[1])
+        click.echo(
+            f"  the rig was {late_ms:.0f} ms late at the worst ({who}); "
+            "bounds are wider by twice that"
+        )
+    for text in figures["broken"][:MAX_LINES]:
+        click.echo(f"  broken: {text}")
+    if len(figures["broken"]) > MAX_LINES:
+        click.echo(f"  and {len(figures['broken']) - MAX_LINES} more")
+    for expected in figures["expected"]:
+        verdict = "holds" if expected["holds"] else "DOES NOT HOLD"
+        click.echo(f"  {expected['text']}: {expected['figure']:g}, {verdict}")
--- a/hookpitch/cli/members.py
+++ b/hookpitch/cli/members.py
@@ -1,28 +1,31 @@
-"""`hookpitch members FILE|ADDRESS`: the fleet as one node sees it, asked at its door for operators."""  # noqa: E501
+"""`hookpitch members FILE|ADDRESS`: the members of the fleet as one node sees them."""
 
 from __future__ import annotations
 
 import json
 import socket
-import sys
 from pathlib import Path
 
 import click
 
-WAIT_S = 3.0
+from hookpitch.cli.errors import exit_on, fail
 
+TIMEOUT_S = 3.0
+RECEIVE_BYTES = 65536
+END = "END"
 
-def door(file: Path) -> str:
-    """The address of the door, from a node's configuration. ValueError says in one line why there
-    is none."""
+
+def admin_address(config_file: Path) -> str:
+    """The address of the admin server in a node's configuration. Raises ValueError with one line
+    where there is none."""
     try:
-        top = json.loads(file.read_text(encoding="utf-8"))
-    except (OSError, ValueError) as fault:
-        raise ValueError(f"{file}: {getattr(fault, 'strerror', None) or fault}") from None
-    address = top.get("management") if isinstance(top, dict) else None
-    if not isinstance(address, str):
-        raise ValueError(f"{file}: names no address for operators (management)")
-    return address
+        document = json.loads(config_file.read_text(encoding="utf-8"))
+    except (OSError, ValueError) as error:
+        raise ValueError(f"{config_file}: {getattr(error, 'strerror', None) or error}") from None
+    address = document.get("management") if isinstance(document, dict) else None
+    if isinstance(address, str):
+        return address
+    raise ValueError(f"{config_file}: names no address for operators (management)")
 
 
 @click.command()
@@ -31,26 +34,25 @@
     """Print the members that a node knows of: FILE is its configuration, ADDRESS its door
     (host:port)."""
     if Path(address).is_file():
-        try:
-            address = door(Path(address))
-        except ValueError as why:
-            click.echo(str(why), err=True)
-            sys.exit(2)
+        with exit_on(ValueError):
+            address = admin_address(Path(address))
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        click.echo(f"'{address}' is no address with a port", err=True)
-        sys.exit(2)
+        fail(f"'{address}' is no address with a port")
     try:
-        with socket.create_connection((host.strip("[]"), int(port)), timeout=WAIT_S) as line:
-            line.sendall(b"MEMBERS\n")
-            data = b""
-            while part := line.recv(65536):
-                data += part
-    except OSError as fault:
-        click.echo(f"{address}: {fault}", err=True)
-        sys.exit(2)
-    said = data.decode("utf-8", "replace").rstrip("\n")
-    if not said.endswith("END"):
-        click.echo(f"{address}: {said.removeprefix('NO ') or 'no answer'}", err=True)
-        sys.exit(2)
-    click.echo(said.removesuffix("END").rstrip("\n"))
+        answer = _request_members(host.strip("[]"), int(port))
+    except OSError as error:
+        fail(f"{address}: {error}")
+    if not answer.endswith(END):
+        fail(f"{address}: {answer.removeprefix('NO ') or 'no answer'}")
+    click.echo(answer.removesuffix(END).rstrip("\n"))
+
+
+def _request_members(host: str, port: int) -> str:
+    """The admin server's answer without its line end. Raises OSError."""
+    with socket.create_connection((host, port), timeout=TIMEOUT_S) as connection:
+        connection.sendall(b"MEMBERS\n")
+        data = b""
+        while part := connection.recv(RECEIVE_BYTES):
+            data += part
+    return data.decode("utf-8", "replace").rstrip("\n")
--- a/hookpitch/cli/standin.py
+++ b/hookpitch/cli/standin.py
@@ -1,12 +1,13 @@
-"""`hookpitch standin ...`: stand-ins as processes on loopback."""
+"""`hookpitch standin fleet`: the stand-ins of an experiment as processes on loopback."""
 
 from __future__ import annotations
 
-import sys
 from pathlib import Path
 
 import click
 
+from hookpitch.cli.errors import exit_on
+
 
 @click.group()
 def standin() -> None:
@@ -17,18 +18,15 @@
 @click.argument("path", type=click.Path(path_type=Path))
 @click.option(
     "--post",
-    "post_path",
+    "node_file",
     type=click.Path(path_type=Path),
     help="Write the JSON file of a node for them.",
 )
-def fleet(path: Path, post_path: Path | None) -> None:
+def fleet(path: Path, node_file: Path | None) -> None:
     """Cache servers, the origin and discovery of an experiment's file, on loopback until they are
     ended."""
     from hookpitch.testbed.experiment import load
     from hookpitch.testbed.process_run import serve_fleet
 
-    try:
-        serve_fleet(load(path), post_path, click.echo)
-    except ValueError as fault:
-        click.echo(str(fault), err=True)
-        sys.exit(2)
+    with exit_on(ValueError):
+        serve_fleet(load(path), node_file, click.echo)
