--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -1,7 +1,8 @@
 """The admin server: an operator's connection carries one line, one answer, and ends.
 
 Invariants: at most `MAX_CALLERS` connections wait for their line at once, each for at most
-`CALL_TIMEOUT_MS` and `MAX_LINE_BYTES`; no command's cost grows with open RPCs or clients. The
+`CALL_TIMEOUT_MS` and `MAX_LINE_BYTES`; no command's cost grows with open RPCs or
+clients. The
 commands and their answers are specified on the operators' page.
 """
 
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -72,7 +72,7 @@
         return [
             *by_method,
             ("upstream_requests", counts.get("upstream_requests", 0)),
-            ("pending", host.pending_rpcs),
+            ("pending", host.rpcs.pending),
             ("members", members),
             ("members_unavailable", unavailable),
             ("config_reloads", counts.get("config_reloads", 0)),
--- a/hookpitch/net/operator_settings.py
+++ b/hookpitch/net/operator_settings.py
@@ -19,7 +19,7 @@
 # file has its section; the function raises ValueError with the name that is wrong.
 SECTION_PARSERS = {
     "snapshot": "hookpitch.net.snapshot_store:parse_settings",
-    "members": "hookpitch.members.port:settings",
+    "members": "hookpitch.members.port:parse_settings",
 }
 
 
