--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 import pytest
 from fleet import ORIGIN_PORT, Fleet, Sockets, deployment, entry, get
 from test_sockets import VALUE, serve
-from test_start import TOLD
+from test_start import NODE_FILE
 
 from hookpitch.balancer.interface import Method, Tenant
 from hookpitch.core.admission import UNLIMITED, Admission
@@ -321,7 +321,7 @@
     path = tmp_path / "node.json"
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    told = TOLD | {
+    told = NODE_FILE | {
         "listen": f"127.0.0.1:{port}",
         "discovery": "127.0.0.1:1",
         "limits": {"sockets": 64},
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators do: the door, bans, drains, and what two processes of one node share."""
+"""Operators' commands: the admin server, bans, drains, and hot restarts of a node."""
 
 import os
 import socket
@@ -14,26 +14,29 @@
 from hookpitch.net.shared_state import Command, SharedState, Verb, decode_command, encode_command
 
 
-def call(s: Sockets, text: bytes) -> bytes:
-    caller = Line(s.network, s.node.admin_server.buildProtocol(None), 0)
-    caller.say(text)
-    got = caller.take()
-    s.pass_time(0)
-    assert caller.ended and caller.protocol not in s.node.admin_server.waiting
-    return got
+def command(sockets: Sockets, line: bytes) -> bytes:
+    """The admin server's answer to bytes on a new connection, which it then closes."""
+    connection = Line(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
+    connection.say(line)
+    answer = connection.take()
+    sockets.pass_time(0)
+    assert connection.ended
+    assert connection.protocol not in sockets.node.admin_server.waiting
+    return answer
 
 
-def figures(s: Sockets) -> dict[str, int]:
-    got = call(s, b"METRICS\n").decode().splitlines()
-    assert got.pop() == "END" and all(text.startswith("svc.") for text in got)
-    return {name[4:]: int(value) for name, _, value in (text.partition("=") for text in got)}
+def metrics(sockets: Sockets) -> dict[str, int]:
+    lines = command(sockets, b"METRICS\n").decode().splitlines()
+    assert lines.pop() == "END"
+    assert all(line.startswith("svc.") for line in lines)
+    return {name[4:]: int(value) for name, _, value in (line.partition("=") for line in lines)}
 
 
-# ---- the door
+# ---- the admin server
 
 
 @pytest.mark.parametrize(
-    ("said", "answer"),
+    ("line", "answer"),
     [
         (b"STATUS\n", b"YES\n"),
         (b"STATUS\r\n", b"YES\n"),
@@ -51,63 +54,74 @@
         (b"PAUSE\nRESUME\nSTATUS\n", b"YES\n"),
     ],
 )
-def test_each_call_has_one_answer_and_the_connection_ends(said: bytes, answer: bytes) -> None:
-    assert call(Sockets(), said) == answer
+def test_each_command_has_one_answer_and_the_connection_is_closed(
+    line: bytes, answer: bytes
+) -> None:
+    assert command(Sockets(), line) == answer
 
 
 @pytest.mark.parametrize(
-    "said", [b"\n", b"status\n", b"\x00\xff\n", b"GET / HTTP/1.1\r\n", b"x" * 100_000]
+    "line", [b"\n", b"status\n", b"\x00\xff\n", b"GET / HTTP/1.1\r\n", b"x" * 100_000]
 )
-def test_what_is_no_call_is_told_so(said: bytes) -> None:
-    assert call(Sockets(), said).startswith(b"NO ")
+def test_an_unknown_command_is_refused(line: bytes) -> None:
+    assert command(Sockets(), line).startswith(b"NO ")
 
 
-def test_callers_that_say_nothing_are_bounded_and_delay_nobody() -> None:
-    s = Sockets()
-    mute = [Line(s.network, s.node.admin_server.buildProtocol(None), 0) for _ in range(MAX_CALLERS)]
+def test_silent_admin_connections_are_bounded_and_delay_no_other() -> None:
+    sockets = Sockets()
+    mute = [
+        Line(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
+        for _ in range(MAX_CALLERS)
+    ]
     mute[0].say(b"STAT")
-    assert (
-        call(s, b"STATUS\n") == b"YES\n" and s.node.admin_server.connections == MAX_CALLERS - 1
-    )  # the oldest gave way
-    while (protocol := s.node.admin_server.buildProtocol(None)) is not None:
-        Line(s.network, protocol, 0)
-    assert s.node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
-    s.pass_time(CALL_TIMEOUT_MS + 1)
-    assert s.node.admin_server.connections == 0 and not s.node.admin_server.waiting
+    assert command(sockets, b"STATUS\n") == b"YES\n"
+    assert sockets.node.admin_server.connections == MAX_CALLERS - 1
+    while (protocol := sockets.node.admin_server.buildProtocol(None)) is not None:
+        Line(sockets.network, protocol, 0)
+    assert sockets.node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
+    sockets.pass_time(CALL_TIMEOUT_MS + 1)
+    assert sockets.node.admin_server.connections == 0
+    assert not sockets.node.admin_server.waiting
 
 
-# ---- figures
+# ---- metrics
 
 
-def test_figures_count_final_answers_by_method_and_attempts_written_whole() -> None:
-    s = Sockets()
-    client = s.client()
+def test_metrics_count_final_responses_by_method_and_completely_written_attempts() -> None:
+    sockets = Sockets()
+    client = sockets.client()
     client.say(get("a"))
-    s.pass_time(1)
-    assert figures(s)["upstream_requests"] == 0  # nothing is written whole yet
-    assert s.request(7000) or s.request(7001)
-    told = figures(s)
-    assert told["pending"] == 1 and told["members"] == 2 and told["members_unavailable"] == 0
-    assert told["upstream_requests"] == 1 and told["completed.read"] == 0
-    line = next(line for port in (7000, 7001) for line in s.network.to(port))
+    sockets.pass_time(1)
+    assert metrics(sockets)["upstream_requests"] == 0  # nothing is written whole yet
+    assert sockets.request(7000) or sockets.request(7001)
+    figures = metrics(sockets)
+    assert figures["pending"] == 1
+    assert figures["members"] == 2
+    assert figures["members_unavailable"] == 0
+    assert figures["upstream_requests"] == 1
+    assert figures["completed.read"] == 0
+    line = next(line for port in (7000, 7001) for line in sockets.network.to(port))
     line.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-    told = figures(s)
-    assert told["pending"] == 0 and told["completed.read"] == 1 and client.take() == b"$1\r\nv\r\n"
+    figures = metrics(sockets)
+    assert figures["pending"] == 0
+    assert figures["completed.read"] == 1
+    assert client.take() == b"$1\r\nv\r\n"
     client.say(get("b", wait=40))
-    s.pass_time(50)
-    told = figures(s)
-    assert told["rejected.read"] + told["failed.read"] == 1 and told["pending"] == 0
+    sockets.pass_time(50)
+    figures = metrics(sockets)
+    assert figures["rejected.read"] + figures["failed.read"] == 1
+    assert figures["pending"] == 0
 
 
-def test_members_avoided_by_hand_or_by_list_are_told() -> None:
-    s = Sockets(3)
-    call(s, b"SUSPEND s1\n")
-    assert (figures(s)["members"], figures(s)["members_unavailable"]) == (3, 1)
-    s.node.discovery.list_received(
+def test_metrics_count_backends_that_are_banned_or_draining_as_unavailable() -> None:
+    sockets = Sockets(3)
+    command(sockets, b"SUSPEND s1\n")
+    assert (metrics(sockets)["members"], metrics(sockets)["members_unavailable"]) == (3, 1)
+    sockets.node.discovery.list_received(
         b'{"seq":6,"whole":false,"hosts":[%s]}'
         % (str(listed_host("s2", 7002, health="terminating")).replace("'", '"').encode())
     )
-    assert figures(s)["members_unavailable"] == 2
+    assert metrics(sockets)["members_unavailable"] == 2
 
 
 # ---- bans
@@ -133,7 +147,7 @@
     return fleet
 
 
-def test_a_ban_outlasts_whole_lists_changes_and_a_return_under_the_same_id() -> None:
+def test_a_ban_outlasts_snapshots_deltas_and_a_return_under_the_same_id() -> None:
     fleet = banned_fleet()
     assert "s2" not in asked(fleet)
     fleet.listed([entry("s1"), entry("s2", started=fleet.now), entry("s3")])
@@ -142,119 +156,129 @@
     fleet.listed([entry("s2")], EndpointUpdate.DELTA)
     fleet.listed([entry("s1"), entry("s3")])
     fleet.listed([entry("s1"), entry("s2"), entry("s3")])
-    assert "s2" not in asked(fleet) and fleet.router.backends["s2"].state != EndpointState.READY
+    assert "s2" not in asked(fleet)
+    assert fleet.router.backends["s2"].state != EndpointState.READY
 
 
-def test_two_bans_are_undone_by_one_call_and_the_server_comes_back_cold_and_without_strikes() -> (
+def test_one_restore_undoes_two_bans_and_the_backend_returns_warming_up_and_without_failures() -> (
     None
 ):
     fleet = banned_fleet()
     fleet.router.set_banned(fleet.now, "s2", True)
-    b = fleet.router.backends["s2"]
-    b.consecutive_failures, b.ejected, b.ejected_until, b.ejection_ms = (
-        3,
-        True,
-        fleet.now + 1e6,
-        1e6,
-    )
+    backend = fleet.router.backends["s2"]
+    backend.consecutive_failures = 3
+    backend.ejected = True
+    backend.ejected_until = fleet.now + 1e6
+    backend.ejection_ms = 1e6
     fleet.router.set_banned(fleet.now, "s2", False)
-    assert (
-        b.state == EndpointState.READY
-        and fleet.now < b.warmup_until
-        and not b.ejected
-        and b.consecutive_failures == 0
-    )
+    assert backend.state == EndpointState.READY
+    assert fleet.now < backend.warmup_until
+    assert not backend.ejected
+    assert backend.consecutive_failures == 0
     assert "s2" in asked(fleet, 400)
 
 
-def test_lines_before_a_banned_server_are_decided_anew_and_the_last_cache_may_be_banned() -> None:
+def test_the_queue_of_a_banned_backend_is_rerouted_and_the_last_cache_may_be_banned() -> None:
     fleet = Fleet(deployment(hedging_allowed=False))
     fleet.listed([entry("s1")])
     for n in range(30):
         fleet.arrive(key=f"k{n}")
     fleet.settle()
-    a = fleet.router.backends["s1"]
-    assert a.fresh_queue
+    backend = fleet.router.backends["s1"]
+    assert backend.fresh_queue
     fleet.router.set_banned(fleet.now, "s1", True)
     fleet.settle()
-    assert not a.fresh_queue and not a.retry_queue
+    assert not backend.fresh_queue
+    assert not backend.retry_queue
     assert not [rpc for rpc in fleet.router.rpcs.values() if not rpc.in_flight and not rpc.closed]
 
 
 # ---- drains
 
 
-def test_a_paused_node_says_no_serves_what_comes_and_closes_what_is_idle() -> None:
-    s = Sockets()
-    idle, busy, late = s.client(), s.client(), s.client()
+def test_a_draining_node_fails_health_checks_serves_requests_and_closes_idle_connections() -> None:
+    sockets = Sockets()
+    idle, busy, late = sockets.client(), sockets.client(), sockets.client()
     idle.say(b"PING\r\n".join([b"*1\r\n$4\r\n", b""]))
     assert idle.take() == b"+PONG\r\n"
     late.pending = get("b")  # stands unread in the kernel
-    assert call(s, b"PAUSE\n") == b"YES\n" and call(s, b"STATUS\n") == b"NO draining\n"
-    front = s.client()
+    assert command(sockets, b"PAUSE\n") == b"YES\n"
+    assert command(sockets, b"STATUS\n") == b"NO draining\n"
+    front = sockets.client()
     front.say(b"*1\r\n$4\r\nPING\r\n")
     assert front.take().startswith(b"-")
-    s.pass_time(400)
+    sockets.pass_time(400)
     busy.say(get("a"))  # still served
-    s.pass_time(105)
-    assert idle.ended and not busy.ended and not late.ended
-    for cache in s.network.to(7000) + s.network.to(7001):
+    sockets.pass_time(105)
+    assert idle.ended
+    assert not busy.ended
+    assert not late.ended
+    for cache in sockets.network.to(7000) + sockets.network.to(7001):
         cache.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-    s.pass_time(1)
-    assert busy.take() == late.take() == b"$1\r\nv\r\n" and busy.ended and late.ended
-    mute = s.client()
-    s.pass_time(1500)
-    assert mute.ended and s.node.lifecycle.state is State.SERVING
-    assert call(s, b"RESUME\n") == b"YES\n"
-    back = s.client()
+    sockets.pass_time(1)
+    assert busy.take() == late.take() == b"$1\r\nv\r\n"
+    assert busy.ended
+    assert late.ended
+    mute = sockets.client()
+    sockets.pass_time(1500)
+    assert mute.ended
+    assert sockets.node.lifecycle.state is State.SERVING
+    assert command(sockets, b"RESUME\n") == b"YES\n"
+    back = sockets.client()
     back.say(b"*1\r\n$4\r\nPING\r\n")
-    s.pass_time(1500)
-    assert back.take() == b"+PONG\r\n" and not back.ended and call(s, b"STATUS\n") == b"YES\n"
+    sockets.pass_time(1500)
+    assert back.take() == b"+PONG\r\n"
+    assert not back.ended
+    assert command(sockets, b"STATUS\n") == b"YES\n"
 
 
-def test_a_drain_ended_at_once_closes_nothing() -> None:
-    s = Sockets()
-    client = s.client()
+def test_a_drain_that_is_resumed_at_once_closes_nothing() -> None:
+    sockets = Sockets()
+    client = sockets.client()
     client.say(b"*1\r\n$4\r\nPING\r\n")
-    for said in (b"PAUSE\n", b"PAUSE\n", b"RESUME\n", b"RESUME\n"):
-        assert call(s, said) == b"YES\n"
-    s.pass_time(1500)
-    assert not client.ended and client.take() == b"+PONG\r\n"
+    for line in (b"PAUSE\n", b"PAUSE\n", b"RESUME\n", b"RESUME\n"):
+        assert command(sockets, line) == b"YES\n"
+    sockets.pass_time(1500)
+    assert not client.ended
+    assert client.take() == b"+PONG\r\n"
 
 
-# ---- what processes share
+# ---- hot restart
 
 
-def handover(folder: Path, told: list[str]) -> SharedState:
-    return SharedState(str(folder), "n/0", told.append)
+def shared_state(folder: Path, damage: list[str]) -> SharedState:
+    return SharedState(str(folder), "n/0", damage.append)
 
 
-def news(process: SharedState) -> list[tuple[str, str]]:
-    return [call for call in process.read_new() if call[0] != "START"]
+def new_commands(process: SharedState) -> list[Command]:
+    return [command for command in process.read_new() if command.verb is not Verb.START]
 
 
-def test_calls_are_seen_by_both_in_one_order(tmp_path: Path) -> None:
-    one, told = handover(tmp_path, []), []
+def test_both_processes_read_the_commands_in_one_order(tmp_path: Path) -> None:
+    one = shared_state(tmp_path, [])
+    damage = []
     one.append(Command(Verb.SUSPEND, "s 1/é"))
     one.append(Command(Verb.PAUSE))
     file = os.open(next(tmp_path.glob("*.calls")), os.O_RDWR | os.O_APPEND)
     os.write(file, encode_command(Command(Verb.RESTORE, "s2"))[:9])  # killed as it wrote
     one.append(Command(Verb.RESUME))
-    two = SharedState(str(tmp_path), "n/0", told.append, "2")
-    assert two.other_processes and one.find_other_processes() == ["2"]
+    two = SharedState(str(tmp_path), "n/0", damage.append, "2")
+    assert two.other_processes
+    assert one.find_other_processes() == ["2"]
     calls = [("SUSPEND", "s 1/é"), ("PAUSE", ""), ("RESUME", "")]
-    assert news(one) == calls and news(one) == []
-    assert news(two) == calls and len(told) == 1
+    assert new_commands(one) == calls
+    assert new_commands(one) == []
+    assert new_commands(two) == calls
+    assert len(damage) == 1
     two.close()
     assert one.find_other_processes() == []
     os.close(file)
 
 
 @pytest.mark.parametrize("verb", ["SUSPEND", "PAUSE"])
-def test_a_record_cut_or_changed_at_any_byte_is_none(verb: str) -> None:
-    whole = encode_command(Command(Verb(verb), "s-5be2a07c" if verb == "SUSPEND" else "")).rstrip(
-        b"\n"
-    )
+def test_a_line_cut_or_changed_at_any_byte_is_no_command(verb: str) -> None:
+    target = "s-5be2a07c" if verb == "SUSPEND" else ""
+    whole = encode_command(Command(Verb(verb), target)).rstrip(b"\n")
     assert decode_command(whole) is not None
     for n in range(len(whole)):
         assert decode_command(whole[:n]) is None
@@ -262,75 +286,75 @@
     assert decode_command(whole.replace(b"1 ", b"2 ", 1)) is None
 
 
-def test_a_file_that_grew_is_written_anew_only_where_nobody_else_reads_it(tmp_path: Path) -> None:
-    one = handover(tmp_path, [])
+def test_a_long_shared_file_is_compacted_only_while_no_other_process_reads_it(
+    tmp_path: Path,
+) -> None:
+    one = shared_state(tmp_path, [])
     for _ in range(1500):
         one.append(Command(Verb.SUSPEND, "s1"))
         one.append(Command(Verb.RESTORE, "s1"))
-    assert len(news(one)) == 3000
+    assert len(new_commands(one)) == 3000
     one.compact([Command(Verb.SUSPEND, "s2")])
     assert not list(one.read_new())
     one._read_bytes = 0
     assert list(one.read_new()) == [("SUSPEND", "s2")]
 
 
-def test_a_folder_that_cannot_be_used_is_told_and_the_node_serves(tmp_path: Path) -> None:
-    with pytest.raises(OSError):
-        handover(tmp_path / "none", [])
+def test_a_folder_that_cannot_be_used_raises_oserror(tmp_path: Path) -> None:
+    with pytest.raises(FileNotFoundError):
+        shared_state(tmp_path / "none", [])
     (tmp_path / "hookpitch-n%2F0.calls").symlink_to(tmp_path / "elsewhere")
-    with pytest.raises(OSError):
-        handover(tmp_path, [])
+    with pytest.raises(OSError, match="symbolic link"):
+        shared_state(tmp_path, [])
 
 
-def test_two_processes_hold_what_one_may_and_the_last_gets_all_back(tmp_path: Path) -> None:
-    s = Sockets(shared=str(tmp_path), sockets=384)
-    s.pass_time(300)
-    servers, room = s.node.pools.max_descriptors, s.node.clients.max_connections
-    other = SharedState(str(tmp_path), "n0", s.logs.append, "2")
+def test_two_processes_share_the_capacity_of_one_and_the_last_gets_all_of_it(
+    tmp_path: Path,
+) -> None:
+    sockets = Sockets(shared=str(tmp_path), sockets=384)
+    sockets.pass_time(300)
+    servers, room = sockets.node.pools.max_descriptors, sockets.node.clients.max_connections
+    other = SharedState(str(tmp_path), "n0", sockets.logs.append, "2")
     other.append(Command(Verb.SUSPEND, "s1"))
-    s.pass_time(250)
-    assert (
-        s.node.hot_restart.process_count == 2
-        and s.node.pools.max_descriptors == servers // 2
-        and s.node.clients.max_connections == room // 2
-    )
-    assert s.node.host.router.quotas.process_share == 0.5 and figures(s)["members_unavailable"] == 1
-    call(s, b"PAUSE\n")
-    call(s, b"RESTORE s1\n")
+    sockets.pass_time(250)
+    assert sockets.node.hot_restart.process_count == 2
+    assert sockets.node.pools.max_descriptors == servers // 2
+    assert sockets.node.clients.max_connections == room // 2
+    assert sockets.node.host.router.quotas.process_share == 0.5
+    assert metrics(sockets)["members_unavailable"] == 1
+    command(sockets, b"PAUSE\n")
+    command(sockets, b"RESTORE s1\n")
     assert [verb for verb, _ in other.read_new()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
     other.close()
-    s.pass_time(250)
-    assert (
-        s.node.hot_restart.process_count == 1
-        and s.node.pools.max_descriptors == servers
-        and s.node.host.router.quotas.process_share == 1.0
-    )
-    s.node.hot_restart.shared_state.close()
+    sockets.pass_time(250)
+    assert sockets.node.hot_restart.process_count == 1
+    assert sockets.node.pools.max_descriptors == servers
+    assert sockets.node.host.router.quotas.process_share == 1.0
+    sockets.node.hot_restart.shared_state.close()
 
 
-def test_a_process_that_starts_beside_another_has_its_bans_and_its_drain_and_one_alone_its_bans(
+def test_a_second_process_takes_over_bans_and_drain_and_one_that_starts_alone_only_bans(
     tmp_path: Path,
 ) -> None:
     other = SharedState(str(tmp_path), "n0", print, "2")
     other.append(Command(Verb.SUSPEND, "s1"))
     other.append(Command(Verb.PAUSE))
     beside = Sockets(shared=str(tmp_path))
-    assert (
-        call(beside, b"STATUS\n") == b"NO draining\n"
-        and figures(beside)["members_unavailable"] == 1
-    )
+    assert command(beside, b"STATUS\n") == b"NO draining\n"
+    assert metrics(beside)["members_unavailable"] == 1
     beside.node.hot_restart.shared_state.close()
     beside.node.hot_restart.shared_state = None
     other.close()
     alone = Sockets(shared=str(tmp_path))
-    assert call(alone, b"STATUS\n") == b"YES\n" and figures(alone)["members_unavailable"] == 1
+    assert command(alone, b"STATUS\n") == b"YES\n"
+    assert metrics(alone)["members_unavailable"] == 1
     alone.node.hot_restart.shared_state.close()
 
 
 # ---- the inherited socket
 
 
-def test_a_wrong_descriptor_is_refused_in_one_line() -> None:
+def test_a_descriptor_that_does_not_listen_at_the_address_is_refused() -> None:
     with (
         socket.socket() as held,
         socket.socket() as plain,
@@ -340,7 +364,8 @@
         held.listen()
         address = held.getsockname()
         assert check_inherited_descriptor(str(held.fileno()), address) == held.fileno()
-        assert check_inherited_descriptor(None, address) is None and held.fileno() >= 0
+        assert check_inherited_descriptor(None, address) is None
+        assert held.fileno() >= 0
         wrong = ["x", "-1", "4" * 12, "900", str(plain.fileno()), str(other.fileno())]
         for text in wrong:
             with pytest.raises(ValueError, match="inherited_fd"):
@@ -349,56 +374,60 @@
             check_inherited_descriptor(str(held.fileno()), ("127.0.0.1", 1))
 
 
-# ---- a crowd
+# ---- many connections
 
 
-def test_in_a_crowd_the_longest_silent_gives_way_and_a_slow_but_honest_head_is_kept() -> None:
-    s = Sockets(sockets=128)
-    honest, busy = s.client(), s.client()
+def test_among_many_connections_the_longest_silent_is_closed_and_a_slow_request_is_kept() -> None:
+    sockets = Sockets(sockets=128)
+    honest, busy = sockets.client(), sockets.client()
     busy.say(get("busy"))
     data, served = get("slow"), 0
     for n in range(400):
-        half = s.client()
+        half = sockets.client()
         half.say(get(f"h{n}")[: n % 40])
         if n % 24 == 0 and n < 240:  # two seconds for one head
             honest.say(data[n * len(data) // 240 : (n + 24) * len(data) // 240])
-        true = s.client()
+        true = sockets.client()
         true.say(get(f"t{n}"))
-        s.pass_time(8)
-        for cache in s.network.to(7000) + s.network.to(7001):
+        sockets.pass_time(8)
+        for cache in sockets.network.to(7000) + sockets.network.to(7001):
             if b"t%d" % n in cache.take():
                 cache.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
         served += true.take() == b"$1\r\nv\r\n"  # and it stays
-    s.pass_time(1)
-    assert served == 400 and honest.take() and s.counters.counts["rpcs.taken"] == 402
-    assert s.counters.counts.get("clients.guests", 0) == 0
+    sockets.pass_time(1)
+    assert served == 400
+    assert honest.take()
+    assert sockets.counters.counts["rpcs.taken"] == 402
+    assert sockets.counters.counts.get("clients.guests", 0) == 0
 
 
-def test_the_door_answers_in_a_crowd() -> None:
-    s = Sockets(sockets=96)
+def test_the_admin_server_answers_among_many_connections() -> None:
+    sockets = Sockets(sockets=96)
     for n in range(300):
-        s.client().say(get(f"h{n}")[:30])
-    assert call(s, b"STATUS\n") == b"YES\n" and figures(s)["pending"] == 0
+        sockets.client().say(get(f"h{n}")[:30])
+    assert command(sockets, b"STATUS\n") == b"YES\n"
+    assert metrics(sockets)["pending"] == 0
 
 
-def test_a_process_that_another_follows_closes_what_is_idle_by_turns_and_serves_what_comes() -> (
-    None
-):
-    # Danger: clients that hear of hundreds of closes at once still write to some of those
-    # connections.
-    s, done = Sockets(), []
-    idle = [s.client() for _ in range(20)]
+def test_a_replaced_process_closes_idle_connections_gradually_and_serves_requests() -> None:
+    # Clients that see hundreds of closes at once still write to some of those connections.
+    sockets = Sockets()
+    done = []
+    idle = [sockets.client() for _ in range(20)]
     for client in idle:
         client.say(b"*1\r\n$4\r\nPING\r\n")
         assert client.take() == b"+PONG\r\n"
-    s.node.clients.shut_down(lambda: done.append(1), 400.0)
-    s.pass_time(100)
+    sockets.node.clients.shut_down(lambda: done.append(1), 400.0)
+    sockets.pass_time(100)
     assert 3 <= sum(client.ended for client in idle) <= 7
     late = next(client for client in reversed(idle) if not client.ended)
     late.say(get("a"))
-    s.pass_time(350)
-    assert [client for client in idle if not client.ended] == [late] and not done
-    for cache in s.network.to(7000) + s.network.to(7001):
+    sockets.pass_time(350)
+    assert [client for client in idle if not client.ended] == [late]
+    assert not done
+    for cache in sockets.network.to(7000) + sockets.network.to(7001):
         cache.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-    s.pass_time(1)
-    assert late.take() == b"$1\r\nv\r\n" and late.ended and done
+    sockets.pass_time(1)
+    assert late.take() == b"$1\r\nv\r\n"
+    assert late.ended
+    assert done
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, read or refused in one clear line."""
+"""A node's configuration: read or refused in one line at the start, and reloaded on SIGHUP."""
 
 import json
 import random
@@ -6,6 +6,7 @@
 import socket
 import subprocess
 import sys
+from collections.abc import Callable
 from copy import deepcopy
 from functools import partial
 from pathlib import Path
@@ -16,7 +17,8 @@
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.net.node_config import NodeConfig, load_node_config, load_reloaded_config
 
-TOLD = {
+ROOT = Path(__file__).parent.parent
+NODE_FILE = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
     "discovery": "127.0.0.2:8500",
@@ -31,50 +33,58 @@
 }
 
 
-def start(folder: Path, told: object, **environment: str) -> NodeConfig:
-    path = folder / "node.json"
-    path.write_text(told if isinstance(told, str) else json.dumps(told))
-    return load_node_config({"PROXY_CONFIG": str(path)} | environment)
-
-
-def test_all_that_is_told_is_read(tmp_path: Path) -> None:
-    p = start(tmp_path, TOLD, PROXY_LISTEN="[::1]:7777")
-    assert (
-        p.name,
-        p.listen_address,
-        p.discovery_address,
-        p.descriptor_limit,
-        p.memory_mb,
-        p.endpoints_version,
-    ) == (
-        "n3",
-        ("::1", 7777),
-        ("127.0.0.2", 8500),
-        1024,
-        192,
-        41,
-    )
-    assert (
-        p.deployment.seed == 0x8C1F30D27A5BE964
-        and p.deployment.polling_required
-        and p.deployment.origin_kind == 1
-    )
-    assert (
-        p.deployment.connect_timeout_ms == 250.0
-        and p.deployment.connection_idle_timeout_ms == 60000.0
-    )
-    (e,) = p.initial_endpoints
-    assert (e.id, e.kind, e.cell, e.started_ms, p.addresses) == (
-        "s0",
-        0,
-        3,
-        1.7e12,
-        {"s0": "127.0.0.1:7000"},
+@pytest.fixture
+def node_file(tmp_path: Path) -> Path:
+    return tmp_path / "node.json"
+
+
+def load(node_file: Path, content: object, **environment: str) -> NodeConfig:
+    node_file.write_text(content if isinstance(content, str) else json.dumps(content))
+    return load_node_config({"PROXY_CONFIG": str(node_file)} | environment)
+
+
+def run_to_its_end(**environment: str) -> subprocess.CompletedProcess[str]:
+    """A node's process that ends by itself."""
+    return subprocess.run(
+        [sys.executable, "-m", "hookpitch"],
+        env=environment,
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=60,
+        check=False,
     )
 
 
+def reloader(sockets: Sockets, node_file: Path, **environment: str) -> Callable[[], None]:
+    """What SIGHUP does."""
+    read_config = partial(load_reloaded_config, {"PROXY_CONFIG": str(node_file)} | environment)
+    return partial(sockets.node.reload, read_config)
+
+
+def test_the_file_and_the_environment_are_read(node_file: Path) -> None:
+    config = load(node_file, NODE_FILE, PROXY_LISTEN="[::1]:7777")
+    assert config.name == "n3"
+    assert config.listen_address == ("::1", 7777)
+    assert config.discovery_address == ("127.0.0.2", 8500)
+    assert config.descriptor_limit == 1024
+    assert config.memory_mb == 192
+    assert config.endpoints_version == 41
+    assert config.deployment.seed == 0x8C1F30D27A5BE964
+    assert config.deployment.polling_required
+    assert config.deployment.origin_kind == 1
+    assert config.deployment.connect_timeout_ms == 250.0
+    assert config.deployment.connection_idle_timeout_ms == 60000.0
+    (endpoint,) = config.initial_endpoints
+    assert endpoint.id == "s0"
+    assert endpoint.kind == 0
+    assert endpoint.cell == 3
+    assert endpoint.started_ms == 1.7e12
+    assert config.addresses == {"s0": "127.0.0.1:7000"}
+
+
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "named"),
     [
         (["listen"], "6379", "listen"),
         (["listen"], None, "listen"),
@@ -94,25 +104,28 @@
         ([], "[1]", "node.json"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path: Path, path: list[str], value: object, said: str) -> None:
-    told: object = deepcopy(TOLD)
+def test_a_wrong_value_is_refused_by_name(
+    node_file: Path, path: list[str], value: object, named: str
+) -> None:
+    content: object = deepcopy(NODE_FILE)
     if path:
-        table = told
+        table = content
         for name in path[:-1]:
             table = table[name]
         table[path[-1]] = value
     else:
-        told = value
-    with pytest.raises(ValueError, match=said) as fault:
-        start(tmp_path, told)
-    assert "\n" not in str(fault.value)
+        content = value
+    with pytest.raises(ValueError, match=named) as error:
+        load(node_file, content)
+    assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_whatever_stands_there_is_read_or_refused(tmp_path: Path, seed: int) -> None:
-    rng, told = random.Random(seed), deepcopy(TOLD)
+def test_a_randomly_changed_file_is_read_or_refused_in_one_line(node_file: Path, seed: int) -> None:
+    rng = random.Random(seed)
+    content = deepcopy(NODE_FILE)
     for _ in range(3):
-        table = told
+        table = content
         while True:
             key = rng.choice(sorted(table) if isinstance(table, dict) else range(len(table)))
             if not isinstance(table[key], dict | list) or not table[key] or rng.random() < 0.3:
@@ -120,102 +133,95 @@
                 break
             table = table[key]
     try:
-        assert start(tmp_path, told).listen_address
-    except ValueError as fault:
-        assert "\n" not in str(fault)
+        config = load(node_file, content)
+    except ValueError as error:
+        reason = str(error)
+    else:
+        assert config.listen_address
+        return
+    assert "\n" not in reason
 
 
-def test_a_broken_configuration_ends_the_program_with_one_line_and_2(tmp_path: Path) -> None:
-    path = tmp_path / "node.json"
-    path.write_text(json.dumps(TOLD | {"settings": {}}))
-    done = subprocess.run(
-        [sys.executable, "-m", "hookpitch"],
-        env={"PROXY_CONFIG": str(path)},
-        capture_output=True,
-        text=True,
-        cwd=Path(__file__).parent.parent,
-        timeout=60,
-        check=False,
-    )
-    assert (
-        done.returncode == 2
-        and done.stderr == "hookpitch: cannot start: setting methods is missing\n"
-    )
+def test_a_wrong_configuration_ends_the_process_with_one_line_and_exit_code_2(
+    node_file: Path,
+) -> None:
+    node_file.write_text(json.dumps(NODE_FILE | {"settings": {}}))
+    ended = run_to_its_end(PROXY_CONFIG=str(node_file))
+    assert ended.returncode == 2
+    assert ended.stderr == "hookpitch: cannot start: setting methods is missing\n"
 
 
-def test_a_new_file_moves_discovery_whose_versions_may_count_anew(tmp_path: Path) -> None:
-    s, path, said = Sockets(), tmp_path / "node.json", []
-    s.info = lambda event, **values: said.append(event)
-    reload = partial(
-        s.node.reload,
-        partial(load_reloaded_config, {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "h:1"}),
-    )
+def test_a_reload_changes_the_discovery_address_and_accepts_lower_versions(node_file: Path) -> None:
+    sockets = Sockets()
+    events = []
+    sockets.info = lambda event, **fields: events.append(event)
+    reload = reloader(sockets, node_file, PROXY_DISCOVERY="h:1")
     for bad in ("{", "[1]", "{}", '{"discovery": "nowhere"}', '{"discovery": 5}'):
-        path.write_text(bad)
+        node_file.write_text(bad)
         reload()
-        assert said.pop() == "reload_failed" and not said and s.network.to(DISCOVERY), bad
-    path.write_text(json.dumps({"discovery": "127.0.0.3:8600"}))
+        assert events.pop() == "reload_failed", bad
+        assert not events, bad
+        assert sockets.network.to(DISCOVERY), bad
+    node_file.write_text(json.dumps({"discovery": "127.0.0.3:8600"}))
     reload()
-    s.pass_time(1)
-    assert not s.network.to(DISCOVERY) and b"since=0 " in (line := s.network.to(8600)[0]).take()
-    told = json.dumps({"seq": 2, "whole": True, "hosts": s.hosts[1:]}).encode() + b"\n"  # held: 5
+    sockets.pass_time(1)
+    assert not sockets.network.to(DISCOVERY)
+    assert b"since=0 " in (line := sockets.network.to(8600)[0]).take()
+    # Version 5 is held.
+    answer = json.dumps({"seq": 2, "whole": True, "hosts": sockets.hosts[1:]}).encode() + b"\n"
     line.say(
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(told), told)
-    )
-    assert (
-        s.node.discovery.version == 2
-        and s.node.host.router.backends["s0"].state == EndpointState.REMOVED
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(answer), answer)
     )
+    assert sockets.node.discovery.version == 2
+    assert sockets.node.host.router.backends["s0"].state == EndpointState.REMOVED
     reload()  # the same again: the watch goes on
-    s.pass_time(1)
-    assert s.network.to(8600) == [line]
+    sockets.pass_time(1)
+    assert sockets.network.to(8600) == [line]
     line.end()
-    s.pass_time(2000)
-    assert b"since=2 " in s.network.to(8600)[0].take()
+    sockets.pass_time(2000)
+    assert b"since=2 " in sockets.network.to(8600)[0].take()
 
 
-def test_an_operator_is_told_what_acts_what_stays_and_that_a_file_is_not_there(
-    tmp_path: Path,
+def test_a_reload_logs_changed_settings_those_that_need_a_restart_and_a_missing_file(
+    node_file: Path,
 ) -> None:
-    s, path, said = Sockets(), tmp_path / "node.json", list[tuple[str, str]]()
-    s.info = lambda event, **values: said.append(
-        (event, str(values.get("changed") or values.get("setting")))
+    sockets = Sockets()
+    events: list[tuple[str, str]] = []
+    sockets.info = lambda event, **fields: events.append(
+        (event, str(fields.get("changed") or fields.get("setting")))
     )
-    reload = partial(s.node.reload, partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
-    told = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": deepcopy(SETTINGS)}
+    reload = reloader(sockets, node_file)
+    content = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": deepcopy(SETTINGS)}
     reload()
-    assert [event for event, _ in said] == ["reload_failed"]
-    assert (
-        s.counters.counts["config_reload_errors"] == 1 and "config_changes" not in s.counters.counts
+    assert [event for event, _ in events] == ["reload_failed"]
+    assert sockets.counters.counts["config_reload_errors"] == 1
+    assert "config_changes" not in sockets.counters.counts
+    content["settings"]["limits"]["second_copies"] = True
+    node_file.write_text(
+        json.dumps(content | {"seed": 9, "listen": "127.0.0.1:1", "name": "other"})
     )
-    told["settings"]["limits"]["second_copies"] = True
-    path.write_text(json.dumps(told | {"seed": 9, "listen": "127.0.0.1:1", "name": "other"}))
-    said.clear()
+    events.clear()
     reload()
-    stays = [what for event, what in said if event == "change_requires_restart"]
-    assert sorted(stays) == ["listen", "name", "seed"] and said[-1] == (
-        "reloaded",
-        "hedging_allowed",
-    )
-    assert (
-        s.node.host.deployment.seed == s.config.deployment.seed
-        and s.node.config.listen_address[1] == 6379
-    )
+    ignored = [name for event, name in events if event == "change_requires_restart"]
+    assert sorted(ignored) == ["listen", "name", "seed"]
+    assert events[-1] == ("reloaded", "hedging_allowed")
+    assert sockets.node.host.deployment.seed == sockets.config.deployment.seed
+    assert sockets.node.config.listen_address[1] == 6379
     reload()
-    assert said[-1] == ("reloaded", "nothing") and s.counters.counts["config_changes"] == 1
+    assert events[-1] == ("reloaded", "nothing")
+    assert sockets.counters.counts["config_changes"] == 1
 
 
-def test_a_node_survives_sighup_and_leaves_on_sigterm(tmp_path: Path) -> None:
-    path = tmp_path / "node.json"
+def test_sighup_reloads_the_process_and_sigterm_shuts_it_down(node_file: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
-    path.write_text(json.dumps(TOLD | {"listen": listen, "discovery": "127.0.0.1:1"}))
+    node_file.write_text(json.dumps(NODE_FILE | {"listen": listen, "discovery": "127.0.0.1:1"}))
     node = subprocess.Popen(
         [sys.executable, "-m", "hookpitch"],
-        env={"PROXY_CONFIG": str(path)},
+        env={"PROXY_CONFIG": str(node_file)},
         stderr=subprocess.PIPE,
         text=True,
-        cwd=Path(__file__).parent.parent,
+        cwd=ROOT,
     )
     try:
         for event, number in (
@@ -231,44 +237,36 @@
         node.stderr.close()
 
 
-def test_the_operators_file_is_checked_whole_at_the_start(tmp_path: Path) -> None:
-    path, own = tmp_path / "node.json", tmp_path / "node.toml"
-    path.write_text(json.dumps(TOLD))
-    own.write_text("[gatewya]\n")
-    done = subprocess.run(
-        [sys.executable, "-m", "hookpitch"],
-        env={"PROXY_CONFIG": str(path), "HOOKPITCH_CONFIG": str(own)},
-        capture_output=True,
-        text=True,
-        cwd=Path(__file__).parent.parent,
-        timeout=60,
-        check=False,
-    )
-    assert (
-        done.returncode == 2
-        and done.stderr.count("\n") == 1
-        and "gatewya: no such section" in done.stderr
-    )
+def test_an_unknown_section_of_the_operators_file_ends_the_process_with_exit_code_2(
+    tmp_path: Path, node_file: Path
+) -> None:
+    operator_file = tmp_path / "node.toml"
+    node_file.write_text(json.dumps(NODE_FILE))
+    operator_file.write_text("[gatewya]\n")
+    ended = run_to_its_end(PROXY_CONFIG=str(node_file), HOOKPITCH_CONFIG=str(operator_file))
+    assert ended.returncode == 2
+    assert ended.stderr.count("\n") == 1
+    assert "gatewya: no such section" in ended.stderr
 
 
-def test_settings_are_switched_there_and_back_and_a_bad_file_changes_nothing(
-    tmp_path: Path,
+def test_reloads_switch_settings_back_and_forth_and_a_wrong_file_changes_nothing(
+    node_file: Path,
 ) -> None:
-    s, path = Sockets(), tmp_path / "node.json"
-    reload = partial(s.node.reload, partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
+    sockets = Sockets()
+    reload = reloader(sockets, node_file)
     old = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": SETTINGS}
     new = deepcopy(old)
     new["settings"]["weights"] = "live"
     new["settings"]["limits"]["second_copies"] = True
-    c = s.client()
+    client = sockets.client()
 
-    def lines() -> list[Line]:
-        return s.network.to(7000) + s.network.to(7001)
+    def connections() -> list[Line]:
+        return sockets.network.to(7000) + sockets.network.to(7001)
 
-    for step, told in enumerate((new, "{", old, new)):
-        c.say(get(f"r{step}"))
-        s.pass_time(1)
-        if told == "{":
+    for step, content in enumerate((new, "{", old, new)):
+        client.say(get(f"r{step}"))
+        sockets.pass_time(1)
+        if content == "{":
             wrong = (
                 {"weights": "x"},
                 {"overage_gain": -1},
@@ -276,22 +274,22 @@
                 {"methods": []},
             )
             for value in ({}, 7, *(SETTINGS | change for change in wrong)):
-                path.write_text(json.dumps(old | {"settings": value}))
+                node_file.write_text(json.dumps(old | {"settings": value}))
                 reload()
-                assert (
-                    s.logs[-1] == "reload_failed" and s.node.host.router.retries.hedging_allowed
-                ), value
+                assert sockets.logs[-1] == "reload_failed", value
+                assert sockets.node.host.router.retries.hedging_allowed, value
         else:
-            path.write_text(json.dumps(told))
+            node_file.write_text(json.dumps(content))
             reload()
-            assert s.node.host.router.retries.hedging_allowed == (told is new)
-            assert (s.node.host.router.endpoints.nominal_sizes is not None) == (told is new)
-        asked = [data.split(b"\r\n")[6] for line in lines() if (data := line.take())]
+            assert sockets.node.host.router.retries.hedging_allowed == (content is new)
+            assert (sockets.node.host.router.endpoints.nominal_sizes is not None) == (
+                content is new
+            )
+        asked = [data.split(b"\r\n")[6] for line in connections() if (data := line.take())]
         assert asked == [b"r%d" % step]  # sent once, and not again
-        for line in lines():
+        for line in connections():
             line.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\noutstanding=1\r\n")
-        s.pass_time(1)
-        assert c.take() == b"$1\r\nv\r\n"
-    assert (
-        s.counters.counts["config_changes"] == 3 and s.counters.counts["config_reload_errors"] == 6
-    )
+        sockets.pass_time(1)
+        assert client.take() == b"$1\r\nv\r\n"
+    assert sockets.counters.counts["config_changes"] == 3
+    assert sockets.counters.counts["config_reload_errors"] == 6
