--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -109,7 +109,7 @@
             r.signal(number)
         r.go_on()
         r.log("reloaded")
-        r.log("leaving")
+        r.log("graceful_shutdown_started")
         line.say(VALUE)
         assert client.value() == b"v" and client.ended() == "fin"
         assert r.left() == 0
@@ -123,7 +123,7 @@
         client, line = asked(r, "read")
         r.path.write_text(text)
         r.signal(signal.SIGHUP)
-        r.log("not reloaded")
+        r.log("reload_failed")
         line.say(VALUE)
         assert client.value() == b"v" and r.count("config_reload_errors") == 1
 
