--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -20,12 +20,11 @@
 from hookpitch.members.endpoint_exchange import (
     MAX_CHUNKS_PER_S,
     MAX_LIST_AGE_MS,
-    MAX_LIST_BYTES,
     EndpointExchange,
     ListStatus,
     ReceivedList,
-    list_digest,
 )
+from hookpitch.members.list_chunks import MAX_LIST_BYTES, list_digest
 from hookpitch.members.messages import Message, MessageKind
 
 A, B, C = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
