--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -53,7 +53,7 @@
     return calls, listed
 
 
-def test_draws_of_neighbouring_seeds_come_evenly() -> None:
+def test_random_draws_of_neighbouring_seeds_are_evenly_distributed() -> None:
     for n in (1, 2, 7):  # the first draw, the second, the seventh, of 300 nodes
         of = [seeded_random(seed, "ask") for seed in range(1000, 1300)]
         values = [[d() for _ in range(n)][-1] for d in of]
@@ -62,14 +62,16 @@
 
 
 @pytest.mark.parametrize("count", [1, 10, 60, 300, 1000])
-def test_a_start_of_any_size_is_spread_and_the_last_list_comes_in_time(count: int) -> None:
+def test_polls_of_a_fleet_that_starts_are_spread_and_every_node_has_a_list_in_time(
+    count: int,
+) -> None:
     takes = max(2.0, count / 15)  # a fifteenth of the fleet a second
     calls, listed = played(fleet(count), takes, 60000, {})
     assert max(calls.values()) <= max(8, 0.4 * count)
     assert max(listed) <= 45000.0
 
 
-def test_watches_that_are_lost_together_are_asked_for_over_a_span() -> None:
+def test_watches_that_are_lost_together_are_reopened_over_a_span() -> None:
     nodes = fleet(300)
     for a in nodes:
         a.endpoints_received()
@@ -86,7 +88,7 @@
     )  # a second at least is left for the answer
 
 
-def test_nodes_that_were_all_stopped_draw_anew_as_they_go_on() -> None:
+def test_nodes_that_were_all_suspended_draw_another_poll_time_as_they_resume() -> None:
     nodes = fleet(300)
     late = [a for a in nodes if a.due_at < 2000.0]
     at = []
@@ -97,9 +99,7 @@
     assert len(late) > 60 and max(at) - min(at) > 1000.0
 
 
-def test_where_the_list_of_before_serves_nobody_the_first_call_comes_sooner_and_not_together() -> (
-    None
-):
+def test_where_no_cached_endpoint_answers_the_first_polls_come_sooner_and_stay_spread() -> None:
     few, many = fleet(12), fleet(300)
     assert sum(a.expedite(300.0) for a in few) > 6 and max(a.due_at for a in few) <= 300 + 12 * 50
     for a in many:
@@ -109,13 +109,13 @@
     assert max(calls.values()) <= 110
 
 
-def test_a_lone_nodes_lost_watch_is_asked_for_at_once() -> None:
+def test_a_single_node_reopens_a_lost_watch_at_once() -> None:
     (a,) = fleet(1)
     a.endpoints_received()
     assert a.poll_failed(1000.0, WatchLoss.ENDED) <= 1000.0 + 2 * WITHIN / 40
 
 
-def test_a_node_that_is_refused_asks_less_and_within_the_rules_time() -> None:
+def test_a_refused_node_backs_off_within_the_largest_poll_gap() -> None:
     for count in (1, 6, 60, 300, 5000):
         (a, *_) = fleet(count)
         gaps, now = [], 0.0
@@ -135,7 +135,7 @@
         )  # what was learnt of discovery's trouble does not stay
 
 
-def test_a_call_that_is_not_answered_has_failed_in_time() -> None:
+def test_a_poll_without_a_response_is_repeated_after_half_the_interval() -> None:
     (a,) = fleet(1)
     a.poll_started(500.0)
     assert a.due_at == 500.0 + WITHIN / 2
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("count", [1, 6, 60, 300, 5000])
 @pytest.mark.parametrize("within", [4000.0, 10000.0, 60000.0])
-def test_a_call_that_hung_is_followed_by_another_while_the_change_is_not_told_yet(
+def test_a_poll_that_hung_is_followed_by_another_before_the_notify_limit(
     count: int, within: float
 ) -> None:
     # Danger: half of the time for asking in vain, and one and a half times that as if refused at
@@ -163,7 +163,7 @@
             )
 
 
-def test_where_lists_are_pushed_a_node_asks_at_once_and_again_at_once() -> None:
+def test_where_an_agent_pushes_lists_a_node_polls_at_once_and_again_at_once() -> None:
     # Danger: what the agent has counts as told; a drain that it had at the start was heeded seconds
     # later.
     for n in range(40):
@@ -180,7 +180,7 @@
         )  # but discovery's own word is heeded
 
 
-def test_a_fleet_that_is_refused_spreads_its_calls_over_most_of_what_the_bound_leaves() -> None:
+def test_a_refused_fleet_spreads_its_polls_over_most_of_the_poll_gap() -> None:
     nodes, at = fleet(300), []
     for a in nodes:
         for _ in range(5):
@@ -193,7 +193,7 @@
     )
 
 
-def test_when_discovery_says_when_to_come_back_it_is_heeded_within_bounds() -> None:
+def test_a_retry_after_is_respected_within_bounds() -> None:
     # What it asks for gives way to the time by which a change counts as told; all come no sooner
     # than most.
     late = MAX_POLL_GAP_MS * 2 / 3
@@ -213,7 +213,7 @@
     )
 
 
-def test_an_instance_in_the_simulator_asks_by_the_same_module() -> None:
+def test_an_instance_on_the_bench_polls_by_the_same_schedule() -> None:
     out: list[str] = []
     seat = Seat("n1", out)
     seat.poll_schedule = fleet(60)[3]
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -79,7 +79,7 @@
 STEPS = ["tick", "come", "lose", "twice", "newer", "told"]
 
 
-def test_a_list_in_many_parts_comes_whole_and_what_lacks_is_asked_for_alone() -> None:
+def test_a_list_in_many_chunks_is_completed_by_requests_for_the_missing_ones() -> None:
     p = Pair(a=(FRESH, TEXT))
     p.tick(0.0)
     p.come()  # the wish
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.2, 0.5])
-def test_lists_come_over_lossy_links_in_any_order_and_more_than_once(loss: float) -> None:
+def test_lists_survive_loss_reordering_and_duplication(loss: float) -> None:
     for seed in range(20):
         p = Pair(seed, a=(FRESH, TEXT), b=(ListStatus(9, True, True), TEXT))
         for _ in range(300):
@@ -116,7 +116,7 @@
         assert [t.document for t in p.taken] == [TEXT], seed
 
 
-def test_parts_of_two_lists_are_not_mixed_and_the_newer_goes() -> None:
+def test_chunks_of_two_lists_never_mix_and_the_newer_prevails() -> None:
     p = Pair(a=(FRESH, TEXT), b=(ListStatus(10, True, True), TEXT[::-1]))
     p.tick(0.0)
     p.come()
@@ -148,7 +148,9 @@
         (FRESH, ListStatus(10, False, False)),  # what is held is as new
     ],
 )
-def test_what_is_hearsay_or_no_newer_is_not_told(there: ListStatus, here: ListStatus) -> None:
+def test_a_list_that_is_second_hand_or_no_newer_is_not_sent(
+    there: ListStatus, here: ListStatus
+) -> None:
     p = Pair(a=(there, TEXT))
     p.held = here
     p.tick(0.0)
@@ -158,7 +160,7 @@
     assert not p.taken and "members.lists_told" not in p.counts
 
 
-def test_a_list_whose_teller_has_long_not_heard_discovery_is_not_told() -> None:
+def test_a_list_whose_holder_has_long_not_heard_discovery_is_not_sent() -> None:
     p = Pair(a=(FRESH, b"[]"))
     p.tellers[A].tick(0.0, FRESH, [])
     p.at[A] = (ListStatus(9, True, False), b"[]")
@@ -177,7 +179,7 @@
     assert not p.taken
 
 
-def test_once_discovery_has_told_nothing_is_asked_and_nothing_taken() -> None:
+def test_once_discovery_has_sent_a_list_nothing_is_requested_or_accepted() -> None:
     p = Pair(a=(FRESH, b"[]"))
     p.tick(0.0)
     p.come()
@@ -187,7 +189,7 @@
     assert not p.taken and not p.flying
 
 
-def test_a_flood_of_wishes_costs_a_bounded_part() -> None:
+def test_a_flood_of_requests_is_bounded() -> None:
     p = Pair(a=(FRESH, TEXT))
     packs = [0]
 
@@ -223,7 +225,7 @@
     )
 
 
-def test_what_is_torn_spoilt_or_unpacks_to_too_much_is_none() -> None:
+def test_a_torn_malformed_or_oversized_list_is_refused() -> None:
     bomb = zlib.compress(b"\0" * (MAX_LIST_BYTES + 1), 9)
     for message in (
         made(part=bomb[:900], whole=list_digest(bomb)),
@@ -259,7 +261,7 @@
         *(msgspec.msgpack.encode(x) for x in ((1, 2), (-1, b"", 1), (0, "", 1), (0, b"", 1 << 63))),
     ],
 )
-def test_a_wish_that_is_none_is_counted(data: bytes) -> None:
+def test_a_malformed_request_is_counted(data: bytes) -> None:
     p = Pair()
     p.tellers[A].handle_request(
         0.0, B, Message(MessageKind.LIST_REQUEST, "n9", payload=data), FRESH, lambda: TEXT
@@ -271,7 +273,7 @@
 @given(
     st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 30)), max_size=60), st.integers(0, 99)
 )
-def test_whatever_comes_versions_rise_and_lists_are_whole(
+def test_versions_rise_and_lists_are_complete_whatever_comes(
     steps: list[tuple[str, int]], seed: int
 ) -> None:
     texts = {9: TEXT, 10: TEXT[::-1]}
@@ -391,7 +393,7 @@
     return {"seq": seq, "whole": True, "hosts": hosts}
 
 
-def test_a_node_serves_by_a_members_list_and_then_asks_discovery_for_the_whole(
+def test_a_node_serves_by_a_members_list_and_then_polls_for_the_whole_one(
     tmp_path: Path,
 ) -> None:
     r, member = real(tmp_path)
@@ -421,7 +423,7 @@
 
 
 @pytest.mark.parametrize("first", ["call", "list"])
-def test_a_list_from_a_member_and_a_call_that_is_out_cross(tmp_path: Path, first: str) -> None:
+def test_a_members_list_and_a_poll_in_flight_cross(tmp_path: Path, first: str) -> None:
     r, member = real(tmp_path, first=first)
     with r:
         if (
@@ -444,7 +446,7 @@
         assert since(r) == b"0"
 
 
-def test_a_lie_lasts_no_longer_than_an_old_list_would(tmp_path: Path) -> None:
+def test_a_wrong_list_lasts_no_longer_than_an_old_one_would(tmp_path: Path) -> None:
     r, member = real(tmp_path)
     with r:
         member.wish()
@@ -460,7 +462,7 @@
         assert served(r, "r1") == 1
 
 
-def test_a_drain_that_a_member_tells_of_binds_at_once(tmp_path: Path) -> None:
+def test_a_drain_in_a_members_list_takes_effect_at_once(tmp_path: Path) -> None:
     r, member = real(tmp_path)
     r.told["known"] = {"seq": 5, "whole": True, "hosts": r.hosts}
     r.write()
@@ -473,7 +475,7 @@
         }  # its grace is for what is sent already
 
 
-def test_without_a_list_from_anybody_it_is_told_so_and_asks_on(tmp_path: Path) -> None:
+def test_a_node_without_any_list_keeps_requesting_and_answers_with_an_error(tmp_path: Path) -> None:
     r, member = real(tmp_path)
     with r:
         for _ in range(3):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 12, 60])
-def test_who_dies_is_found_and_agreed_on(count: int) -> None:
+def test_a_death_is_detected_and_agreed_on(count: int) -> None:
     net = up(count)
     net.kill(["m1"])
     first = net.until(
@@ -63,7 +63,7 @@
     assert first < 3.5 and agreed < 9.0 and deaths(net) == {"m1"}
 
 
-def test_the_log_tells_who_accused_and_by_which_path() -> None:
+def test_the_log_names_the_accuser_and_the_path_of_a_suspicion() -> None:
     net = up(8)
     net.kill(["m1"])
     net.go(10)
@@ -74,7 +74,7 @@
     assert any(", told by m" in text for text in told)  # but for what the accuser itself told
 
 
-def test_a_restart_with_a_clock_that_went_backwards_is_a_new_incarnation() -> None:
+def test_a_restart_with_a_clock_set_back_is_a_new_incarnation() -> None:
     net = up(6)
     before, old = net.members["m2"].members["m2"].record.incarnation, net.members["m2"]
     net.kill(["m2"])
@@ -98,14 +98,12 @@
     assert all(net.members[n].members["m2"].record.incarnation > before for n in net.up())
 
 
-def test_three_hundred_that_join_within_a_second_meet() -> None:
+def test_three_hundred_members_that_join_within_a_second_find_one_another() -> None:
     net = Net(300, seeds=3)
     assert net.until(net.agreed, 60, 0.5) < 30 and not deaths(net)
 
 
-def test_a_member_that_knew_a_fleet_which_has_wholly_changed_meets_the_new_one_by_its_seeds() -> (
-    None
-):
+def test_a_member_whose_fleet_was_replaced_joins_the_new_one_by_its_seeds() -> None:
     net = up(8)
     net.kill([f"m{n}" for n in range(8) if n != 5])
     net.go(1)
@@ -117,7 +115,7 @@
     assert {"m20", "m21", "m22"} <= set(net.members["m5"].alive())
 
 
-def test_a_third_killed_at_once_is_one_or_two_changes_to_a_user() -> None:
+def test_a_third_killed_at_once_is_at_most_three_versions_of_the_view() -> None:
     net = up(30)
     gone = [f"m{n}" for n in range(0, 30, 3)]
     before = {n: net.members[n].view.version for n in net.up()}
@@ -134,7 +132,7 @@
 
 
 @pytest.mark.parametrize("first", ["settling", "change"])
-def test_a_change_in_the_moment_in_which_a_view_settles_is_in_a_view(first: str) -> None:
+def test_a_change_at_the_moment_a_view_settles_is_in_a_later_view(first: str) -> None:
     net = up(4)
     m = net.members["m0"]
     dead = replace(m.members["m1"].record, state=MemberState.DEAD)
@@ -153,7 +151,7 @@
     assert m.view.members == ("m0", "m1", "m2", "m3")
 
 
-def test_after_a_long_calm_what_fails_together_is_one_change_to_a_user() -> None:
+def test_failures_close_together_after_a_long_calm_are_one_version_of_the_view() -> None:
     net = up(6)
     m, now = net.members["m0"], net.now + 60000.0
     before = m.view.version
@@ -169,7 +167,7 @@
 
 
 @pytest.mark.parametrize("seconds", [2.0, 1.0])
-def test_pauses_kill_nobody_and_a_stopped_member_accuses_no_one(seconds: float) -> None:
+def test_short_suspensions_cause_no_deaths(seconds: float) -> None:
     net = up(30)
     for n in range(10):
         net.stop([f"m{3 * n}"], seconds)
@@ -177,7 +175,7 @@
     assert not deaths(net) and net.until(net.agreed, 10) < 10
 
 
-def test_who_is_stopped_for_long_is_called_dead_and_returns_at_a_higher_incarnation() -> None:
+def test_a_long_suspension_is_a_death_and_a_return_with_a_higher_incarnation() -> None:
     net = up(20)
     before = net.members["m7"].members["m7"].record.incarnation
     net.stop(["m7"], 20.0)
@@ -189,14 +187,14 @@
 
 
 @pytest.mark.parametrize(("loss", "seconds"), [(0.05, 60), (0.2, 60)])
-def test_lost_datagrams_kill_nobody(loss: float, seconds: int) -> None:
+def test_lost_datagrams_cause_no_deaths(loss: float, seconds: int) -> None:
     net = up(40)
     net.loss = loss
     net.go(seconds)
     assert not deaths(net)
 
 
-def test_a_fifth_of_the_datagrams_lost_accuses_few_and_costs_little() -> None:
+def test_a_fifth_of_the_datagrams_lost_causes_few_suspicions_and_little_traffic() -> None:
     net = up(60)
     net.loss = 0.2
     net.go(10)
@@ -208,7 +206,7 @@
     assert (sum(net.bytes.values()) - before) / 60 / 40 < 1800
 
 
-def test_a_third_stopped_at_once_is_called_dead_by_nobody() -> None:
+def test_a_third_suspended_at_once_causes_no_deaths() -> None:
     for seed in (6, 7, 8):
         net = up(60, seed)
         net.stop([f"m{n}" for n in range(0, 60, 3)], 2.0)
@@ -216,7 +214,7 @@
         assert not deaths(net), seed
 
 
-def test_who_accuses_by_old_news_is_told_what_is_known_since() -> None:
+def test_a_sender_of_a_stale_suspicion_is_sent_the_refutation() -> None:
     net = up(6)
     m, now = net.members["m0"].members["m1"].record, net.now
     old = replace(m, incarnation=m.incarnation - 1, state=MemberState.SUSPECTED, accuser="m2")
@@ -227,7 +225,7 @@
     assert to == net.address("m2") and m in said.records
 
 
-def test_of_what_two_know_only_parts_that_differ_are_told() -> None:
+def test_a_sync_sends_only_the_partitions_that_differ() -> None:
     net = up(60)
     a, b = net.members["m0"], net.members["m1"]
     assert (
@@ -247,14 +245,14 @@
     assert sum(message.full_sync for _, message in b.outbox) == 1
 
 
-def test_one_sided_cuts_between_one_and_some_kill_nobody() -> None:
+def test_one_way_partitions_between_one_and_some_cause_no_deaths() -> None:
     net = up(20)
     net.cuts(["m3"], ["m4", "m6", "m7", "m9"], both=False)
     net.go(30)
     assert not deaths(net)
 
 
-def test_a_cut_one_way_accuses_some_times_and_then_no_more() -> None:
+def test_repeated_unconfirmed_suspicions_are_held_back() -> None:
     # m3 hears nobody but by way of m4, which hears it: all that it accuses refute, and the news
     # comes round.
     net = up(8)
@@ -268,7 +266,7 @@
     assert m.counts["accusations"] - before <= 2 * len(others) and not deaths(net)
 
 
-def test_who_was_deaf_gives_those_whom_it_suspects_their_time_anew() -> None:
+def test_an_isolated_member_restarts_its_suspicions_when_datagrams_come_again() -> None:
     for seed in range(1, 6):
         net = up(12, seed)
         others = [f"m{n}" for n in range(12) if n != 3]
@@ -280,7 +278,7 @@
         assert deaths(net) <= {"m3"} and net.members["m3"].counts["deaf"] == 1, seed
 
 
-def test_a_member_that_is_accused_from_one_place_alone_is_found_dead_by_the_others() -> None:
+def test_a_death_is_detected_by_others_where_one_holds_its_suspicions_back() -> None:
     net = up(8)
     m = net.members["m3"]
     m.members["m5"].unconfirmed_at.extend([net.now - 2000.0, net.now - 1000.0, net.now])
@@ -289,7 +287,7 @@
     assert len(net.think("m5", MemberState.DEAD)) == 7
 
 
-def test_a_rack_that_is_cut_off_says_which_part_it_sees_and_comes_back() -> None:
+def test_a_partitioned_rack_reports_its_visible_fraction_and_rejoins() -> None:
     net = up(18)
     rack, rest = [f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 18)]
     net.cuts(rack, rest)
@@ -306,7 +304,7 @@
     assert net.until(net.agreed, 60) < 40
 
 
-def test_a_restart_faster_than_detection_is_a_new_incarnation() -> None:
+def test_a_restart_faster_than_detection_raises_the_incarnation() -> None:
     net = up(12)
     before = net.members["m5"].members["m5"].record.incarnation
     net.kill(["m5"])
@@ -317,7 +315,7 @@
     assert net.members["m5"].members["m5"].record.incarnation > before
 
 
-def test_two_members_of_one_name_are_told_and_one_falls_silent() -> None:
+def test_of_two_members_with_one_name_one_falls_silent() -> None:
     net = up(6)
     net.members["m9"] = Membership(
         net.now,
@@ -336,7 +334,7 @@
     assert max(m.members["m2"].record.incarnation for m in net.members.values()) == last
 
 
-def test_a_member_that_comes_and_goes_is_held_back_and_forgiven() -> None:
+def test_a_flapping_member_is_damped_until_it_is_stable() -> None:
     net = up(8)
     for _ in range(4):
         net.stop(["m4"], 9.0)
@@ -349,7 +347,7 @@
     assert net.agreed() and all("m4" in net.members[n].view.members for n in net.up())
 
 
-def test_a_member_that_finds_no_seed_joins_when_one_is_up() -> None:
+def test_a_member_without_a_seed_joins_when_one_is_up() -> None:
     net = Net(4, seeds=1)
     net.kill(["m0"])
     net.go(8)
@@ -358,7 +356,7 @@
     assert net.until(net.agreed, 30) < 20
 
 
-def test_who_leaves_is_gone_at_once_and_nobody_calls_it_dead() -> None:
+def test_a_member_that_leaves_is_not_called_dead() -> None:
     net = up(12)
     m = net.members["m3"]
     m.leave(net.now)
@@ -368,7 +366,7 @@
     assert len(net.think("m3", MemberState.LEFT)) == 11 and not deaths(net)
 
 
-def test_a_fact_reaches_all_and_the_last_one_goes() -> None:
+def test_metadata_reaches_all_members_and_the_latest_prevails() -> None:
     net = up(12)
     net.members["m2"].set_metadata(b"first")
     net.members["m2"].set_metadata(b"second")
@@ -378,7 +376,7 @@
         net.members["m2"].set_metadata(b"x" * 65)
 
 
-def test_what_a_member_sends_does_not_grow_with_the_fleet() -> None:
+def test_a_members_traffic_does_not_grow_with_the_fleet() -> None:
     rates = []
     for count in (12, 60):
         net = up(count)
@@ -389,7 +387,7 @@
     assert max(rates) < 1000 and rates[1] < 1.6 * rates[0]
 
 
-def test_old_and_forged_news_move_nothing() -> None:
+def test_records_of_an_old_incarnation_change_nothing() -> None:
     net = up(6)
     m = net.members["m0"]
     m.members["m1"].record = Record("m1", net.address("m1"), 5, MemberState.ALIVE)
@@ -405,7 +403,7 @@
     assert set(m.members) == set(before)
 
 
-def test_forged_names_take_a_bounded_memory_and_no_members_place() -> None:
+def test_forged_names_take_bounded_memory_and_evict_no_member() -> None:
     net = up(6)
     m = net.members["m0"]
     for n in range(3 * MAX_MEMBERS):
@@ -590,7 +588,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_once_faults_have_ended_nobody_is_held_dead_and_views_become_one(count: int) -> None:
+def test_after_faults_no_one_is_held_dead_and_views_converge(count: int) -> None:
     for seed in range(12):
         walked(seed, 120, count).settle()
 
@@ -628,7 +626,7 @@
         ({(Membership, "_settle_view"): _once}, "views differ"),
     ],
 )
-def test_with_a_fault_on_purpose_the_dead_do_not_come_back_or_views_stay_apart(
+def test_an_injected_fault_keeps_members_dead_or_views_apart(
     wrong: dict[tuple[type, str], Callable], said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for (owner, method), made in wrong.items():
@@ -665,7 +663,7 @@
         ("_apply_record", _take_all, "went back|returned"),
     ],
 )
-def test_a_fault_put_in_on_purpose_breaks_an_invariant(
+def test_an_injected_fault_breaks_an_invariant(
     method: str, wrong: Callable, said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(Membership, method, wrong(getattr(Membership, method)))
@@ -677,7 +675,7 @@
 # ---- datagrams
 
 
-def test_a_datagram_is_read_as_it_was_written_and_nothing_else_is() -> None:
+def test_a_datagram_is_read_as_written_and_an_altered_one_is_refused() -> None:
     codec, rng = Codec("f"), random.Random(3)
     news = tuple(
         Record(f"m{n}", ("10.0.0.1", 7946), n, MemberState(n % 4), "m2", n, b"\x00" * n)
@@ -699,7 +697,7 @@
     assert len(codec.write(many)) <= MAX_BYTES and codec.read(codec.write(many)).records[:8] == news
 
 
-def test_what_a_later_version_adds_is_skipped_and_what_is_wrong_inside_is_refused() -> None:
+def test_later_fields_of_a_datagram_are_skipped_and_wrong_ones_refused() -> None:
     import msgspec
 
     codec = Codec("f")
@@ -740,12 +738,12 @@
         ({"listen": "h:1", "fleat": ""}, "fleat"),
     ],
 )
-def test_a_slip_in_the_section_is_told_with_its_name(table: dict, said: str) -> None:
+def test_a_wrong_setting_of_members_is_reported_with_its_name(table: dict, said: str) -> None:
     with pytest.raises(ValueError, match=said):
         parse_settings(table)
 
 
-def test_the_door_tells_of_the_members_where_the_node_is_one() -> None:
+def test_the_admin_endpoint_lists_the_members_where_the_node_is_one() -> None:
     s = Sockets(1)
     assert s.node.admin_server.answer(b"MEMBERS") == b"NO no members here"
     port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
@@ -758,7 +756,7 @@
     assert wrong.exit_code == 2 and "no address" in wrong.output
 
 
-def test_a_node_without_the_section_imports_none_of_it() -> None:
+def test_a_node_without_the_section_imports_nothing_of_members() -> None:
     code = (
         "import sys, hookpitch.__main__, hookpitch.net.node; "
         "print([m for m in sys.modules if 'members' in m or 'msgspec' in m or m.endswith('net.snapshot_store')])"  # noqa: E501
@@ -769,7 +767,7 @@
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
 
-def test_a_flood_and_foreign_datagrams_cost_a_bounded_part_and_raise_nothing() -> None:
+def test_floods_and_foreign_datagrams_are_bounded_and_raise_nothing() -> None:
     s = Sockets(1)
     port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
     for n in range(5000):
@@ -791,7 +789,7 @@
     return found, early, {words[0] for at, _, words in said if at >= 19000.0}
 
 
-def test_nodes_find_who_died_and_nobody_else_in_virtual_time() -> None:
+def test_nodes_detect_a_death_and_no_other_in_virtual_time() -> None:
     run = Run(load(FAULTS), 1)
     ended = run.run()
     assert not ended.broken and not ended.faults
@@ -808,7 +806,7 @@
     assert views == {tuple(sorted(f"n{n}" for n in range(11)))}
 
 
-def test_nodes_find_who_died_and_nobody_else_on_processes(tmp_path: Path) -> None:
+def test_nodes_detect_a_death_and_no_other_on_processes(tmp_path: Path) -> None:
     words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(FAULTS), "--clock", "wall"]
     for _ in range(2):
         done = subprocess.run(
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -59,7 +59,7 @@
 
 @settings(SAME, max_examples=150)
 @given(MESSAGES)
-def test_what_is_written_is_read_and_has_its_bounds(message: Message) -> None:
+def test_a_message_is_read_as_written_within_its_bounds(message: Message) -> None:
     data = Codec("f").write(message)
     back = Codec("f").read(data)
     assert len(data) <= MAX_BYTES
@@ -74,7 +74,7 @@
 
 @settings(SAME, max_examples=150)
 @given(MESSAGES, st.data())
-def test_a_datagram_cut_or_turned_at_any_byte_is_none(
+def test_a_datagram_truncated_or_altered_at_any_byte_is_refused(
     message: Message, data: st.DataObject
 ) -> None:
     codec = Codec("f")
@@ -89,9 +89,7 @@
 
 @settings(SAME, max_examples=200)
 @given(st.binary(max_size=200), st.data())
-def test_whatever_body_comes_is_refused_in_a_word_or_within_bounds(
-    body: bytes, data: st.DataObject
-) -> None:
+def test_any_body_is_refused_in_one_word_or_within_bounds(body: bytes, data: st.DataObject) -> None:
     codec = Codec("f")
     if data.draw(st.booleans()):  # near to a true one
         true = bytearray(codec.write(data.draw(MESSAGES))[HEAD.size :])
@@ -152,7 +150,7 @@
         self.world.settle()
 
 
-def test_after_any_order_of_events_views_become_one() -> None:
+def test_views_converge_after_any_order_of_events() -> None:
     run_state_machine_as_test(
         Settles, settings=settings(SAME, max_examples=20, stateful_step_count=40)
     )
@@ -164,7 +162,7 @@
     )
 
 
-def test_a_fault_put_in_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_injected_fault_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     right = Membership._apply_record
 
     def wrong(self: Membership, now: float, r: Record, evidence: str = "") -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -42,7 +42,7 @@
 ]
 
 
-def test_figures_tell_who_was_called_dead_when_and_whether_views_are_right() -> None:
+def test_figures_show_deaths_their_times_and_wrong_views() -> None:
     changes = said(LOGS)
     assert len(changes) == 11 and changes[0] == (100.0, "n0", "n1", "alive")
     value = lambda name, a=0.0, b=20000.0: figure(name, changes, EVENTS, a, b)  # noqa: E731
@@ -63,7 +63,7 @@
         value("served")
 
 
-def test_an_expectation_of_members_wants_members() -> None:
+def test_an_expectation_about_members_requires_members() -> None:
     text = 'name = "x-y"\nexpect = ["called_dead <= 0"]\n'
     with pytest.raises(ValueError, match="'called_dead' wants nodes.members"):
         read(text)
@@ -73,7 +73,7 @@
     )
 
 
-def test_without_members_the_same_start_serves_nothing_while_discovery_is_down() -> None:
+def test_without_members_the_same_start_serves_less_while_discovery_is_down() -> None:
     x = load(LISTS)
     nodes = msgspec.structs.replace(x.nodes, members=False)
     ended = Run(msgspec.structs.replace(x, nodes=nodes, expected=(), expect=()), 1).run()
@@ -83,7 +83,7 @@
     assert second(there) > 0.97 and second(here) < 0.85
 
 
-def test_nodes_that_start_while_discovery_is_down_live_by_members_lists_on_processes(
+def test_nodes_that_start_while_discovery_is_down_serve_by_members_lists_on_processes(
     tmp_path: Path,
 ) -> None:
     at = tmp_path / "figures.json"
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -17,7 +17,7 @@
 NOTHING = StartupProgress(False, 0, 0, 0)
 
 
-def test_each_phase_ends_by_its_condition() -> None:
+def test_each_phase_ends_when_its_condition_holds() -> None:
     s = StartupPhases(0.0)
     assert not s.advance(100.0, NOTHING)
     assert s.advance(200.0, StartupProgress(True, 0, 0, 0)) and s.phase == Phase.CONNECTING
@@ -35,7 +35,7 @@
         (StartupProgress(False, 9, 1, 1), ["unlisted", "unanswered", "unknown"]),
     ],
 )
-def test_each_phase_has_a_bound_and_says_what_it_lacked(
+def test_each_phase_has_a_timeout_and_records_what_was_missing(
     seen: StartupProgress, lacks: list[str]
 ) -> None:
     s, now, lacked = StartupPhases(0.0), 0.0, []
@@ -47,14 +47,14 @@
     assert s.phase == Phase.STEADY and lacked == lacks
 
 
-def test_phases_only_rise_one_at_a_time_also_after_a_long_stop() -> None:
+def test_phases_rise_one_at_a_time_also_after_a_long_suspension() -> None:
     s = StartupPhases(0.0)
     for phase in (1, 2, 3):
         assert s.advance(1e7, StartupProgress(True, 3, 3, 3)) and s.phase == phase
     assert not s.advance(2e7, NOTHING)
 
 
-def test_a_node_serves_from_the_first_phase_on_and_tells_of_each() -> None:
+def test_a_node_serves_from_the_first_phase_on_and_reports_each() -> None:
     s = Sockets(1)
     c = s.client()
     c.say(get("r1"))
@@ -74,7 +74,7 @@
     assert s.counters.counts["start.listed_ms"] < 1000
 
 
-def test_a_node_whose_discovery_is_silent_goes_on_and_counts_it() -> None:
+def test_a_node_whose_discovery_is_silent_moves_on_and_counts_it() -> None:
     s = Sockets(1)
     s.network.ways[DISCOVERY] = "silent"
     s.pass_time(ENDPOINTS_TIMEOUT_MS + CONNECT_TIMEOUT_MS + WARMUP_TIMEOUT_MS + 2000)
@@ -82,7 +82,7 @@
     assert s.counters.counts["start.unlisted"] == 1 and "start.unanswered" not in s.counters.counts
 
 
-def test_a_node_without_any_list_says_that_it_is_not_ready() -> None:
+def test_a_node_without_endpoints_reports_that_it_is_not_ready() -> None:
     s = Sockets(1)
     s.node.host.router.backends.clear()  # it was told none
     assert s.node.not_ready_reason() == "no list of servers yet"
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -70,7 +70,7 @@
     return f
 
 
-def test_what_was_learned_comes_back_and_fades_with_its_age() -> None:
+def test_what_was_learned_is_restored_and_decays_with_its_age() -> None:
     f = busy()
     x = decode(encode(learned(f)))
     assert x == learned(f)
@@ -88,7 +88,7 @@
     )
 
 
-def test_a_heavy_key_is_spread_from_the_first_rpc_on() -> None:
+def test_a_hot_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
     (key,) = [k for k, b in f.router.buckets.items() if b.spread_size]
     new = begun(learned(f), 500.0)
@@ -99,9 +99,7 @@
     assert not any(b.spread_size for b in begun(learned(f), 3600000.0).router.buckets.values())
 
 
-def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> (  # noqa: E501
-    None
-):
+def test_a_snapshot_never_ejects_every_backend_nor_the_only_one() -> None:
     f = fleet()
     known = tuple(
         BackendSnapshot(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0)
@@ -115,7 +113,7 @@
     assert begun(learned(f, backends=known[:2]), 100.0).router.backends["s0"].ejected
 
 
-def test_a_server_that_started_since_is_cold_whatever_the_snapshot_says() -> None:
+def test_a_backend_that_restarted_since_warms_up_whatever_the_snapshot_holds() -> None:
     f = busy()
     x = learned(f)
     fresh = [replace(e, started_ms=x.written_at_ms + 500.0) if e.id == "s1" else e for e in SERVERS]
@@ -135,7 +133,7 @@
     return msgspec.structs.replace(k, **changes)
 
 
-def test_buckets_stay_moved_while_that_is_young_and_only_to_servers_that_serve() -> None:
+def test_buckets_stay_moved_while_the_move_is_young_and_its_target_is_ready() -> None:
     f = fleet()
     b = f.router.bucket(77)
     to = next(s.id for s in f.router.caches if s is not b.primary)
@@ -153,7 +151,7 @@
     assert (77, (), ()) not in begun(x, 1000.0, gone).router.buckets
 
 
-def test_a_ban_by_hand_outlasts_the_process() -> None:
+def test_an_operators_ban_outlasts_the_process() -> None:
     f = fleet()
     f.router.set_banned(f.now, "s4", True)
     new = begun(learned(f), 60000.0)
@@ -162,7 +160,7 @@
     assert new.router.backends["s4"].state == EndpointState.READY
 
 
-def test_what_is_cut_or_turned_at_any_byte_is_never_taken() -> None:
+def test_a_snapshot_truncated_or_altered_at_any_byte_is_refused() -> None:
     data = encode(learned(busy()))
     for end in range(len(data)):
         with pytest.raises(ValueError):
@@ -177,7 +175,7 @@
         decode(data + b"x")
 
 
-def test_a_newer_version_is_told_and_unknown_fields_are_skipped() -> None:
+def test_a_newer_format_is_refused_and_unknown_fields_are_skipped() -> None:
     from hashlib import blake2b
 
     data = encode(learned(fleet()))
@@ -195,7 +193,7 @@
             )
 
 
-def test_it_is_bounded_however_much_was_learned() -> None:
+def test_a_snapshot_has_a_bounded_size_however_much_was_learned() -> None:
     many = tuple(
         BackendSnapshot(f"server-{'x' * 200}-{n}", 1e12, 9.0, 9.0, 9.0, 0, 0.0, 0.0, 0.0)
         for n in range(5000)
@@ -222,7 +220,7 @@
     return s
 
 
-def test_a_crash_at_every_byte_of_its_writing_leaves_the_old_or_the_new_one(
+def test_a_crash_at_any_byte_of_a_write_leaves_the_old_or_the_new_snapshot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "n.snapshot"
@@ -250,7 +248,7 @@
     assert snapshot_store.load_snapshot(str(path)).version == 2
 
 
-def test_a_node_recalls_what_the_process_before_it_wrote(tmp_path: Path) -> None:
+def test_a_node_restores_what_the_process_before_it_wrote(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
     s = node(path)
     assert s.counters.counts["snapshot.none"] == 1
@@ -277,7 +275,7 @@
         ("", "file"),
     ],
 )
-def test_what_is_foreign_old_torn_or_not_there_is_told_and_left_alone(
+def test_a_snapshot_that_is_foreign_old_torn_or_missing_is_reported_and_left_alone(
     tmp_path: Path, told: dict | str | None, said: str
 ) -> None:
     path = tmp_path / "n.snapshot"
@@ -303,7 +301,7 @@
     assert s.node.host.router.backends["s0"].state == EndpointState.READY
 
 
-def test_a_disk_that_fails_or_stalls_holds_up_nothing_and_is_told_once(tmp_path: Path) -> None:
+def test_a_disk_that_fails_or_stalls_blocks_nothing_and_is_reported_once(tmp_path: Path) -> None:
     s = node(tmp_path / "nowhere" / "n.snapshot", every_s=0.5)
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
@@ -315,7 +313,7 @@
     assert s.network.hasStopped  # the node ends nevertheless
 
 
-def test_no_device_or_link_is_read_in_its_place(tmp_path: Path) -> None:
+def test_no_device_or_link_is_read_as_a_snapshot(tmp_path: Path) -> None:
     target = tmp_path / "real"
     target.write_bytes(encode(learned(fleet())))
     (tmp_path / "link").symlink_to(target)
@@ -336,7 +334,7 @@
         ("[snapshot]\npath = 'x'\noldest_s = true", "oldest_s"),
     ],
 )
-def test_a_slip_in_the_operators_section_is_told_with_its_place(
+def test_a_wrong_setting_of_snapshots_is_reported_with_its_name(
     tmp_path: Path, text: str, said: str
 ) -> None:
     file = tmp_path / "node.toml"
@@ -345,7 +343,7 @@
         load_operator(file)
 
 
-def test_on_call_staff_can_read_one(tmp_path: Path) -> None:
+def test_on_call_staff_can_print_a_snapshot(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
     path.write_bytes(encode(learned(busy())))
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
@@ -357,7 +355,7 @@
     assert said.exit_code == 2 and "torn: 4 bytes" in said.output
 
 
-def test_nodes_that_are_all_restarted_know_what_they_knew() -> None:
+def test_nodes_that_all_restart_restore_their_snapshots() -> None:
     text = """name = "start-again"
 seconds = 14.0
 [nodes]
@@ -376,6 +374,6 @@
     assert sum(c.get("snapshot.recalled", 0) for c in ended.counters.values()) == 6
 
 
-def test_a_list_of_before_is_dialled_where_it_says() -> None:
+def test_the_endpoints_of_a_snapshot_keep_their_addresses() -> None:
     some, dials = endpoints(learned(fleet()))
     assert {e.id for e in some} == set(DIALS) and dials == DIALS
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -15,14 +15,14 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
-def test_a_starts_rules_and_expectations_hold(path: Path) -> None:
+def test_the_expectations_of_a_start_experiment_hold(path: Path) -> None:
     ended = Run(load(path), load(path).seed).run()
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
     assert not [(e.text, value) for e, value, holds in expected(ended) if not holds]
 
 
-def test_nodes_that_start_into_trouble_do_no_worse_than_those_that_were_there() -> None:
+def test_nodes_that_start_during_faults_serve_as_well_as_the_running_ones() -> None:
     x = load(next(f for f in FILES if f.stem == "start-into-trouble"))
     ended = Run(x, 1).run()
     starts = Counter(e.who for e in ended.history.events if e.kind == "start")
@@ -33,7 +33,7 @@
     assert served[0] >= served[1] - 0.02
 
 
-def test_what_a_start_costs_is_counted_by_second_and_by_node() -> None:
+def test_the_cost_of_a_start_is_counted_by_second_and_by_node() -> None:
     history = History()
     for at in (1000.0, 1300.0, 1999.0, 2000.0):
         history.add(at, "called", "n0", what="served")
@@ -65,7 +65,7 @@
     assert figure("steady_s", ended, rpcs, 0, 20) == 7.0
 
 
-def test_discovery_takes_what_it_is_made_for_and_refuses_the_rest() -> None:
+def test_discovery_accepts_polls_up_to_its_capacity_and_refuses_the_rest() -> None:
     text = "name = 'a-b'\nseconds = 4.0\n[nodes]\ncount = 30\n[discovery]\ncalls_per_s = 2.0"
     ended = Run(read(text), 1).run()
     how = [e.what for e in ended.history.events if e.kind == "called"]
