--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -26,8 +26,10 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from hookpitch.balancer.decisions import BUCKETS, START_CONCURRENCY_LIMIT, Backend, Router
+from hookpitch.balancer.backend import START_CONCURRENCY_LIMIT, Backend
 from hookpitch.balancer.interface import Endpoint, EndpointState
+from hookpitch.balancer.placement import BUCKETS
+from hookpitch.balancer.router import Router
 from hookpitch.startup.snapshot_format import (
     BackendSnapshot,
     EndpointSnapshot,
@@ -68,7 +70,7 @@
     return Snapshot(
         fleet=fleet,
         node=name,
-        kinds=router.kinds,
+        kinds=router.table.kind_names,
         written_at_ms=now,
         version=version,
         endpoints=tuple(
@@ -79,10 +81,10 @@
         backends=tuple(_captured_backend(backend) for backend in backends),
         moved_buckets=_captured_moves(router),
         hot_buckets=_captured_hot_buckets(router),
-        request_count=router.recent_requests,
-        work_ms=router.unit_latency_ms,
-        warm_rate_per_s=router.warm_rate,
-        max_idle_ms=min(router.idle_limit_ms, MAX_IDLE_MS),
+        request_count=router.placement.recent_requests,
+        work_ms=router.concurrency.unit_latency_ms,
+        warm_rate_per_s=router.slow_start.warm_rate,
+        max_idle_ms=min(router.idle_connections.idle_limit_ms, MAX_IDLE_MS),
         banned_ids=tuple(router.bans),
     )
 
@@ -123,7 +125,7 @@
     """Buckets that are away from their primary, the busiest first."""
     moved = [
         (bucket.rate, MovedBucket(number, kinds, zones, bucket.assigned.id))
-        for (number, kinds, zones), bucket in router.buckets.items()
+        for (number, kinds, zones), bucket in router.placement.buckets.items()
         if bucket.assigned is not None and bucket.assigned is not bucket.primary
     ]
     moved.sort(key=lambda pair: -pair[0])
@@ -134,7 +136,7 @@
     """Buckets with many requests, the most first."""
     hot = [
         HotBucket(number, kinds, zones, bucket.recent_requests)
-        for (number, kinds, zones), bucket in router.buckets.items()
+        for (number, kinds, zones), bucket in router.placement.buckets.items()
         if bucket.recent_requests >= MIN_HOT_REQUESTS
     ]
     hot.sort(key=lambda bucket: -bucket.request_count)
@@ -205,7 +207,7 @@
     young = weight > MIN_WEIGHT
     backend.latency_ms = learned.latency_ms if young else 0.0
     backend.baseline_latency_ms = learned.baseline_latency_ms if young else 0.0
-    warmup_until = min(learned.warmup_until_ms, now + router.slow_start_ms)
+    warmup_until = min(learned.warmup_until_ms, now + router.slow_start.duration_ms)
     if warmup_until > max(now, backend.warmup_until) and backend is not router.origin:
         backend.warmup_until = warmup_until
         backend.warmup_refilled_at = now
@@ -240,9 +242,9 @@
     backend.available = False
     backend.concurrency_limit = min(backend.concurrency_limit, START_CONCURRENCY_LIMIT)
     backend.consecutive_failures = learned.consecutive_failures
-    longest = MAX_EJECTION_FACTOR * router.base_ejection_ms
+    longest = MAX_EJECTION_FACTOR * router.outliers.base_ejection_ms
     backend.ejection_ms = min(
-        longest, _decayed(router.base_ejection_ms, learned.ejection_ms, weight)
+        longest, _decayed(router.outliers.base_ejection_ms, learned.ejection_ms, weight)
     )
     left = min(learned.ejected_until_ms - now, backend.ejection_ms)
     backend.ejected_until = now + left * weight
@@ -250,11 +252,13 @@
 
 def _restore_rates(router: Router, snapshot: Snapshot, weight: float) -> None:
     """Service time, warm rate and the idle time of connections."""
-    router.unit_latency_ms = snapshot.work_ms if weight > MIN_WEIGHT else 0.0
-    router.warm_rate = _decayed(router.warm_rate, snapshot.warm_rate_per_s, weight)
+    router.concurrency.unit_latency_ms = snapshot.work_ms if weight > MIN_WEIGHT else 0.0
+    router.slow_start.warm_rate = _decayed(
+        router.slow_start.warm_rate, snapshot.warm_rate_per_s, weight
+    )
     if snapshot.max_idle_ms > 0:
-        longest = max(snapshot.max_idle_ms, router.idle_limit_ms * (1 - weight))
-        router.idle_limit_ms = min(router.max_idle_ms, longest)
+        longest = max(snapshot.max_idle_ms, router.idle_connections.idle_limit_ms * (1 - weight))
+        router.idle_connections.idle_limit_ms = min(router.idle_connections.max_idle_ms, longest)
 
 
 def _is_bucket_of(router: Router, bucket: MovedBucket | HotBucket) -> bool:
@@ -268,13 +272,13 @@
     """Request counts of hot buckets, decayed; how many buckets are spread by them."""
     for hot in snapshot.hot_buckets:
         if _is_bucket_of(router, hot):
-            bucket = router.bucket(hot.number, hot.kinds, hot.zones)
+            bucket = router.placement.bucket(hot.number, hot.kinds, hot.zones)
             bucket.recent_requests += hot.request_count * weight
-    router.recent_requests += snapshot.request_count * weight
+    router.placement.recent_requests += snapshot.request_count * weight
     spread = 0
-    for bucket in list(router.buckets.values()):
+    for bucket in list(router.placement.buckets.values()):
         if bucket.recent_requests > 0:
-            router.track_hot_bucket(bucket)
+            router.placement.track_hot_bucket(bucket)
             spread += bucket.spread_size > 0
     return spread
 
@@ -290,8 +294,8 @@
             continue
         if not _is_bucket_of(router, move):
             continue
-        bucket = router.bucket(move.number, move.kinds, move.zones)
-        if router.allows(bucket, target):
+        bucket = router.placement.bucket(move.number, move.kinds, move.zones)
+        if router.placement.allows(bucket, target):
             bucket.assigned = target
             bucket.chain = None
             moved += 1
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -83,20 +83,22 @@
     now, later = begun(x, 100.0), begun(x, 3600000.0)
     assert now.router.backends["s2"].ejected and not later.router.backends["s2"].ejected
     assert (
-        now.router.unit_latency_ms == f.router.unit_latency_ms
-        and later.router.unit_latency_ms == 0.0
+        now.router.concurrency.unit_latency_ms == f.router.concurrency.unit_latency_ms
+        and later.router.concurrency.unit_latency_ms == 0.0
     )
 
 
 def test_a_hot_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
-    (key,) = [k for k, b in f.router.buckets.items() if b.spread_size]
+    (key,) = [k for k, b in f.router.placement.buckets.items() if b.spread_size]
     new = begun(learned(f), 500.0)
     assert (
-        new.router.buckets[key].spread_size > 0
-        and len(new.router.replicas(new.router.buckets[key])) > 1
+        new.router.placement.buckets[key].spread_size > 0
+        and len(new.router.placement.replicas(new.router.placement.buckets[key])) > 1
+    )
+    assert not any(
+        b.spread_size for b in begun(learned(f), 3600000.0).router.placement.buckets.values()
     )
-    assert not any(b.spread_size for b in begun(learned(f), 3600000.0).router.buckets.values())
 
 
 def test_a_snapshot_never_ejects_every_backend_nor_the_only_one() -> None:
@@ -135,7 +137,7 @@
 
 def test_buckets_stay_moved_while_the_move_is_young_and_its_target_is_ready() -> None:
     f = fleet()
-    b = f.router.bucket(77)
+    b = f.router.placement.bucket(77)
     to = next(s.id for s in f.router.caches if s is not b.primary)
     x = learned(
         f,
@@ -145,10 +147,10 @@
             MovedBucket(10**9, (), (), to),
         ),
     )
-    assert begun(x, 1000.0).router.buckets[77, (), ()].assigned.id == to
-    assert (77, (), ()) not in begun(x, 600000.0).router.buckets
+    assert begun(x, 1000.0).router.placement.buckets[77, (), ()].assigned.id == to
+    assert (77, (), ()) not in begun(x, 600000.0).router.placement.buckets
     gone = [replace(e, state=EndpointState.DRAINING) if e.id == to else e for e in SERVERS]
-    assert (77, (), ()) not in begun(x, 1000.0, gone).router.buckets
+    assert (77, (), ()) not in begun(x, 1000.0, gone).router.placement.buckets
 
 
 def test_an_operators_ban_outlasts_the_process() -> None:
