--- a/tests/peers.py
+++ b/tests/peers.py
@@ -27,7 +27,7 @@
 from types import TracebackType
 from typing import Any
 
-from fleet import SETTINGS, listed_host
+from socket_node import SETTINGS, listed_host
 
 from hookpitch.core.resp import NEED_DATA, Parser, Value
 from hookpitch.core.ring import Ring
--- /dev/null
+++ b/tests/socket_node.py
@@ -0,0 +1,143 @@
+"""A node on a network in memory, with the settings and the commands that tests use by default."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from memory_network import MemoryConnection, MemoryNetwork
+
+from hookpitch.balancer.deployment import deployment as read_deployment
+from hookpitch.balancer.interface import Deployment
+from hookpitch.core.counters import Counters
+from hookpitch.core.resp import NEED_DATA, Parser, command
+from hookpitch.core.ring import Ring
+from hookpitch.net.clock import Clock
+from hookpitch.net.endpoint_list import parse_endpoint_list
+from hookpitch.net.node import SocketNode
+from hookpitch.net.node_config import NodeConfig
+
+DISCOVERY = 8500
+ORIGIN_PORT = 8080
+
+SETTINGS = {
+    "balancers": 1,
+    "methods": [
+        {
+            "name": "read",
+            "soft_deadline_s": 0.4,
+            "hard_deadline_s": 1.0,
+            "idempotency": "retryable",
+        },
+        {"name": "once", "soft_deadline_s": 0.4, "hard_deadline_s": 1.0, "idempotency": "fragile"},
+    ],
+    "customers": [{"name": "small", "quota_per_s": 1.0}],
+    "host_types": ["std", "origin"],
+    "family_info": {"mode": "aside", "origin_kind": 1},
+    "limits": {
+        "most_transmissions": 3,
+        "cancelling": True,
+        "dial_timeout_s": 0.25,
+        "conn_idle_s": 60.0,
+    },
+    "rules": {"cold_from": 0.2, "cold_s": 20.0, "tip_after_s": 1.5, "ask_within_s": 10.0},
+    "tick_s": 0.001,
+}
+
+
+def listed_host(id: str, port: int, **changes: object) -> dict[str, object]:
+    """A server as discovery tells it."""
+    plain = {
+        "host": id,
+        "dial": f"127.0.0.1:{port}",
+        "site": "a",
+        "class": "std",
+        "block": 0,
+        "health": "in_service",
+        "share": 1.0,
+        "born_ms": 0,
+    }
+    return plain | changes
+
+
+def deployment_from(settings: dict[str, object]) -> Deployment:
+    """The deployment of a node with these settings."""
+    return read_deployment(7, settings)
+
+
+def get(id: str, key: str = "91f03b7c55d20a64", method: str = "read", wait: int = 900) -> bytes:
+    """The command that reads a key."""
+    return command(b"OBJ.GET", key.encode(), id.encode(), f"c={method},d={wait}".encode())
+
+
+class Sockets:
+    """A node with its network; caches listen on the ports from 7000 on.
+
+    `logs`: the events that the node logged. `cpu`: the CPU time that it sees, in seconds.
+    """
+
+    def __init__(self, caches: int = 2, shared: str = "", **limits: int) -> None:
+        """`limits`: `sockets` (descriptors) and `memory_mb`."""
+        self.network = MemoryNetwork()
+        self.hosts = [listed_host(f"s{i}", 7000 + i) for i in range(caches)]
+        self.hosts.append(listed_host("o1", ORIGIN_PORT, **{"class": "origin"}))
+        seq, _, entries, dials = parse_endpoint_list(
+            {"seq": 5, "whole": True, "hosts": self.hosts}, ("std", "origin")
+        )
+        self.clock = Clock(self.network, self.network.seconds, lambda: 1e9)
+        self.config = NodeConfig(
+            "n0",
+            ("127.0.0.1", 6379),
+            ("127.0.0.1", DISCOVERY),
+            limits.get("sockets", 256),
+            limits.get("memory_mb", 64),
+            replace(deployment_from(SETTINGS), polling_required=True),
+            seq,
+            tuple(entries),
+            dials,
+            ("127.0.0.1", 15000),
+            None,
+            shared,
+        )
+        self.counters = Counters()
+        self.logs: list[str] = []
+        self.cpu = 0.0
+        self.node = SocketNode(
+            self.network, self.clock, self.config, self.counters, self, lambda: self.cpu
+        )
+        self.node.start()
+        self.pass_time(0)
+
+    def info(self, event: str, **values: object) -> None:
+        """The node's logger."""
+        self.logs.append(event)
+
+    def client(self, pending: bytes = b"") -> MemoryConnection:
+        """A client that connects; `pending` stands unread in the kernel."""
+        return MemoryConnection(self.network, self.node.clients.buildProtocol(None), 0, pending)
+
+    def pass_time(self, ms: float) -> None:
+        """Let time pass, a millisecond a step."""
+        for _ in range(max(1, int(ms))):
+            self.network.advance(0.001 if ms else 0)
+            self.network.advance(0)
+
+    def pause(self, ms: float, *lines: MemoryConnection) -> None:
+        """Suspend the process; what is pending on the connections reaches it afterwards."""
+        for line in lines:
+            line.aged = ms
+        self.network.advance(ms / 1000)
+        for line in lines:
+            line.doRead()
+            line.aged = 0.0
+        self.network.advance(0)
+
+    def request(self, port: int) -> list[bytes] | None:
+        """The newest command that was written to a cache, taken off its connection."""
+        for line in self.network.to(port):
+            data = line.take()
+            if data:
+                ring = Ring()
+                ring.write(data)
+                words = Parser(ring).next_value()
+                return None if words is NEED_DATA else words
+        return None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,8 @@
 from pathlib import Path
 
 import pytest
-from fleet import ORIGIN_PORT, Fleet, Sockets, deployment, entry, get
+from fleet import Fleet, deployment, entry
+from socket_node import ORIGIN_PORT, Sockets, get
 from test_sockets import VALUE, serve
 from test_start import TOLD
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 import pytest
-from fleet import get
 from peers import MISS, VALUE, Line, Real, method
+from socket_node import get
 
 from hookpitch.core.resp import ErrorReply, SimpleString, command
 
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from fleet import get
 from peers import MISS, VALUE, Line, Real, method
+from socket_node import get
 
 from hookpitch.core.resp import ErrorReply
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 import pytest
-from fleet import get
 from peers import MISS, VALUE, Line, Real, Settings, method, tell
+from socket_node import get
 
 from hookpitch.core.resp import ErrorReply, command
 
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -9,10 +9,10 @@
 
 import msgspec
 import pytest
-from fleet import get
 from hypothesis import given
 from hypothesis import strategies as st
 from peers import VALUE, Line, Real, method, tell
+from socket_node import get
 from test_members_properties import SAME
 
 from hookpitch.core.resp import ErrorReply
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -16,7 +16,7 @@
 
 import pytest
 from click.testing import CliRunner
-from fleet import Sockets
+from socket_node import Sockets
 
 from hookpitch.cli import main
 from hookpitch.members.anti_entropy import AntiEntropy
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -5,7 +5,9 @@
 from pathlib import Path
 
 import pytest
-from fleet import Fleet, Line, Sockets, deployment, entry, get, listed_host
+from fleet import Fleet, deployment, entry
+from memory_network import MemoryConnection
+from socket_node import Sockets, get, listed_host
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, MAX_CLOSING
@@ -14,7 +16,7 @@
 
 
 def call(s: Sockets, text: bytes) -> bytes:
-    caller = Line(s.network, s.node.admin_server.buildProtocol(None), 0)
+    caller = MemoryConnection(s.network, s.node.admin_server.buildProtocol(None), 0)
     caller.say(text)
     got = caller.take()
     s.pass_time(0)
@@ -63,13 +65,16 @@
 
 def test_callers_that_say_nothing_are_bounded_and_delay_nobody() -> None:
     s = Sockets()
-    mute = [Line(s.network, s.node.admin_server.buildProtocol(None), 0) for _ in range(MAX_CALLERS)]
+    mute = [
+        MemoryConnection(s.network, s.node.admin_server.buildProtocol(None), 0)
+        for _ in range(MAX_CALLERS)
+    ]
     mute[0].say(b"STAT")
     assert (
         call(s, b"STATUS\n") == b"YES\n" and s.node.admin_server.connections == MAX_CALLERS - 1
     )  # the oldest gave way
     while (protocol := s.node.admin_server.buildProtocol(None)) is not None:
-        Line(s.network, protocol, 0)
+        MemoryConnection(s.network, protocol, 0)
     assert s.node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
     s.pass_time(CALL_TIMEOUT_MS + 1)
     assert s.node.admin_server.connections == 0 and not s.node.admin_server.waiting
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -2,7 +2,7 @@
 them."""
 
 import pytest
-from fleet import DISCOVERY, Sockets, get
+from socket_node import DISCOVERY, Sockets, get
 from test_sockets import serve, watch
 
 from hookpitch.startup.phases import (
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,9 @@
 import random
 
 import pytest
-from fleet import DISCOVERY, ORIGIN, Fleet, Storm, drawn, entry
+from fleet import ORIGIN, Fleet, drawn, entry
+from random_faults import RandomFaults
+from socket_node import DISCOVERY
 
 from hookpitch.balancer.interface import EndpointUpdate
 
@@ -40,15 +42,15 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_rules_hold_on_sockets_whatever_the_peers_do(seed: int) -> None:
-    storm = Storm(seed)
+    storm = RandomFaults(seed)
     for _ in range(500):
         storm.step()
     for line in storm.clients:
         line.reads = True
-    storm.s.pass_time(1100)
+    storm.sockets.pass_time(1100)
     storm.settle()
     assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
-    host, counts = storm.s.node.host, storm.s.counters.counts
+    host, counts = storm.sockets.node.host, storm.sockets.counters.counts
     assert not len(host.rpcs), "records outlive their RPCs"
     assert (
         not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
@@ -56,6 +58,6 @@
     held = [x for x in storm.network.lines if not x.ended] + [
         d for d in storm.network.dials if not d.over
     ]
-    assert storm.s.node.pools.descriptors_used == sum(x.port != DISCOVERY for x in held), (
+    assert storm.sockets.node.pools.descriptors_used == sum(x.port != DISCOVERY for x in held), (
         "descriptors are counted wrong"
     )
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -9,7 +9,8 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from fleet import ORIGIN, Fleet, Sockets, deployment, entry, get
+from fleet import ORIGIN, Fleet, deployment, entry
+from socket_node import Sockets, get
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from fleet import DISCOVERY, ORIGIN_PORT, Sockets, get, listed_host
+from socket_node import DISCOVERY, ORIGIN_PORT, Sockets, get, listed_host
 
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.core.resp import bulk, command
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 
 import pytest
-from fleet import DISCOVERY, SETTINGS, Line, Sockets, get, listed_host
+from memory_network import MemoryConnection
+from socket_node import DISCOVERY, SETTINGS, Sockets, get, listed_host
 
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.net.node_config import NodeConfig, load_node_config, load_reloaded_config
@@ -262,7 +263,7 @@
     new["settings"]["limits"]["second_copies"] = True
     c = s.client()
 
-    def lines() -> list[Line]:
+    def lines() -> list[MemoryConnection]:
         return s.network.to(7000) + s.network.to(7001)
 
     for step, told in enumerate((new, "{", old, new)):
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -4,7 +4,8 @@
 
 import h11
 import pytest
-from fleet import ORIGIN_PORT, Line, Sockets, get
+from memory_network import MemoryConnection
+from socket_node import ORIGIN_PORT, Sockets, get
 
 from hookpitch.core.resp import NEED_DATA, Parser, bulk, command
 from hookpitch.core.ring import Ring
@@ -16,7 +17,9 @@
 REST = b"$3\r\nhit\r\n$-1\r\n"
 
 
-def begun(sockets: Sockets | None = None, id: str = "a") -> tuple[Sockets, Line, Line]:
+def begun(
+    sockets: Sockets | None = None, id: str = "a"
+) -> tuple[Sockets, MemoryConnection, MemoryConnection]:
     """A client that asked, and the connection on which its RPC is out."""
     s = sockets or Sockets()
     client = s.client()
@@ -28,7 +31,7 @@
     return s, client, server
 
 
-def heads(server: Line, length: int = LARGE) -> None:
+def heads(server: MemoryConnection, length: int = LARGE) -> None:
     server.say(b"*3\r\n$%d\r\n" % length)
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -4,7 +4,10 @@
 from dataclasses import replace
 
 import pytest
-from fleet import ORIGIN, SETTINGS, Fleet, Line, Sockets, Storm, deployment, entry, told
+from fleet import ORIGIN, Fleet, deployment, entry
+from memory_network import MemoryConnection
+from random_faults import RandomFaults
+from socket_node import SETTINGS, Sockets, deployment_from
 
 from hookpitch.balancer.interface import EndpointUpdate, Idempotency, Method, Outcome, Tenant
 from hookpitch.net.node_config import ReloadedConfig
@@ -16,20 +19,20 @@
 BAD = ("{", "[]", "{}", '{"discovery": "127.0.0.1:1", "settings": {"methods": []}}')
 
 
-class Switching(Storm):
+class Switching(RandomFaults):
     """A storm in which the settings change back and forth; copies are allowed half of the time."""
 
-    def sent(self, line: Line, rpc: str) -> None:
-        if self.s.node.host.deployment.hedging_allowed and rpc not in self.once:
+    def sent(self, line: MemoryConnection, rpc: str) -> None:
+        if self.sockets.node.host.deployment.hedging_allowed and rpc not in self.once:
             self.out.pop(rpc, None)  # a second one beside it is in order
         super().sent(line, rpc)
 
     def step(self) -> None:
-        host = self.s.node.host
+        host = self.sockets.node.host
         if self.rng.random() < 0.06:
             back = host.deployment.hedging_allowed
             host.reconfigured(
-                self.now, replace(told(SETTINGS if back else NEW), polling_required=True)
+                self.now, replace(deployment_from(SETTINGS if back else NEW), polling_required=True)
             )
             if back:
                 for number in list(host.router.rpcs):
@@ -49,10 +52,10 @@
         storm.step()
     for line in storm.clients:
         line.reads = True
-    storm.s.pass_time(1100)
+    storm.sockets.pass_time(1100)
     storm.settle()
     assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
-    host, counts = storm.s.node.host, storm.s.counters.counts
+    host, counts = storm.sockets.node.host, storm.sockets.counters.counts
     assert not len(host.rpcs) and not host.router.rpcs, "records outlive their RPCs"
     assert (
         not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
@@ -139,7 +142,7 @@
     methods = [m | {"soft_deadline_s": 0.1} for m in SETTINGS["methods"]]
     s.node.reload(
         lambda: ReloadedConfig(
-            s.config.discovery_address, told(SETTINGS | {"methods": methods}), {}
+            s.config.discovery_address, deployment_from(SETTINGS | {"methods": methods}), {}
         )
     )
     assert s.clock.late_threshold_ms == pytest.approx(before / 4)
