--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -177,7 +177,8 @@
     asker = EndpointExchange(0.0, "n0", lambda: 0.5, counts.append)
     asker.tick(10.0, ListStatus(5, False, False), [HOLDER])
     ((to, wish),) = asker.outbox
-    assert to == HOLDER and wish.payload == WISH
+    assert to == HOLDER
+    assert wish.payload == WISH
     holder = EndpointExchange(0.0, "n2", lambda: 0.5, counts.append)
     holder.tick(100.0, ListStatus(9, True, True), [])
     holder.handle_request(
@@ -199,5 +200,7 @@
         Message(MessageKind.LIST_CHUNK, "n2", payload=PART),
         ListStatus(5, False, False),
     )
-    assert taken is not None and (taken.version, taken.source) == (9, HOLDER)
-    assert taken.age_ms == 50.0 and json.loads(taken.document)["seq"] == 9
+    assert taken is not None
+    assert (taken.version, taken.source) == (9, HOLDER)
+    assert taken.age_ms == 50.0
+    assert json.loads(taken.document)["seq"] == 9
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -1,5 +1,4 @@
-"""Lists of cache servers from another member: what is asked, told, taken; a node that lives by
-one."""
+"""Endpoint lists from another member: requests, chunks, and a node that serves by one."""
 
 import json
 import random
@@ -58,7 +57,8 @@
     def come(self, n: int = 0, keep: bool = False) -> None:
         source, to, message = self.flying[n] if keep else self.flying.pop(n)
         data = Codec("f").write(message)
-        assert len(data) <= MAX_BYTES and Codec("f").read(data) == message
+        assert len(data) <= MAX_BYTES
+        assert Codec("f").read(data) == message
         if to == C:
             taken = self.asker.handle_chunk(self.now, source, message, self.held)
             if taken is not None:
@@ -88,7 +88,8 @@
     p.all()
     p.tick()
     p.come()
-    assert len(p.flying) > 8 and not p.taken
+    assert len(p.flying) > 8
+    assert not p.taken
     p.all()
     (taken,) = p.taken
     assert (taken.version, taken.document, taken.source) == (9, TEXT, A)
@@ -126,9 +127,8 @@
     p.all()
     p.tick()
     p.all()
-    assert p.taken[-1].document == TEXT[::-1] and all(
-        t.document in (TEXT, TEXT[::-1]) for t in p.taken
-    )
+    assert p.taken[-1].document == TEXT[::-1]
+    assert all(t.document in (TEXT, TEXT[::-1]) for t in p.taken)
     # The teller's list changes between two wishes for parts: it begins anew.
     p = Pair(a=(FRESH, TEXT))
     p.tick(0.0)
@@ -157,7 +157,8 @@
     p.all()
     p.tick()
     p.all()
-    assert not p.taken and "members.lists_told" not in p.counts
+    assert not p.taken
+    assert "members.lists_told" not in p.counts
 
 
 def test_a_list_whose_holder_has_long_not_heard_discovery_is_not_sent() -> None:
@@ -186,7 +187,8 @@
     p.held = ListStatus(3, True, True)  # discovery came first
     p.all()
     p.tick(60000.0)
-    assert not p.taken and not p.flying
+    assert not p.taken
+    assert not p.flying
 
 
 def test_a_flood_of_requests_is_bounded() -> None:
@@ -202,11 +204,9 @@
     )
     for _ in range(3000):
         p.tellers[A].handle_request(5000.0, B, wish, FRESH, text)
-    assert (
-        len(p.tellers[A].outbox) == MAX_CHUNKS_PER_S
-        and packs[0] == 1
-        and p.counts["members.lists_busy"] > 2000
-    )
+    assert len(p.tellers[A].outbox) == MAX_CHUNKS_PER_S
+    assert packs[0] == 1
+    assert p.counts["members.lists_busy"] > 2000
 
 
 def made(
@@ -266,7 +266,8 @@
     p.tellers[A].handle_request(
         0.0, B, Message(MessageKind.LIST_REQUEST, "n9", payload=data), FRESH, lambda: TEXT
     )
-    assert p.counts == {"members.lists_wrong": 1} and not p.tellers[A].outbox
+    assert p.counts == {"members.lists_wrong": 1}
+    assert not p.tellers[A].outbox
 
 
 @SAME
@@ -412,7 +413,8 @@
         member.tell(told(r, 99, 1))
         tell(watch, r.change(8, 1))
         r.until(lambda: r.count("lists.delta") == 1)
-        assert served(r, "r3") == 1 and r.count("members.lists_taken") == 1
+        assert served(r, "r3") == 1
+        assert r.count("members.lists_taken") == 1
         member.ask(3)
         version, _, whole, n, count, part = member.part()
         text = zlib.decompress(part)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,9 +1,8 @@
-"""Membership: detection that bears pauses, lost datagrams and one-sided cuts; the state machine
-explored.
+"""Membership: detection under suspensions, loss and one-way partitions; the state machine explored.
 
-`Net` (hookpitch/testbed/membership_simulation.py) runs the program's state machine and codec over datagrams in
-virtual time.
-"""  # noqa: E501
+`Net` (hookpitch/testbed/membership_simulation.py) runs the program's state machine and codec over
+datagrams in virtual time.
+"""
 
 import copy
 import json
@@ -60,7 +59,9 @@
         lambda: net.think("m1", MemberState.SUSPECTED) or net.think("m1", MemberState.DEAD), 20, 0.1
     )
     agreed = first + net.until(lambda: len(net.think("m1", MemberState.DEAD)) == count - 1, 30, 0.1)
-    assert first < 3.5 and agreed < 9.0 and deaths(net) == {"m1"}
+    assert first < 3.5
+    assert agreed < 9.0
+    assert deaths(net) == {"m1"}
 
 
 def test_the_log_names_the_accuser_and_the_path_of_a_suspicion() -> None:
@@ -70,7 +71,9 @@
     lines = [(who, text) for _, who, text in net.logs if text.startswith("m1 suspected by ")]
     own = [text for who, text in lines if f" by {who}, no answer here nor to m" in text]
     told = [text for who, text in lines if f" by {who}" not in text]
-    assert own and told and all(", incarnation " in text for _, text in lines)
+    assert own
+    assert told
+    assert all(", incarnation " in text for _, text in lines)
     assert any(", told by m" in text for text in told)  # but for what the accuser itself told
 
 
@@ -100,7 +103,8 @@
 
 def test_three_hundred_members_that_join_within_a_second_find_one_another() -> None:
     net = Net(300, seeds=3)
-    assert net.until(net.agreed, 60, 0.5) < 30 and not deaths(net)
+    assert net.until(net.agreed, 60, 0.5) < 30
+    assert not deaths(net)
 
 
 def test_a_member_whose_fleet_was_replaced_joins_the_new_one_by_its_seeds() -> None:
@@ -121,14 +125,13 @@
     before = {n: net.members[n].view.version for n in net.up()}
     net.kill(gone)
     net.go(20)
-    assert net.agreed() and deaths(net) == set(gone)
+    assert net.agreed()
+    assert deaths(net) == set(gone)
     for n in net.up():
         view = net.members[n].view
-        assert (
-            view.version - before[n] <= 3
-            and len(view.members) == 20
-            and 0.6 < view.visible_fraction < 0.7
-        )
+        assert view.version - before[n] <= 3
+        assert len(view.members) == 20
+        assert 0.6 < view.visible_fraction < 0.7
 
 
 @pytest.mark.parametrize("first", ["settling", "change"])
@@ -163,7 +166,8 @@
         m._settle_view(now + 200 * n + 50)
     assert m.view.version == before
     m._settle_view(now + 1600.0)
-    assert m.view.version == before + 1 and m.view.members == ("m0", "m4", "m5")
+    assert m.view.version == before + 1
+    assert m.view.members == ("m0", "m4", "m5")
 
 
 @pytest.mark.parametrize("seconds", [2.0, 1.0])
@@ -172,7 +176,8 @@
     for n in range(10):
         net.stop([f"m{3 * n}"], seconds)
         net.go(5)
-    assert not deaths(net) and net.until(net.agreed, 10) < 10
+    assert not deaths(net)
+    assert net.until(net.agreed, 10) < 10
 
 
 def test_a_long_suspension_is_a_death_and_a_return_with_a_higher_incarnation() -> None:
@@ -222,16 +227,15 @@
         now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(old,))
     )
     ((to, said),) = net.members["m0"].outbox
-    assert to == net.address("m2") and m in said.records
+    assert to == net.address("m2")
+    assert m in said.records
 
 
 def test_a_sync_sends_only_the_partitions_that_differ() -> None:
     net = up(60)
     a, b = net.members["m0"], net.members["m1"]
-    assert (
-        a.partition_digests() == b.partition_digests()
-        and len(set(a.partition_digests())) > PARTITIONS // 2
-    )
+    assert a.partition_digests() == b.partition_digests()
+    assert len(set(a.partition_digests())) > PARTITIONS // 2
     a.set_metadata(b"news")
     a.take_outbox()
     b.take_outbox()
@@ -241,7 +245,8 @@
         Message(MessageKind.DIGEST, "m0", a.digest(), partition_digests=a.partition_digests()),
     )
     told = [r.name for _, message in b.outbox for r in message.records]
-    assert "m0" in told and len(told) <= 60 // 4
+    assert "m0" in told
+    assert len(told) <= 60 // 4
     assert sum(message.full_sync for _, message in b.outbox) == 1
 
 
@@ -262,8 +267,10 @@
     m = net.members["m3"]
     before = m.counts["accusations"]
     net.go(240)  # one in `SPARED_MS` of each at the most; it would be one in 47 s
-    assert m.counts.get("held_back", 0) > 0 and before <= (MAX_UNCONFIRMED + 1) * len(others)
-    assert m.counts["accusations"] - before <= 2 * len(others) and not deaths(net)
+    assert m.counts.get("held_back", 0) > 0
+    assert before <= (MAX_UNCONFIRMED + 1) * len(others)
+    assert m.counts["accusations"] - before <= 2 * len(others)
+    assert not deaths(net)
 
 
 def test_an_isolated_member_restarts_its_suspicions_when_datagrams_come_again() -> None:
@@ -292,14 +299,10 @@
     rack, rest = [f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 18)]
     net.cuts(rack, rest)
     net.go(60)
-    assert (
-        net.members["m0"].view.members == tuple(sorted(rack))
-        and net.members["m0"].view.visible_fraction < 0.4
-    )
-    assert (
-        net.members["m9"].view.members == tuple(sorted(rest))
-        and 0.6 < net.members["m9"].view.visible_fraction < 0.7
-    )
+    assert net.members["m0"].view.members == tuple(sorted(rack))
+    assert net.members["m0"].view.visible_fraction < 0.4
+    assert net.members["m9"].view.members == tuple(sorted(rest))
+    assert 0.6 < net.members["m9"].view.visible_fraction < 0.7
     net.cut.clear()
     assert net.until(net.agreed, 60) < 40
 
@@ -311,7 +314,8 @@
     net.go(0.4)
     net.start("m5")
     net.go(6)
-    assert net.agreed() and not deaths(net)
+    assert net.agreed()
+    assert not deaths(net)
     assert net.members["m5"].members["m5"].record.incarnation > before
 
 
@@ -328,7 +332,8 @@
     net.run("m9", net.members["m9"])
     net.go(30)
     silent = [n for n in ("m2", "m9") if net.members[n].silenced]
-    assert len(silent) == 1 and any("another member is named m2" in text for _, _, text in net.logs)
+    assert len(silent) == 1
+    assert any("another member is named m2" in text for _, _, text in net.logs)
     last = max(m.members["m2"].record.incarnation for m in net.members.values())
     net.go(30)
     assert max(m.members["m2"].record.incarnation for m in net.members.values()) == last
@@ -342,9 +347,11 @@
     held = [
         n for n in net.up() if n != "m4" and net.members[n].members["m4"].damped_since is not None
     ]
-    assert held and net.members[held[0]].counts["flapping"] >= 1
+    assert held
+    assert net.members[held[0]].counts["flapping"] >= 1
     net.go(40)
-    assert net.agreed() and all("m4" in net.members[n].view.members for n in net.up())
+    assert net.agreed()
+    assert all("m4" in net.members[n].view.members for n in net.up())
 
 
 def test_a_member_without_a_seed_joins_when_one_is_up() -> None:
@@ -363,7 +370,8 @@
     net.flush("m3", m)
     net.kill(["m3"])
     net.go(4)
-    assert len(net.think("m3", MemberState.LEFT)) == 11 and not deaths(net)
+    assert len(net.think("m3", MemberState.LEFT)) == 11
+    assert not deaths(net)
 
 
 def test_metadata_reaches_all_members_and_the_latest_prevails() -> None:
@@ -384,7 +392,8 @@
         before, begun = sum(net.bytes.values()), net.now
         net.go(30)
         rates.append((sum(net.bytes.values()) - before) / count / (net.now - begun) * 1000)
-    assert max(rates) < 1000 and rates[1] < 1.6 * rates[0]
+    assert max(rates) < 1000
+    assert rates[1] < 1.6 * rates[0]
 
 
 def test_records_of_an_old_incarnation_change_nothing() -> None:
@@ -399,7 +408,8 @@
             net.address("m2"),
             Message(MessageKind.GOSSIP, "m2", records=(Record("m1", ("x", 1), 4, state),)),
         )
-    assert m.members["m1"].record.incarnation == 5 and m.counts["stale"] == 4
+    assert m.members["m1"].record.incarnation == 5
+    assert m.counts["stale"] == 4
     assert set(m.members) == set(before)
 
 
@@ -414,11 +424,9 @@
             Message(MessageKind.GOSSIP, "m1", records=(Record(f"x{n}", ("x", 1), 1, state),)),
         )
     m.take_outbox()
-    assert (
-        len(m.members) == MAX_MEMBERS
-        and len(m.dissemination.transmissions) <= MAX_MEMBERS
-        and m.counts["crowded"] > 0
-    )
+    assert len(m.members) == MAX_MEMBERS
+    assert len(m.dissemination.transmissions) <= MAX_MEMBERS
+    assert m.counts["crowded"] > 0
     assert all(m.state_of(f"m{n}") == MemberState.ALIVE for n in range(6))
 
 
@@ -683,7 +691,8 @@
     )
     m = Message(MessageKind.PROBE_REQUEST, "m1", 77, "m2", news, True)
     data = codec.write(m)
-    assert codec.read(data) == m and len(data) <= MAX_BYTES
+    assert codec.read(data) == m
+    assert len(data) <= MAX_BYTES
     for at in range(len(data)):
         turned = bytearray(data)
         turned[at] ^= 1 << rng.randrange(8)
@@ -694,7 +703,8 @@
         with pytest.raises(ValueError, match=said):
             other.read(data)
     many = Message(MessageKind.GOSSIP, "m1", records=news * 40)
-    assert len(codec.write(many)) <= MAX_BYTES and codec.read(codec.write(many)).records[:8] == news
+    assert len(codec.write(many)) <= MAX_BYTES
+    assert codec.read(codec.write(many)).records[:8] == news
 
 
 def test_later_fields_of_a_datagram_are_skipped_and_wrong_ones_refused() -> None:
@@ -708,10 +718,8 @@
 
     record = ["m1", "10.0.0.1", 7946, 1, 0, "", 0, b""]
     good = [3, "m1", 0, "", False, [[*record, "more", 2]], [7] * PARTITIONS, b"data", {"later": 1}]
-    assert (
-        codec.read(made(good)).records[0].name == "m1"
-        and codec.read(made(good)).partition_digests == (7,) * PARTITIONS
-    )
+    assert codec.read(made(good)).records[0].name == "m1"
+    assert codec.read(made(good)).partition_digests == (7,) * PARTITIONS
     assert codec.read(made(good)).payload == b"data"
     assert codec.read(made(good[:6])).partition_digests == ()  # an earlier version tells none
     assert codec.read(made(good[:7])).payload == b""  # nor of this
@@ -750,10 +758,12 @@
     suspect = Record("n2", ("10.0.0.2", 7946), 3, MemberState.SUSPECTED, "n9")
     port.membership.members["n2"] = Member(suspect, s.node.clock.now())
     lines = s.node.admin_server.answer(b"MEMBERS").decode().splitlines()
-    assert lines[0].startswith("view=0 members=1") and lines[-1] == "END"
+    assert lines[0].startswith("view=0 members=1")
+    assert lines[-1] == "END"
     assert any(line.startswith("n2 suspected for=") and line.endswith("by=n9") for line in lines)
     wrong = CliRunner().invoke(main, ["members", "nowhere"])
-    assert wrong.exit_code == 2 and "no address" in wrong.output
+    assert wrong.exit_code == 2
+    assert "no address" in wrong.output
 
 
 def test_a_node_without_the_section_imports_nothing_of_members() -> None:
@@ -773,7 +783,8 @@
     for n in range(5000):
         port.datagramReceived(b"HKM" + bytes([n % 7]) * 40, ("10.0.0.9", 1))
     counts = s.counters.counts
-    assert counts["members.foreign"] <= 2000 and counts["members.flood"] >= 3000
+    assert counts["members.foreign"] <= 2000
+    assert counts["members.flood"] >= 3000
     assert list(port.membership.members) == [s.node.config.name]
 
 
@@ -792,14 +803,17 @@
 def test_nodes_detect_a_death_and_no_other_in_virtual_time() -> None:
     run = Run(load(FAULTS), 1)
     ended = run.run()
-    assert not ended.broken and not ended.faults
+    assert not ended.broken
+    assert not ended.faults
     logs = [
         (at, who, text.removeprefix("members: "))
         for at, who, text in ended.logs
         if "members: " in text
     ]
     found, early, later = verdict(logs)
-    assert len(found) == 11 and early == {"n11"} and {"n0", "n1", "n2"} <= later
+    assert len(found) == 11
+    assert early == {"n11"}
+    assert {"n0", "n1", "n2"} <= later
     views = {
         n.node.membership.membership.view.members for n in run.nodes.values() if n.node is not None
     }
@@ -830,7 +844,9 @@
                 logs.append((at, path.stem, event["what"]))
     begun = max(serving)
     found, early, later = verdict([(at - begun, who, text) for at, who, text in logs])
-    assert len(found) >= 10 and early == {"n11"} and {"n0", "n1", "n2"} <= later
+    assert len(found) >= 10
+    assert early == {"n11"}
+    assert {"n0", "n1", "n2"} <= later
     last = {}
     for _, who, text in sorted(logs):
         last[who, text.split()[0]] = text.split()[1].strip(",")
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -1,5 +1,4 @@
-"""Members under whatever comes: the codec cut and turned anywhere, the state machine in any
-order."""
+"""Properties of membership: the codec under damage anywhere, the state machine in any order."""
 
 from dataclasses import replace
 
@@ -63,10 +62,8 @@
     data = Codec("f").write(message)
     back = Codec("f").read(data)
     assert len(data) <= MAX_BYTES
-    assert (
-        back.records == message.records[: len(back.records)]
-        and replace(back, records=message.records) == message
-    )
+    assert back.records == message.records[: len(back.records)]
+    assert replace(back, records=message.records) == message
     if len(back.records) < len(message.records):  # left out: the next would not have fitted
         one_more = replace(message, records=message.records[: len(back.records) + 1])
         assert len(Codec("f").write(one_more)) == len(data)
@@ -103,11 +100,9 @@
     except ValueError as fault:
         assert str(fault) == "wrong"
         return
-    assert (
-        m.kind in KINDS
-        and 0 < len(m.sender) <= MAX_NAME_CHARS
-        and len(m.partition_digests) in (0, PARTITIONS)
-    )
+    assert m.kind in KINDS
+    assert 0 < len(m.sender) <= MAX_NAME_CHARS
+    assert len(m.partition_digests) in (0, PARTITIONS)
     assert all(
         0 < len(r.name) <= MAX_NAME_CHARS and len(r.metadata) <= MAX_METADATA_BYTES
         for r in m.records
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,4 @@
-"""Figures of membership from logs and history, by hand; a run in which discovery is down, in both
-clocks."""
+"""Figures of membership from logs and history; runs without discovery, in both clocks."""
 
 import json
 import subprocess
@@ -44,10 +43,13 @@
 
 def test_figures_show_deaths_their_times_and_wrong_views() -> None:
     changes = said(LOGS)
-    assert len(changes) == 11 and changes[0] == (100.0, "n0", "n1", "alive")
+    assert len(changes) == 11
+    assert changes[0] == (100.0, "n0", "n1", "alive")
     value = lambda name, a=0.0, b=20000.0: figure(name, changes, EVENTS, a, b)  # noqa: E731
-    assert value("called_dead") == 1 and value("called_dead", 7000.0) == 0
-    assert value("found_s") == 1.5 and value("agreed_s") == 5.5
+    assert value("called_dead") == 1
+    assert value("called_dead", 7000.0) == 0
+    assert value("found_s") == 1.5
+    assert value("agreed_s") == 5.5
     died = [
         *EVENTS,
         event(1005, "stop", "n1"),
@@ -57,7 +59,8 @@
     assert value("found_s", 2000.0) == 0.0  # nobody was killed in that span
     assert value("agreed_s", 0.0, 6200.0) == 5.2  # n1 never said so: to the span's end
     assert value("views_wrong") == 1  # n1 holds n2 for dead still
-    assert value("views_wrong", 0.0, 8000.0) == 0 and up(EVENTS, 5000.0) == {"n0", "n1"}
+    assert value("views_wrong", 0.0, 8000.0) == 0
+    assert up(EVENTS, 5000.0) == {"n0", "n1"}
     assert value("turns") == 4
     with pytest.raises(ValueError):
         value("served")
@@ -80,7 +83,8 @@
     assert not ended.broken
     there, here = summary(Run(x, 1).run()), summary(ended)
     second = lambda s: sum(s["seconds"][n]["served"] for n in range(10, 16)) / 6  # noqa: E731
-    assert second(there) > 0.97 and second(here) < 0.85
+    assert second(there) > 0.97
+    assert second(here) < 0.85
 
 
 def test_nodes_that_start_while_discovery_is_down_serve_by_members_lists_on_processes(
@@ -97,7 +101,8 @@
         done.stdout + done.stderr
     )  # void each time has shown nothing: no pass
     figures = json.loads(at.read_text())
-    assert all(e["holds"] for e in figures["expected"]) and len(figures["expected"]) >= 3
+    assert all(e["holds"] for e in figures["expected"])
+    assert len(figures["expected"]) >= 3
     virtual = Run(load(LISTS), 1).run()
     assert all(holds for _, _, holds in expected(virtual))
     assert abs(figures["whole"]["served"] - summary(virtual)["whole"]["served"]) <= 0.05
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -1,5 +1,4 @@
-"""A start in phases: each with its condition and its bound, and a node that serves in all of
-them."""
+"""The phases of a start: each with its condition and its timeout; a node serves in all of them."""
 
 import pytest
 from socket_node import DISCOVERY, Sockets, get
@@ -20,37 +19,43 @@
 def test_each_phase_ends_when_its_condition_holds() -> None:
     s = StartupPhases(0.0)
     assert not s.advance(100.0, NOTHING)
-    assert s.advance(200.0, StartupProgress(True, 0, 0, 0)) and s.phase == Phase.CONNECTING
+    assert s.advance(200.0, StartupProgress(True, 0, 0, 0))
+    assert s.phase == Phase.CONNECTING
     assert not s.advance(300.0, StartupProgress(True, 5, 2, 0))
-    assert s.advance(400.0, StartupProgress(True, 5, 3, 0)) and s.phase == Phase.WARMING_UP
+    assert s.advance(400.0, StartupProgress(True, 5, 3, 0))
+    assert s.phase == Phase.WARMING_UP
     assert not s.advance(500.0, StartupProgress(True, 5, 5, 2))
-    assert s.advance(600.0, StartupProgress(True, 5, 5, 3)) and s.phase == Phase.STEADY
-    assert not s.missing and not s.advance(1e9, NOTHING)
+    assert s.advance(600.0, StartupProgress(True, 5, 5, 3))
+    assert s.phase == Phase.STEADY
+    assert not s.missing
+    assert not s.advance(1e9, NOTHING)
 
 
 @pytest.mark.parametrize(
-    ("seen", "lacks"),
+    ("progress", "expected"),
     [
         (NOTHING, ["unlisted", "", ""]),
         (StartupProgress(False, 9, 1, 1), ["unlisted", "unanswered", "unknown"]),
     ],
 )
 def test_each_phase_has_a_timeout_and_records_what_was_missing(
-    seen: StartupProgress, lacks: list[str]
+    progress: StartupProgress, expected: list[str]
 ) -> None:
     s, now, lacked = StartupPhases(0.0), 0.0, []
     for bound in (ENDPOINTS_TIMEOUT_MS, CONNECT_TIMEOUT_MS, WARMUP_TIMEOUT_MS):
-        assert not s.advance(now + bound - 1, seen)
+        assert not s.advance(now + bound - 1, progress)
         now += bound
-        assert s.advance(now, seen)
+        assert s.advance(now, progress)
         lacked.append(s.missing)
-    assert s.phase == Phase.STEADY and lacked == lacks
+    assert s.phase == Phase.STEADY
+    assert lacked == expected
 
 
 def test_phases_rise_one_at_a_time_also_after_a_long_suspension() -> None:
     s = StartupPhases(0.0)
     for phase in (1, 2, 3):
-        assert s.advance(1e7, StartupProgress(True, 3, 3, 3)) and s.phase == phase
+        assert s.advance(1e7, StartupProgress(True, 3, 3, 3))
+        assert s.phase == phase
     assert not s.advance(2e7, NOTHING)
 
 
@@ -59,9 +64,11 @@
     c = s.client()
     c.say(get("r1"))
     serve(s)
-    assert c.take() and s.counters.counts.get("start.phase", 0) == 0
+    assert c.take()
+    assert s.counters.counts.get("start.phase", 0) == 0
     figures = dict(s.node.metrics())
-    assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS and s.node.not_ready_reason() == ""
+    assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS
+    assert s.node.not_ready_reason() == ""
     s.pass_time(300)
     watch(s, {"seq": 6, "whole": True, "hosts": s.hosts})
     for n in range(40):
@@ -79,7 +86,8 @@
     s.network.ways[DISCOVERY] = "silent"
     s.pass_time(ENDPOINTS_TIMEOUT_MS + CONNECT_TIMEOUT_MS + WARMUP_TIMEOUT_MS + 2000)
     assert dict(s.node.metrics())["start_phase"] == Phase.STEADY
-    assert s.counters.counts["start.unlisted"] == 1 and "start.unanswered" not in s.counters.counts
+    assert s.counters.counts["start.unlisted"] == 1
+    assert "start.unanswered" not in s.counters.counts
 
 
 def test_a_node_without_endpoints_reports_that_it_is_not_ready() -> None:
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,5 +1,4 @@
-"""A restart that is not a cold one: what was learned outlasts the process, whole or not at all,
-and fades."""
+"""Snapshots: what was learned outlasts the process, complete or not at all, and decays."""
 
 import os
 import random
@@ -79,24 +78,22 @@
     limits = [
         begun(x, ms).router.backends[best.id].concurrency_limit for ms in (0.0, 60000.0, 3600000.0)
     ]
-    assert limits[0] == pytest.approx(best.concurrency_limit) and limits[0] > limits[1] > limits[2]
+    assert limits[0] == pytest.approx(best.concurrency_limit)
+    assert limits[0] > limits[1] > limits[2]
     assert limits[2] == pytest.approx(2.0, abs=0.01)
     now, later = begun(x, 100.0), begun(x, 3600000.0)
-    assert now.router.backends["s2"].ejected and not later.router.backends["s2"].ejected
-    assert (
-        now.router.concurrency.unit_latency_ms == f.router.concurrency.unit_latency_ms
-        and later.router.concurrency.unit_latency_ms == 0.0
-    )
+    assert now.router.backends["s2"].ejected
+    assert not later.router.backends["s2"].ejected
+    assert now.router.concurrency.unit_latency_ms == f.router.concurrency.unit_latency_ms
+    assert later.router.concurrency.unit_latency_ms == 0.0
 
 
 def test_a_hot_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
     (key,) = [k for k, b in f.router.placement.buckets.items() if b.spread_size]
     new = begun(learned(f), 500.0)
-    assert (
-        new.router.placement.buckets[key].spread_size > 0
-        and len(new.router.placement.replicas(new.router.placement.buckets[key])) > 1
-    )
+    assert new.router.placement.buckets[key].spread_size > 0
+    assert len(new.router.placement.replicas(new.router.placement.buckets[key])) > 1
     assert not any(
         b.spread_size for b in begun(learned(f), 3600000.0).router.placement.buckets.values()
     )
@@ -112,7 +109,8 @@
     assert not any(s.ejected for s in new.router.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
     new = begun(learned(f, backends=known), 100.0, alone)
-    assert not new.router.backends["s3"].ejected and new.attempts[new.arrive("k")]
+    assert not new.router.backends["s3"].ejected
+    assert new.attempts[new.arrive("k")]
     assert begun(learned(f, backends=known[:2]), 100.0).router.backends["s0"].ejected
 
 
@@ -122,7 +120,9 @@
     fresh = [replace(e, started_ms=x.written_at_ms + 500.0) if e.id == "s1" else e for e in SERVERS]
     new = begun(x, 1000.0, fresh)
     s = new.router.backends["s1"]
-    assert s.warmup_until > new.now and s.concurrency_limit <= 2.0 and not s.available
+    assert s.warmup_until > new.now
+    assert s.concurrency_limit <= 2.0
+    assert not s.available
     # And one that was cold as it was written is so for the rest of its time, no longer.
     cold = tuple(
         replace_known(k, warmup_until_ms=x.written_at_ms + 9e9) if k.id == "s1" else k
@@ -206,7 +206,8 @@
     )
     heavy = tuple(HotBucket(n, (), (), 9.0) for n in range(4096))
     data = encode(learned(fleet(), backends=many, moved_buckets=moved, hot_buckets=heavy))
-    assert len(data) <= MAX_BYTES and decode(data).hot_buckets[0] == heavy[0]
+    assert len(data) <= MAX_BYTES
+    assert decode(data).hot_buckets[0] == heavy[0]
 
 
 # ---- on a disk
@@ -257,12 +258,11 @@
     assert s.counters.counts["snapshot.none"] == 1
     s.node.discovery.version = 77
     s.pass_time(11000)
-    assert (
-        s.counters.counts["snapshot.written"] >= 1
-        and snapshot_store.load_snapshot(str(path)).version == 77
-    )
+    assert s.counters.counts["snapshot.written"] >= 1
+    assert snapshot_store.load_snapshot(str(path)).version == 77
     again = node(path)
-    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.version == 77
+    assert again.counters.counts["snapshot.recalled"] == 1
+    assert again.node.discovery.version == 77
     c = again.client()
     c.say(get("r1"))
     again.pass_time(1)
@@ -299,7 +299,8 @@
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
     s.node.snapshot_store.restore()
-    assert len(lines) == 1 and said in lines[0]
+    assert len(lines) == 1
+    assert said in lines[0]
     assert not before or path.read_bytes() == before
     assert s.node.host.router.backends["s0"].state == EndpointState.READY
 
@@ -350,12 +351,15 @@
     path = tmp_path / "n.snapshot"
     path.write_bytes(encode(learned(busy())))
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
-    assert said.exit_code == 0 and "node n1 of fleet fleet" in said.output and "s2" in said.output
+    assert said.exit_code == 0
+    assert "node n1 of fleet fleet" in said.output
+    assert "s2" in said.output
     said = CliRunner().invoke(main, ["snapshot", "show", "--json", str(path)])
     assert msgspec.json.decode(said.output)["seq"] == 41
     path.write_bytes(b"HKPS")
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
-    assert said.exit_code == 2 and "torn: 4 bytes" in said.output
+    assert said.exit_code == 2
+    assert "torn: 4 bytes" in said.output
 
 
 def test_nodes_that_all_restart_restore_their_snapshots() -> None:
@@ -373,10 +377,12 @@
 by = 0.3
 """
     ended = Run(read_experiment(text), 1).run()
-    assert not ended.broken and not ended.faults
+    assert not ended.broken
+    assert not ended.faults
     assert sum(c.get("snapshot.recalled", 0) for c in ended.counters.values()) == 6
 
 
 def test_the_endpoints_of_a_snapshot_keep_their_addresses() -> None:
     some, dials = endpoints(learned(fleet()))
-    assert {e.id for e in some} == set(DIALS) and dials == DIALS
+    assert {e.id for e in some} == set(DIALS)
+    assert dials == DIALS
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,5 +1,4 @@
-"""Many nodes that start at once: experiments hold in virtual time, and what a start costs is
-counted."""
+"""Many nodes that start at once: experiments in virtual time, and what a start costs."""
 
 from collections import Counter
 from pathlib import Path
@@ -28,7 +27,8 @@
     starts = Counter(e.who for e in ended.history.events if e.kind == "start")
     rpcs = [s for s in seen(x, ended.history.events) if s.at > 7000.0]  # they are up again
     new, old = ([s for s in rpcs if (starts[s.node] > 1) is again] for again in (True, False))
-    assert len(new) > 500 and len(old) > 500
+    assert len(new) > 500
+    assert len(old) > 500
     served = [figure("served", ended, some, 0.0, x.seconds) for some in (new, old)]
     assert served[0] >= served[1] - 0.02
 
@@ -44,10 +44,8 @@
     history.add(1600.0, "stop", "n1")  # of one that was killed before, nothing is asked
     history.add(4700.0, "told", "n2", what="nothing")
     ended = Ended(read("name = 'a-b'\nseconds = 20.0"), 1, history, [], [], {}, [], 0, 0.0)
-    assert (
-        figure("list_calls", ended, [], 0, 20) == 3
-        and figure("dials_at_one", ended, [], 0, 20) == 2
-    )
+    assert figure("list_calls", ended, [], 0, 20) == 3
+    assert figure("dials_at_one", ended, [], 0, 20) == 2
     assert figure("listed_s", ended, [], 0, 20) == 3.5
     rpcs = [
         Seen(
@@ -69,4 +67,6 @@
     text = "name = 'a-b'\nseconds = 4.0\n[nodes]\ncount = 30\n[discovery]\ncalls_per_s = 2.0"
     ended = Run(read(text), 1).run()
     how = [e.what for e in ended.history.events if e.kind == "called"]
-    assert not ended.broken and how.count("refused") > 5 and how.count("served") <= 2 + 2 * 6
+    assert not ended.broken
+    assert how.count("refused") > 5
+    assert how.count("served") <= 2 + 2 * 6
