--- a/hookpitch/members/membership.py
+++ b/hookpitch/members/membership.py
@@ -77,11 +77,12 @@
         address: Address,
         seeds: tuple[Address, ...],
         random: Callable[[], float],
-        log: Callable[[str], None] = str,
+        log: Callable[..., None] | None = None,
     ) -> None:
+        """`log` takes an event and its fields."""
         self.name = name
         self.address = address
-        self.log = log
+        self._log = log
         self.counts: dict[str, int] = {}
         self.silenced = False
         self.leaving = False
@@ -392,9 +393,10 @@
 
     def _suspicion_refuted(self, now: float, refuter: Member) -> None:
         if suspicion.note_refutation(refuter, now):
-            self.log(
-                f"{refuter.record.name} was accused from here {MAX_UNCONFIRMED} times in vain: "
-                "left to others"
+            self._report(
+                "member_suspicions_held_back",
+                member=refuter.record.name,
+                unconfirmed=MAX_UNCONFIRMED,
             )
 
     def _note_recovery(self, now: float, recovered: Member) -> None:
@@ -404,8 +406,7 @@
         name = recovered.record.name
         if recovered.damped_since is None:
             self._count("flapping")
-            seconds = flap_damping.DAMPED_MS / 1000
-            self.log(f"{name} comes and goes: held back for {seconds:.0f} s")
+            self._report("member_damped", member=name, ms=flap_damping.DAMPED_MS)
         recovered.damped_since = now
         self._watched[name] = None
 
@@ -414,7 +415,8 @@
         self._count(state)
         by = f" by {record.accuser}" if record.accuser else ""
         path = f", {evidence}" if evidence and record.state != MemberState.ALIVE else ""
-        self.log(f"{record.name} {state}{by}{path}, incarnation {record.incarnation}")
+        text = f"{record.name} {state}{by}{path}, incarnation {record.incarnation}"
+        self._report("members", what=text)
 
     # ---- records of this member
 
@@ -426,7 +428,7 @@
             self.silenced = True
             self._count("clash")
             host, port = record.address
-            self.log(f"another member is named {self.name}, at {host}:{port}: this one is silent")
+            self._report("member_name_conflict", member=self.name, other=f"{host}:{port}")
         elif self.identity.is_wrong(record):
             self._refute(record)
 
@@ -449,6 +451,10 @@
     def _gossip(self, *records: Record) -> Message:
         return Message(MessageKind.GOSSIP, self.name, records=records)
 
+    def _report(self, event: str, **fields: object) -> None:
+        if self._log is not None:
+            self._log(event, **fields)
+
     def _count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
 
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -80,12 +80,12 @@
             settings.listen,
             settings.seeds,
             seeded_random(start_seed, "members"),
-            self._log,
+            log,
         )
         self.exchange = EndpointExchange(
             clock.now(), name, seeded_random(start_seed, "lists"), count
         )
-        self._log_event = log
+        self._log = log
         self._accepted_version = 0  # of the list that a member sent
         self._pending_list: _EndpointList | None = None  # accepted, and not given to the node yet
         self._rate_limit = RateLimit(MAX_DATAGRAMS_PER_S)
@@ -160,10 +160,7 @@
         self.count(f"members.{error}")
         self._refusals += 1
         if self._refusals <= MAX_REFUSALS_LOGGED:
-            self._log(f"a datagram from {source[0]}:{source[1]} is {error}")
-
-    def _log(self, text: str) -> None:
-        self._log_event("members", what=text)
+            self._log("member_datagram_refused", source=_text(source), reason=str(error))
 
     # ---- endpoint lists
 
@@ -227,17 +224,20 @@
 
     def _accept_list(self, received: ReceivedList) -> None:
         """Check a list that has come, and give it to the node."""
-        host, port = received.source
+        source = _text(received.source)
         try:
             endpoints, addresses = self._checked_list(received)
         except ValueError as error:
             self.count("members.lists_wrong")
-            self._log(f"a list from {host}:{port} is wrong: {error}")
+            self._log("endpoint_list_refused", source=source, reason=str(error))
             return
         self.count("members.lists_taken")
         self._log(
-            f"list {received.version} from {host}:{port}, {received.age_ms:.0f} ms old, "
-            f"servers {len(endpoints)}"
+            "endpoint_list_accepted",
+            source=source,
+            version=received.version,
+            age_ms=round(received.age_ms),
+            endpoints=len(endpoints),
         )
         self._accepted_version = received.version
         reached = {id: self._reached_at(address) for id, address in addresses.items()}
@@ -262,7 +262,7 @@
         """Where an endpoint that another member sent is dialled from here."""
         host, _, port = address.rpartition(":")
         reached = self.settings.dial.get((parse_host(host), int(port)))
-        return address if reached is None else f"{reached[0]}:{reached[1]}"
+        return address if reached is None else _text(reached)
 
     def _give_pending_list(self) -> None:
         """Let the node serve by a member's list until discovery sends one.
@@ -297,14 +297,18 @@
         if record.state == MemberState.ALIVE and name not in self.membership.view.members:
             state += " flapping"
         seconds = max(0.0, now - member.state_since) / 1000
-        host, port = record.address
         by = f" by={record.accuser}" if record.accuser else ""
         return (
             f"{name} {state} for={seconds:.1f}s "
-            f"incarnation={record.incarnation} at={host}:{port}{by}"
+            f"incarnation={record.incarnation} at={_text(record.address)}{by}"
         )
 
 
+def _text(address: Address) -> str:
+    host, port = address
+    return f"{host}:{port}"
+
+
 def attach(settings: Settings, node: Any) -> MembershipPort:  # noqa: ANN401 - SocketNode
     """Make the node a member while it serves; it says goodbye as it leaves."""
     port = MembershipPort(
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -51,13 +51,21 @@
         """A new process under that name and address: it knows its seeds alone."""
         self.starts += 1
         chance = seeded_random(self.starts * 7919 + self.rng.randrange(1 << 30), "members")
-        tell = lambda text: self.logs.append((self.now, name, text))  # noqa: E731
         self.down.discard(name)
         m = self.members[name] = Membership(
-            self.now + after, name, self.address(name), self.seeds, chance, tell
+            self.now + after, name, self.address(name), self.seeds, chance, self.logger(name)
         )
         self.at(after, lambda: self.run(name, m))
 
+    def logger(self, name: str) -> Callable[..., None]:
+        """A member's log: changes of state by their text, other events with their fields."""
+
+        def log(event: str, **fields: object) -> None:
+            text = " ".join([event, *(f"{field}={value}" for field, value in fields.items())])
+            self.logs.append((self.now, name, str(fields.get("what", text))))
+
+        return log
+
     def at(self, after: float, call: Callable[[], None]) -> None:
         self.count += 1
         heapq.heappush(self.events, (self.now + after, self.count, call))
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -401,7 +401,7 @@
     with r:
         assert member.wish()[0] == 5
         member.tell(told(r, 9, 1))
-        r.log("members")
+        assert r.log("endpoint_list_accepted")["version"] == 9
         r.until(lambda: r.count("lists.cached") == 2)
         assert served(r, "r1") == 0  # discovery has said nothing yet; the list has one cache alone
         watch = r.watch(
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -327,13 +327,13 @@
         net.address("m9"),
         net.seeds,
         net.rng.random,
-        lambda text: net.logs.append((net.now, "m9", text)),
+        net.logger("m9"),
     )
     net.run("m9", net.members["m9"])
     net.go(30)
     silent = [n for n in ("m2", "m9") if net.members[n].silenced]
     assert len(silent) == 1
-    assert any("another member is named m2" in text for _, _, text in net.logs)
+    assert any(who in silent and "conflict member=m2" in text for _, who, text in net.logs)
     last = max(m.members["m2"].record.incarnation for m in net.members.values())
     net.go(30)
     assert max(m.members["m2"].record.incarnation for m in net.members.values()) == last
