--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,12 +1,9 @@
 """A node's process on real sockets, and peers that do what a test says, when it says so.
 
-Nothing here acts by itself: a peer accepts, reads, writes, closes or resets as it is told, so that
-the
-crossing of two events is made, not hoped for. Where the node has to be held still between two of
-them, its
-process is stopped and goes on by signal; where a dial has to come up late, the backlog of its
-server is full
-until it is emptied.
+Nothing here acts by itself: a peer accepts, reads, writes, closes or resets when told to, so that
+two events cross for certain. Where the node has to be held still between two of them, its process
+is suspended and resumed by signals; where a dial has to come up late, the backlog of its server is
+full until it is emptied. Spans are seconds.
 """
 
 from __future__ import annotations
@@ -33,7 +30,10 @@
 from hookpitch.core.ring import Ring
 
 ROOT = Path(__file__).parent.parent
-WAIT_S = 15.0  # for what has to come; a test that waits so long has failed
+# For what has to come: a test that waits so long has failed.
+WAIT_S = 15.0
+POLL_S = 0.005
+MAX_VALUE_BYTES = 1 << 22
 Settings = dict[str, Any]
 
 
@@ -41,16 +41,20 @@
     """One connection, from the peer's side."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.parser = sock, Parser(Ring(), max_value_bytes=1 << 22)
+        self.sock = sock
+        self.parser = Parser(Ring(), max_value_bytes=MAX_VALUE_BYTES)
         sock.settimeout(WAIT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def say(self, data: bytes) -> None:
+        """Send."""
         self.sock.sendall(data)
 
     def value(self) -> Value:
-        """The next value or command. EOFError at the connection's end, ConnectionResetError at its
-        reset."""
+        """The next value or command.
+
+        Raises EOFError at the connection's end, ConnectionResetError at its reset.
+        """
         while True:
             value = self.parser.next_value()
             if value is not NEED_DATA:
@@ -85,12 +89,15 @@
             return ""
 
     def fin(self) -> None:
+        """End the sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
+        """Close all that is open."""
         self.sock.close()
 
     def reset(self) -> None:
+        """Close with a reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
@@ -108,12 +115,14 @@
         self.lines: list[Line] = []
 
     def accept(self, seconds: float = WAIT_S) -> Line:
+        """The next connection."""
         self.listener.settimeout(seconds)
         line = Line(self.listener.accept()[0])
         self.lines.append(line)
         return line
 
     def dialled(self, seconds: float) -> bool:
+        """Whether a connection waits to be accepted, within so long."""
         return bool(select.select([self.listener], [], [], seconds)[0])
 
     def fill(self) -> None:
@@ -136,6 +145,7 @@
         self.filler.close()
 
     def close(self) -> None:
+        """Close all that is open."""
         for line in self.lines:
             line.close()
         self.filler.close()
@@ -151,11 +161,14 @@
         caches: int = 2,
         backlog: int = 64,
         limits: Settings | None = None,
-        **settings: Any,  # noqa: ANN401
-    ) -> None:  # noqa: ANN401
-        self.path, self.logs = folder / "node.json", list[dict[str, Any]]()
+        **settings: Any,  # noqa: ANN401 - settings are of any type
+    ) -> None:
+        """`limits`: the node's. `settings`: in place of those that tests use by default."""
+        self.path = folder / "node.json"
+        self.logs: list[dict[str, Any]] = []
         self.caches = [Peer(backlog) for _ in range(caches)]
-        self.origin, self.discovery = Peer(), Peer()
+        self.origin = Peer()
+        self.discovery = Peer()
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port: int = free.getsockname()[1]
         self.hosts = [listed_host(f"s{n}", peer.port) for n, peer in enumerate(self.caches)]
@@ -176,6 +189,7 @@
         self._came = threading.Condition()
 
     def write(self) -> None:
+        """Put the configuration in place, by one rename."""
         beside = self.path.with_suffix(".new")
         beside.write_text(json.dumps(self.told))
         os.replace(beside, self.path)
@@ -199,7 +213,7 @@
                 self._came.notify_all()
 
     def log(self, event: str, count: int = 1) -> dict[str, Any]:
-        """The `count`-th line of the log with this event, as soon as it stands there."""
+        """The `count`-th log line whose event begins so, as soon as it is there."""
 
         def found() -> list[dict[str, Any]]:
             return [line for line in self.logs if line["event"].startswith(event)]
@@ -226,24 +240,28 @@
     # ---- the node's process
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def stop(self) -> None:
-        """Held still, as seen by the kernel; what comes meanwhile stands unread."""
+        """Suspend the process; what comes meanwhile stands unread in the kernel."""
         self.signal(signal.SIGSTOP)
         stat = Path(f"/proc/{self.popen.pid}/stat")
         self.until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
 
     def go_on(self) -> None:
+        """Resume the process."""
         self.signal(signal.SIGCONT)
 
-    def until(self, true: Callable[[], bool]) -> None:
+    def until(self, holds: Callable[[], bool]) -> None:
+        """Wait until the condition holds."""
         end = time.monotonic() + WAIT_S
-        while not true():
+        while not holds():
             assert time.monotonic() < end, "it never came to be"
-            time.sleep(0.005)
+            time.sleep(POLL_S)
 
     def left(self) -> int:
+        """The exit code, once the process has ended."""
         return self.popen.wait(WAIT_S)
 
     def memory_kb(self) -> int:
@@ -256,11 +274,13 @@
     # ---- clients
 
     def client(self) -> Line:
+        """A client that connects."""
         line = Line(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S))
         self.clients.append(line)
         return line
 
     def info(self) -> dict[str, int]:
+        """The answer to INFO."""
         line = self.client()
         line.say(b"*1\r\n$4\r\nINFO\r\n")
         text = line.value()
@@ -270,19 +290,20 @@
         }
 
     def count(self, name: str) -> int:
+        """One counter of INFO; 0 where it has not counted yet."""
         return self.info().get(name, 0)
 
     # ---- servers
 
     def asked(self, seconds: float = WAIT_S) -> tuple[int, Line]:
-        """The cache that is dialled next, and the connection."""
+        """The number of the cache that is dialled next, and the connection."""
         ready = select.select([peer.listener for peer in self.caches], [], [], seconds)[0]
         assert ready, "no cache was dialled"
         n = next(n for n, peer in enumerate(self.caches) if peer.listener is ready[0])
         return n, self.caches[n].accept()
 
     def watch(self, *told: Settings) -> Line:
-        """Discovery takes the next call, and answers it with these."""
+        """Discovery accepts the next poll, and answers it with these changes."""
         line = self.discovery.accept()
         self.since = line.head()
         line.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -290,7 +311,8 @@
             tell(line, change)
         return line
 
-    def change(self, seq: int, n: int, **what: Any) -> Settings:  # noqa: ANN401
+    def change(self, seq: int, n: int, **what: Any) -> Settings:  # noqa: ANN401 - JSON values
+        """A change to the n-th backend, as discovery sends it."""
         return {"seq": seq, "whole": False, "hosts": [self.hosts[n] | what]}
 
 
@@ -298,7 +320,13 @@
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 
 
-def method(name: str, idempotency: str = "retryable", soft_s: float = 5.0, **more: Any) -> Settings:  # noqa: ANN401
+def method(
+    name: str,
+    idempotency: str = "retryable",
+    soft_s: float = 5.0,
+    **more: Any,  # noqa: ANN401 - settings are of any type
+) -> Settings:
+    """A method of the settings."""
     plain = {
         "name": name,
         "soft_deadline_s": soft_s,
@@ -309,8 +337,10 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """A chunk of an HTTP body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def tell(line: Line, change: Settings | bytes) -> None:
+    """Discovery sends a change, or raw bytes, on a watch."""
     line.say(chunk(change if isinstance(change, bytes) else json.dumps(change).encode() + b"\n"))
