--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -19,23 +19,23 @@
 import click
 
 from hookpitch.members.messages import MemberState
-from hookpitch.testbed.membership_simulation import Net
+from hookpitch.testbed.membership_simulation import MembershipSimulation
 
 
-def up(count: int, seed: int) -> Net:
-    net = Net(count, seed)
-    if net.until(net.agreed, 60) >= 60:
+def up(count: int, seed: int) -> MembershipSimulation:
+    net = MembershipSimulation(count, seed)
+    if net.advance_until(net.agreed, 60) >= 60:
         raise ValueError(f"seed {seed}: {count} members did not meet within 60 s")
-    net.go(60)
+    net.advance(60)
     net.logs.clear()
     return net
 
 
-def called_dead(net: Net) -> int:
+def called_dead(net: MembershipSimulation) -> int:
     return len({text.split()[0] for _, _, text in net.logs if " dead" in text})
 
 
-def cost(net: Net, before: int, seconds: float) -> float:
+def cost(net: MembershipSimulation, before: int, seconds: float) -> float:
     return (sum(net.bytes.values()) - before) / len(net.members) / seconds
 
 
@@ -43,9 +43,9 @@
     net = up(count, seed)
     gone = [f"m{n}" for n in range(1, count, max(1, round(1 / part)) if part else count)] or ["m1"]
     net.kill(gone)
-    some = lambda: any(net.think(gone[0], s) for s in (MemberState.SUSPECTED, MemberState.DEAD))  # noqa: E731
-    first = net.until(some, 30, 0.1)
-    agreed = first + net.until(net.agreed, 60, 0.1)
+    some = lambda: any(net.believers(gone[0], s) for s in (MemberState.SUSPECTED, MemberState.DEAD))  # noqa: E731
+    first = net.advance_until(some, 30, 0.1)
+    agreed = first + net.advance_until(net.agreed, 60, 0.1)
     return first, agreed, float(called_dead(net) - len(gone))
 
 
@@ -55,16 +55,16 @@
     if kind == "lossy":
         net.loss = loss
     elif kind == "deaf":
-        net.lossy["m3"] = loss
+        net.extra_loss["m3"] = loss
     if kind == "pause":
         for n in range(20):
-            net.stop([f"m{(7 * n) % count}"], loss)
-            net.go(seconds / 20)
+            net.suspend([f"m{(7 * n) % count}"], loss)
+            net.advance(seconds / 20)
     else:
-        net.go(seconds)
+        net.advance(seconds)
     told = cost(net, before, seconds)
-    net.loss, net.lossy = 0.0, {}
-    healed = net.until(net.agreed, 120)
+    net.loss, net.extra_loss = 0.0, {}
+    healed = net.advance_until(net.agreed, 120)
     return float(called_dead(net)), told, healed
 
 
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -1,10 +1,8 @@
-"""Members alone in virtual time: their state machines over a network of datagrams with loss, cuts
-and pauses.
+"""Members alone in virtual time: their state machines over a network of datagrams.
 
-For sizes at which whole nodes would take too long (400), and for the tests. The state machine and
-the codec
-are the program's; what they run in is here: one heap of events, a seeded draw, one-way cuts by
-pair.
+For fleets at which whole nodes would take too long (400), and for tests. The state machine and the
+codec are the program's; around them are one heap of events, seeded draws, loss, one-way partitions
+by pair, and suspensions. Spans of the public functions are seconds, times are milliseconds.
 """
 
 from __future__ import annotations
@@ -19,43 +17,70 @@
 from hookpitch.members.messages import Address, MemberState
 
 DELAY_MS = (0.3, 2.0)
+PORT = 7000
+IP_UDP_HEADER_BYTES = 28
+# Between the starts of members that do not start together.
+START_INTERVAL_MS = 50.0
+# For a datagram that stood unread while its member was suspended.
+UNREAD_DELAY_MS = 0.1
 
 
-class Net:
+class MembershipSimulation:
+    """A fleet of members named m0, m1 and so on, and the network between them.
+
+    `loss`: of all datagrams; `extra_loss`: more, of those that a member sends or receives.
+    `partitioned`: pairs of sender and receiver. `suspended_until` and `down`: by member. `bytes`
+    and `datagrams`: sent by each member. `logs`: time, member and text.
+    """
+
     def __init__(self, count: int, seed: int = 1, together: bool = True, seeds: int = 3) -> None:
-        self.rng, self.now, self.codec = random.Random(seed), 0.0, Codec("lab")
-        self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
-        self.loss = 0.0  # of all datagrams
-        self.lossy: dict[str, float] = {}  # more, of those that a member sends or gets
-        self.cut: set[tuple[str, str]] = set()  # from, to
-        self.stopped: dict[str, float] = {}  # until
+        """`together`: all start at once. `seeds`: how many members all others know at first."""
+        self.rng = random.Random(seed)
+        self.now = 0.0
+        self.codec = Codec("lab")
+        self.loss = 0.0
+        self.extra_loss: dict[str, float] = {}
+        self.partitioned: set[tuple[str, str]] = set()
+        self.suspended_until: dict[str, float] = {}
         self.down: set[str] = set()
         self.bytes: dict[str, int] = {}
         self.datagrams: dict[str, int] = {}
         self.members: dict[str, Membership] = {}
         self.logs: list[tuple[float, str, str]] = []
-        self.seeds = tuple(self.address(f"m{n}") for n in range(seeds))
-        self.starts = 0
+        self.seeds = tuple(self.address_of(f"m{n}") for n in range(seeds))
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._event_count = 0
+        self._starts = 0
         for n in range(count):
-            self.start(f"m{n}", 0.0 if together else n * 50.0)
+            self.start(f"m{n}", 0.0 if together else n * START_INTERVAL_MS)
+
+    def address_of(self, name: str) -> Address:
+        """Where a member listens."""
+        number = int(name[1:])
+        return f"10.0.{number >> 8}.{number & 255}", PORT
 
-    def address(self, name: str) -> Address:
-        return f"10.0.{int(name[1:]) >> 8}.{int(name[1:]) & 255}", 7000
+    def name_at(self, address: Address) -> str:
+        """The member that listens there."""
+        high, low = address[0].split(".")[2:]
+        return f"m{int(high) * 256 + int(low)}"
 
-    def name(self, address: Address) -> str:
-        a, b = address[0].split(".")[2:]
-        return f"m{int(a) * 256 + int(b)}"
+    # ---- members
 
-    def start(self, name: str, after: float = 0.0) -> None:
-        """A new process under that name and address: it knows its seeds alone."""
-        self.starts += 1
-        chance = seeded_random(self.starts * 7919 + self.rng.randrange(1 << 30), "members")
+    def start(self, name: str, after_ms: float = 0.0) -> None:
+        """Start a new process under that name and address, which knows its seeds alone."""
+        self._starts += 1
+        seed = self._starts * 7919 + self.rng.randrange(1 << 30)
         self.down.discard(name)
-        m = self.members[name] = Membership(
-            self.now + after, name, self.address(name), self.seeds, chance, self.logger(name)
+        member = Membership(
+            self.now + after_ms,
+            name,
+            self.address_of(name),
+            self.seeds,
+            seeded_random(seed, "members"),
+            self.logger(name),
         )
-        self.at(after, lambda: self.run(name, m))
+        self.members[name] = member
+        self.schedule(after_ms, lambda: self.run(name, member))
 
     def logger(self, name: str) -> Callable[..., None]:
         """A member's log: changes of state by their text, other events with their fields."""
@@ -66,88 +91,113 @@
 
         return log
 
-    def at(self, after: float, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.events, (self.now + after, self.count, call))
+    def schedule(self, after_ms: float, call: Callable[[], None]) -> None:
+        """Call later; calls of one time keep their order."""
+        self._event_count += 1
+        heapq.heappush(self._events, (self.now + after_ms, self._event_count, call))
 
-    def run(self, name: str, m: Membership) -> None:
-        if self.members.get(name) is not m or name in self.down:
+    def run(self, name: str, member: Membership) -> None:
+        """Tick the member when it is due, for as long as it runs."""
+        if self.members.get(name) is not member or name in self.down:
             return
-        until = self.stopped.get(name, 0.0)
-        if self.now < until:
-            self.at(until - self.now, lambda: self.run(name, m))
+        resumes_at = self.suspended_until.get(name, 0.0)
+        if self.now < resumes_at:
+            self.schedule(resumes_at - self.now, lambda: self.run(name, member))
             return
-        if self.now >= m.due:
-            m.tick(self.now)
-        self.flush(name, m)
-        self.at(max(1.0, m.due - self.now), lambda: self.run(name, m))
+        if self.now >= member.due:
+            member.tick(self.now)
+        self.flush(name, member)
+        self.schedule(max(1.0, member.due - self.now), lambda: self.run(name, member))
 
-    def flush(self, name: str, m: Membership) -> None:
-        for to, message in m.take_outbox():
+    # ---- datagrams
+
+    def flush(self, name: str, member: Membership) -> None:
+        """Send what the member wants to send."""
+        for address, message in member.take_outbox():
             data = self.codec.write(message)
-            self.bytes[name] = self.bytes.get(name, 0) + len(data) + 28
+            self.bytes[name] = self.bytes.get(name, 0) + len(data) + IP_UDP_HEADER_BYTES
             self.datagrams[name] = self.datagrams.get(name, 0) + 1
-            other = self.name(to)
-            lost = 1 - (1 - self.loss) * (1 - self.lossy.get(name, 0.0)) * (
-                1 - self.lossy.get(other, 0.0)
-            )
-            if self.rng.random() >= lost and (name, other) not in self.cut:
-                self.at(
-                    self.rng.uniform(*DELAY_MS), lambda o=other, d=data: self.deliver(name, o, d)
-                )
-
-    def deliver(self, source: str, name: str, data: bytes) -> None:
-        m = self.members.get(name)
-        if m is None or name in self.down:
+            receiver = self.name_at(address)
+            lost = self.rng.random() < self._loss_between(name, receiver)
+            if not lost and (name, receiver) not in self.partitioned:
+                self._send(name, receiver, data)
+
+    def _loss_between(self, sender: str, receiver: str) -> float:
+        arrives = 1 - self.loss
+        arrives *= 1 - self.extra_loss.get(sender, 0.0)
+        arrives *= 1 - self.extra_loss.get(receiver, 0.0)
+        return 1 - arrives
+
+    def _send(self, sender: str, receiver: str, data: bytes) -> None:
+        delay_ms = self.rng.uniform(*DELAY_MS)
+        self.schedule(delay_ms, lambda: self._deliver(sender, receiver, data))
+
+    def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
+        member = self.members.get(receiver)
+        if member is None or receiver in self.down:
             return
-        until = self.stopped.get(name, 0.0)
-        if self.now < until:  # it stands unread in the socket
-            self.at(until - self.now + 0.1, lambda: self.deliver(source, name, data))
+        resumes_at = self.suspended_until.get(receiver, 0.0)
+        if self.now < resumes_at:
+            wait_ms = resumes_at - self.now + UNREAD_DELAY_MS
+            self.schedule(wait_ms, lambda: self._deliver(sender, receiver, data))
             return
-        m.receive(self.now, self.address(source), self.codec.read(data))
-        self.flush(name, m)
+        member.receive(self.now, self.address_of(sender), self.codec.read(data))
+        self.flush(receiver, member)
+
+    # ---- time
 
-    def go(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
+        """Let time pass."""
         end = self.now + seconds * 1000
-        while self.events and self.events[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.events)
+        while self._events and self._events[0][0] <= end:
+            self.now, _, call = heapq.heappop(self._events)
             call()
         self.now = end
 
+    def advance_until(
+        self, holds: Callable[[], bool], limit_s: float, step_s: float = 0.25
+    ) -> float:
+        """Seconds until the condition holds; `limit_s` where it does not."""
+        started_at = self.now
+        while not holds() and self.now - started_at < limit_s * 1000:
+            self.advance(step_s)
+        return (self.now - started_at) / 1000
+
     # ---- faults
 
     def kill(self, names: Iterable[str]) -> None:
+        """These members run no more."""
         self.down.update(names)
 
-    def stop(self, names: Iterable[str], seconds: float) -> None:
+    def suspend(self, names: Iterable[str], seconds: float) -> None:
+        """These members do nothing for so long."""
         for name in names:
-            self.stopped[name] = self.now + seconds * 1000
+            self.suspended_until[name] = self.now + seconds * 1000
 
-    def cuts(self, some: Iterable[str], others: Iterable[str], both: bool = True) -> None:
+    def partition(self, some: Iterable[str], others: Iterable[str], both: bool = True) -> None:
+        """No datagram of `some` reaches `others`, nor the other way where `both`."""
         others = list(others)
-        for a in some:
-            for b in others:
-                self.cut.add((a, b))
+        for sender in some:
+            for receiver in others:
+                self.partitioned.add((sender, receiver))
                 if both:
-                    self.cut.add((b, a))
+                    self.partitioned.add((receiver, sender))
 
     # ---- what is so
 
-    def up(self) -> list[str]:
-        return [n for n in self.members if n not in self.down]
+    def running(self) -> list[str]:
+        """All members that have not been killed."""
+        return [name for name in self.members if name not in self.down]
 
-    def think(self, of: str, state: MemberState) -> list[str]:
-        """Who of those that run says so of that member."""
-        return [n for n in self.up() if n != of and self.members[n].state_of(of) == state]
+    def believers(self, subject: str, state: MemberState) -> list[str]:
+        """The running members that hold the subject to be in that state."""
+        return [
+            name
+            for name in self.running()
+            if name != subject and self.members[name].state_of(subject) == state
+        ]
 
     def agreed(self) -> bool:
-        """Whether all that run see all that run, and nobody else."""
-        up = sorted(self.up())
-        return all(self.members[n].alive() == up for n in up)
-
-    def until(self, holds: Callable[[], bool], most: float, step: float = 0.25) -> float:
-        """Seconds until it holds; `most` where it does not."""
-        begun = self.now
-        while not holds() and self.now - begun < most * 1000:
-            self.go(step)
-        return (self.now - begun) / 1000
+        """Whether all running members see all running members, and nobody else."""
+        running = sorted(self.running())
+        return all(self.members[name].alive() == running for name in running)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,7 +1,6 @@
 """Membership: detection under suspensions, loss and one-way partitions; the state machine explored.
 
-`Net` (hookpitch/testbed/membership_simulation.py) runs the program's state machine and codec over
-datagrams in virtual time.
+`MembershipSimulation` runs the program's state machine and codec over datagrams in virtual time.
 """
 
 import copy
@@ -27,7 +26,7 @@
 from hookpitch.members.messages import PARTITIONS, MemberState, Message, MessageKind, Record
 from hookpitch.members.port import attach, parse_settings
 from hookpitch.testbed.experiment import load
-from hookpitch.testbed.membership_simulation import Net
+from hookpitch.testbed.membership_simulation import MembershipSimulation
 from hookpitch.testbed.run import Run
 
 HEALED_MS, SAME_MS = 20000.0, 45000.0  # after the last fault
@@ -35,15 +34,15 @@
 FAULTS = ROOT / "experiments" / "members-faults.toml"
 
 
-def up(count: int, seed: int = 1) -> Net:
-    net = Net(count, seed)
-    assert net.until(net.agreed, 30) < 12
-    net.go(10)
+def up(count: int, seed: int = 1) -> MembershipSimulation:
+    net = MembershipSimulation(count, seed)
+    assert net.advance_until(net.agreed, 30) < 12
+    net.advance(10)
     net.logs.clear()
     return net
 
 
-def deaths(net: Net) -> set[str]:
+def deaths(net: MembershipSimulation) -> set[str]:
     """Who was called dead by anybody."""
     return {text.split()[0] for _, _, text in net.logs if " dead" in text}
 
@@ -55,10 +54,14 @@
 def test_a_death_is_detected_and_agreed_on(count: int) -> None:
     net = up(count)
     net.kill(["m1"])
-    first = net.until(
-        lambda: net.think("m1", MemberState.SUSPECTED) or net.think("m1", MemberState.DEAD), 20, 0.1
+    first = net.advance_until(
+        lambda: net.believers("m1", MemberState.SUSPECTED) or net.believers("m1", MemberState.DEAD),
+        20,
+        0.1,
+    )
+    agreed = first + net.advance_until(
+        lambda: len(net.believers("m1", MemberState.DEAD)) == count - 1, 30, 0.1
     )
-    agreed = first + net.until(lambda: len(net.think("m1", MemberState.DEAD)) == count - 1, 30, 0.1)
     assert first < 3.5
     assert agreed < 9.0
     assert deaths(net) == {"m1"}
@@ -67,7 +70,7 @@
 def test_the_log_names_the_accuser_and_the_path_of_a_suspicion() -> None:
     net = up(8)
     net.kill(["m1"])
-    net.go(10)
+    net.advance(10)
     lines = [(who, text) for _, who, text in net.logs if text.startswith("m1 suspected by ")]
     own = [text for who, text in lines if f" by {who}, no answer here nor to m" in text]
     told = [text for who, text in lines if f" by {who}" not in text]
@@ -81,10 +84,10 @@
     net = up(6)
     before, old = net.members["m2"].members["m2"].record.incarnation, net.members["m2"]
     net.kill(["m2"])
-    net.go(1)
+    net.advance(1)
     # Its machine's clock is an hour behind now: nothing that others hold is told by clocks.
     behind = 3600000.0
-    m = Membership(net.now - behind, "m2", net.address("m2"), net.seeds, net.rng.random)
+    m = Membership(net.now - behind, "m2", net.address_of("m2"), net.seeds, net.rng.random)
     assert m is not old
     net.members["m2"] = m
     net.down.discard("m2")
@@ -94,40 +97,40 @@
     def run() -> None:
         tick(net.now - behind)
         net.flush("m2", m)
-        net.at(max(1.0, m.due - (net.now - behind)), run)
+        net.schedule(max(1.0, m.due - (net.now - behind)), run)
 
     run()
-    assert net.until(net.agreed, 20) < 15
-    assert all(net.members[n].members["m2"].record.incarnation > before for n in net.up())
+    assert net.advance_until(net.agreed, 20) < 15
+    assert all(net.members[n].members["m2"].record.incarnation > before for n in net.running())
 
 
 def test_three_hundred_members_that_join_within_a_second_find_one_another() -> None:
-    net = Net(300, seeds=3)
-    assert net.until(net.agreed, 60, 0.5) < 30
+    net = MembershipSimulation(300, seeds=3)
+    assert net.advance_until(net.agreed, 60, 0.5) < 30
     assert not deaths(net)
 
 
 def test_a_member_whose_fleet_was_replaced_joins_the_new_one_by_its_seeds() -> None:
     net = up(8)
     net.kill([f"m{n}" for n in range(8) if n != 5])
-    net.go(1)
+    net.advance(1)
     for n in (0, 1, 2):  # others, at the seeds' addresses
         net.start(f"m{n}")
     for n in (20, 21, 22):
         net.start(f"m{n}")
-    assert net.until(net.agreed, 60) < 30
+    assert net.advance_until(net.agreed, 60) < 30
     assert {"m20", "m21", "m22"} <= set(net.members["m5"].alive())
 
 
 def test_a_third_killed_at_once_is_at_most_three_versions_of_the_view() -> None:
     net = up(30)
     gone = [f"m{n}" for n in range(0, 30, 3)]
-    before = {n: net.members[n].view.version for n in net.up()}
+    before = {n: net.members[n].view.version for n in net.running()}
     net.kill(gone)
-    net.go(20)
+    net.advance(20)
     assert net.agreed()
     assert deaths(net) == set(gone)
-    for n in net.up():
+    for n in net.running():
         view = net.members[n].view
         assert view.version - before[n] <= 3
         assert len(view.members) == 20
@@ -141,15 +144,15 @@
     dead = replace(m.members["m1"].record, state=MemberState.DEAD)
     back = replace(dead, state=MemberState.ALIVE, incarnation=dead.incarnation + 1)
     now = net.now
-    m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(dead,)))
+    m.receive(now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(dead,)))
     now += 1000.0  # quiet for so long
     if first == "change":
-        m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
+        m.receive(now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
         m._settle_view(now)
     else:
         m._settle_view(now)
         assert "m1" not in m.view.members
-        m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
+        m.receive(now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
     m._settle_view(now + 1000.0)
     assert m.view.members == ("m0", "m1", "m2", "m3")
 
@@ -161,7 +164,7 @@
     for n in (1, 2, 3):
         gone = replace(m.members[f"m{n}"].record, state=MemberState.DEAD)
         m.receive(
-            now + 200 * n, net.address("m4"), Message(MessageKind.GOSSIP, "m4", records=(gone,))
+            now + 200 * n, net.address_of("m4"), Message(MessageKind.GOSSIP, "m4", records=(gone,))
         )
         m._settle_view(now + 200 * n + 50)
     assert m.view.version == before
@@ -174,37 +177,37 @@
 def test_short_suspensions_cause_no_deaths(seconds: float) -> None:
     net = up(30)
     for n in range(10):
-        net.stop([f"m{3 * n}"], seconds)
-        net.go(5)
+        net.suspend([f"m{3 * n}"], seconds)
+        net.advance(5)
     assert not deaths(net)
-    assert net.until(net.agreed, 10) < 10
+    assert net.advance_until(net.agreed, 10) < 10
 
 
 def test_a_long_suspension_is_a_death_and_a_return_with_a_higher_incarnation() -> None:
     net = up(20)
     before = net.members["m7"].members["m7"].record.incarnation
-    net.stop(["m7"], 20.0)
-    net.go(15)
-    assert len(net.think("m7", MemberState.DEAD)) == 19
-    assert net.until(net.agreed, 30) < 15
+    net.suspend(["m7"], 20.0)
+    net.advance(15)
+    assert len(net.believers("m7", MemberState.DEAD)) == 19
+    assert net.advance_until(net.agreed, 30) < 15
     assert deaths(net) == {"m7"}  # and it has not taken the others for dead meanwhile
-    assert all(net.members[n].members["m7"].record.incarnation > before for n in net.up())
+    assert all(net.members[n].members["m7"].record.incarnation > before for n in net.running())
 
 
 @pytest.mark.parametrize(("loss", "seconds"), [(0.05, 60), (0.2, 60)])
 def test_lost_datagrams_cause_no_deaths(loss: float, seconds: int) -> None:
     net = up(40)
     net.loss = loss
-    net.go(seconds)
+    net.advance(seconds)
     assert not deaths(net)
 
 
 def test_a_fifth_of_the_datagrams_lost_causes_few_suspicions_and_little_traffic() -> None:
     net = up(60)
     net.loss = 0.2
-    net.go(10)
+    net.advance(10)
     before = sum(net.bytes.values())
-    net.go(40)
+    net.advance(40)
     # Danger: each accusation and its refutation are told round the fleet, some twenty times by each
     # member.
     assert sum(m.counts.get("accusations", 0) for m in net.members.values()) <= 6
@@ -214,8 +217,8 @@
 def test_a_third_suspended_at_once_causes_no_deaths() -> None:
     for seed in (6, 7, 8):
         net = up(60, seed)
-        net.stop([f"m{n}" for n in range(0, 60, 3)], 2.0)
-        net.go(15)
+        net.suspend([f"m{n}" for n in range(0, 60, 3)], 2.0)
+        net.advance(15)
         assert not deaths(net), seed
 
 
@@ -224,10 +227,10 @@
     m, now = net.members["m0"].members["m1"].record, net.now
     old = replace(m, incarnation=m.incarnation - 1, state=MemberState.SUSPECTED, accuser="m2")
     net.members["m0"].receive(
-        now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(old,))
+        now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(old,))
     )
     ((to, said),) = net.members["m0"].outbox
-    assert to == net.address("m2")
+    assert to == net.address_of("m2")
     assert m in said.records
 
 
@@ -252,8 +255,8 @@
 
 def test_one_way_partitions_between_one_and_some_cause_no_deaths() -> None:
     net = up(20)
-    net.cuts(["m3"], ["m4", "m6", "m7", "m9"], both=False)
-    net.go(30)
+    net.partition(["m3"], ["m4", "m6", "m7", "m9"], both=False)
+    net.advance(30)
     assert not deaths(net)
 
 
@@ -262,11 +265,11 @@
     # comes round.
     net = up(8)
     others = [f"m{n}" for n in range(8) if n != 3]
-    net.cuts([o for o in others if o != "m4"], ["m3"], both=False)
-    net.go(240)
+    net.partition([o for o in others if o != "m4"], ["m3"], both=False)
+    net.advance(240)
     m = net.members["m3"]
     before = m.counts["accusations"]
-    net.go(240)  # one in `SPARED_MS` of each at the most; it would be one in 47 s
+    net.advance(240)  # one in `SPARED_MS` of each at the most; it would be one in 47 s
     assert m.counts.get("held_back", 0) > 0
     assert before <= (MAX_UNCONFIRMED + 1) * len(others)
     assert m.counts["accusations"] - before <= 2 * len(others)
@@ -277,10 +280,10 @@
     for seed in range(1, 6):
         net = up(12, seed)
         others = [f"m{n}" for n in range(12) if n != 3]
-        net.cuts(others, ["m3"], both=False)
-        net.go(10)
-        net.cut.clear()
-        net.go(15)
+        net.partition(others, ["m3"], both=False)
+        net.advance(10)
+        net.partitioned.clear()
+        net.advance(15)
         # Meanwhile all others have refuted what it said of them, and it has heard none of that.
         assert deaths(net) <= {"m3"} and net.members["m3"].counts["deaf"] == 1, seed
 
@@ -290,30 +293,30 @@
     m = net.members["m3"]
     m.members["m5"].unconfirmed_at.extend([net.now - 2000.0, net.now - 1000.0, net.now])
     net.kill(["m5"])
-    net.go(12)
-    assert len(net.think("m5", MemberState.DEAD)) == 7
+    net.advance(12)
+    assert len(net.believers("m5", MemberState.DEAD)) == 7
 
 
 def test_a_partitioned_rack_reports_its_visible_fraction_and_rejoins() -> None:
     net = up(18)
     rack, rest = [f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 18)]
-    net.cuts(rack, rest)
-    net.go(60)
+    net.partition(rack, rest)
+    net.advance(60)
     assert net.members["m0"].view.members == tuple(sorted(rack))
     assert net.members["m0"].view.visible_fraction < 0.4
     assert net.members["m9"].view.members == tuple(sorted(rest))
     assert 0.6 < net.members["m9"].view.visible_fraction < 0.7
-    net.cut.clear()
-    assert net.until(net.agreed, 60) < 40
+    net.partitioned.clear()
+    assert net.advance_until(net.agreed, 60) < 40
 
 
 def test_a_restart_faster_than_detection_raises_the_incarnation() -> None:
     net = up(12)
     before = net.members["m5"].members["m5"].record.incarnation
     net.kill(["m5"])
-    net.go(0.4)
+    net.advance(0.4)
     net.start("m5")
-    net.go(6)
+    net.advance(6)
     assert net.agreed()
     assert not deaths(net)
     assert net.members["m5"].members["m5"].record.incarnation > before
@@ -324,43 +327,45 @@
     net.members["m9"] = Membership(
         net.now,
         "m2",
-        net.address("m9"),
+        net.address_of("m9"),
         net.seeds,
         net.rng.random,
         net.logger("m9"),
     )
     net.run("m9", net.members["m9"])
-    net.go(30)
+    net.advance(30)
     silent = [n for n in ("m2", "m9") if net.members[n].silenced]
     assert len(silent) == 1
     assert any(who in silent and "conflict member=m2" in text for _, who, text in net.logs)
     last = max(m.members["m2"].record.incarnation for m in net.members.values())
-    net.go(30)
+    net.advance(30)
     assert max(m.members["m2"].record.incarnation for m in net.members.values()) == last
 
 
 def test_a_flapping_member_is_damped_until_it_is_stable() -> None:
     net = up(8)
     for _ in range(4):
-        net.stop(["m4"], 9.0)
-        net.go(13)
+        net.suspend(["m4"], 9.0)
+        net.advance(13)
     held = [
-        n for n in net.up() if n != "m4" and net.members[n].members["m4"].damped_since is not None
+        n
+        for n in net.running()
+        if n != "m4" and net.members[n].members["m4"].damped_since is not None
     ]
     assert held
     assert net.members[held[0]].counts["flapping"] >= 1
-    net.go(40)
+    net.advance(40)
     assert net.agreed()
-    assert all("m4" in net.members[n].view.members for n in net.up())
+    assert all("m4" in net.members[n].view.members for n in net.running())
 
 
 def test_a_member_without_a_seed_joins_when_one_is_up() -> None:
-    net = Net(4, seeds=1)
+    net = MembershipSimulation(4, seeds=1)
     net.kill(["m0"])
-    net.go(8)
+    net.advance(8)
     assert all(net.members[n].alive() == [n] for n in ("m1", "m2", "m3"))
     net.start("m0")
-    assert net.until(net.agreed, 30) < 20
+    assert net.advance_until(net.agreed, 30) < 20
 
 
 def test_a_member_that_leaves_is_not_called_dead() -> None:
@@ -369,8 +374,8 @@
     m.leave(net.now)
     net.flush("m3", m)
     net.kill(["m3"])
-    net.go(4)
-    assert len(net.think("m3", MemberState.LEFT)) == 11
+    net.advance(4)
+    assert len(net.believers("m3", MemberState.LEFT)) == 11
     assert not deaths(net)
 
 
@@ -378,8 +383,8 @@
     net = up(12)
     net.members["m2"].set_metadata(b"first")
     net.members["m2"].set_metadata(b"second")
-    net.go(8)
-    assert {net.members[n].members["m2"].record.metadata for n in net.up()} == {b"second"}
+    net.advance(8)
+    assert {net.members[n].members["m2"].record.metadata for n in net.running()} == {b"second"}
     with pytest.raises(ValueError):
         net.members["m2"].set_metadata(b"x" * 65)
 
@@ -388,9 +393,9 @@
     rates = []
     for count in (12, 60):
         net = up(count)
-        net.go(30)
+        net.advance(30)
         before, begun = sum(net.bytes.values()), net.now
-        net.go(30)
+        net.advance(30)
         rates.append((sum(net.bytes.values()) - before) / count / (net.now - begun) * 1000)
     assert max(rates) < 1000
     assert rates[1] < 1.6 * rates[0]
@@ -399,13 +404,13 @@
 def test_records_of_an_old_incarnation_change_nothing() -> None:
     net = up(6)
     m = net.members["m0"]
-    m.members["m1"].record = Record("m1", net.address("m1"), 5, MemberState.ALIVE)
+    m.members["m1"].record = Record("m1", net.address_of("m1"), 5, MemberState.ALIVE)
     m.counts.clear()
     before = dict(m.members)
     for state in MemberState:
         m.receive(
             net.now,
-            net.address("m2"),
+            net.address_of("m2"),
             Message(MessageKind.GOSSIP, "m2", records=(Record("m1", ("x", 1), 4, state),)),
         )
     assert m.members["m1"].record.incarnation == 5
