--- a/hookpitch/members/membership.py
+++ b/hookpitch/members/membership.py
@@ -27,9 +27,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from hookpitch.members import flap_damping, member, suspicion
+from hookpitch.members import member, suspicion
 from hookpitch.members.anti_entropy import AntiEntropy
 from hookpitch.members.dissemination import Dissemination
+from hookpitch.members.events import EventLog
 from hookpitch.members.failure_detector import (
     INDIRECT_PROBES,
     PROBE_PERIOD_MS,
@@ -37,7 +38,7 @@
     Probe,
 )
 from hookpitch.members.identity import Identity
-from hookpitch.members.member import MAX_UNCONFIRMED, Member
+from hookpitch.members.member import Member
 from hookpitch.members.messages import (
     MAX_RECORDS_PER_DATAGRAM,
     Address,
@@ -46,6 +47,7 @@
     MessageKind,
     Record,
 )
+from hookpitch.members.roster import Roster
 from hookpitch.members.view import View, ViewPublisher
 
 # A tick so much late: this member was suspended, or its loop stalled.
@@ -56,9 +58,6 @@
 PUSH_FANOUT = 2
 # Members that a refutation or a goodbye is sent to at once.
 URGENT_FANOUT = 2 * INDIRECT_PROBES
-# How long a dead member's record is kept, so that older news of it changes nothing.
-TOMBSTONE_MS = 600000.0
-MAX_MEMBERS = 2000
 MAX_FIRST_INCARNATION = 1000
 
 
@@ -67,7 +66,6 @@
 
     `members`: all that are known, this one and the dead ones among them. `due`: when to tick.
     `outbox`: what is to be sent. `silenced`: another member has this name, and this one gave way.
-    `counts`: how often things happened, by name.
     """
 
     def __init__(
@@ -82,8 +80,7 @@
         """`log` takes an event and its fields."""
         self.name = name
         self.address = address
-        self._log = log
-        self.counts: dict[str, int] = {}
+        self.events = EventLog(log)
         self.silenced = False
         self.leaving = False
         # A process that follows another one under its name has to differ from it: by this draw, or
@@ -97,14 +94,18 @@
         self.detector = FailureDetector(name, self.members, self.dissemination, random)
         self.anti_entropy = AntiEntropy(now, name, self.members, seeds, self.dissemination, random)
         self.views = ViewPublisher(now, name)
+        self.roster = Roster(name, self.members, self.dissemination, self.views, self.events)
         self.due = now + PROBE_PERIOD_MS * random()
-        self._watched: dict[str, None] = {}  # who is not simply alive
-        self._push_pending = False
         self._ticked_at = now
         self._received_at = now
 
     # ---- for users
 
+    @property
+    def counts(self) -> dict[str, int]:
+        """How often things happened, by name."""
+        return self.events.counts
+
     @property
     def view(self) -> View:
         """What users act on."""
@@ -161,7 +162,7 @@
             self.due = now + PROBE_PERIOD_MS
             return
         self._run_probes(now)
-        self._review_members(now)
+        self.roster.review(now, self.detector.health.penalty)
         self.anti_entropy.tick(now)
         self._push_changes()
         self._settle_view(now)
@@ -172,10 +173,9 @@
         late_ms = now - max(self.due, self._ticked_at)
         if late_ms <= STALL_THRESHOLD_MS:
             return
-        self._count("late")
+        self.events.count("late")
         self.detector.health.worsen(1 + int(late_ms / PROBE_PERIOD_MS))
-        for name in self._watched:
-            self.members[name].state_since += late_ms
+        self.roster.postpone(late_ms)
         self.detector.postpone(late_ms)
 
     def _run_probes(self, now: float) -> None:
@@ -199,42 +199,20 @@
         if target is None or not target.is_active:
             return
         if suspicion.is_held_back(target, now):
-            self._count("held_back")
+            self.events.count("held_back")
             return
-        self._count("accusations")
+        self.events.count("accusations")
         evidence = "no answer here"
         if probe.helpers:
             evidence = f"no answer here nor to {' '.join(probe.helpers)}"
         record = replace(target.record, state=MemberState.SUSPECTED, accuser=self.name)
         self._apply_record(now, record, evidence)
 
-    def _review_members(self, now: float) -> None:
-        """End suspicions, tombstones and damping that have lasted long enough."""
-        for name in list(self._watched):
-            known = self.members[name]
-            state = known.record.state
-            if state == MemberState.SUSPECTED and self._suspicion_is_over(now, known):
-                dead = replace(known.record, state=MemberState.DEAD, accuser=self.name)
-                self._apply_record(now, dead)
-            elif state >= MemberState.DEAD and now - known.state_since > TOMBSTONE_MS:
-                del self.members[name]
-                del self._watched[name]
-            elif flap_damping.has_stabilized(known, now):
-                flap_damping.release(known)
-                self.views.note_change(now)
-            elif state == MemberState.ALIVE and known.damped_since is None:
-                del self._watched[name]
-
-    def _suspicion_is_over(self, now: float, suspect: Member) -> bool:
-        penalty = self.detector.health.penalty
-        timeout_ms = suspicion.timeout_ms(suspect, len(self.members), penalty)
-        return now - suspect.state_since >= timeout_ms
-
     def _push_changes(self) -> None:
         """Gossip that waited for probes alone would be slow to reach the last member."""
-        if not self._push_pending:
+        if not self.roster.has_unsent_changes:
             return
-        self._push_pending = False
+        self.roster.has_unsent_changes = False
         for name in self.dissemination.sample(PUSH_FANOUT):
             self.dissemination.send(name, self._gossip())
 
@@ -254,7 +232,7 @@
         self._correct_stale_records(source, message)
         if message.kind == MessageKind.PROBE and message.target != self.name:
             # It was meant for a member that had this address before.
-            self._count("misdirected")
+            self.events.count("misdirected")
             return
         self._answer(now, source, message)
         if message.full_sync:
@@ -264,9 +242,8 @@
     def _allow_for_isolation(self, now: float) -> None:
         """Restart suspicions after a time without datagrams: refutations were missed meanwhile."""
         if now - self._received_at > ISOLATION_MS:
-            self._count("deaf")
-            for name in self._watched:
-                self.members[name].state_since = now
+            self.events.count("deaf")
+            self.roster.restart_timeouts(now)
         self._received_at = now
 
     def _take_gossip(
@@ -293,7 +270,7 @@
             and record.incarnation < self.members[record.name].record.incarnation
         )
         if newer:
-            self._count("corrected")
+            self.events.count("corrected")
             self.dissemination.send_to(source, self._gossip(*newer[:MAX_RECORDS_PER_DATAGRAM]))
 
     def _answer(self, now: float, source: Address, message: Message) -> None:
@@ -320,105 +297,8 @@
         """Take a record of a member, from whomever; `evidence` is for the log."""
         if record.name == self.name:
             self._apply_own_record(now, record)
-            return
-        known = self.members.get(record.name)
-        if known is None:
-            self._add_member(now, record, evidence)
-            return
-        if record.incarnation < known.record.incarnation:
-            self._count("stale")
-            return
-        if record.incarnation == known.record.incarnation:
-            self._merge_same_incarnation(known, record)
-            if record.state <= known.record.state:
-                return
-            record = _with_metadata_of(record, known.record)
-        elif _has_older_metadata(record, known.record):
-            record = _with_metadata_of(record, known.record)
-        before = known.record
-        known.record = record
-        self._record_changed(now, known, before, evidence)
-
-    def _add_member(self, now: float, record: Record, evidence: str) -> None:
-        if len(self.members) >= MAX_MEMBERS and not self._evict_tombstone():
-            self._count("crowded")
-            return
-        added = Member(record, now)
-        self.members[record.name] = added
-        if record.state >= MemberState.DEAD:
-            self._watched[record.name] = None  # kept so that older records of it change nothing
-            return
-        self._record_changed(now, added, None, evidence)
-
-    def _evict_tombstone(self) -> bool:
-        """Forget the member that has been dead for longest, to bound memory; whether one was."""
-        tombstones = [name for name in self._watched if not self.members[name].is_active]
-        if not tombstones:
-            return False
-        oldest = min(tombstones, key=lambda name: self.members[name].state_since)
-        del self.members[oldest]
-        del self._watched[oldest]
-        self.dissemination.forget(oldest)
-        return True
-
-    def _merge_same_incarnation(self, known: Member, record: Record) -> None:
-        """Take another accuser, and newer metadata, of a record that is otherwise known."""
-        both_suspect = record.state == MemberState.SUSPECTED == known.record.state
-        if both_suspect and suspicion.confirm(known, record.accuser):
-            self.dissemination.reannounce(record.name)
-        if _has_older_metadata(known.record, record):
-            known.record = _with_metadata_of(known.record, record)
-            self.dissemination.announce(record.name)
-
-    def _record_changed(
-        self, now: float, changed: Member, before: Record | None, evidence: str
-    ) -> None:
-        """Do all that follows from a new record; `before` is None for a newcomer."""
-        record = changed.record
-        changed.state_since = now
-        if record.state == MemberState.ALIVE and self.name in changed.accusers:
-            self._suspicion_refuted(now, changed)
-        suspected = record.state == MemberState.SUSPECTED
-        changed.accusers = {record.accuser: None} if suspected else {}
-        if record.state != MemberState.ALIVE:
-            self._watched[record.name] = None
-        if before is None or before.state != record.state:
-            was_dead = before is not None and before.state >= MemberState.DEAD
-            if was_dead and record.state == MemberState.ALIVE:
-                self._note_recovery(now, changed)
-            self._report_state(record, evidence)
-        self.dissemination.announce(record.name)
-        self.views.note_change(now)
-        self._push_pending = True
-
-    def _suspicion_refuted(self, now: float, refuter: Member) -> None:
-        if suspicion.note_refutation(refuter, now):
-            self._report(
-                "member_suspicions_held_back",
-                member=refuter.record.name,
-                unconfirmed=MAX_UNCONFIRMED,
-            )
-
-    def _note_recovery(self, now: float, recovered: Member) -> None:
-        """Damp a member that has recovered too often."""
-        if not flap_damping.note_recovery(recovered, now):
-            return
-        name = recovered.record.name
-        if recovered.damped_since is None:
-            self._count("flapping")
-            self._report("member_damped", member=name, ms=flap_damping.DAMPED_MS)
-        recovered.damped_since = now
-        self._watched[name] = None
-
-    def _report_state(self, record: Record, evidence: str) -> None:
-        state = record.state.name.lower()
-        self._count(state)
-        by = f" by {record.accuser}" if record.accuser else ""
-        path = f", {evidence}" if evidence and record.state != MemberState.ALIVE else ""
-        text = f"{record.name} {state}{by}{path}, incarnation {record.incarnation}"
-        self._report("members", what=text)
-
-    # ---- records of this member
+        else:
+            self.roster.apply(now, record, evidence)
 
     def _apply_own_record(self, now: float, record: Record) -> None:
         """What others hold of this member; refuted where it is wrong."""
@@ -426,14 +306,14 @@
             return
         if self.identity.must_give_way(now, record):
             self.silenced = True
-            self._count("clash")
+            self.events.count("clash")
             host, port = record.address
-            self._report("member_name_conflict", member=self.name, other=f"{host}:{port}")
+            self.events.report("member_name_conflict", member=self.name, other=f"{host}:{port}")
         elif self.identity.is_wrong(record):
             self._refute(record)
 
     def _refute(self, record: Record) -> None:
-        self._count("refuted")
+        self.events.count("refuted")
         if record.state == MemberState.SUSPECTED:
             self.detector.health.worsen()
         self.identity.refute(record)
@@ -450,19 +330,3 @@
 
     def _gossip(self, *records: Record) -> Message:
         return Message(MessageKind.GOSSIP, self.name, records=records)
-
-    def _report(self, event: str, **fields: object) -> None:
-        if self._log is not None:
-            self._log(event, **fields)
-
-    def _count(self, name: str) -> None:
-        self.counts[name] = self.counts.get(name, 0) + 1
-
-
-def _has_older_metadata(record: Record, other: Record) -> bool:
-    """Whether `other`, of the same process, has newer metadata."""
-    return record.metadata_version < other.metadata_version and record.address == other.address
-
-
-def _with_metadata_of(record: Record, other: Record) -> Record:
-    return replace(record, metadata=other.metadata, metadata_version=other.metadata_version)
--- /dev/null
+++ b/hookpitch/members/roster.py
@@ -0,0 +1,202 @@
+"""What is known of the other members: records are applied, and end, here.
+
+Of two records of one member the one with the higher incarnation prevails; of equal ones the one
+with the higher state. A member is suspected for at least `suspicion.MIN_SUSPICION_MS` of this
+member's own running time before it is called dead. Memory is bounded: at most `MAX_MEMBERS`, the
+longest dead forgotten first. Times are milliseconds given by the caller.
+"""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from hookpitch.members import flap_damping, suspicion
+from hookpitch.members.dissemination import Dissemination
+from hookpitch.members.events import EventLog
+from hookpitch.members.member import MAX_UNCONFIRMED, Member
+from hookpitch.members.messages import MemberState, Record
+from hookpitch.members.view import ViewPublisher
+
+# How long a dead member's record is kept, so that older news of it changes nothing.
+TOMBSTONE_MS = 600000.0
+MAX_MEMBERS = 2000
+
+
+class Roster:
+    """The other members as one member knows them.
+
+    `members` has this member's own record, too, which is `identity.py`'s. `has_unsent_changes`: a
+    record has changed since its user last looked.
+    """
+
+    __slots__ = (
+        "has_unsent_changes",
+        "members",
+        "_dissemination",
+        "_events",
+        "_own_name",
+        "_views",
+        "_watched",
+    )
+
+    def __init__(
+        self,
+        own_name: str,
+        members: dict[str, Member],
+        dissemination: Dissemination,
+        views: ViewPublisher,
+        events: EventLog,
+    ) -> None:
+        self.members = members
+        self.has_unsent_changes = False
+        self._own_name = own_name
+        self._dissemination = dissemination
+        self._views = views
+        self._events = events
+        self._watched: dict[str, None] = {}  # who is not simply alive, in order
+
+    # ---- time
+
+    def postpone(self, ms: float) -> None:
+        """Do not count a time in which this member was suspended."""
+        for name in self._watched:
+            self.members[name].state_since += ms
+
+    def restart_timeouts(self, now: float) -> None:
+        """Begin all suspicions anew."""
+        for name in self._watched:
+            self.members[name].state_since = now
+
+    def review(self, now: float, health_penalty: int) -> None:
+        """End suspicions, tombstones and damping that have lasted long enough."""
+        for name in list(self._watched):
+            known = self.members[name]
+            state = known.record.state
+            if self._is_to_be_called_dead(now, known, health_penalty):
+                dead = replace(known.record, state=MemberState.DEAD, accuser=self._own_name)
+                self.apply(now, dead)
+            elif state >= MemberState.DEAD and now - known.state_since > TOMBSTONE_MS:
+                del self.members[name]
+                del self._watched[name]
+            elif flap_damping.has_stabilized(known, now):
+                flap_damping.release(known)
+                self._views.note_change(now)
+            elif state == MemberState.ALIVE and known.damped_since is None:
+                del self._watched[name]
+
+    def _is_to_be_called_dead(self, now: float, suspect: Member, health_penalty: int) -> bool:
+        """Whether it is suspected, and has been for long enough."""
+        if suspect.record.state != MemberState.SUSPECTED:
+            return False
+        timeout_ms = suspicion.timeout_ms(suspect, len(self.members), health_penalty)
+        return now - suspect.state_since >= timeout_ms
+
+    # ---- records
+
+    def apply(self, now: float, record: Record, evidence: str = "") -> None:
+        """Take a record of another member, from whomever; `evidence` is for the log."""
+        known = self.members.get(record.name)
+        if known is None:
+            self._add_member(now, record, evidence)
+            return
+        if record.incarnation < known.record.incarnation:
+            self._events.count("stale")
+            return
+        if record.incarnation == known.record.incarnation:
+            self._merge_same_incarnation(known, record)
+            if record.state <= known.record.state:
+                return
+            record = _with_metadata_of(record, known.record)
+        elif _has_older_metadata(record, known.record):
+            record = _with_metadata_of(record, known.record)
+        before = known.record
+        known.record = record
+        self._record_changed(now, known, before, evidence)
+
+    def _add_member(self, now: float, record: Record, evidence: str) -> None:
+        if len(self.members) >= MAX_MEMBERS and not self._evict_tombstone():
+            self._events.count("crowded")
+            return
+        added = Member(record, now)
+        self.members[record.name] = added
+        if record.state >= MemberState.DEAD:
+            self._watched[record.name] = None  # kept so that older records of it change nothing
+            return
+        self._record_changed(now, added, None, evidence)
+
+    def _evict_tombstone(self) -> bool:
+        """Forget the member that has been dead for longest, to bound memory; whether one was."""
+        tombstones = [name for name in self._watched if not self.members[name].is_active]
+        if not tombstones:
+            return False
+        oldest = min(tombstones, key=lambda name: self.members[name].state_since)
+        del self.members[oldest]
+        del self._watched[oldest]
+        self._dissemination.forget(oldest)
+        return True
+
+    def _merge_same_incarnation(self, known: Member, record: Record) -> None:
+        """Take another accuser, and newer metadata, of a record that is otherwise known."""
+        both_suspect = record.state == MemberState.SUSPECTED == known.record.state
+        if both_suspect and suspicion.confirm(known, record.accuser):
+            self._dissemination.reannounce(record.name)
+        if _has_older_metadata(known.record, record):
+            known.record = _with_metadata_of(known.record, record)
+            self._dissemination.announce(record.name)
+
+    def _record_changed(
+        self, now: float, changed: Member, before: Record | None, evidence: str
+    ) -> None:
+        """Do all that follows from a new record; `before` is None for a newcomer."""
+        record = changed.record
+        changed.state_since = now
+        if record.state == MemberState.ALIVE and self._own_name in changed.accusers:
+            self._suspicion_refuted(now, changed)
+        suspected = record.state == MemberState.SUSPECTED
+        changed.accusers = {record.accuser: None} if suspected else {}
+        if record.state != MemberState.ALIVE:
+            self._watched[record.name] = None
+        if before is None or before.state != record.state:
+            was_dead = before is not None and before.state >= MemberState.DEAD
+            if was_dead and record.state == MemberState.ALIVE:
+                self._note_recovery(now, changed)
+            self._report_state(record, evidence)
+        self._dissemination.announce(record.name)
+        self._views.note_change(now)
+        self.has_unsent_changes = True
+
+    def _suspicion_refuted(self, now: float, refuter: Member) -> None:
+        if suspicion.note_refutation(refuter, now):
+            self._events.report(
+                "member_suspicions_held_back",
+                member=refuter.record.name,
+                unconfirmed=MAX_UNCONFIRMED,
+            )
+
+    def _note_recovery(self, now: float, recovered: Member) -> None:
+        """Damp a member that has recovered too often."""
+        if not flap_damping.note_recovery(recovered, now):
+            return
+        name = recovered.record.name
+        if recovered.damped_since is None:
+            self._events.count("flapping")
+            self._events.report("member_damped", member=name, ms=flap_damping.DAMPED_MS)
+        recovered.damped_since = now
+        self._watched[name] = None
+
+    def _report_state(self, record: Record, evidence: str) -> None:
+        state = record.state.name.lower()
+        self._events.count(state)
+        by = f" by {record.accuser}" if record.accuser else ""
+        path = f", {evidence}" if evidence and record.state != MemberState.ALIVE else ""
+        text = f"{record.name} {state}{by}{path}, incarnation {record.incarnation}"
+        self._events.report("members", what=text)
+
+
+def _has_older_metadata(record: Record, other: Record) -> bool:
+    """Whether `other`, of the same process, has newer metadata."""
+    return record.metadata_version < other.metadata_version and record.address == other.address
+
+
+def _with_metadata_of(record: Record, other: Record) -> Record:
+    return replace(record, metadata=other.metadata, metadata_version=other.metadata_version)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -22,9 +22,10 @@
 from hookpitch.members.dissemination import Dissemination
 from hookpitch.members.failure_detector import PROBE_PERIOD_MS, Probe
 from hookpitch.members.member import MAX_UNCONFIRMED, Member
-from hookpitch.members.membership import MAX_MEMBERS, Membership
+from hookpitch.members.membership import Membership
 from hookpitch.members.messages import PARTITIONS, MemberState, Message, MessageKind, Record
 from hookpitch.members.port import attach, parse_settings
+from hookpitch.members.roster import MAX_MEMBERS, Roster
 from hookpitch.testbed.experiment import load
 from hookpitch.testbed.membership_simulation import MembershipSimulation
 from hookpitch.testbed.run import Run
@@ -660,8 +661,8 @@
 
 
 def _take_all(right: Callable) -> Callable:
-    def wrong(self: Membership, now: float, r: Record, evidence: str = "") -> None:
-        if r.name in self.members and r.name != self.name:
+    def wrong(self: Roster, now: float, r: Record, evidence: str = "") -> None:
+        if r.name in self.members:
             self.members[r.name].record = r
         else:
             right(self, now, r, evidence)
@@ -670,16 +671,16 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "wrong", "said"),
+    ("owner", "method", "wrong", "said"),
     [
-        ("_suspect", _raise_another, "raised by another"),
-        ("_apply_record", _take_all, "went back|returned"),
+        (Membership, "_suspect", _raise_another, "raised by another"),
+        (Roster, "apply", _take_all, "went back|returned"),
     ],
 )
 def test_an_injected_fault_breaks_an_invariant(
-    method: str, wrong: Callable, said: str, monkeypatch: pytest.MonkeyPatch
+    owner: type, method: str, wrong: Callable, said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Membership, method, wrong(getattr(Membership, method)))
+    monkeypatch.setattr(owner, method, wrong(getattr(owner, method)))
     with pytest.raises(AssertionError, match=said):
         for seed in range(40):
             walked(seed, 150)
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -15,7 +15,6 @@
 from test_members import World
 
 from hookpitch.members.codec import HEAD, KINDS, MAX_BYTES, MAX_NAME_CHARS, Codec
-from hookpitch.members.membership import Membership
 from hookpitch.members.messages import (
     MAX_METADATA_BYTES,
     MAX_RECORDS_PER_DATAGRAM,
@@ -25,6 +24,7 @@
     MessageKind,
     Record,
 )
+from hookpitch.members.roster import Roster
 
 # The same examples each time: a run that finds something finds it again.
 SAME = settings(
@@ -158,14 +158,14 @@
 
 
 def test_an_injected_fault_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = Membership._apply_record
+    right = Roster.apply
 
-    def wrong(self: Membership, now: float, r: Record, evidence: str = "") -> None:
-        if r.name in self.members and r.name != self.name:
+    def wrong(self: Roster, now: float, r: Record, evidence: str = "") -> None:
+        if r.name in self.members:
             self.members[r.name].record = r  # old news, too
         right(self, now, r, evidence)
 
-    monkeypatch.setattr(Membership, "_apply_record", wrong)
+    monkeypatch.setattr(Roster, "apply", wrong)
     with pytest.raises(AssertionError, match="an incarnation went back|the dead returned"):
         # Found is enough: it need not be the shortest history, nor the only fault.
         found = settings(
