--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -5,7 +5,9 @@
 from pathlib import Path
 
 import pytest
-from fleet import Fleet, Line, Sockets, deployment, entry, get, listed_host
+from fleet import Fleet, deployment, entry
+from memory_network import MemoryConnection
+from socket_node import Sockets, get, listed_host
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, MAX_CLOSING
@@ -16,7 +18,7 @@
 
 def command(sockets: Sockets, line: bytes) -> bytes:
     """The admin server's answer to bytes on a new connection, which it then closes."""
-    connection = Line(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
+    connection = MemoryConnection(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
     connection.say(line)
     answer = connection.take()
     sockets.pass_time(0)
@@ -70,14 +72,14 @@
 def test_silent_admin_connections_are_bounded_and_delay_no_other() -> None:
     sockets = Sockets()
     mute = [
-        Line(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
+        MemoryConnection(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
         for _ in range(MAX_CALLERS)
     ]
     mute[0].say(b"STAT")
     assert command(sockets, b"STATUS\n") == b"YES\n"
     assert sockets.node.admin_server.connections == MAX_CALLERS - 1
     while (protocol := sockets.node.admin_server.buildProtocol(None)) is not None:
-        Line(sockets.network, protocol, 0)
+        MemoryConnection(sockets.network, protocol, 0)
     assert sockets.node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
     sockets.pass_time(CALL_TIMEOUT_MS + 1)
     assert sockets.node.admin_server.connections == 0
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,7 +12,8 @@
 from pathlib import Path
 
 import pytest
-from fleet import DISCOVERY, SETTINGS, Line, Sockets, get, listed_host
+from memory_network import MemoryConnection
+from socket_node import DISCOVERY, SETTINGS, Sockets, get, listed_host
 
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.net.node_config import NodeConfig, load_node_config, load_reloaded_config
@@ -260,7 +261,7 @@
     new["settings"]["limits"]["second_copies"] = True
     client = sockets.client()
 
-    def connections() -> list[Line]:
+    def connections() -> list[MemoryConnection]:
         return sockets.network.to(7000) + sockets.network.to(7001)
 
     for step, content in enumerate((new, "{", old, new)):
