--- a/hookpitch/net/endpoint_list.py
+++ b/hookpitch/net/endpoint_list.py
@@ -11,6 +11,7 @@
 from typing import Any, NamedTuple
 
 from hookpitch.balancer.interface import Endpoint, EndpointState
+from hookpitch.core.errors import InputError
 
 ENDPOINT_STATES = {
     "in_service": EndpointState.READY,
@@ -20,7 +21,7 @@
 UNKNOWN_KIND = -2  # of an endpoint whose class is not among the deployment's kinds
 
 
-class EndpointListError(ValueError):
+class EndpointListError(InputError):
     """An object of discovery's that cannot be read as an endpoint list."""
 
 
