--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -67,7 +67,7 @@
         carrier = attempt.carrier
         is_sent = isinstance(carrier, BackendConnection) and carrier.attempt is attempt
         if is_sent and carrier.has_kernel_bytes():
-            getattr(carrier.transport, "doRead", lambda: None)()
+            carrier.read_now()
         return attempt.done
 
     # ---- servers
--- a/hookpitch/net/buffered_protocol.py
+++ b/hookpitch/net/buffered_protocol.py
@@ -123,6 +123,10 @@
             pass
         return True
 
+    def read_now(self) -> None:
+        """Reads what the kernel has, without waiting for the loop's next turn."""
+        getattr(self.transport, "doRead", lambda: None)()
+
     # ---- sending
 
     def send(self, data: bytes) -> None:
--- a/hookpitch/net/client_connection.py
+++ b/hookpitch/net/client_connection.py
@@ -366,7 +366,7 @@
     def advance(self) -> None:
         """Takes the next step that is due: read on, drain or close."""
         if self.registry.draining and not self.lost and not self.closing:
-            self._read_now()  # a command that stands unread in the kernel counts as received
+            self.read_now()  # a command that stands unread in the kernel counts as received
             if not self.lost:
                 self._stop_reading_if_draining()
         self._resume_reading()
@@ -378,9 +378,6 @@
         self.close_scheduled = False
         self.advance()
 
-    def _read_now(self) -> None:
-        getattr(self.transport, "doRead", lambda: None)()
-
     # ---- ending
 
     def disconnected(self) -> bool:
@@ -407,7 +404,7 @@
         if not self.lost and self.is_idle and self.registry.draining:
             # An RPC that comes between the last look and the close would be lost.
             if self.has_kernel_bytes():
-                self._read_now()
+                self.read_now()
             if not self.lost and self.is_idle:
                 self.finish()
 
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -144,7 +144,7 @@
         """
         newcomer.over_limit = True
         self.host.counters.add("clients.guests")
-        newcomer.transport.doRead()
+        newcomer.read_now()
         # Those that send nothing would use up the descriptors that are left.
         if newcomer.closing or len(self.connections) > self.max_connections + self.max_over_limit:
             self._close_over_limit(newcomer)
