--- a/hookpitch/net/backend_connection.py
+++ b/hookpitch/net/backend_connection.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.balancer.deployment import report
+from hookpitch.balancer.deployment import parse_load_report
 from hookpitch.balancer.interface import Outcome
 from hookpitch.core.host import NO_REPORT
 from hookpitch.core.resp import NEED_DATA, ErrorReply, Parser, ProtocolError, Value, command
@@ -116,7 +116,7 @@
         values = NO_REPORT
         if load:
             try:
-                values = report(load, "=")
+                values = parse_load_report(load, "=")
             except ValueError:
                 self.host.record_malformed("reports", load)
         self.host.attempt_finished(now, attempt, outcome, value, values, age_ms)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,9 +1,7 @@
-"""Membership: detection that bears pauses, lost datagrams and one-sided cuts; the state machine
-explored.
+"""Membership: detection under suspensions, loss and one-way partitions; the state machine explored.
 
-`Net` (hookpitch/testbed/membership_simulation.py) runs the program's state machine and codec over datagrams in
-virtual time.
-"""  # noqa: E501
+`MembershipSimulation` runs the program's state machine and codec over datagrams in virtual time.
+"""
 
 import copy
 import json
@@ -16,7 +14,7 @@
 
 import pytest
 from click.testing import CliRunner
-from fleet import Sockets
+from socket_node import Sockets
 
 from hookpitch.cli import main
 from hookpitch.members.anti_entropy import AntiEntropy
@@ -24,11 +22,12 @@
 from hookpitch.members.dissemination import Dissemination
 from hookpitch.members.failure_detector import PROBE_PERIOD_MS, Probe
 from hookpitch.members.member import MAX_UNCONFIRMED, Member
-from hookpitch.members.membership import MAX_MEMBERS, Membership
+from hookpitch.members.membership import Membership
 from hookpitch.members.messages import PARTITIONS, MemberState, Message, MessageKind, Record
 from hookpitch.members.port import attach, parse_settings
+from hookpitch.members.roster import MAX_MEMBERS, Roster
 from hookpitch.testbed.experiment import load
-from hookpitch.testbed.membership_simulation import Net
+from hookpitch.testbed.membership_simulation import MembershipSimulation
 from hookpitch.testbed.run import Run
 
 HEALED_MS, SAME_MS = 20000.0, 45000.0  # after the last fault
@@ -36,15 +35,15 @@
 FAULTS = ROOT / "experiments" / "members-faults.toml"
 
 
-def up(count: int, seed: int = 1) -> Net:
-    net = Net(count, seed)
-    assert net.until(net.agreed, 30) < 12
-    net.go(10)
+def up(count: int, seed: int = 1) -> MembershipSimulation:
+    net = MembershipSimulation(count, seed)
+    assert net.advance_until(net.agreed, 30) < 12
+    net.advance(10)
     net.logs.clear()
     return net
 
 
-def deaths(net: Net) -> set[str]:
+def deaths(net: MembershipSimulation) -> set[str]:
     """Who was called dead by anybody."""
     return {text.split()[0] for _, _, text in net.logs if " dead" in text}
 
@@ -53,35 +52,43 @@
 
 
 @pytest.mark.parametrize("count", [3, 12, 60])
-def test_who_dies_is_found_and_agreed_on(count: int) -> None:
+def test_a_death_is_detected_and_agreed_on(count: int) -> None:
     net = up(count)
     net.kill(["m1"])
-    first = net.until(
-        lambda: net.think("m1", MemberState.SUSPECTED) or net.think("m1", MemberState.DEAD), 20, 0.1
+    first = net.advance_until(
+        lambda: net.believers("m1", MemberState.SUSPECTED) or net.believers("m1", MemberState.DEAD),
+        20,
+        0.1,
     )
-    agreed = first + net.until(lambda: len(net.think("m1", MemberState.DEAD)) == count - 1, 30, 0.1)
-    assert first < 3.5 and agreed < 9.0 and deaths(net) == {"m1"}
+    agreed = first + net.advance_until(
+        lambda: len(net.believers("m1", MemberState.DEAD)) == count - 1, 30, 0.1
+    )
+    assert first < 3.5
+    assert agreed < 9.0
+    assert deaths(net) == {"m1"}
 
 
-def test_the_log_tells_who_accused_and_by_which_path() -> None:
+def test_the_log_names_the_accuser_and_the_path_of_a_suspicion() -> None:
     net = up(8)
     net.kill(["m1"])
-    net.go(10)
+    net.advance(10)
     lines = [(who, text) for _, who, text in net.logs if text.startswith("m1 suspected by ")]
     own = [text for who, text in lines if f" by {who}, no answer here nor to m" in text]
     told = [text for who, text in lines if f" by {who}" not in text]
-    assert own and told and all(", incarnation " in text for _, text in lines)
+    assert own
+    assert told
+    assert all(", incarnation " in text for _, text in lines)
     assert any(", told by m" in text for text in told)  # but for what the accuser itself told
 
 
-def test_a_restart_with_a_clock_that_went_backwards_is_a_new_incarnation() -> None:
+def test_a_restart_with_a_clock_set_back_is_a_new_incarnation() -> None:
     net = up(6)
     before, old = net.members["m2"].members["m2"].record.incarnation, net.members["m2"]
     net.kill(["m2"])
-    net.go(1)
+    net.advance(1)
     # Its machine's clock is an hour behind now: nothing that others hold is told by clocks.
     behind = 3600000.0
-    m = Membership(net.now - behind, "m2", net.address("m2"), net.seeds, net.rng.random)
+    m = Membership(net.now - behind, "m2", net.address_of("m2"), net.seeds, net.rng.random)
     assert m is not old
     net.members["m2"] = m
     net.down.discard("m2")
@@ -91,149 +98,148 @@
     def run() -> None:
         tick(net.now - behind)
         net.flush("m2", m)
-        net.at(max(1.0, m.due - (net.now - behind)), run)
+        net.schedule(max(1.0, m.due - (net.now - behind)), run)
 
     run()
-    assert net.until(net.agreed, 20) < 15
-    assert all(net.members[n].members["m2"].record.incarnation > before for n in net.up())
+    assert net.advance_until(net.agreed, 20) < 15
+    assert all(net.members[n].members["m2"].record.incarnation > before for n in net.running())
 
 
-def test_three_hundred_that_join_within_a_second_meet() -> None:
-    net = Net(300, seeds=3)
-    assert net.until(net.agreed, 60, 0.5) < 30 and not deaths(net)
+def test_three_hundred_members_that_join_within_a_second_find_one_another() -> None:
+    net = MembershipSimulation(300, seeds=3)
+    assert net.advance_until(net.agreed, 60, 0.5) < 30
+    assert not deaths(net)
 
 
-def test_a_member_that_knew_a_fleet_which_has_wholly_changed_meets_the_new_one_by_its_seeds() -> (
-    None
-):
+def test_a_member_whose_fleet_was_replaced_joins_the_new_one_by_its_seeds() -> None:
     net = up(8)
     net.kill([f"m{n}" for n in range(8) if n != 5])
-    net.go(1)
+    net.advance(1)
     for n in (0, 1, 2):  # others, at the seeds' addresses
         net.start(f"m{n}")
     for n in (20, 21, 22):
         net.start(f"m{n}")
-    assert net.until(net.agreed, 60) < 30
+    assert net.advance_until(net.agreed, 60) < 30
     assert {"m20", "m21", "m22"} <= set(net.members["m5"].alive())
 
 
-def test_a_third_killed_at_once_is_one_or_two_changes_to_a_user() -> None:
+def test_a_third_killed_at_once_is_at_most_three_versions_of_the_view() -> None:
     net = up(30)
     gone = [f"m{n}" for n in range(0, 30, 3)]
-    before = {n: net.members[n].view.version for n in net.up()}
+    before = {n: net.members[n].view.version for n in net.running()}
     net.kill(gone)
-    net.go(20)
-    assert net.agreed() and deaths(net) == set(gone)
-    for n in net.up():
+    net.advance(20)
+    assert net.agreed()
+    assert deaths(net) == set(gone)
+    for n in net.running():
         view = net.members[n].view
-        assert (
-            view.version - before[n] <= 3
-            and len(view.members) == 20
-            and 0.6 < view.visible_fraction < 0.7
-        )
+        assert view.version - before[n] <= 3
+        assert len(view.members) == 20
+        assert 0.6 < view.visible_fraction < 0.7
 
 
 @pytest.mark.parametrize("first", ["settling", "change"])
-def test_a_change_in_the_moment_in_which_a_view_settles_is_in_a_view(first: str) -> None:
+def test_a_change_at_the_moment_a_view_settles_is_in_a_later_view(first: str) -> None:
     net = up(4)
     m = net.members["m0"]
     dead = replace(m.members["m1"].record, state=MemberState.DEAD)
     back = replace(dead, state=MemberState.ALIVE, incarnation=dead.incarnation + 1)
     now = net.now
-    m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(dead,)))
+    m.receive(now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(dead,)))
     now += 1000.0  # quiet for so long
     if first == "change":
-        m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
+        m.receive(now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
         m._settle_view(now)
     else:
         m._settle_view(now)
         assert "m1" not in m.view.members
-        m.receive(now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
+        m.receive(now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(back,)))
     m._settle_view(now + 1000.0)
     assert m.view.members == ("m0", "m1", "m2", "m3")
 
 
-def test_after_a_long_calm_what_fails_together_is_one_change_to_a_user() -> None:
+def test_failures_close_together_after_a_long_calm_are_one_version_of_the_view() -> None:
     net = up(6)
     m, now = net.members["m0"], net.now + 60000.0
     before = m.view.version
     for n in (1, 2, 3):
         gone = replace(m.members[f"m{n}"].record, state=MemberState.DEAD)
         m.receive(
-            now + 200 * n, net.address("m4"), Message(MessageKind.GOSSIP, "m4", records=(gone,))
+            now + 200 * n, net.address_of("m4"), Message(MessageKind.GOSSIP, "m4", records=(gone,))
         )
         m._settle_view(now + 200 * n + 50)
     assert m.view.version == before
     m._settle_view(now + 1600.0)
-    assert m.view.version == before + 1 and m.view.members == ("m0", "m4", "m5")
+    assert m.view.version == before + 1
+    assert m.view.members == ("m0", "m4", "m5")
 
 
 @pytest.mark.parametrize("seconds", [2.0, 1.0])
-def test_pauses_kill_nobody_and_a_stopped_member_accuses_no_one(seconds: float) -> None:
+def test_short_suspensions_cause_no_deaths(seconds: float) -> None:
     net = up(30)
     for n in range(10):
-        net.stop([f"m{3 * n}"], seconds)
-        net.go(5)
-    assert not deaths(net) and net.until(net.agreed, 10) < 10
+        net.suspend([f"m{3 * n}"], seconds)
+        net.advance(5)
+    assert not deaths(net)
+    assert net.advance_until(net.agreed, 10) < 10
 
 
-def test_who_is_stopped_for_long_is_called_dead_and_returns_at_a_higher_incarnation() -> None:
+def test_a_long_suspension_is_a_death_and_a_return_with_a_higher_incarnation() -> None:
     net = up(20)
     before = net.members["m7"].members["m7"].record.incarnation
-    net.stop(["m7"], 20.0)
-    net.go(15)
-    assert len(net.think("m7", MemberState.DEAD)) == 19
-    assert net.until(net.agreed, 30) < 15
+    net.suspend(["m7"], 20.0)
+    net.advance(15)
+    assert len(net.believers("m7", MemberState.DEAD)) == 19
+    assert net.advance_until(net.agreed, 30) < 15
     assert deaths(net) == {"m7"}  # and it has not taken the others for dead meanwhile
-    assert all(net.members[n].members["m7"].record.incarnation > before for n in net.up())
+    assert all(net.members[n].members["m7"].record.incarnation > before for n in net.running())
 
 
 @pytest.mark.parametrize(("loss", "seconds"), [(0.05, 60), (0.2, 60)])
-def test_lost_datagrams_kill_nobody(loss: float, seconds: int) -> None:
+def test_lost_datagrams_cause_no_deaths(loss: float, seconds: int) -> None:
     net = up(40)
     net.loss = loss
-    net.go(seconds)
+    net.advance(seconds)
     assert not deaths(net)
 
 
-def test_a_fifth_of_the_datagrams_lost_accuses_few_and_costs_little() -> None:
+def test_a_fifth_of_the_datagrams_lost_causes_few_suspicions_and_little_traffic() -> None:
     net = up(60)
     net.loss = 0.2
-    net.go(10)
+    net.advance(10)
     before = sum(net.bytes.values())
-    net.go(40)
+    net.advance(40)
     # Danger: each accusation and its refutation are told round the fleet, some twenty times by each
     # member.
     assert sum(m.counts.get("accusations", 0) for m in net.members.values()) <= 6
     assert (sum(net.bytes.values()) - before) / 60 / 40 < 1800
 
 
-def test_a_third_stopped_at_once_is_called_dead_by_nobody() -> None:
+def test_a_third_suspended_at_once_causes_no_deaths() -> None:
     for seed in (6, 7, 8):
         net = up(60, seed)
-        net.stop([f"m{n}" for n in range(0, 60, 3)], 2.0)
-        net.go(15)
+        net.suspend([f"m{n}" for n in range(0, 60, 3)], 2.0)
+        net.advance(15)
         assert not deaths(net), seed
 
 
-def test_who_accuses_by_old_news_is_told_what_is_known_since() -> None:
+def test_a_sender_of_a_stale_suspicion_is_sent_the_refutation() -> None:
     net = up(6)
     m, now = net.members["m0"].members["m1"].record, net.now
     old = replace(m, incarnation=m.incarnation - 1, state=MemberState.SUSPECTED, accuser="m2")
     net.members["m0"].receive(
-        now, net.address("m2"), Message(MessageKind.GOSSIP, "m2", records=(old,))
+        now, net.address_of("m2"), Message(MessageKind.GOSSIP, "m2", records=(old,))
     )
     ((to, said),) = net.members["m0"].outbox
-    assert to == net.address("m2") and m in said.records
+    assert to == net.address_of("m2")
+    assert m in said.records
 
 
-def test_of_what_two_know_only_parts_that_differ_are_told() -> None:
+def test_a_sync_sends_only_the_partitions_that_differ() -> None:
     net = up(60)
     a, b = net.members["m0"], net.members["m1"]
-    assert (
-        a.partition_digests() == b.partition_digests()
-        and len(set(a.partition_digests())) > PARTITIONS // 2
-    )
+    assert a.partition_digests() == b.partition_digests()
+    assert len(set(a.partition_digests())) > PARTITIONS // 2
     a.set_metadata(b"news")
     a.take_outbox()
     b.take_outbox()
@@ -243,169 +249,177 @@
         Message(MessageKind.DIGEST, "m0", a.digest(), partition_digests=a.partition_digests()),
     )
     told = [r.name for _, message in b.outbox for r in message.records]
-    assert "m0" in told and len(told) <= 60 // 4
+    assert "m0" in told
+    assert len(told) <= 60 // 4
     assert sum(message.full_sync for _, message in b.outbox) == 1
 
 
-def test_one_sided_cuts_between_one_and_some_kill_nobody() -> None:
+def test_one_way_partitions_between_one_and_some_cause_no_deaths() -> None:
     net = up(20)
-    net.cuts(["m3"], ["m4", "m6", "m7", "m9"], both=False)
-    net.go(30)
+    net.partition(["m3"], ["m4", "m6", "m7", "m9"], both=False)
+    net.advance(30)
     assert not deaths(net)
 
 
-def test_a_cut_one_way_accuses_some_times_and_then_no_more() -> None:
+def test_repeated_unconfirmed_suspicions_are_held_back() -> None:
     # m3 hears nobody but by way of m4, which hears it: all that it accuses refute, and the news
     # comes round.
     net = up(8)
     others = [f"m{n}" for n in range(8) if n != 3]
-    net.cuts([o for o in others if o != "m4"], ["m3"], both=False)
-    net.go(240)
+    net.partition([o for o in others if o != "m4"], ["m3"], both=False)
+    net.advance(240)
     m = net.members["m3"]
     before = m.counts["accusations"]
-    net.go(240)  # one in `SPARED_MS` of each at the most; it would be one in 47 s
-    assert m.counts.get("held_back", 0) > 0 and before <= (MAX_UNCONFIRMED + 1) * len(others)
-    assert m.counts["accusations"] - before <= 2 * len(others) and not deaths(net)
+    net.advance(240)  # one in `SPARED_MS` of each at the most; it would be one in 47 s
+    assert m.counts.get("held_back", 0) > 0
+    assert before <= (MAX_UNCONFIRMED + 1) * len(others)
+    assert m.counts["accusations"] - before <= 2 * len(others)
+    assert not deaths(net)
 
 
-def test_who_was_deaf_gives_those_whom_it_suspects_their_time_anew() -> None:
+def test_an_isolated_member_restarts_its_suspicions_when_datagrams_come_again() -> None:
     for seed in range(1, 6):
         net = up(12, seed)
         others = [f"m{n}" for n in range(12) if n != 3]
-        net.cuts(others, ["m3"], both=False)
-        net.go(10)
-        net.cut.clear()
-        net.go(15)
+        net.partition(others, ["m3"], both=False)
+        net.advance(10)
+        net.partitioned.clear()
+        net.advance(15)
         # Meanwhile all others have refuted what it said of them, and it has heard none of that.
         assert deaths(net) <= {"m3"} and net.members["m3"].counts["deaf"] == 1, seed
 
 
-def test_a_member_that_is_accused_from_one_place_alone_is_found_dead_by_the_others() -> None:
+def test_a_death_is_detected_by_others_where_one_holds_its_suspicions_back() -> None:
     net = up(8)
     m = net.members["m3"]
     m.members["m5"].unconfirmed_at.extend([net.now - 2000.0, net.now - 1000.0, net.now])
     net.kill(["m5"])
-    net.go(12)
-    assert len(net.think("m5", MemberState.DEAD)) == 7
+    net.advance(12)
+    assert len(net.believers("m5", MemberState.DEAD)) == 7
 
 
-def test_a_rack_that_is_cut_off_says_which_part_it_sees_and_comes_back() -> None:
+def test_a_partitioned_rack_reports_its_visible_fraction_and_rejoins() -> None:
     net = up(18)
     rack, rest = [f"m{n}" for n in range(6)], [f"m{n}" for n in range(6, 18)]
-    net.cuts(rack, rest)
-    net.go(60)
-    assert (
-        net.members["m0"].view.members == tuple(sorted(rack))
-        and net.members["m0"].view.visible_fraction < 0.4
-    )
-    assert (
-        net.members["m9"].view.members == tuple(sorted(rest))
-        and 0.6 < net.members["m9"].view.visible_fraction < 0.7
-    )
-    net.cut.clear()
-    assert net.until(net.agreed, 60) < 40
+    net.partition(rack, rest)
+    net.advance(60)
+    assert net.members["m0"].view.members == tuple(sorted(rack))
+    assert net.members["m0"].view.visible_fraction < 0.4
+    assert net.members["m9"].view.members == tuple(sorted(rest))
+    assert 0.6 < net.members["m9"].view.visible_fraction < 0.7
+    net.partitioned.clear()
+    assert net.advance_until(net.agreed, 60) < 40
 
 
-def test_a_restart_faster_than_detection_is_a_new_incarnation() -> None:
+def test_a_restart_faster_than_detection_raises_the_incarnation() -> None:
     net = up(12)
     before = net.members["m5"].members["m5"].record.incarnation
     net.kill(["m5"])
-    net.go(0.4)
+    net.advance(0.4)
     net.start("m5")
-    net.go(6)
-    assert net.agreed() and not deaths(net)
+    net.advance(6)
+    assert net.agreed()
+    assert not deaths(net)
     assert net.members["m5"].members["m5"].record.incarnation > before
 
 
-def test_two_members_of_one_name_are_told_and_one_falls_silent() -> None:
+def test_of_two_members_with_one_name_one_falls_silent() -> None:
     net = up(6)
     net.members["m9"] = Membership(
         net.now,
         "m2",
-        net.address("m9"),
+        net.address_of("m9"),
         net.seeds,
         net.rng.random,
-        lambda text: net.logs.append((net.now, "m9", text)),
+        net.logger("m9"),
     )
     net.run("m9", net.members["m9"])
-    net.go(30)
+    net.advance(30)
     silent = [n for n in ("m2", "m9") if net.members[n].silenced]
-    assert len(silent) == 1 and any("another member is named m2" in text for _, _, text in net.logs)
+    assert len(silent) == 1
+    assert any(who in silent and "conflict member=m2" in text for _, who, text in net.logs)
     last = max(m.members["m2"].record.incarnation for m in net.members.values())
-    net.go(30)
+    net.advance(30)
     assert max(m.members["m2"].record.incarnation for m in net.members.values()) == last
 
 
-def test_a_member_that_comes_and_goes_is_held_back_and_forgiven() -> None:
+def test_a_flapping_member_is_damped_until_it_is_stable() -> None:
     net = up(8)
     for _ in range(4):
-        net.stop(["m4"], 9.0)
-        net.go(13)
+        net.suspend(["m4"], 9.0)
+        net.advance(13)
     held = [
-        n for n in net.up() if n != "m4" and net.members[n].members["m4"].damped_since is not None
+        n
+        for n in net.running()
+        if n != "m4" and net.members[n].members["m4"].damped_since is not None
     ]
-    assert held and net.members[held[0]].counts["flapping"] >= 1
-    net.go(40)
-    assert net.agreed() and all("m4" in net.members[n].view.members for n in net.up())
+    assert held
+    assert net.members[held[0]].counts["flapping"] >= 1
+    net.advance(40)
+    assert net.agreed()
+    assert all("m4" in net.members[n].view.members for n in net.running())
 
 
-def test_a_member_that_finds_no_seed_joins_when_one_is_up() -> None:
-    net = Net(4, seeds=1)
+def test_a_member_without_a_seed_joins_when_one_is_up() -> None:
+    net = MembershipSimulation(4, seeds=1)
     net.kill(["m0"])
-    net.go(8)
+    net.advance(8)
     assert all(net.members[n].alive() == [n] for n in ("m1", "m2", "m3"))
     net.start("m0")
-    assert net.until(net.agreed, 30) < 20
+    assert net.advance_until(net.agreed, 30) < 20
 
 
-def test_who_leaves_is_gone_at_once_and_nobody_calls_it_dead() -> None:
+def test_a_member_that_leaves_is_not_called_dead() -> None:
     net = up(12)
     m = net.members["m3"]
     m.leave(net.now)
     net.flush("m3", m)
     net.kill(["m3"])
-    net.go(4)
-    assert len(net.think("m3", MemberState.LEFT)) == 11 and not deaths(net)
+    net.advance(4)
+    assert len(net.believers("m3", MemberState.LEFT)) == 11
+    assert not deaths(net)
 
 
-def test_a_fact_reaches_all_and_the_last_one_goes() -> None:
+def test_metadata_reaches_all_members_and_the_latest_prevails() -> None:
     net = up(12)
     net.members["m2"].set_metadata(b"first")
     net.members["m2"].set_metadata(b"second")
-    net.go(8)
-    assert {net.members[n].members["m2"].record.metadata for n in net.up()} == {b"second"}
+    net.advance(8)
+    assert {net.members[n].members["m2"].record.metadata for n in net.running()} == {b"second"}
     with pytest.raises(ValueError):
         net.members["m2"].set_metadata(b"x" * 65)
 
 
-def test_what_a_member_sends_does_not_grow_with_the_fleet() -> None:
+def test_a_members_traffic_does_not_grow_with_the_fleet() -> None:
     rates = []
     for count in (12, 60):
         net = up(count)
-        net.go(30)
+        net.advance(30)
         before, begun = sum(net.bytes.values()), net.now
-        net.go(30)
+        net.advance(30)
         rates.append((sum(net.bytes.values()) - before) / count / (net.now - begun) * 1000)
-    assert max(rates) < 1000 and rates[1] < 1.6 * rates[0]
+    assert max(rates) < 1000
+    assert rates[1] < 1.6 * rates[0]
 
 
-def test_old_and_forged_news_move_nothing() -> None:
+def test_records_of_an_old_incarnation_change_nothing() -> None:
     net = up(6)
     m = net.members["m0"]
-    m.members["m1"].record = Record("m1", net.address("m1"), 5, MemberState.ALIVE)
+    m.members["m1"].record = Record("m1", net.address_of("m1"), 5, MemberState.ALIVE)
     m.counts.clear()
     before = dict(m.members)
     for state in MemberState:
         m.receive(
             net.now,
-            net.address("m2"),
+            net.address_of("m2"),
             Message(MessageKind.GOSSIP, "m2", records=(Record("m1", ("x", 1), 4, state),)),
         )
-    assert m.members["m1"].record.incarnation == 5 and m.counts["stale"] == 4
+    assert m.members["m1"].record.incarnation == 5
+    assert m.counts["stale"] == 4
     assert set(m.members) == set(before)
 
 
-def test_forged_names_take_a_bounded_memory_and_no_members_place() -> None:
+def test_forged_names_take_bounded_memory_and_evict_no_member() -> None:
     net = up(6)
     m = net.members["m0"]
     for n in range(3 * MAX_MEMBERS):
@@ -416,11 +430,9 @@
             Message(MessageKind.GOSSIP, "m1", records=(Record(f"x{n}", ("x", 1), 1, state),)),
         )
     m.take_outbox()
-    assert (
-        len(m.members) == MAX_MEMBERS
-        and len(m.dissemination.transmissions) <= MAX_MEMBERS
-        and m.counts["crowded"] > 0
-    )
+    assert len(m.members) == MAX_MEMBERS
+    assert len(m.dissemination.transmissions) <= MAX_MEMBERS
+    assert m.counts["crowded"] > 0
     assert all(m.state_of(f"m{n}") == MemberState.ALIVE for n in range(6))
 
 
@@ -590,7 +602,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_once_faults_have_ended_nobody_is_held_dead_and_views_become_one(count: int) -> None:
+def test_after_faults_no_one_is_held_dead_and_views_converge(count: int) -> None:
     for seed in range(12):
         walked(seed, 120, count).settle()
 
@@ -628,7 +640,7 @@
         ({(Membership, "_settle_view"): _once}, "views differ"),
     ],
 )
-def test_with_a_fault_on_purpose_the_dead_do_not_come_back_or_views_stay_apart(
+def test_an_injected_fault_keeps_members_dead_or_views_apart(
     wrong: dict[tuple[type, str], Callable], said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for (owner, method), made in wrong.items():
@@ -649,8 +661,8 @@
 
 
 def _take_all(right: Callable) -> Callable:
-    def wrong(self: Membership, now: float, r: Record, evidence: str = "") -> None:
-        if r.name in self.members and r.name != self.name:
+    def wrong(self: Roster, now: float, r: Record, evidence: str = "") -> None:
+        if r.name in self.members:
             self.members[r.name].record = r
         else:
             right(self, now, r, evidence)
@@ -659,16 +671,16 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "wrong", "said"),
+    ("owner", "method", "wrong", "said"),
     [
-        ("_suspect", _raise_another, "raised by another"),
-        ("_apply_record", _take_all, "went back|returned"),
+        (Membership, "_suspect", _raise_another, "raised by another"),
+        (Roster, "apply", _take_all, "went back|returned"),
     ],
 )
-def test_a_fault_put_in_on_purpose_breaks_an_invariant(
-    method: str, wrong: Callable, said: str, monkeypatch: pytest.MonkeyPatch
+def test_an_injected_fault_breaks_an_invariant(
+    owner: type, method: str, wrong: Callable, said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Membership, method, wrong(getattr(Membership, method)))
+    monkeypatch.setattr(owner, method, wrong(getattr(owner, method)))
     with pytest.raises(AssertionError, match=said):
         for seed in range(40):
             walked(seed, 150)
@@ -677,7 +689,7 @@
 # ---- datagrams
 
 
-def test_a_datagram_is_read_as_it_was_written_and_nothing_else_is() -> None:
+def test_a_datagram_is_read_as_written_and_an_altered_one_is_refused() -> None:
     codec, rng = Codec("f"), random.Random(3)
     news = tuple(
         Record(f"m{n}", ("10.0.0.1", 7946), n, MemberState(n % 4), "m2", n, b"\x00" * n)
@@ -685,7 +697,8 @@
     )
     m = Message(MessageKind.PROBE_REQUEST, "m1", 77, "m2", news, True)
     data = codec.write(m)
-    assert codec.read(data) == m and len(data) <= MAX_BYTES
+    assert codec.read(data) == m
+    assert len(data) <= MAX_BYTES
     for at in range(len(data)):
         turned = bytearray(data)
         turned[at] ^= 1 << rng.randrange(8)
@@ -696,10 +709,11 @@
         with pytest.raises(ValueError, match=said):
             other.read(data)
     many = Message(MessageKind.GOSSIP, "m1", records=news * 40)
-    assert len(codec.write(many)) <= MAX_BYTES and codec.read(codec.write(many)).records[:8] == news
+    assert len(codec.write(many)) <= MAX_BYTES
+    assert codec.read(codec.write(many)).records[:8] == news
 
 
-def test_what_a_later_version_adds_is_skipped_and_what_is_wrong_inside_is_refused() -> None:
+def test_later_fields_of_a_datagram_are_skipped_and_wrong_ones_refused() -> None:
     import msgspec
 
     codec = Codec("f")
@@ -710,10 +724,8 @@
 
     record = ["m1", "10.0.0.1", 7946, 1, 0, "", 0, b""]
     good = [3, "m1", 0, "", False, [[*record, "more", 2]], [7] * PARTITIONS, b"data", {"later": 1}]
-    assert (
-        codec.read(made(good)).records[0].name == "m1"
-        and codec.read(made(good)).partition_digests == (7,) * PARTITIONS
-    )
+    assert codec.read(made(good)).records[0].name == "m1"
+    assert codec.read(made(good)).partition_digests == (7,) * PARTITIONS
     assert codec.read(made(good)).payload == b"data"
     assert codec.read(made(good[:6])).partition_digests == ()  # an earlier version tells none
     assert codec.read(made(good[:7])).payload == b""  # nor of this
@@ -740,25 +752,27 @@
         ({"listen": "h:1", "fleat": ""}, "fleat"),
     ],
 )
-def test_a_slip_in_the_section_is_told_with_its_name(table: dict, said: str) -> None:
+def test_a_wrong_setting_of_members_is_reported_with_its_name(table: dict, said: str) -> None:
     with pytest.raises(ValueError, match=said):
         parse_settings(table)
 
 
-def test_the_door_tells_of_the_members_where_the_node_is_one() -> None:
+def test_the_admin_endpoint_lists_the_members_where_the_node_is_one() -> None:
     s = Sockets(1)
     assert s.node.admin_server.answer(b"MEMBERS") == b"NO no members here"
     port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
     suspect = Record("n2", ("10.0.0.2", 7946), 3, MemberState.SUSPECTED, "n9")
     port.membership.members["n2"] = Member(suspect, s.node.clock.now())
     lines = s.node.admin_server.answer(b"MEMBERS").decode().splitlines()
-    assert lines[0].startswith("view=0 members=1") and lines[-1] == "END"
+    assert lines[0].startswith("view=0 members=1")
+    assert lines[-1] == "END"
     assert any(line.startswith("n2 suspected for=") and line.endswith("by=n9") for line in lines)
     wrong = CliRunner().invoke(main, ["members", "nowhere"])
-    assert wrong.exit_code == 2 and "no address" in wrong.output
+    assert wrong.exit_code == 2
+    assert "no address" in wrong.output
 
 
-def test_a_node_without_the_section_imports_none_of_it() -> None:
+def test_a_node_without_the_section_imports_nothing_of_members() -> None:
     code = (
         "import sys, hookpitch.__main__, hookpitch.net.node; "
         "print([m for m in sys.modules if 'members' in m or 'msgspec' in m or m.endswith('net.snapshot_store')])"  # noqa: E501
@@ -769,13 +783,14 @@
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
 
-def test_a_flood_and_foreign_datagrams_cost_a_bounded_part_and_raise_nothing() -> None:
+def test_floods_and_foreign_datagrams_are_bounded_and_raise_nothing() -> None:
     s = Sockets(1)
     port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
     for n in range(5000):
         port.datagramReceived(b"HKM" + bytes([n % 7]) * 40, ("10.0.0.9", 1))
     counts = s.counters.counts
-    assert counts["members.foreign"] <= 2000 and counts["members.flood"] >= 3000
+    assert counts["members.foreign"] <= 2000
+    assert counts["members.flood"] >= 3000
     assert list(port.membership.members) == [s.node.config.name]
 
 
@@ -791,24 +806,27 @@
     return found, early, {words[0] for at, _, words in said if at >= 19000.0}
 
 
-def test_nodes_find_who_died_and_nobody_else_in_virtual_time() -> None:
+def test_nodes_detect_a_death_and_no_other_in_virtual_time() -> None:
     run = Run(load(FAULTS), 1)
     ended = run.run()
-    assert not ended.broken and not ended.faults
+    assert not ended.broken
+    assert not ended.faults
     logs = [
         (at, who, text.removeprefix("members: "))
         for at, who, text in ended.logs
         if "members: " in text
     ]
     found, early, later = verdict(logs)
-    assert len(found) == 11 and early == {"n11"} and {"n0", "n1", "n2"} <= later
+    assert len(found) == 11
+    assert early == {"n11"}
+    assert {"n0", "n1", "n2"} <= later
     views = {
         n.node.membership.membership.view.members for n in run.nodes.values() if n.node is not None
     }
     assert views == {tuple(sorted(f"n{n}" for n in range(11)))}
 
 
-def test_nodes_find_who_died_and_nobody_else_on_processes(tmp_path: Path) -> None:
+def test_nodes_detect_a_death_and_no_other_on_processes(tmp_path: Path) -> None:
     words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(FAULTS), "--clock", "wall"]
     for _ in range(2):
         done = subprocess.run(
@@ -832,7 +850,9 @@
                 logs.append((at, path.stem, event["what"]))
     begun = max(serving)
     found, early, later = verdict([(at - begun, who, text) for at, who, text in logs])
-    assert len(found) >= 10 and early == {"n11"} and {"n0", "n1", "n2"} <= later
+    assert len(found) >= 10
+    assert early == {"n11"}
+    assert {"n0", "n1", "n2"} <= later
     last = {}
     for _, who, text in sorted(logs):
         last[who, text.split()[0]] = text.split()[1].strip(",")
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -1,5 +1,4 @@
-"""Members under whatever comes: the codec cut and turned anywhere, the state machine in any
-order."""
+"""Properties of membership: the codec under damage anywhere, the state machine in any order."""
 
 from dataclasses import replace
 
@@ -16,7 +15,6 @@
 from test_members import World
 
 from hookpitch.members.codec import HEAD, KINDS, MAX_BYTES, MAX_NAME_CHARS, Codec
-from hookpitch.members.membership import Membership
 from hookpitch.members.messages import (
     MAX_METADATA_BYTES,
     MAX_RECORDS_PER_DATAGRAM,
@@ -26,6 +24,7 @@
     MessageKind,
     Record,
 )
+from hookpitch.members.roster import Roster
 
 # The same examples each time: a run that finds something finds it again.
 SAME = settings(
@@ -59,14 +58,12 @@
 
 @settings(SAME, max_examples=150)
 @given(MESSAGES)
-def test_what_is_written_is_read_and_has_its_bounds(message: Message) -> None:
+def test_a_message_is_read_as_written_within_its_bounds(message: Message) -> None:
     data = Codec("f").write(message)
     back = Codec("f").read(data)
     assert len(data) <= MAX_BYTES
-    assert (
-        back.records == message.records[: len(back.records)]
-        and replace(back, records=message.records) == message
-    )
+    assert back.records == message.records[: len(back.records)]
+    assert replace(back, records=message.records) == message
     if len(back.records) < len(message.records):  # left out: the next would not have fitted
         one_more = replace(message, records=message.records[: len(back.records) + 1])
         assert len(Codec("f").write(one_more)) == len(data)
@@ -74,7 +71,7 @@
 
 @settings(SAME, max_examples=150)
 @given(MESSAGES, st.data())
-def test_a_datagram_cut_or_turned_at_any_byte_is_none(
+def test_a_datagram_truncated_or_altered_at_any_byte_is_refused(
     message: Message, data: st.DataObject
 ) -> None:
     codec = Codec("f")
@@ -89,9 +86,7 @@
 
 @settings(SAME, max_examples=200)
 @given(st.binary(max_size=200), st.data())
-def test_whatever_body_comes_is_refused_in_a_word_or_within_bounds(
-    body: bytes, data: st.DataObject
-) -> None:
+def test_any_body_is_refused_in_one_word_or_within_bounds(body: bytes, data: st.DataObject) -> None:
     codec = Codec("f")
     if data.draw(st.booleans()):  # near to a true one
         true = bytearray(codec.write(data.draw(MESSAGES))[HEAD.size :])
@@ -105,11 +100,9 @@
     except ValueError as fault:
         assert str(fault) == "wrong"
         return
-    assert (
-        m.kind in KINDS
-        and 0 < len(m.sender) <= MAX_NAME_CHARS
-        and len(m.partition_digests) in (0, PARTITIONS)
-    )
+    assert m.kind in KINDS
+    assert 0 < len(m.sender) <= MAX_NAME_CHARS
+    assert len(m.partition_digests) in (0, PARTITIONS)
     assert all(
         0 < len(r.name) <= MAX_NAME_CHARS and len(r.metadata) <= MAX_METADATA_BYTES
         for r in m.records
@@ -152,7 +145,7 @@
         self.world.settle()
 
 
-def test_after_any_order_of_events_views_become_one() -> None:
+def test_views_converge_after_any_order_of_events() -> None:
     run_state_machine_as_test(
         Settles, settings=settings(SAME, max_examples=20, stateful_step_count=40)
     )
@@ -164,15 +157,15 @@
     )
 
 
-def test_a_fault_put_in_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = Membership._apply_record
+def test_an_injected_fault_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    right = Roster.apply
 
-    def wrong(self: Membership, now: float, r: Record, evidence: str = "") -> None:
-        if r.name in self.members and r.name != self.name:
+    def wrong(self: Roster, now: float, r: Record, evidence: str = "") -> None:
+        if r.name in self.members:
             self.members[r.name].record = r  # old news, too
         right(self, now, r, evidence)
 
-    monkeypatch.setattr(Membership, "_apply_record", wrong)
+    monkeypatch.setattr(Roster, "apply", wrong)
     with pytest.raises(AssertionError, match="an incarnation went back|the dead returned"):
         # Found is enough: it need not be the shortest history, nor the only fault.
         found = settings(
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,5 +1,4 @@
-"""A restart that is not a cold one: what was learned outlasts the process, whole or not at all,
-and fades."""
+"""Snapshots: what was learned outlasts the process, complete or not at all, and decays."""
 
 import os
 import random
@@ -9,7 +8,8 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from fleet import ORIGIN, Fleet, Sockets, deployment, entry, get
+from fleet import ORIGIN, Fleet, deployment, entry
+from socket_node import Sockets, get
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
@@ -70,7 +70,7 @@
     return f
 
 
-def test_what_was_learned_comes_back_and_fades_with_its_age() -> None:
+def test_what_was_learned_is_restored_and_decays_with_its_age() -> None:
     f = busy()
     x = decode(encode(learned(f)))
     assert x == learned(f)
@@ -78,32 +78,28 @@
     limits = [
         begun(x, ms).router.backends[best.id].concurrency_limit for ms in (0.0, 60000.0, 3600000.0)
     ]
-    assert limits[0] == pytest.approx(best.concurrency_limit) and limits[0] > limits[1] > limits[2]
+    assert limits[0] == pytest.approx(best.concurrency_limit)
+    assert limits[0] > limits[1] > limits[2]
     assert limits[2] == pytest.approx(2.0, abs=0.01)
     now, later = begun(x, 100.0), begun(x, 3600000.0)
-    assert now.router.backends["s2"].ejected and not later.router.backends["s2"].ejected
-    assert (
-        now.router.concurrency.unit_latency_ms == f.router.concurrency.unit_latency_ms
-        and later.router.concurrency.unit_latency_ms == 0.0
-    )
+    assert now.router.backends["s2"].ejected
+    assert not later.router.backends["s2"].ejected
+    assert now.router.concurrency.unit_latency_ms == f.router.concurrency.unit_latency_ms
+    assert later.router.concurrency.unit_latency_ms == 0.0
 
 
-def test_a_heavy_key_is_spread_from_the_first_rpc_on() -> None:
+def test_a_hot_key_is_spread_from_the_first_rpc_on() -> None:
     f = busy()
     (key,) = [k for k, b in f.router.placement.buckets.items() if b.spread_size]
     new = begun(learned(f), 500.0)
-    assert (
-        new.router.placement.buckets[key].spread_size > 0
-        and len(new.router.placement.replicas(new.router.placement.buckets[key])) > 1
-    )
+    assert new.router.placement.buckets[key].spread_size > 0
+    assert len(new.router.placement.replicas(new.router.placement.buckets[key])) > 1
     assert not any(
         b.spread_size for b in begun(learned(f), 3600000.0).router.placement.buckets.values()
     )
 
 
-def test_a_snapshot_that_says_all_are_bad_shuns_none_and_one_that_says_so_of_the_only_one_neither() -> (  # noqa: E501
-    None
-):
+def test_a_snapshot_never_ejects_every_backend_nor_the_only_one() -> None:
     f = fleet()
     known = tuple(
         BackendSnapshot(e.id, 0.0, 1.0, 900.0, 900.0, 3, 8000.0, f.now + 9000.0, 0.0)
@@ -113,17 +109,20 @@
     assert not any(s.ejected for s in new.router.caches)
     alone = [entry("s3"), entry("o1", kind=ORIGIN)]
     new = begun(learned(f, backends=known), 100.0, alone)
-    assert not new.router.backends["s3"].ejected and new.attempts[new.arrive("k")]
+    assert not new.router.backends["s3"].ejected
+    assert new.attempts[new.arrive("k")]
     assert begun(learned(f, backends=known[:2]), 100.0).router.backends["s0"].ejected
 
 
-def test_a_server_that_started_since_is_cold_whatever_the_snapshot_says() -> None:
+def test_a_backend_that_restarted_since_warms_up_whatever_the_snapshot_holds() -> None:
     f = busy()
     x = learned(f)
     fresh = [replace(e, started_ms=x.written_at_ms + 500.0) if e.id == "s1" else e for e in SERVERS]
     new = begun(x, 1000.0, fresh)
     s = new.router.backends["s1"]
-    assert s.warmup_until > new.now and s.concurrency_limit <= 2.0 and not s.available
+    assert s.warmup_until > new.now
+    assert s.concurrency_limit <= 2.0
+    assert not s.available
     # And one that was cold as it was written is so for the rest of its time, no longer.
     cold = tuple(
         replace_known(k, warmup_until_ms=x.written_at_ms + 9e9) if k.id == "s1" else k
@@ -137,7 +136,7 @@
     return msgspec.structs.replace(k, **changes)
 
 
-def test_buckets_stay_moved_while_that_is_young_and_only_to_servers_that_serve() -> None:
+def test_buckets_stay_moved_while_the_move_is_young_and_its_target_is_ready() -> None:
     f = fleet()
     b = f.router.placement.bucket(77)
     to = next(s.id for s in f.router.caches if s is not b.primary)
@@ -155,7 +154,7 @@
     assert (77, (), ()) not in begun(x, 1000.0, gone).router.placement.buckets
 
 
-def test_a_ban_by_hand_outlasts_the_process() -> None:
+def test_an_operators_ban_outlasts_the_process() -> None:
     f = fleet()
     f.router.set_banned(f.now, "s4", True)
     new = begun(learned(f), 60000.0)
@@ -164,7 +163,7 @@
     assert new.router.backends["s4"].state == EndpointState.READY
 
 
-def test_what_is_cut_or_turned_at_any_byte_is_never_taken() -> None:
+def test_a_snapshot_truncated_or_altered_at_any_byte_is_refused() -> None:
     data = encode(learned(busy()))
     for end in range(len(data)):
         with pytest.raises(ValueError):
@@ -179,7 +178,7 @@
         decode(data + b"x")
 
 
-def test_a_newer_version_is_told_and_unknown_fields_are_skipped() -> None:
+def test_a_newer_format_is_refused_and_unknown_fields_are_skipped() -> None:
     from hashlib import blake2b
 
     data = encode(learned(fleet()))
@@ -197,7 +196,7 @@
             )
 
 
-def test_it_is_bounded_however_much_was_learned() -> None:
+def test_a_snapshot_has_a_bounded_size_however_much_was_learned() -> None:
     many = tuple(
         BackendSnapshot(f"server-{'x' * 200}-{n}", 1e12, 9.0, 9.0, 9.0, 0, 0.0, 0.0, 0.0)
         for n in range(5000)
@@ -207,7 +206,8 @@
     )
     heavy = tuple(HotBucket(n, (), (), 9.0) for n in range(4096))
     data = encode(learned(fleet(), backends=many, moved_buckets=moved, hot_buckets=heavy))
-    assert len(data) <= MAX_BYTES and decode(data).hot_buckets[0] == heavy[0]
+    assert len(data) <= MAX_BYTES
+    assert decode(data).hot_buckets[0] == heavy[0]
 
 
 # ---- on a disk
@@ -224,7 +224,7 @@
     return s
 
 
-def test_a_crash_at_every_byte_of_its_writing_leaves_the_old_or_the_new_one(
+def test_a_crash_at_any_byte_of_a_write_leaves_the_old_or_the_new_snapshot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "n.snapshot"
@@ -252,18 +252,17 @@
     assert snapshot_store.load_snapshot(str(path)).version == 2
 
 
-def test_a_node_recalls_what_the_process_before_it_wrote(tmp_path: Path) -> None:
+def test_a_node_restores_what_the_process_before_it_wrote(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
     s = node(path)
     assert s.counters.counts["snapshot.none"] == 1
     s.node.discovery.version = 77
     s.pass_time(11000)
-    assert (
-        s.counters.counts["snapshot.written"] >= 1
-        and snapshot_store.load_snapshot(str(path)).version == 77
-    )
+    assert s.counters.counts["snapshot.written"] >= 1
+    assert snapshot_store.load_snapshot(str(path)).version == 77
     again = node(path)
-    assert again.counters.counts["snapshot.recalled"] == 1 and again.node.discovery.version == 77
+    assert again.counters.counts["snapshot.recalled"] == 1
+    assert again.node.discovery.version == 77
     c = again.client()
     c.say(get("r1"))
     again.pass_time(1)
@@ -279,7 +278,7 @@
         ("", "file"),
     ],
 )
-def test_what_is_foreign_old_torn_or_not_there_is_told_and_left_alone(
+def test_a_snapshot_that_is_foreign_old_torn_or_missing_is_reported_and_left_alone(
     tmp_path: Path, told: dict | str | None, said: str
 ) -> None:
     path = tmp_path / "n.snapshot"
@@ -300,12 +299,13 @@
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
     s.node.snapshot_store.restore()
-    assert len(lines) == 1 and said in lines[0]
+    assert len(lines) == 1
+    assert said in lines[0]
     assert not before or path.read_bytes() == before
     assert s.node.host.router.backends["s0"].state == EndpointState.READY
 
 
-def test_a_disk_that_fails_or_stalls_holds_up_nothing_and_is_told_once(tmp_path: Path) -> None:
+def test_a_disk_that_fails_or_stalls_blocks_nothing_and_is_reported_once(tmp_path: Path) -> None:
     s = node(tmp_path / "nowhere" / "n.snapshot", every_s=0.5)
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
@@ -317,7 +317,7 @@
     assert s.network.hasStopped  # the node ends nevertheless
 
 
-def test_no_device_or_link_is_read_in_its_place(tmp_path: Path) -> None:
+def test_no_device_or_link_is_read_as_a_snapshot(tmp_path: Path) -> None:
     target = tmp_path / "real"
     target.write_bytes(encode(learned(fleet())))
     (tmp_path / "link").symlink_to(target)
@@ -338,7 +338,7 @@
         ("[snapshot]\npath = 'x'\noldest_s = true", "oldest_s"),
     ],
 )
-def test_a_slip_in_the_operators_section_is_told_with_its_place(
+def test_a_wrong_setting_of_snapshots_is_reported_with_its_name(
     tmp_path: Path, text: str, said: str
 ) -> None:
     file = tmp_path / "node.toml"
@@ -347,19 +347,22 @@
         load_operator(file)
 
 
-def test_on_call_staff_can_read_one(tmp_path: Path) -> None:
+def test_on_call_staff_can_print_a_snapshot(tmp_path: Path) -> None:
     path = tmp_path / "n.snapshot"
     path.write_bytes(encode(learned(busy())))
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
-    assert said.exit_code == 0 and "node n1 of fleet fleet" in said.output and "s2" in said.output
+    assert said.exit_code == 0
+    assert "node n1 of fleet fleet" in said.output
+    assert "s2" in said.output
     said = CliRunner().invoke(main, ["snapshot", "show", "--json", str(path)])
     assert msgspec.json.decode(said.output)["seq"] == 41
     path.write_bytes(b"HKPS")
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
-    assert said.exit_code == 2 and "torn: 4 bytes" in said.output
+    assert said.exit_code == 2
+    assert "torn: 4 bytes" in said.output
 
 
-def test_nodes_that_are_all_restarted_know_what_they_knew() -> None:
+def test_nodes_that_all_restart_restore_their_snapshots() -> None:
     text = """name = "start-again"
 seconds = 14.0
 [nodes]
@@ -374,10 +377,12 @@
 by = 0.3
 """
     ended = Run(read_experiment(text), 1).run()
-    assert not ended.broken and not ended.faults
+    assert not ended.broken
+    assert not ended.faults
     assert sum(c.get("snapshot.recalled", 0) for c in ended.counters.values()) == 6
 
 
-def test_a_list_of_before_is_dialled_where_it_says() -> None:
+def test_the_endpoints_of_a_snapshot_keep_their_addresses() -> None:
     some, dials = endpoints(learned(fleet()))
-    assert {e.id for e in some} == set(DIALS) and dials == DIALS
+    assert {e.id for e in some} == set(DIALS)
+    assert dials == DIALS
