--- a/hookpitch/net/backend_connection.py
+++ b/hookpitch/net/backend_connection.py
@@ -86,7 +86,7 @@
         """A value begins that is passed on in pieces; False where nobody waits for it any more."""
         attempt = self.attempt
         if attempt is None:
-            self.fail_malformed("nobody asked")
+            self.fail_malformed("unsolicited response")
             return False
         if self.host.stream_started(self.clock.now(), attempt, length, self):
             return True
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -114,7 +114,7 @@
         self._older_version = NO_VERSION
         now = self.clock.now()
         if not self.poll_schedule.failures:
-            self.host.logger.info("discovery_lost", cause=cause.name.lower())
+            self.host.logger.info("discovery_lost", reason=cause.name.lower())
         self.host.update_endpoints(now, EndpointUpdate.FAILED, [], {})
         self.poll_schedule.poll_failed(now, cause, retry_after)
         self.schedule_poll()
--- a/hookpitch/net/discovery_watch.py
+++ b/hookpitch/net/discovery_watch.py
@@ -24,7 +24,7 @@
 
 PROGRESS_BYTES = 512  # of a long object, which put its watch's silence off
 MAX_RETRY_AFTER_S = 3600.0
-MAX_ERROR_CHARACTERS = 200  # in a log line
+MAX_REASON_CHARACTERS = 200  # in a log line
 
 
 def retry_after_ms(headers: Iterable[tuple[bytes, bytes]]) -> float:
@@ -66,8 +66,8 @@
         try:
             self._read_events()
         except (h11.RemoteProtocolError, ValueError) as fault:
-            error = str(fault)[:MAX_ERROR_CHARACTERS]
-            self.discovery.host.logger.info("discovery_response_invalid", error=error)
+            reason = str(fault)[:MAX_REASON_CHARACTERS]
+            self.discovery.host.logger.info("discovery_response_invalid", reason=reason)
             self.end(WatchLoss.ENDED)
 
     def _read_events(self) -> None:
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -74,7 +74,7 @@
     def bytes_received(self) -> None:
         """Reads the response as far as it has come."""
         if self.attempt is None:
-            self.fail_malformed("nobody asked")
+            self.fail_malformed("unsolicited response")
             return
         if not self.paused:
             if len(self.input_buffer):
