--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -53,33 +53,17 @@
         descriptors = DescriptorBudget.of(config)
         memory = MemoryBudgets.of(config)
         self.host = Host(clock.now(), config.deployment, clock.deadlines, counters, logger)
-        self.pools = BackendPools(reactor, clock, self.host, descriptors.backends, OriginConnection)
-        self.clients = ClientRegistry(
-            self.host,
-            clock,
-            descriptors.idle_clients,
-            memory.unread_response_bytes,
-            descriptors.clients,
-            descriptors.rejected_clients,
-        )
         self.host.value_budget.limit = memory.value_bytes
+        self.pools = BackendPools(reactor, clock, self.host, descriptors.backends, OriginConnection)
+        self.clients = _create_clients(self.host, clock, descriptors, memory)
         self.loop_monitor = LoopMonitor(clock, self.host, cpu_time)
-        self.discovery = Discovery(
-            reactor,
-            clock,
-            self.host,
-            config.discovery_address,
-            config.endpoints_version,
-            memory.endpoint_list_bytes,
-        )
+        self.discovery = _create_discovery(reactor, clock, self.host, config, memory)
         self.host.transport = self.pools
         self.commands = OperatorCommands(self)
         self.admin_server = AdminServer(clock, self.commands, counters.add)
         self.startup_monitor = StartupMonitor(clock, self.host, self.discovery, logger)
-        self.hot_restart = HotRestart(
-            self,
-            ProcessCapacity(descriptors.backends, descriptors.clients, memory.value_bytes),
-        )
+        capacity = ProcessCapacity(descriptors.backends, descriptors.clients, memory.value_bytes)
+        self.hot_restart = HotRestart(self, capacity)
         self.lifecycle = Lifecycle(self)
         self.membership: Membership | None = None
         self.snapshot_store: SnapshotStore | None = None
@@ -103,3 +87,33 @@
         """Serve by these endpoints until discovery sends a list; `addresses` by endpoint id."""
         self.discovery.version = version
         self.host.update_endpoints(self.clock.now(), EndpointUpdate.CACHED, endpoints, addresses)
+
+
+def _create_clients(
+    host: Host, clock: Clock, descriptors: DescriptorBudget, memory: MemoryBudgets
+) -> ClientRegistry:
+    return ClientRegistry(
+        host,
+        clock,
+        descriptors.idle_clients,
+        memory.unread_response_bytes,
+        descriptors.clients,
+        descriptors.rejected_clients,
+    )
+
+
+def _create_discovery(
+    reactor: Any,  # noqa: ANN401 - see SocketNode
+    clock: Clock,
+    host: Host,
+    config: NodeConfig,
+    memory: MemoryBudgets,
+) -> Discovery:
+    return Discovery(
+        reactor,
+        clock,
+        host,
+        config.discovery_address,
+        config.endpoints_version,
+        memory.endpoint_list_bytes,
+    )
