--- a/tests/socket_node.py
+++ b/tests/socket_node.py
@@ -6,7 +6,7 @@
 
 from memory_network import MemoryConnection, MemoryNetwork
 
-from hookpitch.balancer.deployment import deployment as read_deployment
+from hookpitch.balancer.deployment import parse_deployment
 from hookpitch.balancer.interface import Deployment
 from hookpitch.core.counters import Counters
 from hookpitch.core.resp import NEED_DATA, Parser, command
@@ -61,7 +61,7 @@
 
 def deployment_from(settings: dict[str, object]) -> Deployment:
     """The deployment of a node with these settings."""
-    return read_deployment(7, settings)
+    return parse_deployment(7, settings)
 
 
 def get(id: str, key: str = "91f03b7c55d20a64", method: str = "read", wait: int = 900) -> bytes:
