--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,7 +10,7 @@
 from fleet import Fleet, deployment, entry
 from socket_node import ORIGIN_PORT, Sockets, get
 from test_sockets import VALUE, serve
-from test_start import TOLD
+from test_start import NODE_FILE
 
 from hookpitch.balancer.interface import Method, Tenant
 from hookpitch.core.admission import UNLIMITED, Admission
@@ -268,7 +268,7 @@
         def stopListening(self) -> None:  # noqa: N802
             pass
 
-    s.node.listening_port = Port()
+    s.node.lifecycle.listening_port = Port()
     s.node.shut_down()
     s.pass_time(501)
     for _ in range(20):
@@ -322,7 +322,7 @@
     path = tmp_path / "node.json"
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    told = TOLD | {
+    told = NODE_FILE | {
         "listen": f"127.0.0.1:{port}",
         "discovery": "127.0.0.1:1",
         "limits": {"sockets": 64},
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,7 +7,7 @@
 
 from hookpitch.balancer.interface import EndpointUpdate
 from hookpitch.core.seeded_random import seeded_random
-from hookpitch.net.discovery import retry_after_ms
+from hookpitch.net.discovery_watch import retry_after_ms
 from hookpitch.simwire.simulated_node import SimulatedNode
 from hookpitch.startup.poll_schedule import (
     MAX_POLL_GAP_MS,
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -66,9 +66,9 @@
     serve(s)
     assert c.take()
     assert s.counters.counts.get("start.phase", 0) == 0
-    figures = dict(s.node.metrics())
+    figures = dict(s.node.commands.metrics())
     assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS
-    assert s.node.not_ready_reason() == ""
+    assert s.node.commands.not_ready_reason() == ""
     s.pass_time(300)
     watch(s, {"seq": 6, "whole": True, "hosts": s.hosts})
     for n in range(40):
@@ -77,7 +77,7 @@
         s.pass_time(300)
         if n % 6 == 5:
             watch(s, b"")
-    assert dict(s.node.metrics())["start_phase"] == Phase.STEADY
+    assert dict(s.node.commands.metrics())["start_phase"] == Phase.STEADY
     assert s.counters.counts["start.listed_ms"] < 1000
 
 
@@ -85,7 +85,7 @@
     s = Sockets(1)
     s.network.ways[DISCOVERY] = "silent"
     s.pass_time(ENDPOINTS_TIMEOUT_MS + CONNECT_TIMEOUT_MS + WARMUP_TIMEOUT_MS + 2000)
-    assert dict(s.node.metrics())["start_phase"] == Phase.STEADY
+    assert dict(s.node.commands.metrics())["start_phase"] == Phase.STEADY
     assert s.counters.counts["start.unlisted"] == 1
     assert "start.unanswered" not in s.counters.counts
 
@@ -93,6 +93,6 @@
 def test_a_node_without_endpoints_reports_that_it_is_not_ready() -> None:
     s = Sockets(1)
     s.node.host.router.backends.clear()  # it was told none
-    assert s.node.not_ready_reason() == "no list of servers yet"
+    assert s.node.commands.not_ready_reason() == "no list of servers yet"
     watch(s, {"seq": 6, "whole": True, "hosts": Sockets(1).hosts})
-    assert s.node.not_ready_reason() == ""
+    assert s.node.commands.not_ready_reason() == ""
