--- a/hookpitch/fakes/__init__.py
+++ b/hookpitch/fakes/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins of what a node meets: cache servers, the origin, discovery and clients. No part of the
-node.
+"""Fakes of everything a node talks to: cache servers, the origin, discovery, clients, operators.
 
-Each is a model (no input or output, no clock: float milliseconds are told) and a thin adapter on
-Twisted, so the same one runs in the lab's virtual time and as a process on loopback.
+No part of the node. A fake is a model (no I/O, no clock: callers pass the time in milliseconds as
+a float) and a thin adapter on Twisted, so that the same fake runs in a simulation's virtual time
+and in a process on loopback.
 """
--- a/hookpitch/fakes/admin_clients.py
+++ b/hookpitch/fakes/admin_clients.py
@@ -1,74 +1,127 @@
-"""Operators at a node's door: calls whose answers are checked, and callers that finish none.
+"""Operators' clients of a node's admin port: requests whose answers are checked, and requests that
+are never finished.
 
-What came of a call goes into the history as `call`: `well`, `wrong: ...` or `late: ...`.
+The result of a request goes into the history as `call`: `well`, `wrong: ...` or `late: ...`.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
 from hookpitch.fakes.history import History
 
-WAIT_MS = 1000.0  # for an answer
-CALLS = (  # in turn: what is said, and how the answer may begin; None: nothing is asked
-    (b"STATUS\n", (b"YES\n", b"NO draining\n", b"NO leaving\n")),
-    (b"METRICS\n", b"svc."),
-    (b"SUSPEND no-such-server\n", b"NO"),
-    (b"STAT", None),
-    (b"", None),
-    (b"rubbish\r\n", b"NO"),
-    (b"x" * 3000, b"NO"),
-    (b"STATUS now\n", b"NO"),
+ANSWER_TIMEOUT_S = 1.0
+METRICS_PREFIX = b"svc."
+MAX_QUOTED_REQUEST_BYTES = 20  # of a request, in the history
+MAX_QUOTED_ANSWER_BYTES = 40
+
+
+class AdminRequest(NamedTuple):
+    """Bytes to send, and what the answer may begin with; None: no answer is expected."""
+
+    data: bytes
+    expected_prefixes: bytes | tuple[bytes, ...] | None
+
+
+REQUESTS = (  # sent in turn, each on a connection of its own
+    AdminRequest(b"STATUS\n", (b"YES\n", b"NO draining\n", b"NO leaving\n")),
+    AdminRequest(b"METRICS\n", METRICS_PREFIX),
+    AdminRequest(b"SUSPEND no-such-server\n", b"NO"),
+    AdminRequest(b"STAT", None),
+    AdminRequest(b"", None),
+    AdminRequest(b"rubbish\r\n", b"NO"),
+    AdminRequest(b"x" * 3000, b"NO"),
+    AdminRequest(b"STATUS now\n", b"NO"),
 )
 
 
-class Call(Protocol):
-    def __init__(self, calls: Calls, said: bytes, due: bytes | tuple[bytes, ...] | None) -> None:
-        self.calls, self.said, self.due, self.got, self.over = calls, said, due, b"", False
+class AdminClientConnection(Protocol):
+    """Sends one request and records once how it was answered."""
 
-    def connectionMade(self) -> None:  # noqa: N802
-        self.transport.write(self.said)
-        self.calls.reactor.callLater(WAIT_MS / 1000, self.waited)
+    def __init__(self, clients: AdminClients, request: AdminRequest) -> None:
+        self.clients = clients
+        self.request = request
+        self.received = b""
+        self.finished = False
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.got += data
+    def connectionMade(self) -> None:
+        """Send the request and start the answer's timeout."""
+        self.transport.write(self.request.data)
+        self.clients.reactor.callLater(ANSWER_TIMEOUT_S, self.timed_out)
 
-    def waited(self) -> None:
-        if self.due is not None and not self.over:
-            self.over = True
-            self.calls.told(f"late: {self.said[:20]!r} has {self.got[:40]!r} and no end")
+    def dataReceived(self, data: bytes) -> None:
+        """Collect the answer: the node closes the connection at its end."""
+        self.received += data
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        if self.due is None or self.over:
+    def timed_out(self) -> None:
+        """Record the request as late, if an answer is still expected."""
+        if self.request.expected_prefixes is None or self.finished:
             return
-        self.over = True
-        whole = self.got.endswith(b"END\n" if self.due == b"svc." else b"\n")
-        well = whole and self.got.startswith(self.due)
-        self.calls.told(
-            "well" if well else f"wrong: {self.said[:20]!r} was answered {self.got[:40]!r}"
+        self.finished = True
+        self.clients.record(
+            f"late: {self._quoted_request()} has {self._quoted_answer()} and no end"
         )
 
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Compare the whole answer with what was expected."""
+        if self.request.expected_prefixes is None or self.finished:
+            return
+        self.finished = True
+        if self._answered_as_expected():
+            self.clients.record("well")
+        else:
+            self.clients.record(
+                f"wrong: {self._quoted_request()} was answered {self._quoted_answer()}"
+            )
+
+    def _answered_as_expected(self) -> bool:
+        expected = self.request.expected_prefixes
+        ending = b"END\n" if expected == METRICS_PREFIX else b"\n"
+        return self.received.endswith(ending) and self.received.startswith(expected)
+
+    def _quoted_request(self) -> str:
+        return repr(self.request.data[:MAX_QUOTED_REQUEST_BYTES])
+
+    def _quoted_answer(self) -> str:
+        return repr(self.received[:MAX_QUOTED_ANSWER_BYTES])
+
+
+class AdminClients(ClientFactory):
+    """Sends `REQUESTS` in turn to the admin port of one node."""
 
-class Calls(ClientFactory):
     noisy = False
 
     def __init__(
-        self, reactor: Any, history: History, node: str, door: tuple[str, int], begun: float = 0.0
+        self,
+        reactor: Any,
+        history: History,
+        node: str,
+        address: tuple[str, int],
+        begun: float = 0.0,
     ) -> None:
-        """`begun`: the run's start on the reactor's clock, in seconds."""
-        self.reactor, self.history, self.node, self.door = reactor, history, node, door
-        self.begun, self.count = begun, 0
+        """`address`: of the admin port; `begun`: the run's start on the reactor's clock, s."""
+        self.reactor = reactor
+        self.history = history
+        self.node = node
+        self.address = address
+        self.begun = begun
+        self.count = 0
 
     def start(self, seconds: float, per_s: float) -> None:
+        """Connect `per_s` times a second for so many seconds."""
         for n in range(int(seconds * per_s)):
-            self.reactor.callLater(n / per_s, self.reactor.connectTCP, *self.door, self)
+            self.reactor.callLater(n / per_s, self.reactor.connectTCP, *self.address, self)
 
-    def buildProtocol(self, addr: object) -> Call:  # noqa: N802
+    def buildProtocol(self, addr: object) -> AdminClientConnection:
+        """Return a connection that sends the next request."""
+        request = REQUESTS[self.count % len(REQUESTS)]
         self.count += 1
-        return Call(self, *CALLS[(self.count - 1) % len(CALLS)])
+        return AdminClientConnection(self, request)
 
-    def told(self, how: str) -> None:
-        self.history.add((self.reactor.seconds() - self.begun) * 1000, "call", self.node, what=how)
+    def record(self, result: str) -> None:
+        """Add a request's result to the history."""
+        now_ms = (self.reactor.seconds() - self.begun) * 1000
+        self.history.add(now_ms, "call", self.node, what=result)
--- a/hookpitch/fakes/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -45,7 +45,7 @@
         self.counted = False
         self.node = ""
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         server = self.server
         server.history.add(server.now(), "dialled", server.name, what=server.whose(self.transport))
         if server.process is None or not server.process.connected(server.now()):
@@ -55,7 +55,7 @@
         server.connections[self] = None
         self.node = server.whose(self.transport)
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         self.ring.write(data)
         try:
             while len(self.due) < AT_ONCE:
@@ -117,7 +117,7 @@
             self.pieces.popleft()
             self.write_next()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         server = self.server
         self.pieces.clear()
         server.connections.pop(self, None)
@@ -140,7 +140,7 @@
         make: Make,
         reactor: Any,
         history: History,
-        origin: Origin,  # noqa: ANN401
+        origin: Origin,
         chance: random.Random,
         whose: Callable[[Any], str],
         begun: float,
@@ -193,7 +193,7 @@
         self._timer, self._timer_at = None, FAR
         self.connections.clear()
 
-    def buildProtocol(self, addr: object) -> Connection:  # noqa: N802
+    def buildProtocol(self, addr: object) -> Connection:
         return Connection(self)
 
     def came(self, job: Job, place: list[Any], connection: Connection) -> None:
--- a/hookpitch/fakes/control_commands.py
+++ b/hookpitch/fakes/control_commands.py
@@ -1,7 +1,6 @@
-"""What whoever runs stand-ins may order of them, by name: the same in one process and over a
-control line.
+"""Commands that change a fake during a run: faults, contents, health.
 
-An order is a name and plain values, so it can be written as JSON.
+A command is a name and plain values, so that it can be sent as JSON to a fake in another process.
 """
 
 from __future__ import annotations
@@ -10,88 +9,97 @@
 from typing import Any
 
 from hookpitch.fakes.cache_server import CacheServer
-from hookpitch.fakes.discovery import Listed
+from hookpitch.fakes.discovery import FakeEndpoint
 from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 
 
-def _slow(server: CacheServer, by: float) -> None:
+def _slow_cache(server: CacheServer, by: float) -> None:
     if server.process is not None:
         server.process.slow = by
 
 
-def _mood(server: CacheServer, mood: str, part: float) -> None:
+def _set_fault(server: CacheServer, mood: str, part: float) -> None:
     server.mood, server.part = mood, part
 
 
-def _piece(server: CacheServer, size: int) -> None:
+def _set_piece_size(server: CacheServer, size: int) -> None:
     server.piece = size
 
 
-def _flush(server: CacheServer) -> None:
+def _flush_keys(server: CacheServer) -> None:
     if server.process is not None:
         server.process.flush()
 
 
-def _store(server: CacheServer, key: str) -> None:
+def _store_key(server: CacheServer, key: str) -> None:
     if server.process is not None:
         server.process.store(key)
 
 
-def _drop(server: CacheServer, key: str) -> None:
+def _drop_key(server: CacheServer, key: str) -> None:
     if server.process is not None:
         server.process.drop(key)
 
 
-def _warm(server: CacheServer, keys: int) -> None:
-    """The commonest keys, the commonest of them last."""
+def _warm_up(server: CacheServer, keys: int) -> None:
+    """Store the most popular keys, the most popular of them last."""
     if server.process is not None:
         for n in reversed(range(min(keys, server.make.keys))):
             server.process.store(f"key{n}")
 
 
-def _origin_slow(origin: OriginServer, by: float) -> None:
+def _slow_origin(origin: OriginServer, by: float) -> None:
     origin.origin.queue.slow = by
 
 
-def _failing(origin: OriginServer, part: float) -> None:
+def _fail_origin(origin: OriginServer, part: float) -> None:
     origin.failing = part
 
 
-def _put(discovery: DiscoveryServer, *fields: Any) -> None:  # noqa: ANN401
-    discovery.put(Listed(*fields))
+def _put_endpoint(discovery: DiscoveryServer, *fields: Any) -> None:
+    discovery.put(FakeEndpoint(*fields))
 
 
-def _health(discovery: DiscoveryServer, host: str, health: str) -> None:
+def _set_health(discovery: DiscoveryServer, host: str, health: str) -> None:
     if host in discovery.directory.hosts:
         discovery.health(host, health)
 
 
-def _down(discovery: DiscoveryServer) -> None:
+def _stop_discovery(discovery: DiscoveryServer) -> None:
     discovery.go_down()
 
 
-def _up(discovery: DiscoveryServer, anew: bool) -> None:
+def _start_discovery(discovery: DiscoveryServer, anew: bool) -> None:
     discovery.come_up(anew)
 
 
-def _lag(discovery: DiscoveryServer, ms: float) -> None:
+def _set_lag(discovery: DiscoveryServer, ms: float) -> None:
     discovery.directory.lag_ms = ms
 
 
-ORDERS: dict[type, dict[str, Callable[..., None]]] = {
+COMMANDS: dict[type, dict[str, Callable[..., None]]] = {
     CacheServer: {
-        "slow": _slow,
-        "mood": _mood,
-        "piece": _piece,
-        "flush": _flush,
-        "store": _store,
-        "drop": _drop,
-        "warm": _warm,
+        "slow": _slow_cache,
+        "mood": _set_fault,
+        "piece": _set_piece_size,
+        "flush": _flush_keys,
+        "store": _store_key,
+        "drop": _drop_key,
+        "warm": _warm_up,
+    },
+    OriginServer: {"slow": _slow_origin, "failing": _fail_origin},
+    DiscoveryServer: {
+        "put": _put_endpoint,
+        "health": _set_health,
+        "down": _stop_discovery,
+        "up": _start_discovery,
+        "lag": _set_lag,
     },
-    OriginServer: {"slow": _origin_slow, "failing": _failing},
-    DiscoveryServer: {"put": _put, "health": _health, "down": _down, "up": _up, "lag": _lag},
 }
 
 
-def carry_out(standin: CacheServer | OriginServer | DiscoveryServer, what: str, *args: Any) -> None:  # noqa: ANN401
-    ORDERS[type(standin)][what](standin, *args)
+def execute_command(
+    fake: CacheServer | OriginServer | DiscoveryServer, command: str, *args: Any
+) -> None:
+    """Execute a command of the fake's type; `KeyError` if it has none of this name."""
+    COMMANDS[type(fake)][command](fake, *args)
--- a/hookpitch/fakes/discovery.py
+++ b/hookpitch/fakes/discovery.py
@@ -1,17 +1,18 @@
-"""Discovery's model: the list of servers, its versions, and what each watcher has been told."""
+"""Discovery's model: the endpoint list, its versions, and the changes since a version."""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
-HEALTHS = ("in_service", "terminating", "terminated")
+TERMINATED = "terminated"  # the other health values: "in_service", "terminating"
+FIRST_VERSION = 1
 
 
 @dataclass(slots=True)
-class Listed:
-    """One server as discovery has it. `born_ms`: Unix time, 0 for long ago."""
+class FakeEndpoint:
+    """One server as discovery lists it. `born_ms`: Unix time; 0: long ago."""
 
     host: str
     dial: str
@@ -23,7 +24,7 @@
     born_ms: float = 0.0
 
     def wire(self, net: str = "") -> dict[str, object]:
-        """As discovery tells it; `net` takes the place of `{net}` in where to dial."""
+        """Return the endpoint's JSON object; `net` replaces `{net}` in the address."""
         return {
             "host": self.host,
             "dial": self.dial.replace("{net}", net),
@@ -36,48 +37,60 @@
         }
 
 
-class Directory:
-    """The list and its versions; `lag_ms` late with what it tells."""
+class EndpointChanges(NamedTuple):
+    """A list update: the version it leads to, and the whole list or what changed."""
+
+    version: int
+    is_snapshot: bool
+    endpoints: list[FakeEndpoint]
 
-    def __init__(self, lag_ms: float = 100.0) -> None:
-        self.lag_ms, self.seq = lag_ms, 1
-        self.hosts: dict[str, Listed] = {}
-        self._changed: dict[str, int] = {}  # the version in which a server last changed
-        self._gone: dict[str, Listed] = {}
 
-    def put(self, listed: Listed) -> None:
+class EndpointDirectory:
+    """The endpoint list and its versions; `lag_ms`: how late watchers are notified."""
+
+    def __init__(self, lag_ms: float = 100.0) -> None:
+        self.lag_ms = lag_ms
+        self.seq = FIRST_VERSION
+        self.hosts: dict[str, FakeEndpoint] = {}
+        self._changed_in: dict[str, int] = {}  # the version in which an endpoint last changed
+        self._removed: dict[str, FakeEndpoint] = {}
+
+    def put(self, endpoint: FakeEndpoint) -> None:
+        """Add an endpoint, or replace the one of the same name."""
         self.seq += 1
-        self.hosts[listed.host] = listed
-        self._gone.pop(listed.host, None)
-        self._changed[listed.host] = self.seq
+        self.hosts[endpoint.host] = endpoint
+        self._removed.pop(endpoint.host, None)
+        self._changed_in[endpoint.host] = self.seq
 
     def health(self, host: str, health: str) -> None:
-        """One of `HEALTHS`; one that is terminated leaves the list."""
-        listed = self.hosts[host]
+        """Set an endpoint's health; a terminated one leaves the list."""
+        endpoint = self.hosts[host]
         self.seq += 1
-        listed.health = health
-        self._changed[host] = self.seq
-        if health == "terminated":
-            self._gone[host] = self.hosts.pop(host)
+        endpoint.health = health
+        self._changed_in[host] = self.seq
+        if health == TERMINATED:
+            self._removed[host] = self.hosts.pop(host)
 
     def restart(self) -> None:
-        """It counts versions anew and has forgotten what is gone."""
-        self.seq = 1
-        self._gone.clear()
-        self._changed = dict.fromkeys(self.hosts, 1)
+        """Start versions from the first again, without the removed endpoints."""
+        self.seq = FIRST_VERSION
+        self._removed.clear()
+        self._changed_in = dict.fromkeys(self.hosts, FIRST_VERSION)
 
-    def whole(self) -> tuple[int, list[Listed]]:
+    def whole(self) -> tuple[int, list[FakeEndpoint]]:
+        """Return the version and the whole list."""
         return self.seq, list(self.hosts.values())
 
-    def since(self, seq: int) -> tuple[int, bool, list[Listed]]:
-        """Version, whether whole, and what changed after `seq`; the whole list where that is not
-        known."""
+    def since(self, seq: int) -> EndpointChanges:
+        """Return what changed after version `seq`; the whole list if `seq` is not known."""
         if seq <= 0 or seq > self.seq:
-            return self.seq, True, list(self.hosts.values())
-        both = [*self.hosts.values(), *self._gone.values()]
-        return self.seq, False, [h for h in both if self._changed[h.host] > seq]
+            return EndpointChanges(self.seq, True, list(self.hosts.values()))
+        known = [*self.hosts.values(), *self._removed.values()]
+        changed = [endpoint for endpoint in known if self._changed_in[endpoint.host] > seq]
+        return EndpointChanges(self.seq, False, changed)
 
 
-def line(seq: int, whole: bool, hosts: list[Listed], net: str = "") -> bytes:
-    told: Mapping[str, object] = {"seq": seq, "whole": whole, "hosts": [h.wire(net) for h in hosts]}
-    return json.dumps(told, separators=(",", ":")).encode()
+def encode_list(seq: int, whole: bool, hosts: list[FakeEndpoint], net: str = "") -> bytes:
+    """Return one line of discovery's JSON, without its end of line."""
+    message = {"seq": seq, "whole": whole, "hosts": [host.wire(net) for host in hosts]}
+    return json.dumps(message, separators=(",", ":")).encode()
--- a/hookpitch/fakes/http_servers.py
+++ b/hookpitch/fakes/http_servers.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from hookpitch.fakes.cache import FAR, Job, value
-from hookpitch.fakes.discovery import Directory, Listed, line
+from hookpitch.fakes.discovery import EndpointDirectory, FakeEndpoint, encode_list
 from hookpitch.fakes.history import History
 from hookpitch.fakes.origin import Origin
 
@@ -28,7 +28,7 @@
         self.body = b""
         self.lost = False
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         self.http.receive_data(data)
         self.read()
 
@@ -66,7 +66,7 @@
             self.http.start_next_cycle()
             self.read()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.lost = True
 
 
@@ -90,7 +90,7 @@
         )
         self.server.came(self.job, self)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         super().connectionLost(reason)
         if self.job is not None and not self.job.over:
             self.server.dropped(self.job)
@@ -108,7 +108,7 @@
         origin: Origin,
         reactor: Any,
         history: History,
-        chance: random.Random,  # noqa: ANN401
+        chance: random.Random,
         whose: Callable[[Any], str],
         begun: float,
     ) -> None:
@@ -122,7 +122,7 @@
     def now(self) -> float:
         return (self.reactor.seconds() - self.begun) * 1000
 
-    def buildProtocol(self, addr: object) -> OriginConnection:  # noqa: N802
+    def buildProtocol(self, addr: object) -> OriginConnection:
         return OriginConnection(self)
 
     def came(self, job: Job, connection: OriginConnection) -> None:
@@ -208,7 +208,9 @@
         self.server.called(self.node, "served")
         if words.get("follow") != ["1"]:
             seq, hosts = self.server.directory.whole()
-            return self.answer(200, line(seq, True, hosts, self.server.nets.get(self.node, "")))
+            return self.answer(
+                200, encode_list(seq, True, hosts, self.server.nets.get(self.node, ""))
+            )
         self.transport.write(
             self.http.send(
                 h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
@@ -222,7 +224,7 @@
         if not self.lost:
             self.transport.write(self.http.send(h11.Data(data=text + b"\n")))
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         super().connectionLost(reason)
         self.server.watchers.pop(self, None)
 
@@ -236,10 +238,10 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: EndpointDirectory,
         reactor: Any,
         history: History,
-        whose: Callable[[Any], str],  # noqa: ANN401
+        whose: Callable[[Any], str],
         begun: float,
     ) -> None:
         self.directory, self.reactor, self.history, self.whose = directory, reactor, history, whose
@@ -273,10 +275,10 @@
     def now(self) -> float:
         return (self.reactor.seconds() - self.begun) * 1000
 
-    def buildProtocol(self, addr: object) -> DiscoveryConnection:  # noqa: N802
+    def buildProtocol(self, addr: object) -> DiscoveryConnection:
         return DiscoveryConnection(self)
 
-    def put(self, listed: Listed) -> None:
+    def put(self, listed: FakeEndpoint) -> None:
         self.directory.put(listed)
         self.history.add(self.now(), "listed", listed.host, what=listed.health)
         self.changed()
@@ -304,7 +306,7 @@
             )
         if whole or not hosts:
             self.history.add(self.now(), "told", watcher.node, what="whole" if whole else "nothing")
-        watcher.say(line(seq, whole, hosts, self.nets.get(watcher.node, "")))
+        watcher.say(encode_list(seq, whole, hosts, self.nets.get(watcher.node, "")))
 
     def beat(self) -> None:
         self.reactor.callLater(BEAT_S, self.beat)
--- a/hookpitch/fakes/load_clients.py
+++ b/hookpitch/fakes/load_clients.py
@@ -121,7 +121,7 @@
         self.lost, self.port = False, 0
         self.slow = crowd.manner.slow > 0 and crowd.chance.random() < crowd.manner.slow
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.port = self.transport.getHost().port
         if self.first is not None:
             self.ask(self.first)
@@ -148,7 +148,7 @@
         if self.single and crowd.manner.halving and crowd.chance.random() < crowd.manner.halving:
             self.transport.loseWriteConnection()
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         self.ring.write(data)
         if self.slow:
             self.transport.pauseProducing()
@@ -214,7 +214,7 @@
             self.due.clear()
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.lost = True
         for asked in self.due:
             asked.open = False
@@ -230,10 +230,10 @@
     def __init__(self, crowd: Crowd, node: str, asked: Asked, single: bool) -> None:
         self.crowd, self.node, self.asked, self.single = crowd, node, asked, single
 
-    def buildProtocol(self, addr: object) -> Caller:  # noqa: N802
+    def buildProtocol(self, addr: object) -> Caller:
         return Caller(self.crowd, self.node, self.asked, self.single)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401, N802
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         self.crowd.held[self.node] -= 1
         self.crowd.refused += 1
         self.crowd.ended(self.asked, "refused")
@@ -247,7 +247,7 @@
         reactor: Any,
         history: History,
         seed: int,
-        nodes: dict[str, tuple[str, int]],  # noqa: ANN401
+        nodes: dict[str, tuple[str, int]],
         kinds: Sequence[Kind],
         keys: Keys,
         rate: float,
@@ -332,15 +332,15 @@
     def __init__(self, rudes: Rudes, data: bytes) -> None:
         self.rudes, self.data, self.told, self.at = rudes, data, False, 0.0
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.at = self.rudes.crowd.now()
         if self.data:
             self.transport.write(self.data)
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         self.told = True
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.rudes.ended(self.rudes.crowd.now() - self.at)
 
 
@@ -368,13 +368,13 @@
             self.crowd.reactor.connectTCP(host, port, self, timeout=3.0)
             self.crowd.reactor.callLater(self.chance.expovariate(self.per_s), self._next)
 
-    def buildProtocol(self, addr: object) -> Rude:  # noqa: N802
+    def buildProtocol(self, addr: object) -> Rude:
         return Rude(self, b"" if self.chance.random() < 1 / 3 else self.chance.choice(self.said))
 
     def ended(self, kept_ms: float) -> None:
         self.kept_ms.append(kept_ms)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401, N802
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         pass
 
 
@@ -437,5 +437,5 @@
 
 
 class _SlowDial(_Dial):
-    def buildProtocol(self, addr: object) -> SlowHead:  # noqa: N802
+    def buildProtocol(self, addr: object) -> SlowHead:
         return SlowHead(self.crowd, self.node, self.asked, self.single)
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from hookpitch.fakes.admin_clients import Calls
+from hookpitch.fakes.admin_clients import AdminClients
 from hookpitch.fakes.load_clients import Rudes, SlowHeads
 from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES, Fault
 from hookpitch.testbed.links import Spoil
@@ -365,7 +365,7 @@
         """Operators' calls, some good and some not, at every node's door, and callers that say
         nothing."""
         for name, node in self.run.nodes.items():
-            calls = Calls(
+            calls = AdminClients(
                 self.run.crowd.reactor, self.run.history, name, node.at_door(), self.run.begun
             )
             calls.start(self.fault.lasting or 1.0, self.fault.by or 5.0)
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -27,7 +27,7 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from hookpitch.fakes.discovery import Listed
+from hookpitch.fakes.discovery import FakeEndpoint
 from hookpitch.fakes.load_clients import Crowd
 from hookpitch.testbed.child import Line, LoopMonitor, witnessed
 from hookpitch.testbed.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
@@ -175,7 +175,7 @@
         self.names = {net: name for name, net in self.nets.items()}
         self.own = f"127.{STANDIN_NET + first}"
         self.reactor.listenUNIX(self.control, _Control(self))
-        self.directory.put(Listed("o1", f"{{net}}.2.2:{ORIGIN_PORT}", "origin"))
+        self.directory.put(FakeEndpoint("o1", f"{{net}}.2.2:{ORIGIN_PORT}", "origin"))
         for n in range(x.fleet.caches):
             self._place(f"s{n}")
             self.list_server(f"s{n}", cold=False)
@@ -374,7 +374,7 @@
     def _mirror(self, what: str, *args: Any) -> None:  # noqa: ANN401
         """What is ordered of discovery is known here, too: for nodes that start."""
         if what == "put":
-            self.directory.put(Listed(*args))
+            self.directory.put(FakeEndpoint(*args))
         elif what == "health" and args[0] in self.directory.hosts:
             self.directory.health(*args)
         elif what == "lag":
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -22,8 +22,8 @@
 from hookpitch.core.counters import Counters
 from hookpitch.fakes.cache import Make
 from hookpitch.fakes.cache_server import CacheServer
-from hookpitch.fakes.control_commands import carry_out
-from hookpitch.fakes.discovery import Directory, Listed
+from hookpitch.fakes.control_commands import execute_command
+from hookpitch.fakes.discovery import EndpointDirectory, FakeEndpoint
 from hookpitch.fakes.history import History
 from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
@@ -77,7 +77,7 @@
         self.x, self.seed, self.world = x, seed, world
         self.history, self.logs = History(), list[tuple[float, str, str]]()
         self.chance = random.Random(seed * 7919 + 1)
-        self.directory = Directory()
+        self.directory = EndpointDirectory()
         self.counters: dict[str, dict[str, int]] = {}
         self.addresses: dict[str, str] = {}  # of servers, by name
         self.names: dict[str, str] = {}  # of nodes, by address
@@ -366,7 +366,7 @@
         self._listen()
         for n in range(x.fleet.caches):
             self.add_server(f"s{n}", cold=False)
-        self.directory.put(Listed("o1", f"10.2.0.2:{ORIGIN_PORT}", "origin"))
+        self.directory.put(FakeEndpoint("o1", f"10.2.0.2:{ORIGIN_PORT}", "origin"))
         if x.fleet.warm:  # nodes find their keys wherever the ring puts them
             for name in self.servers:
                 self.order(name, "warm", x.traffic.keys)
@@ -415,7 +415,7 @@
 
     def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
         fixed = {"origin": self.origin_server, "discovery": self.discovery}
-        carry_out(fixed.get(name) or self.servers[name], what, *args)
+        execute_command(fixed.get(name) or self.servers[name], what, *args)
 
     def kill(self, name: str) -> bool:
         machine = self.world.machine(self.address(name))
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -17,8 +17,8 @@
 
 from hookpitch.fakes.cache import Cache, Make
 from hookpitch.fakes.cache_server import CacheServer
-from hookpitch.fakes.control_commands import carry_out
-from hookpitch.fakes.discovery import Directory, Listed
+from hookpitch.fakes.control_commands import execute_command
+from hookpitch.fakes.discovery import EndpointDirectory, FakeEndpoint
 from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 from hookpitch.fakes.origin import Origin, OriginMake
 from hookpitch.testbed.child import Line, Witness, run_child
@@ -83,7 +83,7 @@
         self.there[role["name"]] = server
         server.start([role["address"]], role["port"], role["cold"])
         if role["warm"]:
-            carry_out(server, "warm", role["warm"])
+            execute_command(server, "warm", role["warm"])
 
     def _origin(self, role: dict[str, Any]) -> None:
         origin = Origin(msgspec.convert(role["make"], OriginMake), 0.0, self.chance)
@@ -97,9 +97,9 @@
         self.reactor.listenTCP(role["port"], server, interface=role["address"], backlog=4096)
 
     def _discovery(self, role: dict[str, Any]) -> None:
-        directory = Directory(role["lag_ms"])
+        directory = EndpointDirectory(role["lag_ms"])
         for fields in role["hosts"]:
-            directory.put(Listed(*fields))
+            directory.put(FakeEndpoint(*fields))
         directory.seq = max(directory.seq, role["seq"])
         server = DiscoveryServer(directory, self.reactor, self.history, self._whose, self.begun)
         server.calls_per_s = role["calls_per_s"]
@@ -114,7 +114,7 @@
             origin = server.origin
             origin.miss(rpc, origin.caches.setdefault(cache, FarCache(self.line, cache)))
         else:
-            carry_out(server, what, *args)
+            execute_command(server, what, *args)
 
 
 def made(reactor: Any, given: dict[str, Any], history: Witness, line: Line) -> Any:  # noqa: ANN401
