--- a/hookpitch/fakes/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -1,9 +1,8 @@
-"""A cache server on Twisted: RESP2 as the platform's protocol has it, around the model of one
-process.
+"""A cache server on Twisted: RESP2 around the model of one process.
 
-Faults are its `mood`: "well"; "mute" (takes work, answers nothing); "garbled" (spoils a part of
-its answers);
-"resets" (breaks a part of its connections under an RPC). `part` is the part of RPCs that meet it.
+Its faults are its `mood`: "well"; "mute" (jobs run and are not answered); "garbled" (some answers
+are malformed); "resets" (some connections are aborted in place of an answer). `part` is the
+fraction of RPCs that meet the fault.
 """
 
 from __future__ import annotations
@@ -18,14 +17,20 @@
 
 from hookpitch.core.resp import NEED_DATA, Parser, ProtocolError, bulk
 from hookpitch.core.ring import Ring
-from hookpitch.fakes.cache import FAR, Cache, Job, Make, value
+from hookpitch.fakes.cache import HIT, Cache, CacheSpec, Job, make_value, no_minimum_size
 from hookpitch.fakes.history import History
 from hookpitch.fakes.origin import Origin
+from hookpitch.fakes.timer import EARLY_WAKE_MS, MS_PER_S, JobTimer
 
-COMMANDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
-PIECE_S = 0.002  # between two pieces of an answer
-AT_ONCE = 8  # RPCs of a connection that are begun, one behind the other
-RUBBISH = (
+WORDS_OF_COMMANDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
+ACCEPTED_COMMANDS = (b"CLIENT", b"SELECT")  # answered with OK, without effect
+OK_ANSWER = b"+OK\r\n"
+UNKNOWN_COMMAND_ANSWER = b"-ERR unknown command\r\n"
+BUSY_ANSWER = b"-BUSY\r\n"
+PIECE_INTERVAL_S = 0.002  # between two pieces of an answer
+MAX_PIPELINED_RPCS = 8  # of a connection, begun and not yet answered
+LISTEN_BACKLOG = 4096
+MALFORMED_ANSWERS = (
     b"$7\r\nshort\r\n",
     b"*3\r\n:1\r\n",
     b"!what\r\n",
@@ -34,110 +39,122 @@
 )
 
 
-class Connection(Protocol):
+class PendingReply:
+    """The place of an answer in a connection's order of answers."""
+
+    __slots__ = ("answer", "connection", "job")
+
+    def __init__(
+        self, connection: CacheConnection, job: Job | None, answer: bytes | None = None
+    ) -> None:
+        self.connection = connection
+        self.job = job  # None: answered without one
+        self.answer = answer
+
+
+class CacheConnection(Protocol):
     """One connection: RPCs are begun as they come and answered in their order."""
 
     def __init__(self, server: CacheServer) -> None:
-        self.server, self.ring = server, Ring()
+        self.server = server
+        self.ring = Ring()
         self.parser = Parser(self.ring, commands_only=True)
-        self.due: deque[list[Any]] = deque()  # [job or None, answer or None]
-        self.pieces: deque[bytes] = deque()  # of answers: the first is on its way, the others wait
-        self.counted = False
+        self.replies: deque[PendingReply] = deque()
+        self.pieces: deque[bytes] = deque()  # of answers: the first is being sent, the others wait
+        self.in_table = False
         self.node = ""
 
     def connectionMade(self) -> None:
+        """Take a place in the connection table, or abort the connection if it is full."""
         server = self.server
-        server.history.add(server.now(), "dialled", server.name, what=server.whose(self.transport))
-        if server.process is None or not server.process.connected(server.now()):
+        node = server.whose(self.transport)
+        server.history.add(server.now(), "dialled", server.name, what=node)
+        if server.process is None or not server.process.accept_connection():
             self.transport.abortConnection()
             return
-        self.counted = True
+        self.in_table = True
         server.connections[self] = None
-        self.node = server.whose(self.transport)
+        self.node = node
 
     def dataReceived(self, data: bytes) -> None:
+        """Begin the commands that are complete, up to `MAX_PIPELINED_RPCS`."""
         self.ring.write(data)
         try:
-            while len(self.due) < AT_ONCE:
+            while len(self.replies) < MAX_PIPELINED_RPCS:
                 words = self.parser.next_value()
                 if words is NEED_DATA:
                     break
                 if words:
-                    self.command(words)
+                    self._begin_command(words)
         except ProtocolError:
             self.transport.loseConnection()
         self.flush()
 
-    def command(self, words: list[bytes]) -> None:
+    def _begin_command(self, words: list[bytes]) -> None:
         name = words[0].upper()
-        if COMMANDS.get(name) != len(words):
-            self.due.append(
-                [
-                    None,
-                    b"+OK\r\n" if name in (b"CLIENT", b"SELECT") else b"-ERR unknown command\r\n",
-                ]
-            )
+        if WORDS_OF_COMMANDS.get(name) != len(words):
+            answer = OK_ANSWER if name in ACCEPTED_COMMANDS else UNKNOWN_COMMAND_ANSWER
+            self.replies.append(PendingReply(self, None, answer))
             return
-        server = self.server
-        pairs = dict(p.split(b"=", 1) for p in words[3].split(b",") if b"=" in p)
-        job = Job(
-            words[2].decode(),
-            words[1].decode("latin-1"),
-            pairs.get(b"c", b"").decode(),
-            self.node,
-            server.now(),
-        )
-        place = [job, None]
-        self.due.append(place)
-        server.came(job, place, self)
+        _, key, rpc, extras = words[:4]
+        pairs = dict(pair.split(b"=", 1) for pair in extras.split(b",") if b"=" in pair)
+        method = pairs.get(b"c", b"").decode()
+        job = Job(rpc.decode(), key.decode("latin-1"), method, self.node)
+        reply = PendingReply(self, job)
+        self.replies.append(reply)
+        self.server.begin(job, reply)
 
     def flush(self) -> None:
-        while self.due and self.due[0][1] is not None:
-            self.write(self.due.popleft()[1])
-        if len(self.due) < AT_ONCE and len(self.ring) and not self.parser.at_boundary:
+        """Write the answers whose turn it is, then read on."""
+        while self.replies and self.replies[0].answer is not None:
+            self._write(self.replies.popleft().answer)
+        has_room = len(self.replies) < MAX_PIPELINED_RPCS
+        if has_room and len(self.ring) and not self.parser.at_boundary:
             self.dataReceived(b"")
 
-    def write(self, data: bytes) -> None:
-        """At once; or in small pieces, each `PIECE_S` after the one before."""
+    def _write(self, data: bytes) -> None:
+        """Write at once, or in small pieces, `PIECE_INTERVAL_S` after each other."""
         if not self.server.piece and not self.pieces:
             self.transport.write(data)
             return
-        size, idle = self.server.piece or len(data), not self.pieces
+        size = self.server.piece or len(data)
+        idle = not self.pieces
         self.pieces.extend(data[at : at + size] for at in range(0, len(data), size))
         if idle:
-            self.write_next()
+            self._write_piece()
 
-    def write_next(self) -> None:
+    def _write_piece(self) -> None:
         if self.pieces and self.transport.connected:
             self.transport.write(self.pieces[0])
-            self.server.reactor.callLater(PIECE_S, self.written)
+            self.server.reactor.callLater(PIECE_INTERVAL_S, self._piece_written)
 
-    def written(self) -> None:
+    def _piece_written(self) -> None:
         if self.pieces:
             self.pieces.popleft()
-            self.write_next()
+            self._write_piece()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Leave the connection table and cancel the jobs that are not answered."""
         server = self.server
         self.pieces.clear()
         server.connections.pop(self, None)
-        if self.counted and server.process is not None:
-            server.process.disconnected()
-        for job, answer in self.due:
-            if job is not None and answer is None:
-                server.dropped(job)
-        self.due.clear()
+        if self.in_table and server.process is not None:
+            server.process.release_connection()
+        for reply in self.replies:
+            if reply.job is not None and reply.answer is None:
+                server.cancel(reply.job)
+        self.replies.clear()
 
 
 class CacheServer(Factory):
-    """A name in the list, with the process that is behind it now."""
+    """A server of the endpoint list, with the process that runs behind its name now, if any."""
 
     noisy = False
 
     def __init__(
         self,
         name: str,
-        make: Make,
+        spec: CacheSpec,
         reactor: Any,
         history: History,
         origin: Origin,
@@ -145,119 +162,112 @@
         whose: Callable[[Any], str],
         begun: float,
     ) -> None:
-        """`whose` names the node behind a transport; `begun`: the run's start on the reactor's
-        clock, in
-        seconds."""
-        self.name, self.make, self.reactor, self.history, self.origin = (
-            name,
-            make,
-            reactor,
-            history,
-            origin,
-        )
-        self.chance, self.whose, self.begun = chance, whose, begun
+        """`whose`: the node behind a transport; `begun`: the run's start, reactor seconds."""
+        self.name = name
+        self.spec = spec
+        self.reactor = reactor
+        self.history = history
+        self.origin = origin
+        self.chance = chance
+        self.whose = whose
+        self.begun = begun
         self.process: Cache | None = None
-        self.connections: dict[Connection, None] = {}
-        self.places: dict[Job, tuple[list[Any], Connection]] = {}
-        self.mood, self.part, self.draining = "well", 1.0, False
-        self.piece = 0  # bytes written at a time; 0: an answer at once
-        self.size_of: Callable[[str], int] = lambda key: 0  # bytes of a key's value
-        self.ports: list[Any] = []
-        self._timer: Any = None
-        self._timer_at = FAR
+        self.connections: dict[CacheConnection, None] = {}
+        self.mood = "well"
+        self.part = 1.0
+        self.piece = 0  # bytes written at a time; 0: a whole answer
+        self.size_of: Callable[[str], int] = no_minimum_size  # bytes of a key's value
+        self._replies: dict[Job, PendingReply] = {}
+        self._timer = JobTimer(self)
 
     def now(self) -> float:
-        return (self.reactor.seconds() - self.begun) * 1000
+        """Return milliseconds since the start of the run."""
+        return (self.reactor.seconds() - self.begun) * MS_PER_S
 
     def start(self, addresses: Sequence[str], port: int, cold: bool) -> None:
-        """A new process listens, on the port at each address."""
-        self.process = Cache(self.name, self.make, self.now(), cold, self.chance)
+        """Start a new process that listens on the port at each address."""
+        self.process = Cache(self.name, self.spec, self.now(), cold, self.chance)
         self.origin.caches[self.name] = self.process
-        self.draining = False
-        self.ports = [
-            self.reactor.listenTCP(port, self, backlog=4096, interface=a) for a in addresses
-        ]
+        for address in addresses:
+            self.reactor.listenTCP(port, self, backlog=LISTEN_BACKLOG, interface=address)
         self.history.add(self.now(), "up", self.name, value=self.process.speed(self.now()))
 
     def die(self) -> None:
-        """The process is gone at once, with its keys; whoever runs the machine ends its
-        connections."""
+        """End the process with its keys; the machine's runner ends its connections."""
         self.history.add(self.now(), "down", self.name)
-        for job in list(self.places):
-            self.dropped(job)
+        for job in list(self._replies):
+            self.cancel(job)
         self.process = None
         self.origin.caches.pop(self.name, None)
-        self.ports = []
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        self._timer, self._timer_at = None, FAR
+        self._timer.cancel()
         self.connections.clear()
 
-    def buildProtocol(self, addr: object) -> Connection:
-        return Connection(self)
+    def buildProtocol(self, addr: object) -> CacheConnection:
+        """Return the protocol of a new connection."""
+        return CacheConnection(self)
 
-    def came(self, job: Job, place: list[Any], connection: Connection) -> None:
-        now, process = self.now(), self.process
-        port = connection.transport.getPeer().port
+    def begin(self, job: Job, reply: PendingReply) -> None:
+        """Give a job to the process, or answer BUSY if its queue is full."""
+        now = self.now()
+        process = self.process
+        port = reply.connection.transport.getPeer().port
         self.history.add(now, "came", self.name, job.rpc, job.node, port=port)
         if process is None:
             return
-        self.places[job] = place, connection
-        if self.draining or not process.begin(now, job):
-            self.answer(job, b"-BUSY\r\n", "busy")
-            return
-        if process.fallen():
-            self.history.add(now, "fell", self.name, job.rpc, value=process.worst)
-            process.worst = 0.0
-        self.arm()
-
-    def arm(self) -> None:
-        due = self.process.due if self.process is not None else FAR
-        if due >= self._timer_at:
+        self._replies[job] = reply
+        if not process.begin(now, job):
+            self._answer(job, BUSY_ANSWER, "busy")
             return
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        self._timer_at = due
-        self._timer = self.reactor.callLater(max(0.0, due - self.now()) / 1000, self.woken)
-
-    def woken(self) -> None:
-        self._timer, self._timer_at = None, FAR
-        process, now = self.process, self.now()
+        if process.has_crashed():
+            self.history.add(now, "fell", self.name, job.rpc, value=process.overload)
+            process.overload = 0.0
+        self._timer.arm(process.due)
+
+    def finish_jobs(self) -> None:
+        """Answer the jobs that are finished by now."""
+        process = self.process
+        now = self.now()
         if process is None:
             return
-        for job in process.ended(now + 1e-6):
-            how = process.look_up(now, job)
-            if how != "hit":
-                self.origin.miss(job.rpc, process)
-            if self.mood == "mute" and self.chance.random() < self.part:
-                continue
-            made = bulk(
-                value(job.rpc, job.key, self.name, self.size_of(job.key)) if how == "hit" else None
-            )
-            self.answer(
-                job, b"*3\r\n" + made + bulk(how.encode()) + bulk(process.report(now).encode()), how
-            )
-        self.arm()
-
-    def answer(self, job: Job, answer: bytes, how: str) -> None:
-        place, connection = self.places.pop(job, (None, None))
-        if place is None:
+        for job in process.finish_jobs(now + EARLY_WAKE_MS):
+            self._finish(process, job, now)
+        if self.process is not None:
+            self._timer.arm(self.process.due)
+
+    def _finish(self, process: Cache, job: Job, now: float) -> None:
+        result = process.look_up(now, job)
+        if result != HIT:
+            self.origin.miss(job.rpc, process)
+        if self.mood == "mute" and self.chance.random() < self.part:
+            return
+        value = None
+        if result == HIT:
+            value = make_value(job.rpc, job.key, self.name, self.size_of(job.key))
+        report = process.report(now)
+        answer = b"*3\r\n" + bulk(value) + bulk(result.encode()) + bulk(report.encode())
+        self._answer(job, answer, result)
+
+    def _answer(self, job: Job, answer: bytes, result: str) -> None:
+        reply = self._replies.pop(job, None)
+        if reply is None:
             return
         if self.mood == "resets" and self.chance.random() < self.part:
             self.history.add(self.now(), "sent", self.name, job.rpc, "reset")
             job.over = True
-            connection.transport.abortConnection()
+            reply.connection.transport.abortConnection()
             return
-        if self.mood == "garbled" and how != "busy" and self.chance.random() < self.part:
-            answer, how = self.chance.choice(RUBBISH), "rubbish"
-        self.history.add(self.now(), "sent", self.name, job.rpc, how)
+        if self.mood == "garbled" and result != "busy" and self.chance.random() < self.part:
+            answer = self.chance.choice(MALFORMED_ANSWERS)
+            result = "rubbish"
+        self.history.add(self.now(), "sent", self.name, job.rpc, result)
         job.over = True
-        place[1] = answer
-        connection.flush()
+        reply.answer = answer
+        reply.connection.flush()
 
-    def dropped(self, job: Job) -> None:
-        self.places.pop(job, None)
+    def cancel(self, job: Job) -> None:
+        """Drop the answer to a job whose connection has ended."""
+        self._replies.pop(job, None)
         if not job.over:
             self.history.add(self.now(), "dropped", self.name, job.rpc)
             if self.process is not None:
-                self.process.dropped(self.now(), job)
+                self.process.cancel(job)
--- a/hookpitch/fakes/control_commands.py
+++ b/hookpitch/fakes/control_commands.py
@@ -10,7 +10,8 @@
 
 from hookpitch.fakes.cache_server import CacheServer
 from hookpitch.fakes.discovery import FakeEndpoint
-from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
+from hookpitch.fakes.discovery_server import DiscoveryServer
+from hookpitch.fakes.origin_server import OriginServer
 
 
 def _slow_cache(server: CacheServer, by: float) -> None:
@@ -44,7 +45,7 @@
 def _warm_up(server: CacheServer, keys: int) -> None:
     """Store the most popular keys, the most popular of them last."""
     if server.process is not None:
-        for n in reversed(range(min(keys, server.make.keys))):
+        for n in reversed(range(min(keys, server.spec.max_keys))):
             server.process.store(f"key{n}")
 
 
@@ -69,8 +70,8 @@
     discovery.go_down()
 
 
-def _start_discovery(discovery: DiscoveryServer, anew: bool) -> None:
-    discovery.come_up(anew)
+def _start_discovery(discovery: DiscoveryServer, restarted: bool) -> None:
+    discovery.come_up(restarted)
 
 
 def _set_lag(discovery: DiscoveryServer, ms: float) -> None:
--- a/hookpitch/fakes/origin.py
+++ b/hookpitch/fakes/origin.py
@@ -1,52 +1,57 @@
-"""The origin's model: a bounded line before a few cores, and the place where what it answers is
-stored."""
+"""The origin's model: a bounded queue before a few cores, and the caches its answers go to."""
 
 from __future__ import annotations
 
+import random
 from dataclasses import dataclass
 
-from hookpitch.fakes.cache import Cache, Make
+from hookpitch.fakes.cache import Cache, CacheSpec
+
+MAX_MISSED_RPCS = 20000  # RPCs whose fetch never comes are forgotten beyond this
+UNLIMITED_CONNECTIONS = 1 << 30
 
 
 @dataclass(frozen=True, slots=True)
-class OriginMake:
-    """`work_ms` a fetch at full speed; a fetch beyond `line` waiting ones never runs (503,
-    X-Not-Run)."""
+class OriginSpec:
+    """The origin's size; a fetch beyond `queue_limit` waiting ones is refused, not executed."""
 
     cores: int = 4
-    line: int = 40
-    work_ms: float = 20.0
+    queue_limit: int = 40
+    work_ms: float = 20.0  # of a fetch, at full speed
 
 
 class Origin:
-    """Fetches and writes; knows at which caches an RPC missed, and stores its value there."""
-
-    def __init__(self, make: OriginMake, now: float, chance: object) -> None:
-        self.work = Make(
-            cores=make.cores, line=make.line, plain_ms=make.work_ms, keys=0, connections=1 << 30
+    """Executes fetches and writes; knows which caches an RPC missed, and stores its value there."""
+
+    def __init__(self, spec: OriginSpec, now: float, chance: random.Random) -> None:
+        self.work = CacheSpec(
+            cores=spec.cores,
+            queue_limit=spec.queue_limit,
+            default_work_ms=spec.work_ms,
+            max_keys=0,
+            max_connections=UNLIMITED_CONNECTIONS,
         )
         self.queue = Cache("origin", self.work, now, cold=False, chance=chance)
         self.missed: dict[str, list[Cache]] = {}  # by RPC
         self.caches: dict[str, Cache] = {}
-        self.fetches = self.writes = 0
 
-    def forget(self) -> None:
-        """Its process is no more: neither its work nor who missed what is known to the next one."""
+    def restart(self) -> None:
+        """Forget the queue and the misses, as a new process would."""
         self.queue = Cache("origin", self.work, 0.0, cold=False, chance=self.queue.chance)
         self.missed.clear()
 
     def miss(self, rpc: str, cache: Cache) -> None:
+        """Note that the RPC missed in this cache."""
         self.missed.setdefault(rpc, []).append(cache)
-        if len(self.missed) > 20000:  # those that were never fetched
+        if len(self.missed) > MAX_MISSED_RPCS:
             self.missed.pop(next(iter(self.missed)))
 
-    def answered(self, rpc: str, key: str, write: bool) -> None:
-        """A fetch stores the value where the RPC missed; a write drops the copies."""
-        if write:
-            self.writes += 1
-            for cache in self.caches.values():
-                cache.drop(key)
-            return
-        self.fetches += 1
+    def fetched(self, rpc: str, key: str) -> None:
+        """Store a fetched key in the caches that the RPC missed."""
         for cache in self.missed.pop(rpc, ()):
             cache.store(key)
+
+    def written(self, key: str) -> None:
+        """Drop every cache's copy of a key that was written."""
+        for cache in self.caches.values():
+            cache.drop(key)
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -20,14 +20,15 @@
 from zlib import crc32
 
 from hookpitch.core.counters import Counters
-from hookpitch.fakes.cache import Make
+from hookpitch.fakes.cache import CacheSpec
 from hookpitch.fakes.cache_server import CacheServer
 from hookpitch.fakes.control_commands import execute_command
 from hookpitch.fakes.discovery import EndpointDirectory, FakeEndpoint
+from hookpitch.fakes.discovery_server import DiscoveryServer
 from hookpitch.fakes.history import History
-from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
-from hookpitch.fakes.origin import Origin, OriginMake
+from hookpitch.fakes.origin import Origin, OriginSpec
+from hookpitch.fakes.origin_server import OriginServer
 from hookpitch.testbed.experiment import Experiment, bound_methods
 from hookpitch.testbed.faults import BEFORE_S, Happening
 from hookpitch.testbed.judge import SLACK_MS, UNUSED_MS, Broken, Judge, Rules
@@ -157,11 +158,11 @@
     def client_dial(self, node: Any) -> tuple[str, int]:  # noqa: ANN401
         return node.address, NODE_PORT
 
-    def make(self, n: int) -> Make:
+    def make(self, n: int) -> CacheSpec:
         """Of the server with number n."""
         f = self.x.fleet
         work = {m.name: m.work_ms for m in self.x.method}
-        return Make(
+        return CacheSpec(
             f.cores,
             f.line,
             work,
@@ -173,11 +174,11 @@
             f.fall_multiple,
             f.tip_s * 1000,
             f.connections,
-            dial_ms=f.dial_ms,
+            connect_work_ms=f.dial_ms,
         )
 
-    def origin_make(self) -> OriginMake:
-        return OriginMake(self.x.origin.cores, self.x.origin.line, self.x.origin.work_ms)
+    def origin_make(self) -> OriginSpec:
+        return OriginSpec(self.x.origin.cores, self.x.origin.line, self.x.origin.work_ms)
 
     def size_of(self, key: str) -> int:
         """Bytes of a key's value; 0 for a small one."""
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -15,12 +15,13 @@
 import msgspec
 from twisted.internet.error import CannotListenError
 
-from hookpitch.fakes.cache import Cache, Make
+from hookpitch.fakes.cache import Cache, CacheSpec
 from hookpitch.fakes.cache_server import CacheServer
 from hookpitch.fakes.control_commands import execute_command
 from hookpitch.fakes.discovery import EndpointDirectory, FakeEndpoint
-from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
-from hookpitch.fakes.origin import Origin, OriginMake
+from hookpitch.fakes.discovery_server import DiscoveryServer
+from hookpitch.fakes.origin import Origin, OriginSpec
+from hookpitch.fakes.origin_server import OriginServer
 from hookpitch.testbed.child import Line, Witness, run_child
 
 
@@ -68,7 +69,7 @@
         return self.large_size if crc32(key.encode()) % 1000 < 1000 * self.large else 0
 
     def _cache(self, role: dict[str, Any]) -> None:
-        make, origin = msgspec.convert(role["make"], Make), FarOrigin(self.line)
+        make, origin = msgspec.convert(role["make"], CacheSpec), FarOrigin(self.line)
         server = CacheServer(
             role["name"],
             make,
@@ -86,7 +87,7 @@
             execute_command(server, "warm", role["warm"])
 
     def _origin(self, role: dict[str, Any]) -> None:
-        origin = Origin(msgspec.convert(role["make"], OriginMake), 0.0, self.chance)
+        origin = Origin(msgspec.convert(role["make"], OriginSpec), 0.0, self.chance)
         for name in role["caches"]:
             origin.caches[name] = FarCache(self.line, name)
         server = OriginServer(
