--- a/hookpitch/fakes/load_clients.py
+++ b/hookpitch/fakes/load_clients.py
@@ -1,21 +1,15 @@
-"""Clients on Twisted: open-loop arrivals, patience, tries again, and some that leave, never read
-or send
-rubbish.
-
-An RPC is asked when it is due, however late the answers are. What a client saw goes into the
-history:
-`asked` when its last byte was written, and then exactly one of `answered`, `lost` or `left`; an RPC
-that has none of them by its deadline is for the judge.
+"""Clients on Twisted: open-loop arrivals, timeouts, retries, and some that leave or read slowly.
+
+An RPC is sent when it is due, however late the answers are. What a client saw goes into the
+history: `asked` when its last byte was written, and then at most one of `answered`, `lost` or
+`left`; the run's checks decide about an RPC that has none of them by its deadline.
 """
 
 from __future__ import annotations
 
 import random
-from bisect import bisect_left
 from collections import deque
 from collections.abc import Sequence
-from dataclasses import dataclass
-from itertools import accumulate
 from typing import Any
 
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
@@ -32,215 +26,191 @@
 )
 from hookpitch.core.ring import Ring
 from hookpitch.fakes.history import History
-
-RUBBISH = (
-    b"*1\r\n$-5\r\n",
-    b"\x00\xff\x13\x37" * 20 + b"\r\n",
-    b"*4\r\n$7\r\nOBJ.GET\r\n$99999999999\r\n",
-    b"GET / HTTP/1.1\r\n\r\n",
-    b"*4\r\n$7\r\nOBJ.GET\r\n$3\r\nabcdef\r\n",
-    b"*2000000\r\n",
-)
-UNFINISHED = (
-    b"*4\r\n$7\r\nOBJ.GET\r\n$3\r\nk",
-    b"*4\r\n",
-    b"*5\r\n$7\r\nOBJ.SET\r\n$3\r\nkey\r\n$2\r\nr1\r\n$6\r\nc=read\r\n$500000\r\nww",
-)
-GRACE_MS = 300.0  # past its patience, a client closes the connection
-READ_PAUSE_S = 0.004  # of a slow reader, after each piece
-HEAD_PARTS = (
-    12  # in which it is written, so that no pause reaches the 250 ms after which it may have to go
-)
-HEAD_MS = 1800.0  # the longest that an honest client takes for its request: the node owes it 2 s
-
-
-@dataclass(frozen=True, slots=True)
-class Kind:
-    """A method as clients ask for it."""
-
-    name: str
-    share: float
-    wait_ms: float
-    write: bool = False
-    size: int = 0  # bytes of a write's value
-
-
-@dataclass(frozen=True, slots=True)
-class Manner:
-    """How clients behave."""
-
-    tries: int = 0  # again, after an answer that is no value
-    pause_ms: float = 30.0  # before each
-    leaving: float = 0.0  # the part that closes its connection halfway through its patience
-    fresh: float = 0.0  # the part that opens a connection of its own and closes it after
-    most: int = 200  # connections to a node
-    slow: float = 0.0  # the part of connections that pause after each piece they read
-    halving: float = (
-        0.0  # of those that close after one RPC, the part that closes its own way at once
-    )
-
-
-class Keys:
-    """Keys by a power law; `hot` adds one that takes a part of all."""
-
-    def __init__(self, count: int, skew: float) -> None:
-        self.count, self.hot = count, 0.0
-        self._sums = list(accumulate((n + 1) ** -skew for n in range(count)))
-
-    def draw(self, chance: random.Random) -> str:
-        if self.hot and chance.random() < self.hot:
-            return "hot"
-        return f"key{bisect_left(self._sums, chance.random() * self._sums[-1])}"
-
-
-class Asked:
-    """One RPC of a client."""
-
-    __slots__ = ("rpc", "kind", "key", "at", "again", "open")
-
-    def __init__(self, rpc: str, kind: Kind, key: str, at: float, again: int) -> None:
-        self.rpc, self.kind, self.key, self.at, self.again, self.open = (
-            rpc,
-            kind,
-            key,
-            at,
-            again,
-            True,
+from hookpitch.fakes.timer import MS_PER_S
+from hookpitch.fakes.traffic import ClientBehavior, ClientMethod, ClientRpc, KeyDistribution
+
+GRACE_MS = 300.0  # past its wait, a client closes the connection
+READ_PAUSE_S = 0.004  # of a slow reader, after each read
+CONNECT_TIMEOUT_S = 3.0
+MIN_RATE_PER_S = 1e-9  # a rate of zero has no exponential distribution
+BULK_HEADER_BYTES = 16  # enough for the length of any value
+COMPLETED = "completed"
+
+
+class ClientConnection(Protocol):
+    """One connection to a node, with one RPC at a time."""
+
+    def __init__(self, clients: LoadClients, node: str, first: ClientRpc, single_use: bool) -> None:
+        behavior = clients.behavior
+        self.clients = clients
+        self.node = node
+        self.first = first
+        self.single_use = single_use
+        self.parser_input = Ring()
+        self.parser = Parser(self.parser_input)
+        self.in_flight: deque[ClientRpc] = deque()
+        self.lost = False
+        self.port = 0
+        self.reads_slowly = (
+            behavior.slow_reader_fraction > 0
+            and clients.chance.random() < behavior.slow_reader_fraction
         )
 
-
-class Caller(Protocol):
-    """One connection to a node; one RPC at a time, as the platform's clients keep it."""
-
-    def __init__(self, crowd: Crowd, node: str, asked: Asked | None, single: bool) -> None:
-        self.crowd, self.node, self.single = crowd, node, single
-        self.ring = Ring()
-        self.parser = Parser(self.ring)
-        self.due: deque[Asked] = deque()
-        self.first = asked
-        self.lost, self.port = False, 0
-        self.slow = crowd.manner.slow > 0 and crowd.chance.random() < crowd.manner.slow
-
     def connectionMade(self) -> None:
+        """Send the RPC for which the connection was opened."""
         self.port = self.transport.getHost().port
-        if self.first is not None:
-            self.ask(self.first)
-
-    def ask(self, asked: Asked) -> None:
-        crowd, kind = self.crowd, asked.kind
-        self.due.append(asked)
-        left = kind.wait_ms
-        words = [
-            b"OBJ.SET" if kind.write else b"OBJ.GET",
-            asked.key.encode(),
-            asked.rpc.encode(),
-            f"c={kind.name},d={left:.0f}".encode(),
-        ]
-        if kind.write:
-            words.append(b"w" * kind.size)
-        asked.at = crowd.now()
-        crowd.history.add(asked.at, "asked", self.node, asked.rpc, kind.name, left, self.port)
-        self.transport.write(command(*words))
-        chance = crowd.chance.random()
-        if chance < crowd.manner.leaving:
-            crowd.reactor.callLater(left * crowd.chance.random() / 1000, self.leave, asked)
-        crowd.reactor.callLater((left + GRACE_MS) / 1000, self.give_up, asked)
-        if self.single and crowd.manner.halving and crowd.chance.random() < crowd.manner.halving:
-            self.transport.loseWriteConnection()
+        self.send(self.first)
+
+    def send(self, rpc: ClientRpc) -> None:
+        """Send an RPC and draw how its client behaves."""
+        clients = self.clients
+        behavior = clients.behavior
+        wait_ms = rpc.method.wait_ms
+        self.record_sent(rpc)
+        self.transport.write(encode_request(rpc))
+        if clients.chance.random() < behavior.leaving_fraction:
+            leave_ms = wait_ms * clients.chance.random()
+            clients.reactor.callLater(leave_ms / MS_PER_S, self._leave, rpc)
+        clients.reactor.callLater((wait_ms + GRACE_MS) / MS_PER_S, self.give_up, rpc)
+        if self.single_use and behavior.half_close_fraction:
+            if clients.chance.random() < behavior.half_close_fraction:
+                self.transport.loseWriteConnection()
+
+    def record_sent(self, rpc: ClientRpc) -> None:
+        """Add a sent RPC to those in flight and to the history."""
+        clients = self.clients
+        method = rpc.method
+        self.in_flight.append(rpc)
+        clients.history.add(
+            clients.now(), "asked", self.node, rpc.id, method.name, method.wait_ms, self.port
+        )
 
     def dataReceived(self, data: bytes) -> None:
-        self.ring.write(data)
-        if self.slow:
+        """Match the answers with the RPCs in flight."""
+        self.parser_input.write(data)
+        if self.reads_slowly:
             self.transport.pauseProducing()
-            self.crowd.reactor.callLater(READ_PAUSE_S, self.read_on)
+            self.clients.reactor.callLater(READ_PAUSE_S, self._resume_reading)
         try:
             while True:
-                answer = self.large()
-                if answer is None:
-                    answer = self.parser.next_value()
+                answer = self._next_answer()
                 if answer is NEED_DATA:
                     return
-                if not self.due:
-                    self.crowd.history.add(
-                        self.crowd.now(), "answered", self.node, "", "nobody asked"
-                    )
+                if not self.in_flight:
+                    self._record("answered", "", "nobody asked")
                     continue
-                self.answered(self.due.popleft(), answer)
+                self._answered(self.in_flight.popleft(), answer)
         except ProtocolError:
             self.transport.loseConnection()
 
-    def large(self) -> bytes | NeedData | None:
-        """A value too large for the parser, once it is whole; None where something else comes
-        next."""
-        head = self.ring.peek(16)
-        end = head.find(b"\r\n")
-        if head[:1] != b"$" or not head[1:end].isdigit() or int(head[1:end]) <= MAX_BULK_BYTES:
+    def _next_answer(self) -> object:
+        answer = self._large_value()
+        if answer is None:
+            return self.parser.next_value()
+        return answer
+
+    def _large_value(self) -> bytes | NeedData | None:
+        """Return a value too large for the parser once it is complete; None if another answer
+        comes next."""
+        header = self.parser_input.peek(BULK_HEADER_BYTES)
+        end = header.find(b"\r\n")
+        if header[:1] != b"$" or not header[1:end].isdigit():
             return None
-        whole = end + 2 + int(head[1:end]) + 2
-        if len(self.ring) < whole:
+        size = int(header[1:end])
+        if size <= MAX_BULK_BYTES:
+            return None
+        frame_bytes = end + 2 + size + 2
+        if len(self.parser_input) < frame_bytes:
             return NEED_DATA
-        return self.ring.read(whole)[end + 2 : -2]
+        return self.parser_input.read(frame_bytes)[end + 2 : -2]
 
-    def read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if not self.lost:
             self.transport.resumeProducing()
 
-    def answered(self, asked: Asked, answer: object) -> None:
-        crowd = self.crowd
-        asked.open = False
-        if isinstance(answer, ErrorReply):
-            how = "exhausted" if answer.startswith(b"BUSY") else "errored"
-        elif isinstance(answer, bytes) and answer.startswith(f"{asked.rpc}:{asked.key}:".encode()):
-            how = "completed"
-        else:
-            how = "wrong"
-        crowd.history.add(crowd.now(), "answered", self.node, asked.rpc, how)
-        crowd.ended(asked, how)
-        if self.single:
+    def _answered(self, rpc: ClientRpc, answer: object) -> None:
+        rpc.open = False
+        result = classify_answer(rpc, answer)
+        self._record("answered", rpc.id, result)
+        self.clients.finished(rpc, result)
+        if self.single_use:
             self.transport.loseConnection()
         else:
-            crowd.free(self)
-
-    def leave(self, asked: Asked) -> None:
-        if asked.open and not self.lost:
-            asked.open = False
-            self.crowd.history.add(self.crowd.now(), "left", self.node, asked.rpc)
-            self.due.clear()
+            self.clients.idle[self.node].append(self)
+
+    def _leave(self, rpc: ClientRpc) -> None:
+        if rpc.open and not self.lost:
+            self._record("left", rpc.id)
+            self.give_up(rpc)
+
+    def give_up(self, rpc: ClientRpc) -> None:
+        """Abort the connection, if the RPC is still open."""
+        if rpc.open and not self.lost:
+            rpc.open = False
+            self.in_flight.clear()
             self.transport.abortConnection()
 
-    def give_up(self, asked: Asked) -> None:
-        if asked.open and not self.lost:
-            asked.open = False
-            self.due.clear()
-            self.transport.abortConnection()
+    def _record(self, kind: str, rpc_id: str, what: str = "") -> None:
+        self.clients.history.add(self.clients.now(), kind, self.node, rpc_id, what)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Record the RPCs in flight as lost."""
+        clients = self.clients
         self.lost = True
-        for asked in self.due:
-            asked.open = False
-            self.crowd.history.add(self.crowd.now(), "lost", self.node, asked.rpc, port=self.port)
-            self.crowd.ended(asked, "lost")
-        self.due.clear()
-        self.crowd.gone(self)
+        for rpc in self.in_flight:
+            rpc.open = False
+            clients.history.add(clients.now(), "lost", self.node, rpc.id, port=self.port)
+            clients.finished(rpc, "lost")
+        self.in_flight.clear()
+        clients.open_connections[self.node] -= 1
+
+
+def encode_request(rpc: ClientRpc) -> bytes:
+    """Return an RPC's RESP2 command."""
+    method = rpc.method
+    words = [
+        b"OBJ.SET" if method.write else b"OBJ.GET",
+        rpc.key.encode(),
+        rpc.id.encode(),
+        f"c={method.name},d={method.wait_ms:.0f}".encode(),
+    ]
+    if method.write:
+        words.append(b"w" * method.size)
+    return command(*words)
+
+
+def classify_answer(rpc: ClientRpc, answer: object) -> str:
+    """Return what the history calls this answer to the RPC."""
+    if isinstance(answer, ErrorReply):
+        return "exhausted" if answer.startswith(b"BUSY") else "errored"
+    if isinstance(answer, bytes) and answer.startswith(f"{rpc.id}:{rpc.key}:".encode()):
+        return COMPLETED
+    return "wrong"
+
+
+class ClientConnector(ClientFactory):
+    """Opens one connection for one RPC."""
 
-
-class _Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, crowd: Crowd, node: str, asked: Asked, single: bool) -> None:
-        self.crowd, self.node, self.asked, self.single = crowd, node, asked, single
+    def __init__(self, clients: LoadClients, node: str, rpc: ClientRpc, single_use: bool) -> None:
+        self.clients = clients
+        self.node = node
+        self.rpc = rpc
+        self.single_use = single_use
 
-    def buildProtocol(self, addr: object) -> Caller:
-        return Caller(self.crowd, self.node, self.asked, self.single)
+    def buildProtocol(self, addr: object) -> ClientConnection:
+        """Return the protocol of the connection."""
+        return ClientConnection(self.clients, self.node, self.rpc, self.single_use)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.crowd.held[self.node] -= 1
-        self.crowd.refused += 1
-        self.crowd.ended(self.asked, "refused")
+        """Finish the RPC as refused."""
+        self.clients.open_connections[self.node] -= 1
+        self.clients.finished(self.rpc, "refused")
 
 
-class Crowd:
-    """All clients of a run. `rate` and `only` may be changed while it runs."""
+class LoadClients:
+    """All clients of a run. `rate` and `nodes_in_use` may be changed while it runs."""
 
     def __init__(
         self,
@@ -248,194 +218,87 @@
         history: History,
         seed: int,
         nodes: dict[str, tuple[str, int]],
-        kinds: Sequence[Kind],
-        keys: Keys,
+        methods: Sequence[ClientMethod],
+        keys: KeyDistribution,
         rate: float,
-        manner: Manner,
+        behavior: ClientBehavior,
         begun: float,
     ) -> None:
-        """`nodes`: by name, where to dial; `rate`: RPCs a second over all; `begun`: seconds on the
-        reactor's clock."""
-        self.reactor, self.history, self.nodes, self.kinds, self.keys = (
-            reactor,
-            history,
-            nodes,
-            kinds,
-            keys,
-        )
-        self.chance, self.rate, self.manner, self.begun = random.Random(seed), rate, manner, begun
-        self.idle: dict[str, deque[Caller]] = {name: deque() for name in nodes}
-        self.held = dict.fromkeys(nodes, 0)
-        self.in_use = list(nodes)  # nodes that the front deals connections to
-        self.count = self.refused = self.no_room = 0
-        self.ending = False
-        self._due = 0.0
+        """`nodes`: addresses by name; `rate`: RPCs a second in all; `begun`: reactor seconds."""
+        self.reactor = reactor
+        self.history = history
+        self.nodes = nodes
+        self.methods = methods
+        self.keys = keys
+        self.chance = random.Random(seed)
+        self.rate = rate
+        self.behavior = behavior
+        self.begun = begun
+        self.idle: dict[str, deque[ClientConnection]] = {name: deque() for name in nodes}
+        self.open_connections = dict.fromkeys(nodes, 0)
+        self.nodes_in_use = list(nodes)  # that new RPCs are sent to
+        self.count = 0  # of RPCs, retries included
+        self.connection_limit_hits = 0
+        self._stopped = False
+        self._due_ms = 0.0
 
     def now(self) -> float:
-        return (self.reactor.seconds() - self.begun) * 1000
+        """Return milliseconds since the start of the run."""
+        return (self.reactor.seconds() - self.begun) * MS_PER_S
 
-    def start(self, after_s: float = 0.0) -> None:
-        self._due = self.now() + after_s * 1000
-        self._next()
+    def start(self) -> None:
+        """Begin to send RPCs."""
+        self._due_ms = self.now()
+        self._schedule_arrival()
 
     def stop(self) -> None:
-        """No more are asked."""
-        self.ending = True
+        """Send no more RPCs."""
+        self._stopped = True
 
-    def _next(self) -> None:
-        self._due += self.chance.expovariate(max(1e-9, self.rate)) * 1000
-        self.reactor.callLater(max(0.0, self._due - self.now()) / 1000, self._arrive)
+    def _schedule_arrival(self) -> None:
+        self._due_ms += self.chance.expovariate(max(MIN_RATE_PER_S, self.rate)) * MS_PER_S
+        self.reactor.callLater(max(0.0, self._due_ms - self.now()) / MS_PER_S, self._arrive)
 
     def _arrive(self) -> None:
-        if self.ending:
+        if self._stopped:
             return
-        kind = self.chance.choices(self.kinds, [k.share for k in self.kinds])[0]
-        self.ask(kind, self.keys.draw(self.chance), 0)
-        self._next()
+        weights = [method.share for method in self.methods]
+        method = self.chance.choices(self.methods, weights)[0]
+        self._send(method, self.keys.draw(self.chance), 0)
+        self._schedule_arrival()
 
-    def ask(self, kind: Kind, key: str, again: int) -> None:
-        if not self.in_use:
-            return
+    def next_rpc_id(self) -> str:
+        """Return a new RPC's name."""
         self.count += 1
-        asked = Asked(f"q{self.count}", kind, key, self.now(), again)
-        node = self.in_use[self.chance.randrange(len(self.in_use))]
-        single = self.chance.random() < self.manner.fresh
+        return f"q{self.count}"
+
+    def _send(self, method: ClientMethod, key: str, retries: int) -> None:
+        if not self.nodes_in_use:
+            return
+        rpc = ClientRpc(self.next_rpc_id(), method, key, retries)
+        node = self.nodes_in_use[self.chance.randrange(len(self.nodes_in_use))]
+        single_use = self.chance.random() < self.behavior.single_use_fraction
         idle = self.idle[node]
-        while idle and not single:
-            caller = idle.pop()
-            if not caller.lost:
-                caller.ask(asked)
+        while idle and not single_use:
+            connection = idle.pop()
+            if not connection.lost:
+                connection.send(rpc)
                 return
-        if self.held[node] >= self.manner.most:
-            self.no_room += 1
+        if self.open_connections[node] >= self.behavior.max_connections:
+            self.connection_limit_hits += 1
             return
-        self.held[node] += 1
-        host, port = self.nodes[node]
-        self.reactor.connectTCP(host, port, _Dial(self, node, asked, single), timeout=3.0)
-
-    def free(self, caller: Caller) -> None:
-        self.idle[caller.node].append(caller)
-
-    def gone(self, caller: Caller) -> None:
-        self.held[caller.node] -= 1
-
-    def ended(self, asked: Asked, how: str) -> None:
-        if how != "completed" and asked.again < self.manner.tries and not self.ending:
-            self.reactor.callLater(
-                self.manner.pause_ms / 1000, self.ask, asked.kind, asked.key, asked.again + 1
-            )
-
-
-class Rude(Protocol):
-    """Sends what can't be read, or nothing at all, and sees whether it is told so or closed."""
-
-    def __init__(self, rudes: Rudes, data: bytes) -> None:
-        self.rudes, self.data, self.told, self.at = rudes, data, False, 0.0
-
-    def connectionMade(self) -> None:
-        self.at = self.rudes.crowd.now()
-        if self.data:
-            self.transport.write(self.data)
-
-    def dataReceived(self, data: bytes) -> None:
-        self.told = True
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.rudes.ended(self.rudes.crowd.now() - self.at)
+        self.connect(node, ClientConnector(self, node, rpc, single_use))
 
+    def connect(self, node: str, connector: ClientConnector) -> None:
+        """Open a connection to a node and count it."""
+        self.open_connections[node] += 1
+        host, port = self.nodes[node]
+        self.reactor.connectTCP(host, port, connector, timeout=CONNECT_TIMEOUT_S)
 
-class Rudes(ClientFactory):
-    """Bad clients: `per_s` new ones a second, each with rubbish, or (a third) with nothing to say.
-    `unfinished`: in place of rubbish, the begin of a request that never ends."""
-
-    noisy = False
-
-    def __init__(self, crowd: Crowd, per_s: float, unfinished: bool = False) -> None:
-        self.crowd, self.per_s, self.until = crowd, per_s, 0.0
-        self.said = UNFINISHED if unfinished else RUBBISH
-        self.chance = random.Random(crowd.count + 7)
-        self.kept_ms: list[float] = []
-
-    def start(self, seconds: float) -> None:
-        self.until = self.crowd.now() + seconds * 1000
-        self._next()
-
-    def _next(self) -> None:
-        if self.crowd.now() < self.until:
-            host, port = self.crowd.nodes[
-                self.chance.choice(self.crowd.in_use or list(self.crowd.nodes))
-            ]
-            self.crowd.reactor.connectTCP(host, port, self, timeout=3.0)
-            self.crowd.reactor.callLater(self.chance.expovariate(self.per_s), self._next)
-
-    def buildProtocol(self, addr: object) -> Rude:
-        return Rude(self, b"" if self.chance.random() < 1 / 3 else self.chance.choice(self.said))
-
-    def ended(self, kept_ms: float) -> None:
-        self.kept_ms.append(kept_ms)
-
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        pass
-
-
-class SlowHead(Caller):
-    """An honest client that writes on without a stop, a few bytes at a time: its RPC counts as
-    asked with the
-    last of them."""
-
-    def ask(self, asked: Asked) -> None:
-        words = ("OBJ.GET", asked.key, asked.rpc, f"c={asked.kind.name},d={asked.kind.wait_ms:.0f}")
-        text = command(*(word.encode() for word in words))
-        span, parts = self.crowd.chance.random() * HEAD_MS / 1000, HEAD_PARTS
-        for n in range(parts):
-            piece = text[len(text) * n // parts : len(text) * (n + 1) // parts]
-            self.crowd.reactor.callLater(
-                span * n / (parts - 1), self.rest, asked, piece, n == parts - 1
-            )
-
-    def rest(self, asked: Asked, piece: bytes, last: bool) -> None:
-        crowd, left = self.crowd, asked.kind.wait_ms
-        if self.lost:
-            if last:
-                crowd.history.add(crowd.now(), "cut", self.node, what=asked.rpc)
-            return
-        self.transport.write(piece)
-        if last:
-            self.due.append(asked)
-            asked.at = crowd.now()
-            crowd.history.add(
-                asked.at, "asked", self.node, asked.rpc, asked.kind.name, left, self.port
-            )
-            crowd.reactor.callLater((left + GRACE_MS) / 1000, self.give_up, asked)
-
-
-class SlowHeads:
-    """`per_s` of them a second, each on a connection of its own."""
-
-    def __init__(self, crowd: Crowd, per_s: float) -> None:
-        self.crowd, self.per_s, self.until = crowd, per_s, 0.0
-        self.chance = random.Random(crowd.count + 11)
-
-    def start(self, seconds: float) -> None:
-        self.until = self.crowd.now() + seconds * 1000
-        self._next()
-
-    def _next(self) -> None:
-        crowd = self.crowd
-        if crowd.now() >= self.until:
+    def finished(self, rpc: ClientRpc, result: str) -> None:
+        """Retry an RPC that was not completed, if its client does."""
+        behavior = self.behavior
+        if result == COMPLETED or rpc.retries >= behavior.retries or self._stopped:
             return
-        crowd.count += 1
-        kind = next(kind for kind in crowd.kinds if not kind.write)
-        node = self.chance.choice(crowd.in_use or list(crowd.nodes))
-        asked = Asked(
-            f"q{crowd.count}", kind, crowd.keys.draw(self.chance), crowd.now(), crowd.manner.tries
-        )
-        crowd.held[node] += 1
-        host, port = crowd.nodes[node]
-        crowd.reactor.connectTCP(host, port, _SlowDial(crowd, node, asked, True), timeout=3.0)
-        crowd.reactor.callLater(self.chance.expovariate(self.per_s), self._next)
-
-
-class _SlowDial(_Dial):
-    def buildProtocol(self, addr: object) -> SlowHead:
-        return SlowHead(self.crowd, self.node, self.asked, self.single)
+        pause_s = behavior.retry_pause_ms / MS_PER_S
+        self.reactor.callLater(pause_s, self._send, rpc.method, rpc.key, rpc.retries + 1)
--- /dev/null
+++ b/hookpitch/fakes/misbehaving_clients.py
@@ -0,0 +1,85 @@
+"""Clients that send malformed requests, unfinished ones, or nothing at all."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
+from twisted.python.failure import Failure
+
+from hookpitch.fakes.load_clients import CONNECT_TIMEOUT_S, LoadClients
+from hookpitch.fakes.timer import MS_PER_S
+
+MALFORMED_REQUESTS = (
+    b"*1\r\n$-5\r\n",
+    b"\x00\xff\x13\x37" * 20 + b"\r\n",
+    b"*4\r\n$7\r\nOBJ.GET\r\n$99999999999\r\n",
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"*4\r\n$7\r\nOBJ.GET\r\n$3\r\nabcdef\r\n",
+    b"*2000000\r\n",
+)
+UNFINISHED_REQUESTS = (
+    b"*4\r\n$7\r\nOBJ.GET\r\n$3\r\nk",
+    b"*4\r\n",
+    b"*5\r\n$7\r\nOBJ.SET\r\n$3\r\nkey\r\n$2\r\nr1\r\n$6\r\nc=read\r\n$500000\r\nww",
+)
+SILENT_FRACTION = 1 / 3  # of the connections, on which nothing is sent
+SEED_OFFSET = 7
+
+
+class MisbehavingConnection(Protocol):
+    """Sends its data and measures how long the node keeps the connection."""
+
+    def __init__(self, clients: MisbehavingClients, data: bytes) -> None:
+        self.clients = clients
+        self.data = data
+        self.opened_ms = 0.0
+
+    def connectionMade(self) -> None:
+        """Send the data, if there is any."""
+        self.opened_ms = self.clients.load_clients.now()
+        if self.data:
+            self.transport.write(self.data)
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Note how long the connection was kept."""
+        self.clients.kept_ms.append(self.clients.load_clients.now() - self.opened_ms)
+
+
+class MisbehavingClients(ClientFactory):
+    """`per_s` new connections a second to the nodes in use; `unfinished`: with the beginning of a
+    request in place of a malformed one. `kept_ms`: how long each one was kept."""
+
+    noisy = False
+
+    def __init__(self, load_clients: LoadClients, per_s: float, unfinished: bool = False) -> None:
+        self.load_clients = load_clients
+        self.per_s = per_s
+        self.until_ms = 0.0
+        self.requests = UNFINISHED_REQUESTS if unfinished else MALFORMED_REQUESTS
+        self.chance = random.Random(load_clients.count + SEED_OFFSET)
+        self.kept_ms: list[float] = []
+
+    def start(self, seconds: float) -> None:
+        """Open connections for so many seconds."""
+        self.until_ms = self.load_clients.now() + seconds * MS_PER_S
+        self._connect_next()
+
+    def _connect_next(self) -> None:
+        clients = self.load_clients
+        if clients.now() >= self.until_ms:
+            return
+        node = self.chance.choice(clients.nodes_in_use or list(clients.nodes))
+        host, port = clients.nodes[node]
+        clients.reactor.connectTCP(host, port, self, timeout=CONNECT_TIMEOUT_S)
+        clients.reactor.callLater(self.chance.expovariate(self.per_s), self._connect_next)
+
+    def buildProtocol(self, addr: object) -> MisbehavingConnection:
+        """Return a connection with a random request, or with none."""
+        if self.chance.random() < SILENT_FRACTION:
+            return MisbehavingConnection(self, b"")
+        return MisbehavingConnection(self, self.chance.choice(self.requests))
+
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+        """Do nothing: a node may refuse such clients."""
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -10,7 +10,8 @@
 from typing import TYPE_CHECKING, Any
 
 from hookpitch.fakes.admin_clients import AdminClients
-from hookpitch.fakes.load_clients import Rudes, SlowHeads
+from hookpitch.fakes.misbehaving_clients import MisbehavingClients
+from hookpitch.fakes.slow_header_clients import SlowHeaderClients
 from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES, Fault
 from hookpitch.testbed.links import Spoil
 
@@ -293,7 +294,7 @@
         self._again(self.fault.whom)
 
     def _front(self, name: str, there: bool) -> None:
-        use = self.run.crowd.in_use
+        use = self.run.crowd.nodes_in_use
         if there and name not in use and self.run.nodes[name].node is not None:
             use.append(name)
             use.sort()
@@ -309,8 +310,8 @@
         self._later(0.3, self._away, self.fault.whom)
 
     def _away(self, name: str) -> None:
-        if name in self.run.crowd.in_use:
-            self.run.crowd.in_use.remove(name)
+        if name in self.run.crowd.nodes_in_use:
+            self.run.crowd.nodes_in_use.remove(name)
         for caller in list(self.run.crowd.idle[name]):
             if not caller.lost:
                 caller.transport.loseConnection()
@@ -331,11 +332,11 @@
         self._later(DRAINED_S, self._still_held, name, self.node.starts)
 
     def _front_away(self, name: str) -> None:
-        if name in self.run.crowd.in_use:
-            self.run.crowd.in_use.remove(name)
+        if name in self.run.crowd.nodes_in_use:
+            self.run.crowd.nodes_in_use.remove(name)
 
     def _still_held(self, name: str, starts: int) -> None:
-        node, held = self.run.nodes[name], self.run.crowd.held[name]
+        node, held = self.run.nodes[name], self.run.crowd.open_connections[name]
         if node.starts == starts and node.node is not None and name in self.run.drained and held:
             self.run.history.add(self.run.now(), "held", name, value=held)
 
@@ -390,11 +391,11 @@
 
     def crowd(self) -> None:
         """`by` connections a second that never finish a request, and stay."""
-        self._rudes(Rudes(self.run.crowd, self.fault.by or 100.0, unfinished=True))
+        self._rudes(MisbehavingClients(self.run.crowd, self.fault.by or 100.0, unfinished=True))
 
     def slow_heads(self) -> None:
         """`by` honest clients a second that take up to 1.8 s to write their request."""
-        SlowHeads(self.run.crowd, self.fault.by or 5.0).start(self.fault.lasting or 1.0)
+        SlowHeaderClients(self.run.crowd, self.fault.by or 5.0).start(self.fault.lasting or 1.0)
 
     def surge(self) -> None:
         self.run.crowd.rate = self.run.x.traffic.rate * (self.fault.by or 3.0)
@@ -409,9 +410,9 @@
         self.run.keys.hot = 0.0
 
     def rude(self) -> None:
-        self._rudes(Rudes(self.run.crowd, self.fault.by or 20.0))
+        self._rudes(MisbehavingClients(self.run.crowd, self.fault.by or 20.0))
 
-    def _rudes(self, rudes: Rudes) -> None:
+    def _rudes(self, rudes: MisbehavingClients) -> None:
         self.run.rudes.append(rudes)
         rudes.start(self.fault.lasting or 1.0)
 
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -28,7 +28,7 @@
 from twisted.python.failure import Failure
 
 from hookpitch.fakes.discovery import FakeEndpoint
-from hookpitch.fakes.load_clients import Crowd
+from hookpitch.fakes.load_clients import LoadClients
 from hookpitch.testbed.child import Line, LoopMonitor, witnessed
 from hookpitch.testbed.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
 from hookpitch.testbed.faults import BEFORE_S
@@ -199,7 +199,7 @@
             self.relays |= dict.fromkeys(some, child)
         for child in self.children.values():
             child.start()
-        self.crowd: Crowd = self.clients(self.reactor, self.begun)
+        self.crowd: LoadClients = self.clients(self.reactor, self.begun)
         LoopMonitor(self.reactor, self.history, "clients", self.begun)
 
     def _block(self) -> int:
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -26,9 +26,11 @@
 from hookpitch.fakes.discovery import EndpointDirectory, FakeEndpoint
 from hookpitch.fakes.discovery_server import DiscoveryServer
 from hookpitch.fakes.history import History
-from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
+from hookpitch.fakes.load_clients import LoadClients
+from hookpitch.fakes.misbehaving_clients import MisbehavingClients
 from hookpitch.fakes.origin import Origin, OriginSpec
 from hookpitch.fakes.origin_server import OriginServer
+from hookpitch.fakes.traffic import ClientBehavior, ClientMethod, KeyDistribution
 from hookpitch.testbed.experiment import Experiment, bound_methods
 from hookpitch.testbed.faults import BEFORE_S, Happening
 from hookpitch.testbed.judge import SLACK_MS, UNUSED_MS, Broken, Judge, Rules
@@ -71,7 +73,7 @@
     """One run of one experiment with one seed, in either clock."""
 
     begun = 0.0  # the run's start on its reactors' clock, in seconds
-    crowd: Crowd
+    crowd: LoadClients
     nodes: dict[str, Any]
 
     def __init__(self, x: Experiment, seed: int, world: Any) -> None:  # noqa: ANN401
@@ -82,8 +84,8 @@
         self.counters: dict[str, dict[str, int]] = {}
         self.addresses: dict[str, str] = {}  # of servers, by name
         self.names: dict[str, str] = {}  # of nodes, by address
-        self.rudes: list[Rudes] = []
-        self.keys = Keys(x.traffic.keys, x.traffic.skew)
+        self.rudes: list[MisbehavingClients] = []
+        self.keys = KeyDistribution(x.traffic.keys, x.traffic.skew)
         self.drained: dict[str, None] = {}  # nodes that were told to hold no clients
 
     def now(self) -> float:
@@ -142,16 +144,17 @@
         """Where a server is dialled, as discovery has it."""
         return f"{self.addresses[name]}:{CACHE_PORT}"
 
-    def clients(self, reactor: Any, begun: float) -> Crowd:  # noqa: ANN401
+    def clients(self, reactor: Any, begun: float) -> LoadClients:  # noqa: ANN401
         t = self.x.traffic
         kinds = [
-            Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size) for m in self.x.method
+            ClientMethod(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size)
+            for m in self.x.method
         ]
-        manner = Manner(
+        manner = ClientBehavior(
             t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving
         )
         dials = {name: self.client_dial(node) for name, node in self.nodes.items()}
-        return Crowd(
+        return LoadClients(
             reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun
         )
 
@@ -316,7 +319,7 @@
             events,
             real_s,
             kept,
-            self.crowd.no_room,
+            self.crowd.connection_limit_hits,
             **rig,
         )
 
