--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -1,5 +1,4 @@
-"""Lists of cache servers from another member: what is asked, told, taken; a node that lives by
-one."""
+"""Endpoint lists from another member: requests, chunks, and a node that serves by one."""
 
 import json
 import random
@@ -9,10 +8,10 @@
 
 import msgspec
 import pytest
-from fleet import get
 from hypothesis import given
 from hypothesis import strategies as st
 from peers import VALUE, Line, Real, method, tell
+from socket_node import get
 from test_members_properties import SAME
 
 from hookpitch.core.resp import ErrorReply
@@ -20,12 +19,11 @@
 from hookpitch.members.endpoint_exchange import (
     MAX_CHUNKS_PER_S,
     MAX_LIST_AGE_MS,
-    MAX_LIST_BYTES,
     EndpointExchange,
     ListStatus,
     ReceivedList,
-    list_digest,
 )
+from hookpitch.members.list_chunks import MAX_LIST_BYTES, list_digest
 from hookpitch.members.messages import Message, MessageKind
 
 A, B, C = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
@@ -59,7 +57,8 @@
     def come(self, n: int = 0, keep: bool = False) -> None:
         source, to, message = self.flying[n] if keep else self.flying.pop(n)
         data = Codec("f").write(message)
-        assert len(data) <= MAX_BYTES and Codec("f").read(data) == message
+        assert len(data) <= MAX_BYTES
+        assert Codec("f").read(data) == message
         if to == C:
             taken = self.asker.handle_chunk(self.now, source, message, self.held)
             if taken is not None:
@@ -80,7 +79,7 @@
 STEPS = ["tick", "come", "lose", "twice", "newer", "told"]
 
 
-def test_a_list_in_many_parts_comes_whole_and_what_lacks_is_asked_for_alone() -> None:
+def test_a_list_in_many_chunks_is_completed_by_requests_for_the_missing_ones() -> None:
     p = Pair(a=(FRESH, TEXT))
     p.tick(0.0)
     p.come()  # the wish
@@ -89,7 +88,8 @@
     p.all()
     p.tick()
     p.come()
-    assert len(p.flying) > 8 and not p.taken
+    assert len(p.flying) > 8
+    assert not p.taken
     p.all()
     (taken,) = p.taken
     assert (taken.version, taken.document, taken.source) == (9, TEXT, A)
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.2, 0.5])
-def test_lists_come_over_lossy_links_in_any_order_and_more_than_once(loss: float) -> None:
+def test_lists_survive_loss_reordering_and_duplication(loss: float) -> None:
     for seed in range(20):
         p = Pair(seed, a=(FRESH, TEXT), b=(ListStatus(9, True, True), TEXT))
         for _ in range(300):
@@ -117,7 +117,7 @@
         assert [t.document for t in p.taken] == [TEXT], seed
 
 
-def test_parts_of_two_lists_are_not_mixed_and_the_newer_goes() -> None:
+def test_chunks_of_two_lists_never_mix_and_the_newer_prevails() -> None:
     p = Pair(a=(FRESH, TEXT), b=(ListStatus(10, True, True), TEXT[::-1]))
     p.tick(0.0)
     p.come()
@@ -127,9 +127,8 @@
     p.all()
     p.tick()
     p.all()
-    assert p.taken[-1].document == TEXT[::-1] and all(
-        t.document in (TEXT, TEXT[::-1]) for t in p.taken
-    )
+    assert p.taken[-1].document == TEXT[::-1]
+    assert all(t.document in (TEXT, TEXT[::-1]) for t in p.taken)
     # The teller's list changes between two wishes for parts: it begins anew.
     p = Pair(a=(FRESH, TEXT))
     p.tick(0.0)
@@ -149,17 +148,20 @@
         (FRESH, ListStatus(10, False, False)),  # what is held is as new
     ],
 )
-def test_what_is_hearsay_or_no_newer_is_not_told(there: ListStatus, here: ListStatus) -> None:
+def test_a_list_that_is_second_hand_or_no_newer_is_not_sent(
+    there: ListStatus, here: ListStatus
+) -> None:
     p = Pair(a=(there, TEXT))
     p.held = here
     p.tick(0.0)
     p.all()
     p.tick()
     p.all()
-    assert not p.taken and "members.lists_told" not in p.counts
+    assert not p.taken
+    assert "members.lists_told" not in p.counts
 
 
-def test_a_list_whose_teller_has_long_not_heard_discovery_is_not_told() -> None:
+def test_a_list_whose_holder_has_long_not_heard_discovery_is_not_sent() -> None:
     p = Pair(a=(FRESH, b"[]"))
     p.tellers[A].tick(0.0, FRESH, [])
     p.at[A] = (ListStatus(9, True, False), b"[]")
@@ -178,17 +180,18 @@
     assert not p.taken
 
 
-def test_once_discovery_has_told_nothing_is_asked_and_nothing_taken() -> None:
+def test_once_discovery_has_sent_a_list_nothing_is_requested_or_accepted() -> None:
     p = Pair(a=(FRESH, b"[]"))
     p.tick(0.0)
     p.come()
     p.held = ListStatus(3, True, True)  # discovery came first
     p.all()
     p.tick(60000.0)
-    assert not p.taken and not p.flying
+    assert not p.taken
+    assert not p.flying
 
 
-def test_a_flood_of_wishes_costs_a_bounded_part() -> None:
+def test_a_flood_of_requests_is_bounded() -> None:
     p = Pair(a=(FRESH, TEXT))
     packs = [0]
 
@@ -201,11 +204,9 @@
     )
     for _ in range(3000):
         p.tellers[A].handle_request(5000.0, B, wish, FRESH, text)
-    assert (
-        len(p.tellers[A].outbox) == MAX_CHUNKS_PER_S
-        and packs[0] == 1
-        and p.counts["members.lists_busy"] > 2000
-    )
+    assert len(p.tellers[A].outbox) == MAX_CHUNKS_PER_S
+    assert packs[0] == 1
+    assert p.counts["members.lists_busy"] > 2000
 
 
 def made(
@@ -224,7 +225,7 @@
     )
 
 
-def test_what_is_torn_spoilt_or_unpacks_to_too_much_is_none() -> None:
+def test_a_torn_malformed_or_oversized_list_is_refused() -> None:
     bomb = zlib.compress(b"\0" * (MAX_LIST_BYTES + 1), 9)
     for message in (
         made(part=bomb[:900], whole=list_digest(bomb)),
@@ -260,19 +261,20 @@
         *(msgspec.msgpack.encode(x) for x in ((1, 2), (-1, b"", 1), (0, "", 1), (0, b"", 1 << 63))),
     ],
 )
-def test_a_wish_that_is_none_is_counted(data: bytes) -> None:
+def test_a_malformed_request_is_counted(data: bytes) -> None:
     p = Pair()
     p.tellers[A].handle_request(
         0.0, B, Message(MessageKind.LIST_REQUEST, "n9", payload=data), FRESH, lambda: TEXT
     )
-    assert p.counts == {"members.lists_wrong": 1} and not p.tellers[A].outbox
+    assert p.counts == {"members.lists_wrong": 1}
+    assert not p.tellers[A].outbox
 
 
 @SAME
 @given(
     st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 30)), max_size=60), st.integers(0, 99)
 )
-def test_whatever_comes_versions_rise_and_lists_are_whole(
+def test_versions_rise_and_lists_are_complete_whatever_comes(
     steps: list[tuple[str, int]], seed: int
 ) -> None:
     texts = {9: TEXT, 10: TEXT[::-1]}
@@ -392,14 +394,14 @@
     return {"seq": seq, "whole": True, "hosts": hosts}
 
 
-def test_a_node_serves_by_a_members_list_and_then_asks_discovery_for_the_whole(
+def test_a_node_serves_by_a_members_list_and_then_polls_for_the_whole_one(
     tmp_path: Path,
 ) -> None:
     r, member = real(tmp_path)
     with r:
         assert member.wish()[0] == 5
         member.tell(told(r, 9, 1))
-        r.log("members")
+        assert r.log("endpoint_list_accepted")["version"] == 9
         r.until(lambda: r.count("lists.cached") == 2)
         assert served(r, "r1") == 0  # discovery has said nothing yet; the list has one cache alone
         watch = r.watch(
@@ -411,7 +413,8 @@
         member.tell(told(r, 99, 1))
         tell(watch, r.change(8, 1))
         r.until(lambda: r.count("lists.delta") == 1)
-        assert served(r, "r3") == 1 and r.count("members.lists_taken") == 1
+        assert served(r, "r3") == 1
+        assert r.count("members.lists_taken") == 1
         member.ask(3)
         version, _, whole, n, count, part = member.part()
         text = zlib.decompress(part)
@@ -422,7 +425,7 @@
 
 
 @pytest.mark.parametrize("first", ["call", "list"])
-def test_a_list_from_a_member_and_a_call_that_is_out_cross(tmp_path: Path, first: str) -> None:
+def test_a_members_list_and_a_poll_in_flight_cross(tmp_path: Path, first: str) -> None:
     r, member = real(tmp_path, first=first)
     with r:
         if (
@@ -445,7 +448,7 @@
         assert since(r) == b"0"
 
 
-def test_a_lie_lasts_no_longer_than_an_old_list_would(tmp_path: Path) -> None:
+def test_a_wrong_list_lasts_no_longer_than_an_old_one_would(tmp_path: Path) -> None:
     r, member = real(tmp_path)
     with r:
         member.wish()
@@ -461,7 +464,7 @@
         assert served(r, "r1") == 1
 
 
-def test_a_drain_that_a_member_tells_of_binds_at_once(tmp_path: Path) -> None:
+def test_a_drain_in_a_members_list_takes_effect_at_once(tmp_path: Path) -> None:
     r, member = real(tmp_path)
     r.told["known"] = {"seq": 5, "whole": True, "hosts": r.hosts}
     r.write()
@@ -474,7 +477,7 @@
         }  # its grace is for what is sent already
 
 
-def test_without_a_list_from_anybody_it_is_told_so_and_asks_on(tmp_path: Path) -> None:
+def test_a_node_without_any_list_keeps_requesting_and_answers_with_an_error(tmp_path: Path) -> None:
     r, member = real(tmp_path)
     with r:
         for _ in range(3):
