--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -20,14 +20,17 @@
 from zlib import crc32
 
 from hookpitch.core.counters import Counters
-from hookpitch.fakes.cache import Make
+from hookpitch.fakes.cache import CacheSpec
 from hookpitch.fakes.cache_server import CacheServer
-from hookpitch.fakes.control_commands import carry_out
-from hookpitch.fakes.discovery import Directory, Listed
+from hookpitch.fakes.control_commands import execute_command
+from hookpitch.fakes.discovery import EndpointDirectory, FakeEndpoint
+from hookpitch.fakes.discovery_server import DiscoveryServer
 from hookpitch.fakes.history import History
-from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
-from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
-from hookpitch.fakes.origin import Origin, OriginMake
+from hookpitch.fakes.load_clients import LoadClients
+from hookpitch.fakes.misbehaving_clients import MisbehavingClients
+from hookpitch.fakes.origin import Origin, OriginSpec
+from hookpitch.fakes.origin_server import OriginServer
+from hookpitch.fakes.traffic import ClientBehavior, ClientMethod, KeyDistribution
 from hookpitch.testbed.experiment import Experiment, bound_methods
 from hookpitch.testbed.faults import BEFORE_S, Happening
 from hookpitch.testbed.judge import SLACK_MS, UNUSED_MS, Broken, Judge, Rules
@@ -70,19 +73,19 @@
     """One run of one experiment with one seed, in either clock."""
 
     begun = 0.0  # the run's start on its reactors' clock, in seconds
-    crowd: Crowd
+    crowd: LoadClients
     nodes: dict[str, Any]
 
     def __init__(self, x: Experiment, seed: int, world: Any) -> None:  # noqa: ANN401
         self.x, self.seed, self.world = x, seed, world
         self.history, self.logs = History(), list[tuple[float, str, str]]()
         self.chance = random.Random(seed * 7919 + 1)
-        self.directory = Directory()
+        self.directory = EndpointDirectory()
         self.counters: dict[str, dict[str, int]] = {}
         self.addresses: dict[str, str] = {}  # of servers, by name
         self.names: dict[str, str] = {}  # of nodes, by address
-        self.rudes: list[Rudes] = []
-        self.keys = Keys(x.traffic.keys, x.traffic.skew)
+        self.rudes: list[MisbehavingClients] = []
+        self.keys = KeyDistribution(x.traffic.keys, x.traffic.skew)
         self.drained: dict[str, None] = {}  # nodes that were told to hold no clients
 
     def now(self) -> float:
@@ -141,27 +144,28 @@
         """Where a server is dialled, as discovery has it."""
         return f"{self.addresses[name]}:{CACHE_PORT}"
 
-    def clients(self, reactor: Any, begun: float) -> Crowd:  # noqa: ANN401
+    def clients(self, reactor: Any, begun: float) -> LoadClients:  # noqa: ANN401
         t = self.x.traffic
         kinds = [
-            Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size) for m in self.x.method
+            ClientMethod(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size)
+            for m in self.x.method
         ]
-        manner = Manner(
+        manner = ClientBehavior(
             t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving
         )
         dials = {name: self.client_dial(node) for name, node in self.nodes.items()}
-        return Crowd(
+        return LoadClients(
             reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun
         )
 
     def client_dial(self, node: Any) -> tuple[str, int]:  # noqa: ANN401
         return node.address, NODE_PORT
 
-    def make(self, n: int) -> Make:
+    def make(self, n: int) -> CacheSpec:
         """Of the server with number n."""
         f = self.x.fleet
         work = {m.name: m.work_ms for m in self.x.method}
-        return Make(
+        return CacheSpec(
             f.cores,
             f.line,
             work,
@@ -173,11 +177,11 @@
             f.fall_multiple,
             f.tip_s * 1000,
             f.connections,
-            dial_ms=f.dial_ms,
+            connect_work_ms=f.dial_ms,
         )
 
-    def origin_make(self) -> OriginMake:
-        return OriginMake(self.x.origin.cores, self.x.origin.line, self.x.origin.work_ms)
+    def origin_make(self) -> OriginSpec:
+        return OriginSpec(self.x.origin.cores, self.x.origin.line, self.x.origin.work_ms)
 
     def size_of(self, key: str) -> int:
         """Bytes of a key's value; 0 for a small one."""
@@ -315,7 +319,7 @@
             events,
             real_s,
             kept,
-            self.crowd.no_room,
+            self.crowd.connection_limit_hits,
             **rig,
         )
 
@@ -366,7 +370,7 @@
         self._listen()
         for n in range(x.fleet.caches):
             self.add_server(f"s{n}", cold=False)
-        self.directory.put(Listed("o1", f"10.2.0.2:{ORIGIN_PORT}", "origin"))
+        self.directory.put(FakeEndpoint("o1", f"10.2.0.2:{ORIGIN_PORT}", "origin"))
         if x.fleet.warm:  # nodes find their keys wherever the ring puts them
             for name in self.servers:
                 self.order(name, "warm", x.traffic.keys)
@@ -415,7 +419,7 @@
 
     def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
         fixed = {"origin": self.origin_server, "discovery": self.discovery}
-        carry_out(fixed.get(name) or self.servers[name], what, *args)
+        execute_command(fixed.get(name) or self.servers[name], what, *args)
 
     def kill(self, name: str) -> bool:
         machine = self.world.machine(self.address(name))
