--- /dev/null
+++ b/hookpitch/testbed/base_run.py
@@ -0,0 +1,304 @@
+"""What a run in virtual time (`run.py`) and one on real processes (`process_run.py`) share.
+
+`BaseRun` holds a run's state and what both clocks do alike: what nodes, cache servers and the
+origin are configured with, the load clients, the judge's rules. What each clock does its own way
+is declared here and raises `NotImplementedError`. Times in ms unless a name says otherwise.
+"""
+
+from __future__ import annotations
+
+import json
+import random
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import Any
+from zlib import crc32
+
+from hookpitch.core.counters import Counters
+from hookpitch.fakes.cache import Make
+from hookpitch.fakes.discovery import Directory
+from hookpitch.fakes.history import History
+from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
+from hookpitch.fakes.origin import OriginMake
+from hookpitch.testbed.experiment import Experiment, bound_methods
+from hookpitch.testbed.judge import SLACK_MS, UNUSED_MS, Broken, Rules
+from hookpitch.testbed.links import Spoil
+
+NODE_PORT = 6379
+CACHE_PORT = 6379
+SETTLE_S = 2.0  # after the last RPC was asked, before the run ends
+# A node with fewer descriptors closes new connections unread while all of its sockets are busy.
+SOCKETS_FOR_ALL = 256
+
+
+@dataclass(slots=True)
+class Ended:
+    """What came of a run."""
+
+    experiment: Experiment
+    seed: int
+    history: History
+    broken: list[Broken]
+    logs: list[tuple[float, str, str]]
+    counters: dict[str, dict[str, int]]
+    faults: list[str]  # what programs raised
+    events: int
+    real_s: float
+    rude_kept_ms: list[float] = field(default_factory=list)
+    no_room: int = 0
+    void: list[str] = field(
+        default_factory=list
+    )  # why the run could not be judged: the rig fell behind
+    rig: dict[str, float] = field(
+        default_factory=dict
+    )  # how late each of the rig's processes was, in ms
+
+
+class BaseRun:
+    """One run of one experiment with one seed, in either clock."""
+
+    begun = 0.0  # the run's start on its reactors' clock, in seconds
+    crowd: Crowd
+    nodes: dict[str, Any]
+
+    def __init__(self, x: Experiment, seed: int, world: Any) -> None:  # noqa: ANN401
+        self.x, self.seed, self.world = x, seed, world
+        self.history, self.logs = History(), list[tuple[float, str, str]]()
+        self.chance = random.Random(seed * 7919 + 1)
+        self.directory = Directory()
+        self.counters: dict[str, dict[str, int]] = {}
+        self.addresses: dict[str, str] = {}  # of servers, by name
+        self.names: dict[str, str] = {}  # of nodes, by address
+        self.rudes: list[Rudes] = []
+        self.keys = Keys(x.traffic.keys, x.traffic.skew)
+        self.drained: dict[str, None] = {}  # nodes that were told to hold no clients
+
+    def now(self) -> float:
+        return self.world.now * 1000
+
+    # ---- what a clock does its own way
+
+    def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
+        """An order to a stand-in (`standin/orders.py`)."""
+        raise NotImplementedError
+
+    def kill(self, name: str) -> bool:
+        """A stand-in dies in the middle of its work; False where it is dead."""
+        raise NotImplementedError
+
+    def begin(self, name: str) -> None:
+        """One that is dead starts under its name and address: a server cold, discovery with
+        versions anew."""
+        raise NotImplementedError
+
+    def stall(self, name: str, seconds: float) -> None:
+        raise NotImplementedError
+
+    def vanish(self, name: str, gone: bool) -> None:
+        """A server's machine leaves the network, or is back."""
+        raise NotImplementedError
+
+    def spoil(self, ways: Iterable[tuple[str, str]], by: object, spoil: Spoil | None) -> None:
+        raise NotImplementedError
+
+    def sever(self, ways: Iterable[tuple[str, str]]) -> None:
+        raise NotImplementedError
+
+    def add_server(self, name: str, cold: bool) -> None:
+        """A server new to the list."""
+        raise NotImplementedError
+
+    def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
+        """An operator's call at a node's door; where the node says yes, `kind` goes into the
+        history."""
+        raise NotImplementedError
+
+    def called(self, node: str, line: str, yes: bool, kind: str, what: str) -> None:
+        if not yes:
+            return
+        if kind:
+            self.history.add(self.now(), kind, node, what=what)
+        elif line == "PAUSE":
+            self.drained[node] = None
+        elif line == "RESUME":
+            self.drained.pop(node, None)
+
+    # ---- what both share
+
+    def dial(self, name: str) -> str:
+        """Where a server is dialled, as discovery has it."""
+        return f"{self.addresses[name]}:{CACHE_PORT}"
+
+    def clients(self, reactor: Any, begun: float) -> Crowd:  # noqa: ANN401
+        t = self.x.traffic
+        kinds = [
+            Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size) for m in self.x.method
+        ]
+        manner = Manner(
+            t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving
+        )
+        dials = {name: self.client_dial(node) for name, node in self.nodes.items()}
+        return Crowd(
+            reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun
+        )
+
+    def client_dial(self, node: Any) -> tuple[str, int]:  # noqa: ANN401
+        return node.address, NODE_PORT
+
+    def make(self, n: int) -> Make:
+        """Of the server with number n."""
+        f = self.x.fleet
+        work = {m.name: m.work_ms for m in self.x.method}
+        return Make(
+            f.cores,
+            f.line,
+            work,
+            1.0,
+            f.keys,
+            f.speeds[n % len(f.speeds)],
+            f.cold_from,
+            f.cold_s * 1000,
+            f.fall_multiple,
+            f.tip_s * 1000,
+            f.connections,
+            dial_ms=f.dial_ms,
+        )
+
+    def origin_make(self) -> OriginMake:
+        return OriginMake(self.x.origin.cores, self.x.origin.line, self.x.origin.work_ms)
+
+    def size_of(self, key: str) -> int:
+        """Bytes of a key's value; 0 for a small one."""
+        t = self.x.traffic
+        return int(t.large_kb * 1024) if crc32(key.encode()) % 1000 < 1000 * t.large else 0
+
+    def list_server(self, name: str, cold: bool) -> None:
+        n = list(self.addresses).index(name)
+        zone = n % self.x.fleet.zones
+        born = (self.world.epoch * 1000 + self.now()) if cold else 0.0
+        kind = self.x.fleet.kinds[n % len(self.x.fleet.kinds)]
+        self.history.add(self.now(), "place", name, what=f"{kind} z{zone}")
+        self.order(
+            "discovery", "put", name, self.dial(name), kind, f"z{zone}", n, "in_service", 1.0, born
+        )
+
+    def told(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:  # noqa: ANN401
+        """What a node is told at its start, as the platform's JSON; `net` as discovery has it for
+        this
+        node."""
+        x, seq_hosts = self.x, self.directory.whole()
+        kinds = list(dict.fromkeys(x.fleet.kinds))
+        hosts = [h.wire(net) for h in seq_hosts[1]] if x.nodes.known != "none" else []
+        if x.nodes.known == "yesterday":  # other processes, at ports where nobody listens now
+            old = [h for h in hosts if h["class"] != "origin"]
+            hosts = [
+                h | {"host": f"y{h['host']}", "dial": f"{h['dial'].rpartition(':')[0]}:9"}
+                for h in old
+            ]
+        seq = seq_hosts[0] if x.nodes.known == "now" else 0
+        methods = [
+            {
+                "name": m.name,
+                "soft_deadline_s": m.soft_ms / 1000,
+                "hard_deadline_s": m.hard_ms / 1000,
+                "gain": m.gain,
+                "idempotency": m.idempotency,
+                "allowed_on": list(m.allowed_on),
+                "runs_in": list(m.runs_in),
+            }
+            for m in x.method
+        ]
+        return {
+            "name": node.name,
+            "listen": f"{node.address}:{NODE_PORT}",
+            "discovery": discovery,
+            "seed": self.seed * 1000 + len(self.nodes) * node.starts + int(node.name[1:]),
+            "limits": {"memory_mb": x.nodes.memory_mb, "sockets": x.nodes.sockets},
+            "known": {"seq": seq, "whole": True, "hosts": hosts},
+            "settings": {
+                "balancers": x.nodes.count,
+                "methods": methods,
+                "host_types": [*kinds, "origin"],
+                "family_info": {"mode": "aside", "origin_kind": len(kinds)},
+                "limits": {
+                    "most_transmissions": 3,
+                    "cancelling": True,
+                    "dial_timeout_s": 0.25,
+                    "conn_idle_s": 60.0,
+                },
+                "rules": {
+                    "cold_from": x.fleet.cold_from,
+                    "cold_s": x.fleet.cold_s,
+                    "tip_after_s": x.fleet.tip_s,
+                    "ask_within_s": 10.0,
+                    "overload_factor": x.fleet.fall_multiple,
+                },
+                "tick_s": 0.001,
+            },
+        }
+
+    def file(self, node: Any, top: dict[str, Any], wrong: int) -> str:  # noqa: ANN401
+        """A node's file as text, with other settings at each second time; `wrong`: in one of the
+        forms that
+        no node may take."""
+        node.reloads += not wrong
+        if node.reloads % 2:
+            top["settings"] |= {"weights": "live"}
+            top["settings"]["limits"]["dial_timeout_s"] = 0.3
+            top["settings"]["methods"][0]["hard_deadline_s"] += 0.1
+        whole = json.dumps(top)
+        forms = (
+            whole[: len(whole) // 2],
+            "[]",
+            "{}",
+            json.dumps(top | {"settings": {"methods": []}}),
+        )
+        return forms[(wrong - 1) % len(forms)] if wrong else whole
+
+    def rules(self) -> Rules:
+        x = self.x
+        return Rules(
+            retriable={m.name: m.idempotency == "retryable" for m in x.method},
+            # With fewer keys than caches, a node has no use for each of them.
+            unused_ms=float("inf") if x.traffic.keys < x.fleet.caches else UNUSED_MS,
+            heads=x.nodes.sockets >= SOCKETS_FOR_ALL,
+            bound=bound_methods(x),
+            # What is on a longer way was sent so much earlier.
+            slack_ms=SLACK_MS + sum(f.by or 20.0 for f in x.fault if f.what in ("lag", "far")),
+        )
+
+    def counted(self, node: Any, counters: Counters) -> None:  # noqa: ANN401
+        """A process of the node has ended; what it counted is added to what those before it did."""
+        mine = self.counters.setdefault(node.name, {})
+        for name, count in counters.counts.items():
+            mine[name] = mine.get(name, 0) + count
+
+    def span(self) -> float:
+        """Seconds from the last RPC to the run's end."""
+        return max(m.hard_ms for m in self.x.method) / 1000 + SETTLE_S
+
+    def invariants(self) -> list[Broken]:
+        """What the nodes' own counters tell of them."""
+        return [
+            Broken("invariant", self.now(), "", f"{name}: {counter} {mine[counter]} times")
+            for name, mine in self.counters.items()
+            for counter in sorted(mine)
+            if counter.startswith("broken.") or counter == "faults"
+        ]
+
+    def ended(self, broken: list[Broken], events: int, real_s: float, **rig: Any) -> Ended:  # noqa: ANN401
+        kept = [ms for rudes in self.rudes for ms in rudes.kept_ms]
+        return Ended(
+            self.x,
+            self.seed,
+            self.history,
+            broken + self.invariants(),
+            self.logs,
+            self.counters,
+            self.world.faults,
+            events,
+            real_s,
+            kept,
+            self.crowd.no_room,
+            **rig,
+        )
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -7,16 +7,14 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from hookpitch.fakes.admin_clients import Calls
 from hookpitch.fakes.load_clients import Rudes, SlowHeads
+from hookpitch.testbed.base_run import BaseRun
 from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES, Fault
 from hookpitch.testbed.links import Spoil
 
-if TYPE_CHECKING:
-    from hookpitch.testbed.run import Run
-
 RESTART_S = 0.5  # that a restart takes
 BEFORE_S = 1.0  # from the nodes' start to the first RPC
 ASKED_S = 0.3  # and after so long that a drained one says no
@@ -26,10 +24,10 @@
 OUTSIDE = ("clients", "discovery")  # whose links to nodes the judge has to know as cut
 
 
-class Happening:
+class ScheduledFault:
     """One fault of a run: `n` is its place in the file."""
 
-    def __init__(self, run: Run, n: int, fault: Fault) -> None:
+    def __init__(self, run: BaseRun, n: int, fault: Fault) -> None:
         self.run, self.n, self.fault = run, n, fault
 
     def plan(self, offset: float = 0.0) -> None:
@@ -425,3 +423,9 @@
 
     def far_ends(self) -> None:
         self.run.spoil(self._far(), self.n, None)
+
+
+def schedule_faults(run: BaseRun, offset: float = 0.0) -> None:
+    """Schedule all faults of the run's experiment; it began `offset` seconds into its clock."""
+    for number, fault in enumerate(run.x.fault):
+        ScheduledFault(run, number, fault).plan(offset)
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -6,7 +6,8 @@
 from dataclasses import replace
 from functools import partial
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from tempfile import TemporaryDirectory
+from typing import Any
 
 from hookpitch.core.counters import Counters
 from hookpitch.members.port import Settings as MemberSettings
@@ -15,12 +16,11 @@
 from hookpitch.net.node import LISTEN_BACKLOG, SocketNode
 from hookpitch.net.node_config import load_reloaded_config, parse_node_config
 from hookpitch.net.snapshot_store import SnapshotSettings, SnapshotStore, failure_of
+from hookpitch.testbed.base_run import NODE_PORT, BaseRun
 from hookpitch.testbed.simulation import Machine
 
-if TYPE_CHECKING:
-    from hookpitch.testbed.run import Run
-
-DISCOVERY_PORT, NODE_PORT, DOOR_PORT = 8500, 6379, 15000
+DISCOVERY_PORT = 8500
+DOOR_PORT = 15000
 READY_S = 6.0  # by then a new process beside an old one serves
 LOOK_S = 0.1  # between two looks at whether it does
 SEEDS = 3  # nodes that all others are told
@@ -28,10 +28,18 @@
 ENDED_S = 0.7  # past its longest deadline, an old process is killed
 
 
+class NodeHost(BaseRun):
+    """What the nodes of a run in virtual time ask of it; `run.py` has the run itself."""
+
+    nodes: dict[str, Node]
+    descriptor: int  # stands for the listening socket that an upgraded node's processes inherit
+    folder: TemporaryDirectory[str]  # of the nodes' files
+
+
 class _Log:
     """A node's log lines, kept with their times."""
 
-    def __init__(self, run: Run, name: str) -> None:
+    def __init__(self, run: NodeHost, name: str) -> None:
         self.run, self.name = run, name
 
     def info(self, event: str, **values: object) -> None:
@@ -43,7 +51,7 @@
 class Node:
     """A node's place: its machine, and the process that runs there now."""
 
-    def __init__(self, run: Run, name: str, address: str) -> None:
+    def __init__(self, run: NodeHost, name: str, address: str) -> None:
         self.run, self.name, self.address = run, name, address
         self.machine = run.world.machine(address, descriptors=run.x.nodes.sockets)
         self.machine.event_cost = run.x.nodes.event_us / 1e6
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -29,13 +29,13 @@
 
 from hookpitch.fakes.discovery import Listed
 from hookpitch.fakes.load_clients import Crowd
+from hookpitch.testbed.base_run import Ended
 from hookpitch.testbed.child import Line, LoopMonitor, witnessed
 from hookpitch.testbed.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
-from hookpitch.testbed.faults import BEFORE_S
+from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Broken, Judge, Rules
 from hookpitch.testbed.links import Spoil, Spoils
-from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess
-from hookpitch.testbed.run import Common, Ended
+from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess, ProcessHost
 
 CACHE_PORT, ORIGIN_PORT = 26379, 28080
 FIRST_NET, STANDIN_NET = 10, 200  # of nodes; of the stand-ins themselves
@@ -119,7 +119,7 @@
         return line
 
 
-class WallRun(Common):
+class WallRun(ProcessHost):
     """The same run on loopback."""
 
     def __init__(
@@ -569,7 +569,7 @@
         x, at = self.x, self.world.now
         self.offset = at
         self.world.at(at + BEFORE_S, None, self.crowd.start)
-        self.plan(at)
+        schedule_faults(self, at)
         self.world.at(at + x.seconds, None, self.crowd.stop)
         self.world.at(at + x.seconds + self.span(), None, self._leave)
         if self.tell is not None:
@@ -706,7 +706,7 @@
                 tell(f"a node's file: {post}")
             up = f"{len(run.addresses)} cache servers, the origin and discovery are up"
             tell(f"{up}; a node: {told['listen']}")
-            run.plan(run.world.now)
+            schedule_faults(run, run.world.now)
 
         try:
             run.build()
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -18,13 +18,11 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from hookpitch.testbed.base_run import BaseRun
 from hookpitch.testbed.child import Line
 
-if TYPE_CHECKING:
-    from hookpitch.testbed.process_run import WallRun
-
 PR_SET_PDEATHSIG = 1
 ENDED_S = 0.7  # past its longest deadline, an old process is killed
 READY_S = 6.0  # by then a new process beside an old one says yes
@@ -80,11 +78,39 @@
         self.popen.wait()
 
 
+class ProcessHost(BaseRun):
+    """What the processes of a run ask of it; `process_run.py` has the run itself."""
+
+    folder: Path  # of the run's files
+    control: Any  # where the control lines of relays and fake servers connect
+    nets: dict[str, str]  # the loopback network of each node, by name
+
+    def peer(self, a: str, b: str) -> tuple[str, int]:
+        """Where node a reaches node b's peer port."""
+        raise NotImplementedError
+
+    def dials(self, net: str) -> list[str]:
+        """Where the node of a loopback network reaches the origin and each cache server."""
+        raise NotImplementedError
+
+    def refuse(self, name: str, on: bool) -> None:
+        """Whether connections to a node are refused from now on."""
+        raise NotImplementedError
+
+    def ask(self, door: tuple[str, int], line: str, answered: Callable[[bool], None]) -> None:
+        """Send one admin command; `answered` is called with whether the node agreed."""
+        raise NotImplementedError
+
+    def when_serving(self, node: NodeProcess) -> None:
+        """Begin to ask the node whether it serves yet."""
+        raise NotImplementedError
+
+
 class Child:
     """A process of the rig: a relay or stand-ins, with its control line."""
 
     def __init__(
-        self, run: WallRun, name: str, module: str, given: Callable[[], dict[str, Any]]
+        self, run: ProcessHost, name: str, module: str, given: Callable[[], dict[str, Any]]
     ) -> None:
         self.run, self.name, self.module, self.given = run, name, module, given
         self.process: Process | None = None
@@ -132,7 +158,7 @@
 class NodeProcess:
     """A node's place on loopback; `node` is itself while a process of it runs."""
 
-    def __init__(self, run: WallRun, name: str, net: str) -> None:
+    def __init__(self, run: ProcessHost, name: str, net: str) -> None:
         self.run, self.name, self.net, self.address = run, name, net, f"{net}.0.1"
         self.starts = self.reloads = 0
         self.process: Process | None = None
--- a/hookpitch/testbed/reactor.py
+++ b/hookpitch/testbed/reactor.py
@@ -13,7 +13,7 @@
 import errno
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet.address import IPv4Address
 from twisted.internet.defer import Deferred, succeed
@@ -27,11 +27,9 @@
 )
 from twisted.python.failure import Failure
 
+from hookpitch.testbed.interfaces import DelayedCall, Machine, Network
 from hookpitch.testbed.simulated_tcp import End, pair
 
-if TYPE_CHECKING:
-    from hookpitch.testbed.simulation import Call, Machine, World
-
 DATAGRAMS = 1 << 18  # bytes of them that wait at a socket; what comes beyond is lost
 DATAGRAM_MOST = 65507  # bytes
 
@@ -45,7 +43,9 @@
     def seconds(self) -> float:
         return self.world.now
 
-    def callLater(self, delay: float, func: Callable[..., object], *args: Any, **kw: Any) -> Call:  # noqa: ANN401, N802
+    def callLater(
+        self, delay: float, func: Callable[..., object], *args: Any, **kw: Any
+    ) -> DelayedCall:  # noqa: ANN401, N802
         return self.world.at(self.world.now + max(0.0, delay), self.machine, func, *args, **kw)
 
     def callFromThread(self, func: Callable[..., object], *args: Any, **kw: Any) -> None:  # noqa: ANN401, N802
@@ -107,7 +107,7 @@
     """A listening socket in the kernel: what it has accepted waits for one of the processes that
     hold it."""
 
-    def __init__(self, world: World, port: int, backlog: int, kept: bool = False) -> None:
+    def __init__(self, world: Network, port: int, backlog: int, kept: bool = False) -> None:
         """`kept`: somebody holds it beside the processes that read it, so it outlasts them."""
         self.world, self.port, self.backlog, self.kept = world, port, backlog, kept
         self.line: deque[End] = deque()
@@ -236,7 +236,7 @@
         )
         self.end: End | None = None
         self.over = False
-        self._timer: Call | None = None
+        self._timer: DelayedCall | None = None
 
     def getDestination(self) -> IPv4Address:  # noqa: N802
         return IPv4Address("TCP", self.host, self.port)
--- a/hookpitch/testbed/simulated_tcp.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -18,16 +18,14 @@
 import struct
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet.address import IPv4Address
 from twisted.internet.error import ConnectionAborted, ConnectionDone, ConnectionLost
 from twisted.internet.interfaces import IHalfCloseableProtocol
 from twisted.python.failure import Failure
 
-if TYPE_CHECKING:
-    from hookpitch.testbed.reactor import Connector
-    from hookpitch.testbed.simulation import Machine
+from hookpitch.testbed.interfaces import Dialler, Machine
 
 KERNEL = 1 << 18  # bytes of a direction that are in flight or unread at the most
 SEGMENT = 1 << 14  # bytes that travel together
@@ -76,7 +74,7 @@
         )
         self.peer: End = self
         self.protocol: Any = None
-        self.connector: Connector | None = None
+        self.connector: Dialler | None = None
         self.socket = _Socket(self)
         self.out: deque[bytes] = deque()  # handed over by the program, not yet sent
         self.kernel: deque[bytes] = deque()  # arrived, unread
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -22,16 +22,13 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet.error import AlreadyCalled
 
 from hookpitch.testbed.links import AGAIN_MOST, AGAIN_MS, CLEAN, Spoil, Spoils
-from hookpitch.testbed.reactor import Listening, Reactor
-
-if TYPE_CHECKING:
-    from hookpitch.testbed.reactor import Connector, DatagramPort, Port
-    from hookpitch.testbed.simulated_tcp import End
+from hookpitch.testbed.reactor import Connector, DatagramPort, Listening, Port, Reactor
+from hookpitch.testbed.simulated_tcp import End
 
 FAR = float("inf")
 DIAL_AGAIN = 5  # times as late as the rest is a dial's first packet sent again
