--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -21,8 +21,8 @@
 from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
 from hookpitch.fakes.origin import OriginMake
 from hookpitch.testbed.experiment import Experiment, bound_methods
-from hookpitch.testbed.judge import SLACK_MS, UNUSED_MS, Broken, Rules
 from hookpitch.testbed.links import Spoil
+from hookpitch.testbed.rules import REUSE_WITHIN_MS, TOLERANCE_MS, Rules, Violation
 
 NODE_PORT = 6379
 CACHE_PORT = 6379
@@ -38,7 +38,7 @@
     experiment: Experiment
     seed: int
     history: History
-    broken: list[Broken]
+    broken: list[Violation]
     logs: list[tuple[float, str, str]]
     counters: dict[str, dict[str, int]]
     faults: list[str]  # what programs raised
@@ -260,11 +260,12 @@
         return Rules(
             retriable={m.name: m.idempotency == "retryable" for m in x.method},
             # With fewer keys than caches, a node has no use for each of them.
-            unused_ms=float("inf") if x.traffic.keys < x.fleet.caches else UNUSED_MS,
-            heads=x.nodes.sockets >= SOCKETS_FOR_ALL,
-            bound=bound_methods(x),
+            reuse_within_ms=float("inf") if x.traffic.keys < x.fleet.caches else REUSE_WITHIN_MS,
+            room_for_all_clients=x.nodes.sockets >= SOCKETS_FOR_ALL,
+            placement=bound_methods(x),
             # What is on a longer way was sent so much earlier.
-            slack_ms=SLACK_MS + sum(f.by or 20.0 for f in x.fault if f.what in ("lag", "far")),
+            tolerance_ms=TOLERANCE_MS
+            + sum(f.by or 20.0 for f in x.fault if f.what in ("lag", "far")),
         )
 
     def counted(self, node: Any, counters: Counters) -> None:  # noqa: ANN401
@@ -277,16 +278,16 @@
         """Seconds from the last RPC to the run's end."""
         return max(m.hard_ms for m in self.x.method) / 1000 + SETTLE_S
 
-    def invariants(self) -> list[Broken]:
+    def invariants(self) -> list[Violation]:
         """What the nodes' own counters tell of them."""
         return [
-            Broken("invariant", self.now(), "", f"{name}: {counter} {mine[counter]} times")
+            Violation("invariant", self.now(), "", f"{name}: {counter} {mine[counter]} times")
             for name, mine in self.counters.items()
             for counter in sorted(mine)
             if counter.startswith("broken.") or counter == "faults"
         ]
 
-    def ended(self, broken: list[Broken], events: int, real_s: float, **rig: Any) -> Ended:  # noqa: ANN401
+    def ended(self, broken: list[Violation], events: int, real_s: float, **rig: Any) -> Ended:  # noqa: ANN401
         kept = [ms for rudes in self.rudes for ms in rudes.kept_ms]
         return Ended(
             self.x,
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -33,9 +33,10 @@
 from hookpitch.testbed.child import Line, LoopMonitor, witnessed
 from hookpitch.testbed.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
-from hookpitch.testbed.judge import Broken, Judge, Rules
+from hookpitch.testbed.judge import Judge
 from hookpitch.testbed.links import Spoil, Spoils
 from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess, ProcessHost
+from hookpitch.testbed.rules import Rules, Violation
 
 CACHE_PORT, ORIGIN_PORT = 26379, 28080
 FIRST_NET, STANDIN_NET = 10, 200  # of nodes; of the stand-ins themselves
@@ -498,7 +499,7 @@
             plain,
             overlap_ms=OVERLAP_MS + late,
             crossing_ms=CROSSING_MS + late,
-            slack_ms=plain.slack_ms + late,
+            tolerance_ms=plain.tolerance_ms + late,
         )
 
     def late(self) -> dict[str, float]:
@@ -616,12 +617,12 @@
                 self.void.append(f"{name} was {ms:.0f} ms late, over {VOID_MS:g}")
         end = self.now() - offset
         judge = Judge(self.rules())
-        broken: list[Broken] = judge.judge(self.history, end)
+        broken: list[Violation] = judge.judge(self.history, end)
         killed = {
             e.who for e in self.history.events if e.kind == "stop"
         }  # what they counted died with them
         told = {name: counts for name, counts in self.counters.items() if name not in killed}
-        broken += judge.figures(self.history, told)
+        broken += judge.check_counters(self.history, told)
         real = time.perf_counter() - begun
         return self.ended(broken, len(self.history.events), real, void=self.void, rig=late)
 
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -198,5 +198,7 @@
         os.close(self.descriptor)
         self.folder.cleanup()
         judge = Judge(self.rules())
-        broken = judge.judge(self.history, self.now()) + judge.figures(self.history, self.counters)
+        broken = judge.judge(self.history, self.now()) + judge.check_counters(
+            self.history, self.counters
+        )
         return self.ended(broken, world.events, time.perf_counter() - begun)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,8 +14,9 @@
 from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.shared_state import SharedState
 from hookpitch.testbed.experiment import read
-from hookpitch.testbed.judge import Judge, Rules
+from hookpitch.testbed.judge import Judge
 from hookpitch.testbed.metrics import summary
+from hookpitch.testbed.rules import Rules
 from hookpitch.testbed.run import Run
 from hookpitch.testbed.simulated_tcp import KERNEL
 from hookpitch.testbed.simulation import World
@@ -208,13 +209,15 @@
         (10, 6, 1),
     ):
         told = {NODE: {"completed.read": done, "upstream_requests": sent}}
-        assert [b.rule for b in Judge(Rules()).figures(history, told)] == ["figures"] * broken, (
+        assert [b.rule for b in Judge(Rules()).check_counters(history, told)] == [
+            "figures"
+        ] * broken, (
             done,
             sent,
         )
     history.add(3000.0, "cut", NODE)
     assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == ["head"]
-    assert not Judge(Rules(heads=False)).judge(history, 60000.0)
+    assert not Judge(Rules(room_for_all_clients=False)).judge(history, 60000.0)
 
 
 def test_the_judge_takes_no_crossing_for_a_second_copy_and_no_death_for_a_ban() -> None:
@@ -239,9 +242,9 @@
     def rules(lines: str) -> Rules:
         return Run(read("name = 'a-b'\n" + lines), 1).rules()
 
-    assert rules("").unused_ms == 5000.0 and rules("").heads
+    assert rules("").reuse_within_ms == 5000.0 and rules("").room_for_all_clients
     assert (
-        rules("[traffic]\nkeys = 1").unused_ms == float("inf")
+        rules("[traffic]\nkeys = 1").reuse_within_ms == float("inf")
         and not rules("[nodes]\nsockets = 64").heads
     )
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,7 +11,8 @@
 from hookpitch.balancer.placement import BUCKETS, Placement
 from hookpitch.fakes.history import History
 from hookpitch.testbed.experiment import load
-from hookpitch.testbed.judge import Judge, Rules
+from hookpitch.testbed.judge import Judge
+from hookpitch.testbed.rules import Rules
 from hookpitch.testbed.run import Run
 
 ON_STD = Method("status", 400.0, 1000.0, 1.0, kinds=("std",))
@@ -131,7 +132,7 @@
 
 
 def test_the_judge_sees_a_transmission_that_strays_and_lets_the_origin_be() -> None:
-    rules = Rules(bound={"status": (("std",), ())})
+    rules = Rules(placement={"status": (("std",), ())})
     for server, broken in (("s1", []), ("s0", ["placement"]), ("origin", [])):
         history = History()
         history.add(0.0, "place", "s0", what="fast z0")
