--- a/benchmarks/start_size.py
+++ b/benchmarks/start_size.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from hookpitch.testbed.experiment import Experiment, load
-from hookpitch.testbed.metrics import figure, seen
+from hookpitch.testbed.metrics import figure, rpc_records
 from hookpitch.testbed.run import Run
 
 ROOT = Path(__file__).parent.parent
@@ -50,7 +50,7 @@
             x, nodes=msgspec.structs.replace(x.nodes, members=True, peer_port=7946)
         )
     ended = Run(x, seed).run()
-    rpcs = seen(x, ended.history.events)
+    rpcs = rpc_records(x, ended.history.events)
     row = [f"{figure(n, ended, rpcs, 0.0, x.seconds):6.1f}" for n in FIGURES]
     fetches = max(figure("fetches_per_s", ended, rpcs, s, s + 1) for s in range(int(x.seconds)))
     early = [s for s in rpcs if s.at < 15000]
--- a/hookpitch/cli/lab.py
+++ b/hookpitch/cli/lab.py
@@ -176,16 +176,17 @@
     """Draw experiments, run them, and shrink those that break a rule (on loopback they stay as
     they are)."""
     from hookpitch.testbed import fuzz as fuzzing
-    from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES
+    from hookpitch.testbed import fuzz_draw
+    from hookpitch.testbed.experiment_schema import LINK_FAULTS, PROCESS_FAULTS
 
-    groups = {"links": ON_LINKS, "processes": ON_PROCESSES}
+    groups = {"links": LINK_FAULTS, "processes": PROCESS_FAULTS}
     words = only.split(",") if only else []
-    kinds = [kind for word in words for kind in groups.get(word, (word,))] or fuzzing.KINDS
+    kinds = [kind for word in words for kind in groups.get(word, (word,))] or fuzz_draw.KINDS
     for kind in kinds:
-        if kind not in fuzzing.KINDS:
+        if kind not in fuzz_draw.KINDS:
             _fail(
                 ValueError(
-                    f"--only: '{kind}' is none of links, processes, {', '.join(fuzzing.KINDS)}"
+                    f"--only: '{kind}' is none of links, processes, {', '.join(fuzz_draw.KINDS)}"
                 )
             )
     if clock == "wall":
@@ -199,6 +200,6 @@
         click.echo(f"seed {one.seed}: {', '.join(one.broken)}\n  {one.first}")
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
-            (keep / f"{one.small.name}.toml").write_text(fuzzing.text(one.small))
+            (keep / f"{one.small.name}.toml").write_text(fuzz_draw.experiment_text(one.small))
     click.echo(f"{runs} runs, {len(found)} found")
     sys.exit(1 if found else 0)
--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -20,7 +20,7 @@
 from hookpitch.fakes.history import History
 from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
 from hookpitch.fakes.origin import OriginMake
-from hookpitch.testbed.experiment import Experiment, bound_methods
+from hookpitch.testbed.experiment_schema import Experiment, placement_by_method
 from hookpitch.testbed.links import Spoil
 from hookpitch.testbed.rules import REUSE_WITHIN_MS, TOLERANCE_MS, Rules, Violation
 
@@ -262,7 +262,7 @@
             # With fewer keys than caches, a node has no use for each of them.
             reuse_within_ms=float("inf") if x.traffic.keys < x.fleet.caches else REUSE_WITHIN_MS,
             room_for_all_clients=x.nodes.sockets >= SOCKETS_FOR_ALL,
-            placement=bound_methods(x),
+            placement=placement_by_method(x),
             # What is on a longer way was sent so much earlier.
             tolerance_ms=TOLERANCE_MS
             + sum(f.by or 20.0 for f in x.fault if f.what in ("lag", "far")),
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -12,7 +12,7 @@
 from hookpitch.fakes.admin_clients import Calls
 from hookpitch.fakes.load_clients import Rudes, SlowHeads
 from hookpitch.testbed.base_run import BaseRun
-from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES, Fault
+from hookpitch.testbed.experiment_schema import LINK_FAULTS, PROCESS_FAULTS, Fault
 from hookpitch.testbed.links import Spoil
 
 RESTART_S = 0.5  # that a restart takes
@@ -33,13 +33,13 @@
     def plan(self, offset: float = 0.0) -> None:
         """`offset`: seconds of the world's time at which the run's began."""
         run, fault = self.run, self.fault
-        if fault.what in ON_PROCESSES:
+        if fault.what in PROCESS_FAULTS:
             whom = run.x.group(self.n, run.seed)
             for n, name in enumerate(whom):
                 at = offset + fault.at + fault.spread * n / len(whom)
                 run.world.at(at, None, self._told, "begins", getattr(self, fault.what), name)
             return
-        link = fault.what in ON_LINKS and fault.what != "sever"
+        link = fault.what in LINK_FAULTS and fault.what != "sever"
         begin = self._link if link else getattr(self, fault.what)
         end = self._link_ends if link else getattr(self, f"{fault.what}_ends", None)
         run.world.at(offset + fault.at, None, self._told, "begins", begin)
@@ -69,7 +69,7 @@
     # ---- links
 
     def _ways(self) -> list[tuple[str, str]]:
-        return self.run.x.ways(self.n, self.run.seed)
+        return self.run.x.directions(self.n, self.run.seed)
 
     def _spoilt(self) -> Spoil:
         f = self.fault
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -31,7 +31,7 @@
 from hookpitch.fakes.load_clients import Crowd
 from hookpitch.testbed.base_run import Ended
 from hookpitch.testbed.child import Line, LoopMonitor, witnessed
-from hookpitch.testbed.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
+from hookpitch.testbed.experiment_schema import PROCESS_FAULTS, VIRTUAL_ONLY, Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Judge
 from hookpitch.testbed.links import Spoil, Spoils
@@ -133,8 +133,8 @@
     ) -> None:
         """`tell` is given a line a second of how the run goes."""
         for n, fault in enumerate(x.fault):
-            if fault.what in ONLY_VIRTUAL:
-                why = f"'{fault.what}' is for virtual time alone: {ONLY_VIRTUAL[fault.what]}"
+            if fault.what in VIRTUAL_ONLY:
+                why = f"'{fault.what}' is for virtual time alone: {VIRTUAL_ONLY[fault.what]}"
                 raise ValueError(f"{x.name}: fault[{n}].what: {why}")
         if x.nodes.count > NODES_MOST:
             raise ValueError(f"{x.name}: nodes.count: wants at most {NODES_MOST} on loopback")
@@ -165,7 +165,7 @@
         if "all" in found:
             found |= {f"s{n}" for n in range(self.x.fleet.caches)}
         for n, fault in enumerate(self.x.fault):
-            if fault.what in ON_PROCESSES:
+            if fault.what in PROCESS_FAULTS:
                 found |= set(self.x.group(n, self.seed))
         return found
 
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -18,7 +18,7 @@
 from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 from hookpitch.fakes.origin import Origin
 from hookpitch.testbed.base_run import CACHE_PORT, NODE_PORT, Ended
-from hookpitch.testbed.experiment import Experiment
+from hookpitch.testbed.experiment_schema import Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Judge
 from hookpitch.testbed.links import Spoil
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from hookpitch.testbed import fuzz
+from hookpitch.testbed import fuzz, fuzz_draw
 from hookpitch.testbed.experiment import load, read
-from hookpitch.testbed.metrics import expected
+from hookpitch.testbed.metrics import check_expectations
 from hookpitch.testbed.run import Run
 
 PLACE = Path(__file__).parent.parent / "experiments"
@@ -19,18 +19,18 @@
     ended = Run(load(path), load(path).seed).run()
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
-    assert not [(e.text, value) for e, value, holds in expected(ended) if not holds]
+    assert not [(e.text, value) for e, value, holds in check_expectations(ended) if not holds]
 
 
 @pytest.mark.parametrize(
     ("seed", "kinds"),
     [
-        *((5000 + n, fuzz.OLDER) for n in range(8)),
-        *((100 + n, fuzz.FAULTY) for n in (3, 26, 28, 46, 1, 2)),
+        *((5000 + n, fuzz_draw.SINGLE_KINDS) for n in range(8)),
+        *((100 + n, fuzz_draw.GROUP_KINDS) for n in (3, 26, 28, 46, 1, 2)),
     ],
 )
 def test_drawn_experiments_break_no_rule(seed: int, kinds: tuple[str, ...]) -> None:
-    ended = fuzz.attempt(fuzz.whole(fuzz.draw(seed, kinds)))
+    ended = fuzz.attempt(fuzz.reread(fuzz_draw.draw(seed, kinds)))
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
 
@@ -38,7 +38,7 @@
 def test_a_failing_experiment_is_shrunk_to_a_file_that_plays_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    x = fuzz.draw(7)
+    x = fuzz_draw.draw(7)
     broken = fuzz.rules_broken
 
     def as_if(ended: object) -> list[str]:  # a rule that any drain breaks
@@ -48,4 +48,4 @@
     monkeypatch.setattr(fuzz, "rules_broken", as_if)
     small = fuzz.shrink(x, ["rule 9"], most=40)
     assert [f.what for f in small.fault] == ["silence"] and small.traffic.rate < x.traffic.rate
-    assert read(fuzz.text(small)) == small
+    assert read(fuzz_draw.experiment_text(small)) == small
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -245,7 +245,7 @@
     assert rules("").reuse_within_ms == 5000.0 and rules("").room_for_all_clients
     assert (
         rules("[traffic]\nkeys = 1").reuse_within_ms == float("inf")
-        and not rules("[nodes]\nsockets = 64").heads
+        and not rules("[nodes]\nsockets = 64").room_for_all_clients
     )
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,8 +11,8 @@
 
 from hookpitch.fakes.history import Event
 from hookpitch.testbed.experiment import load, read
-from hookpitch.testbed.membership import Said, figure, said, up
-from hookpitch.testbed.metrics import expected, summary
+from hookpitch.testbed.membership import StateChange, figure, running, state_changes
+from hookpitch.testbed.metrics import check_expectations, summary
 from hookpitch.testbed.run import Run
 
 ROOT = Path(__file__).parent.parent
@@ -43,7 +43,7 @@
 
 
 def test_figures_tell_who_was_called_dead_when_and_whether_views_are_right() -> None:
-    changes = said(LOGS)
+    changes = state_changes(LOGS)
     assert len(changes) == 11 and changes[0] == (100.0, "n0", "n1", "alive")
     value = lambda name, a=0.0, b=20000.0: figure(name, changes, EVENTS, a, b)  # noqa: E731
     assert value("called_dead") == 1 and value("called_dead", 7000.0) == 0
@@ -52,12 +52,12 @@
         *EVENTS,
         event(1005, "stop", "n1"),
     ]  # some ms later, and it was to say of n2 that it is dead
-    mine = [*(c for c in changes if c.who == "n0"), Said(7000.0, "n0", "n1", "dead")]
+    mine = [*(c for c in changes if c.reporter == "n0"), StateChange(7000.0, "n0", "n1", "dead")]
     assert figure("agreed_s", mine, sorted(died), 0.0, 20000.0) == 6.0
     assert value("found_s", 2000.0) == 0.0  # nobody was killed in that span
     assert value("agreed_s", 0.0, 6200.0) == 5.2  # n1 never said so: to the span's end
     assert value("views_wrong") == 1  # n1 holds n2 for dead still
-    assert value("views_wrong", 0.0, 8000.0) == 0 and up(EVENTS, 5000.0) == {"n0", "n1"}
+    assert value("views_wrong", 0.0, 8000.0) == 0 and running(EVENTS, 5000.0) == {"n0", "n1"}
     assert value("turns") == 4
     with pytest.raises(ValueError):
         value("served")
@@ -99,5 +99,5 @@
     figures = json.loads(at.read_text())
     assert all(e["holds"] for e in figures["expected"]) and len(figures["expected"]) >= 3
     virtual = Run(load(LISTS), 1).run()
-    assert all(holds for _, _, holds in expected(virtual))
+    assert all(holds for _, _, holds in check_expectations(virtual))
     assert abs(figures["whole"]["served"] - summary(virtual)["whole"]["served"]) <= 0.05
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -8,7 +8,7 @@
 
 from hookpitch.fakes.history import History
 from hookpitch.testbed.experiment import load, read
-from hookpitch.testbed.metrics import Seen, expected, figure, seen
+from hookpitch.testbed.metrics import RpcRecord, check_expectations, figure, rpc_records
 from hookpitch.testbed.run import Ended, Run
 
 FILES = sorted((Path(__file__).parent.parent / "experiments").glob("start-*.toml"))
@@ -19,14 +19,14 @@
     ended = Run(load(path), load(path).seed).run()
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
-    assert not [(e.text, value) for e, value, holds in expected(ended) if not holds]
+    assert not [(e.text, value) for e, value, holds in check_expectations(ended) if not holds]
 
 
 def test_nodes_that_start_into_trouble_do_no_worse_than_those_that_were_there() -> None:
     x = load(next(f for f in FILES if f.stem == "start-into-trouble"))
     ended = Run(x, 1).run()
     starts = Counter(e.who for e in ended.history.events if e.kind == "start")
-    rpcs = [s for s in seen(x, ended.history.events) if s.at > 7000.0]  # they are up again
+    rpcs = [s for s in rpc_records(x, ended.history.events) if s.at > 7000.0]  # they are up again
     new, old = ([s for s in rpcs if (starts[s.node] > 1) is again] for again in (True, False))
     assert len(new) > 500 and len(old) > 500
     served = [figure("served", ended, some, 0.0, x.seconds) for some in (new, old)]
@@ -50,7 +50,7 @@
     )
     assert figure("listed_s", ended, [], 0, 20) == 3.5
     rpcs = [
-        Seen(
+        RpcRecord(
             f"q{n}",
             "read",
             "n0",
