--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -21,7 +21,7 @@
 from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
 from hookpitch.fakes.origin import OriginMake
 from hookpitch.testbed.experiment_schema import Experiment, placement_by_method
-from hookpitch.testbed.links import Spoil
+from hookpitch.testbed.links import Impairment
 from hookpitch.testbed.rules import REUSE_WITHIN_MS, TOLERANCE_MS, Rules, Violation
 
 NODE_PORT = 6379
@@ -61,8 +61,8 @@
     crowd: Crowd
     nodes: dict[str, Any]
 
-    def __init__(self, x: Experiment, seed: int, world: Any) -> None:  # noqa: ANN401
-        self.x, self.seed, self.world = x, seed, world
+    def __init__(self, x: Experiment, seed: int, network: Any) -> None:
+        self.x, self.seed, self.network = x, seed, network
         self.history, self.logs = History(), list[tuple[float, str, str]]()
         self.chance = random.Random(seed * 7919 + 1)
         self.directory = Directory()
@@ -74,11 +74,12 @@
         self.drained: dict[str, None] = {}  # nodes that were told to hold no clients
 
     def now(self) -> float:
-        return self.world.now * 1000
+        """Time since the run's start, in ms."""
+        return self.network.now * 1000
 
     # ---- what a clock does its own way
 
-    def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
+    def order(self, name: str, what: str, *args: Any) -> None:
         """An order to a stand-in (`standin/orders.py`)."""
         raise NotImplementedError
 
@@ -92,16 +93,21 @@
         raise NotImplementedError
 
     def stall(self, name: str, seconds: float) -> None:
+        """Stop a process for so many seconds."""
         raise NotImplementedError
 
     def vanish(self, name: str, gone: bool) -> None:
         """A server's machine leaves the network, or is back."""
         raise NotImplementedError
 
-    def spoil(self, ways: Iterable[tuple[str, str]], by: object, spoil: Spoil | None) -> None:
+    def impair(
+        self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
+    ) -> None:
+        """Put what `by` does on some directions; None takes it off."""
         raise NotImplementedError
 
     def sever(self, ways: Iterable[tuple[str, str]]) -> None:
+        """Reset all connections of some directions."""
         raise NotImplementedError
 
     def add_server(self, name: str, cold: bool) -> None:
@@ -114,6 +120,7 @@
         raise NotImplementedError
 
     def called(self, node: str, line: str, yes: bool, kind: str, what: str) -> None:
+        """Record the answer to an operator's call."""
         if not yes:
             return
         if kind:
@@ -129,7 +136,8 @@
         """Where a server is dialled, as discovery has it."""
         return f"{self.addresses[name]}:{CACHE_PORT}"
 
-    def clients(self, reactor: Any, begun: float) -> Crowd:  # noqa: ANN401
+    def clients(self, reactor: Any, begun: float) -> Crowd:
+        """The load clients, for all nodes."""
         t = self.x.traffic
         kinds = [
             Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size) for m in self.x.method
@@ -142,7 +150,8 @@
             reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun
         )
 
-    def client_dial(self, node: Any) -> tuple[str, int]:  # noqa: ANN401
+    def client_dial(self, node: Any) -> tuple[str, int]:
+        """Where clients dial a node."""
         return node.address, NODE_PORT
 
     def make(self, n: int) -> Make:
@@ -165,6 +174,7 @@
         )
 
     def origin_make(self) -> OriginMake:
+        """What the origin is made with."""
         return OriginMake(self.x.origin.cores, self.x.origin.line, self.x.origin.work_ms)
 
     def size_of(self, key: str) -> int:
@@ -173,16 +183,17 @@
         return int(t.large_kb * 1024) if crc32(key.encode()) % 1000 < 1000 * t.large else 0
 
     def list_server(self, name: str, cold: bool) -> None:
+        """Have discovery list a server as in service."""
         n = list(self.addresses).index(name)
         zone = n % self.x.fleet.zones
-        born = (self.world.epoch * 1000 + self.now()) if cold else 0.0
+        born = (self.network.epoch * 1000 + self.now()) if cold else 0.0
         kind = self.x.fleet.kinds[n % len(self.x.fleet.kinds)]
         self.history.add(self.now(), "place", name, what=f"{kind} z{zone}")
         self.order(
             "discovery", "put", name, self.dial(name), kind, f"z{zone}", n, "in_service", 1.0, born
         )
 
-    def told(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:  # noqa: ANN401
+    def told(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:
         """What a node is told at its start, as the platform's JSON; `net` as discovery has it for
         this
         node."""
@@ -237,7 +248,7 @@
             },
         }
 
-    def file(self, node: Any, top: dict[str, Any], wrong: int) -> str:  # noqa: ANN401
+    def file(self, node: Any, top: dict[str, Any], wrong: int) -> str:
         """A node's file as text, with other settings at each second time; `wrong`: in one of the
         forms that
         no node may take."""
@@ -256,6 +267,7 @@
         return forms[(wrong - 1) % len(forms)] if wrong else whole
 
     def rules(self) -> Rules:
+        """What the judge allows this run."""
         x = self.x
         return Rules(
             retriable={m.name: m.idempotency == "retryable" for m in x.method},
@@ -268,7 +280,7 @@
             + sum(f.by or 20.0 for f in x.fault if f.what in ("lag", "far")),
         )
 
-    def counted(self, node: Any, counters: Counters) -> None:  # noqa: ANN401
+    def counted(self, node: Any, counters: Counters) -> None:
         """A process of the node has ended; what it counted is added to what those before it did."""
         mine = self.counters.setdefault(node.name, {})
         for name, count in counters.counts.items():
@@ -287,7 +299,8 @@
             if counter.startswith("broken.") or counter == "faults"
         ]
 
-    def ended(self, broken: list[Violation], events: int, real_s: float, **rig: Any) -> Ended:  # noqa: ANN401
+    def ended(self, broken: list[Violation], events: int, real_s: float, **rig: Any) -> Ended:
+        """The run's result."""
         kept = [ms for rudes in self.rudes for ms in rudes.kept_ms]
         return Ended(
             self.x,
@@ -296,7 +309,7 @@
             broken + self.invariants(),
             self.logs,
             self.counters,
-            self.world.faults,
+            self.network.faults,
             events,
             real_s,
             kept,
--- a/hookpitch/testbed/child.py
+++ b/hookpitch/testbed/child.py
@@ -1,10 +1,8 @@
-"""What every process of the rig has: a control line to the run, a history on disk, a pulse.
+"""What every process of the testbed has: a control line to the run, a history on disk, a monitor.
 
 The control line is JSON, a list a line, over a Unix socket; where it ends, the process ends.
-Events are
-written one by one, so that a process that is killed has told all it saw. The pulse tells how late
-the process
-itself was: a run whose rig fell behind is void.
+Events are written one by one, so that a process that is killed has recorded all it saw. The
+monitor records how late the process itself was: a run whose testbed fell behind is void.
 """
 
 from __future__ import annotations
@@ -23,13 +21,13 @@
 
 from hookpitch.fakes.history import Event, History
 
-PULSE_S = 0.02
-LATE_MS = 5.0  # what is less is not told
-LINE_MOST = 1 << 22  # bytes of a control line
+MONITOR_INTERVAL_S = 0.02
+LEAST_LATENESS_MS = 5.0  # what is less is not recorded
+MAX_LINE_BYTES = 1 << 22
 
 
-class Witness(History):
-    """A history that is on disk as soon as it is told."""
+class EventRecorder(History):
+    """A history that is on disk as soon as an event is added."""
 
     def __init__(self, path: str) -> None:
         super().__init__()
@@ -45,14 +43,17 @@
         value: float = 0.0,
         port: int = 0,
     ) -> None:
-        line = json.dumps([round(at, 4), kind, who, rpc, what, value, port], separators=(",", ":"))
-        os.write(self._file, line.encode() + b"\n")
+        """Write the event to disk at once."""
+        fields = [round(at, 4), kind, who, rpc, what, value, port]
+        os.write(self._file, json.dumps(fields, separators=(",", ":")).encode() + b"\n")
 
 
-def witnessed(path: Path) -> list[Event]:
-    """What a process told; a line that it was killed in is left out."""
+def recorded_events(path: Path) -> list[Event]:
+    """What a process recorded; a line that it was killed in is left out."""
+    if not path.exists():
+        return []
     events = []
-    for line in path.read_text().splitlines() if path.exists() else ():
+    for line in path.read_text().splitlines():
         try:
             events.append(Event(*json.loads(line)))
         except ValueError:
@@ -61,77 +62,95 @@
 
 
 class LoopMonitor:
-    """How late a loop is: told as `rig` events, in ms."""
-
-    def __init__(self, reactor: Any, history: History, name: str, begun: float) -> None:  # noqa: ANN401
-        self.reactor, self.history, self.name, self.begun = reactor, history, name, begun
-        self._due = reactor.seconds() + PULSE_S
-        reactor.callLater(PULSE_S, self._beat)
-
-    def _beat(self) -> None:
-        now = self.reactor.seconds()
-        late = (now - self._due) * 1000
-        if late > LATE_MS:
-            self.history.add((now - self.begun) * 1000, "rig", self.name, value=round(late, 1))
-        self._due = now + PULSE_S
-        self.reactor.callLater(PULSE_S, self._beat)
+    """Records how late a reactor's loop is, as `rig` events in ms."""
+
+    def __init__(self, reactor: Any, history: History, name: str, begun: float) -> None:
+        """`begun`: the run's start on the reactor's clock, in seconds."""
+        self._reactor = reactor
+        self._history = history
+        self._name = name
+        self._begun = begun
+        self._due = reactor.seconds() + MONITOR_INTERVAL_S
+        reactor.callLater(MONITOR_INTERVAL_S, self._check)
+
+    def _check(self) -> None:
+        now = self._reactor.seconds()
+        late_ms = (now - self._due) * 1000
+        if late_ms > LEAST_LATENESS_MS:
+            at = (now - self._begun) * 1000
+            self._history.add(at, "rig", self._name, value=round(late_ms, 1))
+        self._due = now + MONITOR_INTERVAL_S
+        self._reactor.callLater(MONITOR_INTERVAL_S, self._check)
 
 
 class Line(LineOnlyReceiver):
     """A control line, at either end."""
 
     delimiter = b"\n"
-    MAX_LENGTH = LINE_MOST
+    MAX_LENGTH = MAX_LINE_BYTES
+
+    def __init__(self, received: Callable[..., None], lost: Callable[[], None]) -> None:
+        self._received = received
+        self._lost = lost
 
-    def __init__(self, told: Callable[..., None], lost: Callable[[], None]) -> None:
-        self.told, self.lost = told, lost
+    def lineReceived(self, line: bytes) -> None:
+        """Hand over one message."""
+        self._received(*json.loads(line))
 
-    def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        self.told(*json.loads(line))
+    def send(self, *message: Any) -> None:
+        """Send one message."""
+        self.sendLine(json.dumps(message, separators=(",", ":")).encode())
 
-    def say(self, *words: Any) -> None:  # noqa: ANN401
-        self.sendLine(json.dumps(words, separators=(",", ":")).encode())
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """The other end is closed."""
+        self._lost()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        self.lost()
 
+class _LineFactory(ClientFactory):
+    """Dials the run with one line."""
 
-class _Dial(ClientFactory):
     noisy = False
 
     def __init__(self, line: Line, made: Callable[[], None], lost: Callable[[], None]) -> None:
-        self.line, self.made, self.lost = line, made, lost
+        self._line = line
+        self._made = made
+        self._lost = lost
+
+    def buildProtocol(self, addr: object) -> Line:
+        self._line.connectionMade = self._made  # type: ignore[method-assign]
+        return self._line
+
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+        self._lost()
+
 
-    def buildProtocol(self, addr: object) -> Line:  # noqa: N802
-        self.line.connectionMade = self.made  # type: ignore[method-assign]
-        return self.line
+MakeOrders = Callable[[Any, dict[str, Any], EventRecorder, Line], Callable[..., None]]
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802
-        self.lost()
 
+def run_child(make: MakeOrders) -> int:
+    """The main function of a process of the testbed; returns its exit status.
 
-def run_child(make: Callable[[Any, dict[str, Any], Witness, Line], Callable[..., None]]) -> int:
-    """The main function of a process of the rig: reads the file that it is given, makes what it is
-    for and
-    does what it is told until its line ends. `make` answers with what carries out orders."""
+    Reads the file that it is given, makes what it is for and carries out orders until its line
+    ends. `make` returns what carries out orders.
+    """
     from twisted.internet import reactor
 
     given = json.loads(Path(sys.argv[1]).read_text())
     reactor.seconds = time.monotonic
-    history = Witness(given["history"])
+    history = EventRecorder(given["history"])
     orders: list[Callable[..., None]] = []
-    line = Line(lambda *words: orders[0](*words), reactor.stop)
+    line = Line(lambda *message: orders[0](*message), reactor.stop)
 
     def made() -> None:
-        line.say("hello", given["name"])
+        line.send("hello", given["name"])
         try:
             orders.append(make(reactor, given, history, line))
-        except Exception as fault:  # noqa: BLE001 - told whole to whoever started it
-            line.say("cannot", str(fault))
+        except Exception as error:  # noqa: BLE001 - reported whole to the run that started it
+            line.send("cannot", str(error))
             return
         LoopMonitor(reactor, history, given["name"], given["begun"])
-        line.say("ready")
+        line.send("ready")
 
-    reactor.connectUNIX(given["control"], _Dial(line, made, reactor.stop))
+    reactor.connectUNIX(given["control"], _LineFactory(line, made, reactor.stop))
     reactor.run(installSignalHandlers=False)
     return 0
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -1,8 +1,8 @@
-"""Faults: what each does when it comes and what undoes it, the same for both clocks.
+"""Faults: what each does when it begins and what undoes it, the same for both clocks.
 
-A fault asks its run for what only a clock can do (`kill`, `begin`, `stall`, `spoil`, `sever`) and
-gives
-stand-ins orders by name (`standin/orders.py`); all else stands here, one small method a fault.
+A fault asks its run for what only a clock can do (`kill`, `begin`, `stall`, `impair`, `sever`) and
+gives fake servers orders by name (`fakes/control_commands.py`); all else is here, one small method
+a fault, named as in experiments' files; `NAME_ends` undoes it. Times in seconds.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from hookpitch.fakes.load_clients import Rudes, SlowHeads
 from hookpitch.testbed.base_run import BaseRun
 from hookpitch.testbed.experiment_schema import LINK_FAULTS, PROCESS_FAULTS, Fault
-from hookpitch.testbed.links import Spoil
+from hookpitch.testbed.links import Impairment
 
 RESTART_S = 0.5  # that a restart takes
 BEFORE_S = 1.0  # from the nodes' start to the first RPC
@@ -31,38 +31,40 @@
         self.run, self.n, self.fault = run, n, fault
 
     def plan(self, offset: float = 0.0) -> None:
-        """`offset`: seconds of the world's time at which the run's began."""
+        """`offset`: seconds of the network's time at which the run's began."""
         run, fault = self.run, self.fault
         if fault.what in PROCESS_FAULTS:
             whom = run.x.group(self.n, run.seed)
             for n, name in enumerate(whom):
                 at = offset + fault.at + fault.spread * n / len(whom)
-                run.world.at(at, None, self._told, "begins", getattr(self, fault.what), name)
+                run.network.at(at, None, self._told, "begins", getattr(self, fault.what), name)
             return
         link = fault.what in LINK_FAULTS and fault.what != "sever"
         begin = self._link if link else getattr(self, fault.what)
         end = self._link_ends if link else getattr(self, f"{fault.what}_ends", None)
-        run.world.at(offset + fault.at, None, self._told, "begins", begin)
+        run.network.at(offset + fault.at, None, self._told, "begins", begin)
         if fault.lasting and end is not None:
-            run.world.at(offset + fault.end, None, self._told, "ends", end)
+            run.network.at(offset + fault.end, None, self._told, "ends", end)
 
-    def _told(self, what: str, call: Any, *args: str) -> None:  # noqa: ANN401
+    def _told(self, what: str, call: Any, *args: str) -> None:
         whom = args[0] if args else self.fault.whom or "-"
         self.run.history.add(self.run.now(), "fault", whom, what=f"{self.fault.what} {what}")
         call(*args)
 
-    def _later(self, seconds: float, call: Any, *args: Any) -> None:  # noqa: ANN401
-        self.run.world.at(self.run.world.now + seconds, None, call, *args)
+    def _later(self, seconds: float, call: Any, *args: Any) -> None:
+        self.run.network.at(self.run.network.now + seconds, None, call, *args)
 
     @property
     def servers(self) -> list[str]:
+        """The names of the servers that it meets."""
         return list(self.run.addresses) if self.fault.whom == "all" else [self.fault.whom]
 
     @property
-    def node(self) -> Any:  # noqa: ANN401
+    def node(self) -> Any:
+        """The node that it meets."""
         return self.run.nodes[self.fault.whom]
 
-    def _order(self, what: str, *args: Any) -> None:  # noqa: ANN401
+    def _order(self, what: str, *args: Any) -> None:
         for server in self.servers:
             self.run.order(server, what, *args)
 
@@ -71,36 +73,38 @@
     def _ways(self) -> list[tuple[str, str]]:
         return self.run.x.directions(self.n, self.run.seed)
 
-    def _spoilt(self) -> Spoil:
+    def _impairment(self) -> Impairment:
         f = self.fault
         return {
-            "cut": Spoil(silent=True, kept=f.kept),
-            "half_cut": Spoil(silent=True, kept=f.kept),
-            "flap": Spoil(silent=True, kept=f.kept),
-            "lossy": Spoil(loss=f.by or 0.1),
-            "lag": Spoil(delay_ms=f.by or 20.0),
-            "narrow": Spoil(bandwidth=1024 * (f.by or 64.0)),
-            "refuse": Spoil(refusing=True),
-            "deaf": Spoil(deaf=True),
-            "doubled": Spoil(repeat=f.by or 0.3),
-            "shuffled": Spoil(reorder=f.by or 0.3),
+            "cut": Impairment(silent=True, kept=f.kept),
+            "half_cut": Impairment(silent=True, kept=f.kept),
+            "flap": Impairment(silent=True, kept=f.kept),
+            "lossy": Impairment(loss=f.by or 0.1),
+            "lag": Impairment(delay_ms=f.by or 20.0),
+            "narrow": Impairment(bandwidth=1024 * (f.by or 64.0)),
+            "refuse": Impairment(refusing=True),
+            "deaf": Impairment(deaf=True),
+            "doubled": Impairment(repeat=f.by or 0.3),
+            "shuffled": Impairment(reorder=f.by or 0.3),
         }[f.what]
 
     def _link(self) -> None:
         ways = self._ways()
         self._apart(ways)
         if self.fault.what == "flap":
-            self._turn(ways, True, self.run.world.now + (self.fault.lasting or self.run.x.seconds))
+            self._turn(
+                ways, True, self.run.network.now + (self.fault.lasting or self.run.x.seconds)
+            )
         else:
-            self.run.spoil(ways, self.n, self._spoilt())
+            self.run.impair(ways, self.n, self._impairment())
 
     def _link_ends(self) -> None:
-        self.run.spoil(self._ways(), self.n, None)
+        self.run.impair(self._ways(), self.n, None)
 
     def _turn(self, ways: list[tuple[str, str]], down: bool, until: float) -> None:
         """Down for `by` seconds, up for as long, and so on."""
-        if self.run.world.now < until - 1e-9:
-            self.run.spoil(ways, self.n, self._spoilt() if down else None)
+        if self.run.network.now < until - 1e-9:
+            self.run.impair(ways, self.n, self._impairment() if down else None)
             self._later(self.fault.by or 1.0, self._turn, ways, not down, until)
 
     def _apart(self, ways: list[tuple[str, str]]) -> None:
@@ -130,10 +134,10 @@
 
     def starved(self, name: str) -> None:
         """The part `by` (0.5) of each tenth of a second is taken away, for `for` seconds (2)."""
-        self._starve(name, self.run.world.now + (self.fault.lasting or 2.0))
+        self._starve(name, self.run.network.now + (self.fault.lasting or 2.0))
 
     def _starve(self, name: str, until: float) -> None:
-        if self.run.world.now < until:
+        if self.run.network.now < until:
             self._stalled(name, (self.fault.by or 0.5) * SLICE_S)
             self._later(SLICE_S, self._starve, name, until)
 
@@ -166,6 +170,7 @@
     # ---- a cache server's
 
     def crash(self) -> None:
+        """Its process is killed."""
         for server in self.servers:
             self.run.kill(server)
 
@@ -175,9 +180,11 @@
             self.run.begin(server)
 
     def vanish(self) -> None:
+        """Its machine leaves the network."""
         self.run.vanish(self.fault.whom, True)
 
     def vanish_ends(self) -> None:
+        """Its machine is back."""
         self.run.vanish(self.fault.whom, False)
 
     def _pairs(self, both: bool) -> list[tuple[str, str]]:
@@ -187,21 +194,27 @@
         return [*back, *((b, a) for a, b in back)] if both else back
 
     def silence(self) -> None:
-        self.run.spoil(self._pairs(True), self.n, Spoil(silent=True))
+        """Nothing passes between it and nodes."""
+        self.run.impair(self._pairs(True), self.n, Impairment(silent=True))
 
     def silence_ends(self) -> None:
-        self.run.spoil(self._pairs(True), self.n, None)
+        """Its links are healed."""
+        self.run.impair(self._pairs(True), self.n, None)
 
     def half_silence(self) -> None:  # its answers alone are lost
-        self.run.spoil(self._pairs(False), self.n, Spoil(silent=True))
+        """Its answers alone are lost."""
+        self.run.impair(self._pairs(False), self.n, Impairment(silent=True))
 
     def half_silence_ends(self) -> None:
-        self.run.spoil(self._pairs(False), self.n, None)
+        """Its links are healed."""
+        self.run.impair(self._pairs(False), self.n, None)
 
     def slow(self) -> None:
+        """Its work takes `by` times as long (10)."""
         self._order("slow", self.fault.by or 10.0)
 
     def slow_ends(self) -> None:
+        """It works at its own speed."""
         self._order("slow", 1.0)
 
     def drain(self) -> None:
@@ -219,6 +232,7 @@
             self.crash()
 
     def drain_ends(self) -> None:
+        """It comes back; where it has not left yet, nothing is done."""
         self.crash_ends()  # where it has not even gone, nothing is done
 
     def add(self) -> None:
@@ -226,18 +240,23 @@
         self.run.add_server(self.fault.whom, cold=True)
 
     def flush(self) -> None:
+        """It loses all its keys."""
         self._order("flush")
 
     def mute(self) -> None:
+        """A share `by` (1) of its answers is never written."""
         self._order("mood", "mute", self.fault.by or 1.0)
 
     def garble(self) -> None:
+        """A share `by` (1) of its answers is malformed."""
         self._order("mood", "garbled", self.fault.by or 1.0)
 
     def reset(self) -> None:
+        """A share `by` (1) of its answers is a reset."""
         self._order("mood", "resets", self.fault.by or 1.0)
 
     def mute_ends(self) -> None:
+        """It answers well again."""
         self._order("mood", "well", 1.0)
 
     garble_ends = reset_ends = mute_ends
@@ -247,47 +266,59 @@
         self._order("piece", int(self.fault.by or 4096))
 
     def pieces_ends(self) -> None:
+        """It writes answers whole."""
         self._order("piece", 0)
 
     # ---- the origin's, discovery's
 
     def origin_slow(self) -> None:
+        """The origin's work takes `by` times as long (5)."""
         self.run.order("origin", "slow", self.fault.by or 5.0)
 
     def origin_slow_ends(self) -> None:
+        """It works at its own speed."""
         self.run.order("origin", "slow", 1.0)
 
     def origin_fails(self) -> None:
+        """A share `by` (0.3) of the origin's answers is an error."""
         self.run.order("origin", "failing", self.fault.by or 0.3)
 
     def origin_fails_ends(self) -> None:
+        """It answers well again."""
         self.run.order("origin", "failing", 0.0)
 
     def discovery_down(self) -> None:
+        """Discovery does not answer."""
         self.run.order("discovery", "down")
 
     def discovery_down_ends(self) -> None:
+        """It answers, with the versions it had."""
         self.run.order("discovery", "up", False)
 
     discovery_restart = discovery_down
 
     def discovery_restart_ends(self) -> None:
+        """It answers, and counts its versions from the start."""
         self.run.order("discovery", "up", True)
 
     def discovery_lag(self) -> None:
+        """Changes reach nodes `by` seconds late (3)."""
         self.run.order("discovery", "lag", 1000 * (self.fault.by or 3.0))
 
     def discovery_lag_ends(self) -> None:
+        """Changes reach nodes soon."""
         self.run.order("discovery", "lag", 100.0)
 
     # ---- a node's
 
     def node_kill(self) -> None:
+        """Its process is killed; the front notices later."""
         if self.node.node is not None:
             self.node.kill()
         self._later(FRONT_S, self._front, self.fault.whom, False)
 
     def node_kill_ends(self) -> None:
+        """It is started, unless it runs."""
         self._again(self.fault.whom)
 
     def _front(self, name: str, there: bool) -> None:
@@ -314,6 +345,7 @@
                 caller.transport.loseConnection()
 
     def node_leave_ends(self) -> None:
+        """Its process is killed, and a new one started."""
         if self.node.node is not None:
             self.node.kill()
         self.node_kill_ends()
@@ -338,6 +370,7 @@
             self.run.history.add(self.run.now(), "held", name, value=held)
 
     def node_drain_ends(self) -> None:
+        """An operator's RESUME."""
         if self.node.node is not None:
             self.run.call(self.fault.whom, "RESUME")
             self._later(ASKED_S, self._front, self.fault.whom, True)
@@ -355,6 +388,7 @@
         self._later(RESTART_S, self.crash_ends)
 
     def suspend_ends(self) -> None:
+        """An operator's RESTORE at all nodes."""
         for name, node in self.run.nodes.items():
             if node.node is not None:
                 self.run.call(name, f"RESTORE {self.fault.whom}", "back", self.fault.whom)
@@ -376,12 +410,15 @@
             self.node.upgrade()
 
     def node_pause(self) -> None:
+        """It is stopped for `for` seconds (0.3)."""
         self._stalled(self.fault.whom, self.fault.lasting or 0.3)
 
     def node_slow(self) -> None:
+        """Each of its events takes `by` microseconds of CPU (500)."""
         self.node.machine.event_cost = (self.fault.by or 500.0) / 1e6
 
     def node_slow_ends(self) -> None:
+        """Its events take what the experiment says."""
         self.node.machine.event_cost = self.run.x.nodes.event_us / 1e6
 
     # ---- traffic's, the network's
@@ -395,18 +432,23 @@
         SlowHeads(self.run.crowd, self.fault.by or 5.0).start(self.fault.lasting or 1.0)
 
     def surge(self) -> None:
+        """The load is `by` times as high (3)."""
         self.run.crowd.rate = self.run.x.traffic.rate * (self.fault.by or 3.0)
 
     def surge_ends(self) -> None:
+        """The load is the experiment's."""
         self.run.crowd.rate = self.run.x.traffic.rate
 
     def hot_key(self) -> None:
+        """A share `by` (0.2) of RPCs is for one key."""
         self.run.keys.hot = self.fault.by or 0.2
 
     def hot_key_ends(self) -> None:
+        """Keys are drawn as the experiment says."""
         self.run.keys.hot = 0.0
 
     def rude(self) -> None:
+        """`by` clients a second that break the protocol (20)."""
         self._rudes(Rudes(self.run.crowd, self.fault.by or 20.0))
 
     def _rudes(self, rudes: Rudes) -> None:
@@ -419,10 +461,11 @@
 
     def far(self) -> None:
         """Every way of a node's, but for those to its clients, takes `by` ms longer."""
-        self.run.spoil(self._far(), self.n, Spoil(delay_ms=self.fault.by or 20.0))
+        self.run.impair(self._far(), self.n, Impairment(delay_ms=self.fault.by or 20.0))
 
     def far_ends(self) -> None:
-        self.run.spoil(self._far(), self.n, None)
+        """The delay is taken off."""
+        self.run.impair(self._far(), self.n, None)
 
 
 def schedule_faults(run: BaseRun, offset: float = 0.0) -> None:
--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -69,7 +69,7 @@
 def attempt(experiment: Experiment) -> Ended:
     """Run it once in virtual time; what a program raises is recorded and does not end the run."""
     run = Run(experiment, experiment.seed)
-    run.world.raising = False
+    run.network.raising = False
     return run.run()
 
 
--- a/hookpitch/testbed/interfaces.py
+++ b/hookpitch/testbed/interfaces.py
@@ -61,7 +61,7 @@
 class Machine(Protocol):
     """A process at an address of the simulated network, with its sockets."""
 
-    world: Network
+    network: Network
     address: str
     descriptors: int
     present: bool
@@ -70,7 +70,7 @@
     handed: dict[int, Any]
     ports: dict[Any, None]
     sockets: dict[int, Any]
-    ends: dict[Any, None]
+    endpoints: dict[Any, None]
     dials: dict[Any, None]
 
     @property
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -1,10 +1,8 @@
-"""Members alone in virtual time: their state machines over a network of datagrams with loss, cuts
-and pauses.
+"""Members alone in virtual time: their state machines over datagrams with loss, cuts and pauses.
 
 For sizes at which whole nodes would take too long (400), and for the tests. The state machine and
-the codec
-are the program's; what they run in is here: one heap of events, a seeded draw, one-way cuts by
-pair.
+the codec are the program's; here are one heap of events, a seeded generator and one-way cuts by
+pair. Times in ms.
 """
 
 from __future__ import annotations
@@ -22,6 +20,8 @@
 
 
 class Net:
+    """Members `m0`, `m1`, ... on one simulated network. Times in ms."""
+
     def __init__(self, count: int, seed: int = 1, together: bool = True, seeds: int = 3) -> None:
         self.rng, self.now, self.codec = random.Random(seed), 0.0, Codec("lab")
         self.events: list[tuple[float, int, Callable[[], None]]] = []
@@ -41,9 +41,11 @@
             self.start(f"m{n}", 0.0 if together else n * 50.0)
 
     def address(self, name: str) -> Address:
+        """The address of a member."""
         return f"10.0.{int(name[1:]) >> 8}.{int(name[1:]) & 255}", 7000
 
     def name(self, address: Address) -> str:
+        """The member at an address."""
         a, b = address[0].split(".")[2:]
         return f"m{int(a) * 256 + int(b)}"
 
@@ -51,7 +53,10 @@
         """A new process under that name and address: it knows its seeds alone."""
         self.starts += 1
         chance = seeded_random(self.starts * 7919 + self.rng.randrange(1 << 30), "members")
-        tell = lambda text: self.logs.append((self.now, name, text))  # noqa: E731
+
+        def tell(text: str) -> None:
+            self.logs.append((self.now, name, text))
+
         self.down.discard(name)
         m = self.members[name] = Membership(
             self.now + after, name, self.address(name), self.seeds, chance, tell
@@ -59,10 +64,12 @@
         self.at(after, lambda: self.run(name, m))
 
     def at(self, after: float, call: Callable[[], None]) -> None:
+        """Schedule a call, `after` so many ms."""
         self.count += 1
         heapq.heappush(self.events, (self.now + after, self.count, call))
 
     def run(self, name: str, m: Membership) -> None:
+        """Let a member do what is due, and schedule its next turn."""
         if self.members.get(name) is not m or name in self.down:
             return
         until = self.stopped.get(name, 0.0)
@@ -75,6 +82,7 @@
         self.at(max(1.0, m.due - self.now), lambda: self.run(name, m))
 
     def flush(self, name: str, m: Membership) -> None:
+        """Send what a member has in its outbox."""
         for to, message in m.take_outbox():
             data = self.codec.write(message)
             self.bytes[name] = self.bytes.get(name, 0) + len(data) + 28
@@ -89,6 +97,7 @@
                 )
 
     def deliver(self, source: str, name: str, data: bytes) -> None:
+        """A datagram arrives; a stopped process reads it when it continues."""
         m = self.members.get(name)
         if m is None or name in self.down:
             return
@@ -100,6 +109,7 @@
         self.flush(name, m)
 
     def go(self, seconds: float) -> None:
+        """Let so many seconds pass."""
         end = self.now + seconds * 1000
         while self.events and self.events[0][0] <= end:
             self.now, _, call = heapq.heappop(self.events)
@@ -109,13 +119,16 @@
     # ---- faults
 
     def kill(self, names: Iterable[str]) -> None:
+        """Their processes die."""
         self.down.update(names)
 
     def stop(self, names: Iterable[str], seconds: float) -> None:
+        """Their processes are stopped for so long."""
         for name in names:
             self.stopped[name] = self.now + seconds * 1000
 
     def cuts(self, some: Iterable[str], others: Iterable[str], both: bool = True) -> None:
+        """Nothing passes from `some` to `others`, nor back where `both`."""
         others = list(others)
         for a in some:
             for b in others:
@@ -126,6 +139,7 @@
     # ---- what is so
 
     def up(self) -> list[str]:
+        """Members that run."""
         return [n for n in self.members if n not in self.down]
 
     def think(self, of: str, state: MemberState) -> list[str]:
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -43,6 +43,7 @@
         self.run, self.name = run, name
 
     def info(self, event: str, **values: object) -> None:
+        """Keep one log line; lines beyond the bound are dropped."""
         if len(self.run.logs) < 10000:
             what = f"{event}: {values['what']}" if "what" in values else event
             self.run.logs.append((self.run.now(), self.name, what))
@@ -53,7 +54,7 @@
 
     def __init__(self, run: NodeHost, name: str, address: str) -> None:
         self.run, self.name, self.address = run, name, address
-        self.machine = run.world.machine(address, descriptors=run.x.nodes.sockets)
+        self.machine = run.network.machine(address, descriptors=run.x.nodes.sockets)
         self.machine.event_cost = run.x.nodes.event_us / 1e6
         self.starts = self.reloads = 0
         self.node: SocketNode | None = None
@@ -66,6 +67,7 @@
         self.door = DOOR_PORT
 
     def start(self) -> None:
+        """Start a process with a configuration of now."""
         run, self.starts = self.run, self.starts + 1
         run.history.add(run.now(), "start", self.name)
         machine, self.door = self.machine, DOOR_PORT + self.starts - 1
@@ -80,8 +82,8 @@
                 shared_directory=run.folder.name,
                 process_id=process,
             )
-        world, self.counters = run.world, Counters()
-        clock = Clock(reactor, reactor.seconds, lambda: world.epoch + world.now)
+        network, self.counters = run.network, Counters()
+        clock = Clock(reactor, reactor.seconds, lambda: network.epoch + network.now)
         log = _Log(run, self.name)
         self.node = SocketNode(reactor, clock, told, self.counters, log, lambda: machine.used)
         if run.x.nodes.snapshot_s:
@@ -96,7 +98,7 @@
         self.node.start()
 
     @staticmethod
-    def _away(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:  # noqa: ANN401
+    def _away(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:
         # A disk that takes a moment: what is killed meanwhile has written nothing.
         reactor.callLater(DISK_S, lambda: then(failure_of(work)))
 
@@ -133,8 +135,8 @@
                 run.history.add(
                     run.now(), "call", self.name, what="late: a new process says no for 6 s"
                 )
-            run.world.at(
-                run.world.now + LOOK_S, None, self._when_ready, old, machine, counters, latest
+            run.network.at(
+                run.network.now + LOOK_S, None, self._when_ready, old, machine, counters, latest
             )
             return
 
@@ -144,11 +146,12 @@
                 run.counted(self, counters)
                 machine.kill()
 
-        machine.reactor.stopped = lambda: run.world.at(run.world.now, None, ended)
+        machine.reactor.stopped = lambda: run.network.at(run.network.now, None, ended)
         old.shut_down()
-        run.world.at(run.world.now + old.host.stream_timeout_ms / 1000 + ENDED_S, None, ended)
+        run.network.at(run.network.now + old.host.stream_timeout_ms / 1000 + ENDED_S, None, ended)
 
     def kill(self) -> None:
+        """Its process dies."""
         self.run.history.add(self.run.now(), "stop", self.name)
         self.run.counted(self, self.counters)
         self.machine.kill()
@@ -173,6 +176,7 @@
             self.node.shut_down()
 
     def at_door(self) -> tuple[str, int]:
+        """Where its admin port listens."""
         return self.address, self.door
 
     def call(self, line: str) -> str:
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -1,14 +1,10 @@
-"""An experiment on loopback in real time: every node, stand-in and relay a process of its own.
-
-Each node has a net of its own (127.10.x.x, 127.11.x.x, ...), in which relays stand for all that it
-meets:
-servers, the origin, discovery, its clients, the other nodes. So each link is in the lab's hands
-and the
-node's program is unchanged. A machine's nets are dealt out in blocks, so that several small runs,
-or a large
-one, fit beside one another. This process has the clients and the time line, and puts the histories
-of all
-together. A run in which the rig fell behind is void. Sources: the platform's protocol; signal(7).
+"""An experiment on loopback in real time: each node, fake server and relay is a process.
+
+Each node has a loopback network of its own (127.10.x.x, 127.11.x.x, ...), in which relays stand for
+all that it talks to: servers, the origin, discovery, its clients, the other nodes. So the testbed
+controls each link and the node's program is unchanged. Networks are allotted in blocks, so that
+several runs fit beside one another. This process has the clients and the time line, and merges the
+histories of all. A run in which the testbed fell behind is void. Sources: signal(7).
 """
 
 from __future__ import annotations
@@ -30,11 +26,11 @@
 from hookpitch.fakes.discovery import Listed
 from hookpitch.fakes.load_clients import Crowd
 from hookpitch.testbed.base_run import Ended
-from hookpitch.testbed.child import Line, LoopMonitor, witnessed
+from hookpitch.testbed.child import Line, LoopMonitor, recorded_events
 from hookpitch.testbed.experiment_schema import PROCESS_FAULTS, VIRTUAL_ONLY, Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Judge
-from hookpitch.testbed.links import Spoil, Spoils
+from hookpitch.testbed.links import Impairment, Impairments
 from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess, ProcessHost
 from hookpitch.testbed.rules import Rules, Violation
 
@@ -53,10 +49,10 @@
 CALL_S = 1.0
 
 
-class _WallWorld:
-    """What a happening asks of a world: the time since the start, and events at a time."""
+class _WallClock:
+    """What a happening asks of a network: the time since the start, and events at a time."""
 
-    def __init__(self, reactor: Any) -> None:  # noqa: ANN401
+    def __init__(self, reactor: Any) -> None:
         self.reactor, self.begun = reactor, reactor.seconds()
         self.epoch, self.faults = time.time(), list[str]()
 
@@ -74,13 +70,13 @@
     def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
         self.line, self.answered, self.got, self.over = line, answered, b"", False
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.transport.write(self.line.encode() + b"\n")
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         self.got += data
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.answered(self.got.startswith(b"YES"))
 
 
@@ -90,10 +86,10 @@
     def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
         self.line, self.answered = line, answered
 
-    def buildProtocol(self, addr: object) -> _Ask:  # noqa: N802
+    def buildProtocol(self, addr: object) -> _Ask:
         return _Ask(self.line, self.answered)
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         self.answered(False)
 
 
@@ -105,10 +101,10 @@
     def __init__(self, run: WallRun) -> None:
         self.run = run
 
-    def buildProtocol(self, addr: object) -> Line:  # noqa: N802
+    def buildProtocol(self, addr: object) -> Line:
         whose: list[Child] = []
 
-        def told(what: str, *args: Any) -> None:  # noqa: ANN401
+        def told(what: str, *args: Any) -> None:
             if what == "hello":
                 whose.append(self.run.children[args[0]])
             elif what == "ready":
@@ -139,8 +135,8 @@
         if x.nodes.count > NODES_MOST:
             raise ValueError(f"{x.name}: nodes.count: wants at most {NODES_MOST} on loopback")
         self.reactor, self.folder, self.tell = reactor, folder, tell
-        super().__init__(x, seed, _WallWorld(reactor))
-        self.begun, self.control = self.world.begun, str(folder / "control")
+        super().__init__(x, seed, _WallClock(reactor))
+        self.begun, self.control = self.network.begun, str(folder / "control")
         self.nets: dict[str, str] = {}  # by node
         self.own = ""  # the stand-ins' net
         self.nodes: dict[str, NodeProcess] = {}
@@ -151,7 +147,7 @@
         self.failed: list[str] = []  # why the run could not go on
         self.offset, self.over, self.closing = 0.0, False, False
         self._locks: list[Any] = []
-        self._spoils = Spoils()
+        self._impairments = Impairments()
         self._alone = self._on_their_own()
         self._excused: list[
             tuple[str, float, float]
@@ -350,12 +346,15 @@
         ]
 
     def dial(self, name: str) -> str:
+        """Where a server is dialled, for a network that is filled in later."""
         return f"{{net}}.{self.addresses[name]}:{CACHE_PORT}"
 
     def client_dial(self, node: NodeProcess) -> tuple[str, int]:
+        """The relay's address for a node's clients."""
         return f"{node.net}.3.1", NODE_PORT
 
     def add_server(self, name: str, cold: bool) -> None:
+        """Start a process for a new server, with links to all nodes."""
         self._place(name)
         child = self._standin(name, [name], cold)
         for node, relay in self.relays.items():
@@ -365,14 +364,15 @@
 
     # ---- what faults ask for
 
-    def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
+    def order(self, name: str, what: str, *args: Any) -> None:
+        """Send an order to the process of a fake server."""
         if name == "discovery":
             self._mirror(what, *args)
         child = self.home.get(name)
         if child is not None:
             child.order(name, what, *args)
 
-    def _mirror(self, what: str, *args: Any) -> None:  # noqa: ANN401
+    def _mirror(self, what: str, *args: Any) -> None:
         """What is ordered of discovery is known here, too: for nodes that start."""
         if what == "put":
             self.directory.put(Listed(*args))
@@ -384,6 +384,7 @@
             self.directory.restart()
 
     def kill(self, name: str) -> bool:
+        """Kill the process of a fake server."""
         child = self.home[name]
         if child.process is None or not child.ready:
             return False
@@ -393,6 +394,7 @@
         return True
 
     def begin(self, name: str) -> None:
+        """Start the process of a fake server."""
         child = self.home[name]
         if child.ready:
             return
@@ -410,9 +412,10 @@
             ways = [("clients", name), *((n, name) for n in peers if n != name)]
         else:
             ways = [(n, name) for n in self.nodes]
-        self.spoil(ways, "down", Spoil(refusing=True) if on else None)
+        self.impair(ways, "down", Impairment(refusing=True) if on else None)
 
     def stall(self, name: str, seconds: float) -> None:
+        """Stop a process; the relay or server it holds back is excused."""
         if name in self.nodes:
             self.nodes[name].stop(seconds)
             return
@@ -422,25 +425,30 @@
             return
         self._excused.append((child.name, self.now(), self.now() + seconds * 1000 + VOID_MS))
         process.stop()
-        self.world.at(self.world.now + seconds, None, process.go_on)
+        self.network.at(self.network.now + seconds, None, process.go_on)
 
     def vanish(self, name: str, gone: bool) -> None:
+        """Silence all links of a server."""
         ways = [way for n in self.nodes for way in ((n, name), (name, n))]
-        self.spoil(ways, "vanished", Spoil(silent=True, kept=False) if gone else None)
+        self.impair(ways, "vanished", Impairment(silent=True, kept=False) if gone else None)
         if not gone:
             self.sever(ways)
 
-    def spoil(self, ways: Iterable[tuple[str, str]], by: object, spoil: Spoil | None) -> None:
+    def impair(
+        self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
+    ) -> None:
+        """Have the relays impair directions."""
         for a, b in ways:
             state = (
-                self._spoils.lift((a, b), by)
-                if spoil is None
-                else self._spoils.put((a, b), by, spoil)
+                self._impairments.remove((a, b), by)
+                if impairment is None
+                else self._impairments.put((a, b), by, impairment)
             )
             for relay in dict.fromkeys(self.relays[name] for name in (a, b) if name in self.relays):
-                relay.order("spoil", a, b, msgspec.to_builtins(state))
+                relay.order("impair", a, b, msgspec.to_builtins(state))
 
     def sever(self, ways: Iterable[tuple[str, str]]) -> None:
+        """Have the relays reset connections."""
         for a, b in ways:
             for relay in dict.fromkeys(self.relays[name] for name in (a, b) if name in self.relays):
                 relay.order("sever", a, b)
@@ -450,6 +458,7 @@
         self.reactor.connectTCP(*door, _Asks(line, answered), timeout=CALL_S)
 
     def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
+        """Send an operator's call to a node."""
         self.ask(
             self.nodes[node].at_door(), line, lambda yes: self.called(node, line, yes, kind, what)
         )
@@ -465,7 +474,8 @@
 
     # ---- what the rig's processes tell
 
-    def told_by(self, child: Child, what: str, *args: Any) -> None:  # noqa: ANN401
+    def told_by(self, child: Child, what: str, *args: Any) -> None:
+        """Carry out what a child process asks for."""
         if what == "miss":
             self.home["origin"].order("origin", "miss", *args)
         elif what == "order":
@@ -476,10 +486,11 @@
             self._stop(f"{child.name}: {args[0]}")
 
     def lost(self, child: Child, line: Line) -> None:
+        """A control line has ended; the run is void where nobody asked for that."""
         asked = self.closing or child.process is None or child.process.asked
         if child.line is line and child.ready and not asked:
             child.ready = False
-            self.void.append(f"{child.name} died at {self.world.now - self.offset:.1f} s")
+            self.void.append(f"{child.name} died at {self.network.now - self.offset:.1f} s")
             self._stop("")
 
     def _stop(self, why: str) -> None:
@@ -518,12 +529,12 @@
         return worst
 
     def run(self) -> Ended:
+        """Run the whole experiment and judge it; ValueError where it could not be run."""
         begun = time.perf_counter()
         try:
             self.build()
-            self._up(self.world.now + READY_S)
-            # Danger: a run that is interrupted closes its lines, and none of its processes has
-            # died.
+            self._up(self.network.now + READY_S)
+            # A run that is interrupted closes its lines itself: none of its processes has died.
             self.reactor.addSystemEventTrigger("before", "shutdown", setattr, self, "closing", True)
             self.reactor.run()
             if self.failed or not self.over:
@@ -561,23 +572,23 @@
         self._begin()
 
     def _wait(self, until: float, call: Callable[[float], None], why: str) -> None:
-        if self.world.now > until:
+        if self.network.now > until:
             self._stop(why)
         else:
             self.reactor.callLater(0.05, call, until)
 
     def _begin(self) -> None:
-        x, at = self.x, self.world.now
+        x, at = self.x, self.network.now
         self.offset = at
-        self.world.at(at + BEFORE_S, None, self.crowd.start)
+        self.network.at(at + BEFORE_S, None, self.crowd.start)
         schedule_faults(self, at)
-        self.world.at(at + x.seconds, None, self.crowd.stop)
-        self.world.at(at + x.seconds + self.span(), None, self._leave)
+        self.network.at(at + x.seconds, None, self.crowd.stop)
+        self.network.at(at + x.seconds + self.span(), None, self._leave)
         if self.tell is not None:
             self._progress()
 
     def _progress(self) -> None:
-        now = self.world.now - self.offset
+        now = self.network.now - self.offset
         self.tell(f"{now:5.1f} s of {self.x.seconds + self.span():g}, {self.crowd.count} RPCs")
         self.reactor.callLater(1.0, self._progress)
 
@@ -589,13 +600,13 @@
                     process.go_on()
             if node.node is not None:
                 if not node.process.running and not node.process.asked:
-                    self.world.faults.append(f"{node.name} ended by itself")
+                    self.network.faults.append(f"{node.name} ended by itself")
                 node.leave()
-        self._gone(self.world.now + self.span() + LEFT_S)
+        self._gone(self.network.now + self.span() + LEFT_S)
 
     def _gone(self, until: float) -> None:
         """Nodes that leave have their time; what they counted is told at their end."""
-        if self.world.now > until or not any(
+        if self.network.now > until or not any(
             n.process.running for n in self.nodes.values() if n.process
         ):
             self._stop("")
@@ -605,7 +616,7 @@
     def _ended(self, begun: float) -> Ended:
         offset = self.offset * 1000
         for name in self.children:
-            self.history.events += witnessed(self.folder / f"{name}.history")
+            self.history.events += recorded_events(self.folder / f"{name}.history")
         events = [e._replace(at=e.at - offset) for e in self.history.events]
         self._excused = [(who, a - offset, b - offset) for who, a, b in self._excused]
         self.history.events[:] = _with_deaths(sorted(events, key=lambda e: e.at))
@@ -634,7 +645,7 @@
             stamp = datetime.fromisoformat(
                 line.get("timestamp", "1970-01-01T00:00:00+00:00")
             ).timestamp()
-            at = 1000 * (stamp - self.world.epoch - self.offset)
+            at = 1000 * (stamp - self.network.epoch - self.offset)
             self.logs.append(
                 (at, node.name, f"{event}: {line['what']}" if "what" in line else event)
             )
@@ -644,7 +655,7 @@
                     if name not in plain:
                         mine[name] = mine.get(name, 0) + count
             elif event == "fault":
-                self.world.faults.append(f"{node.name}: {line.get('text', '')[-300:]}")
+                self.network.faults.append(f"{node.name}: {line.get('text', '')[-300:]}")
 
 
 def _with_deaths(events: list[Any]) -> list[Any]:
@@ -707,7 +718,7 @@
                 tell(f"a node's file: {post}")
             up = f"{len(run.addresses)} cache servers, the origin and discovery are up"
             tell(f"{up}; a node: {told['listen']}")
-            schedule_faults(run, run.world.now)
+            schedule_faults(run, run.network.now)
 
         try:
             run.build()
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -1,9 +1,7 @@
-"""The processes of a run on loopback: nodes, relays and stand-ins, started, stopped, killed and
-ended.
+"""The processes of a run on loopback: nodes, relays and fake servers, from start to end.
 
 Every process dies with the one that started it, however that one ends (prctl(2),
-PR_SET_PDEATHSIG), and is
-ended by its own number alone.
+PR_SET_PDEATHSIG), and is ended by its own process id alone.
 """
 
 from __future__ import annotations
@@ -56,22 +54,27 @@
 
     @property
     def running(self) -> bool:
+        """Whether it has not ended."""
         return self.popen.poll() is None
 
     def signal(self, number: int) -> None:
+        """Send a signal, if it runs."""
         if self.running:
             self.popen.send_signal(number)
 
     def stop(self) -> None:
+        """Stop it; stops add up."""
         self.stopped += 1
         self.signal(signal.SIGSTOP)
 
     def go_on(self) -> None:
+        """Take one stop back."""
         self.stopped -= 1
         if self.stopped == 0:
             self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
+        """Kill it and wait for its end."""
         self.asked = True
         if self.running:
             self.popen.kill()
@@ -121,6 +124,7 @@
         self.then: list[Callable[[], None]] = []  # to be done once it is
 
     def start(self) -> None:
+        """Start a process of it."""
         run, self.starts = self.run, self.starts + 1
         top = self.given() | {
             "name": self.name,
@@ -135,21 +139,24 @@
         self.process = Process(words, run.folder / f"{self.name}.log", {})
 
     def is_ready(self, line: Line) -> None:
+        """Its control line is up: send what waited."""
         self.line, self.ready = line, True
         for words in self.orders:
-            line.say(*words)
+            line.send(*words)
         self.orders.clear()
         for call in self.then:
             call()
         self.then.clear()
 
-    def order(self, *words: Any) -> None:  # noqa: ANN401
+    def order(self, *words: Any) -> None:
+        """Send an order, now or once it is ready."""
         if self.ready and self.line is not None:
-            self.line.say(*words)
+            self.line.send(*words)
         else:
             self.orders.append(words)
 
     def kill(self) -> None:
+        """Kill its process."""
         self.ready, self.line = False, None
         if self.process is not None:
             self.process.kill()
@@ -173,9 +180,11 @@
             self.held.listen(4096)
 
     def at_door(self) -> tuple[str, int]:
+        """Where its admin port listens."""
         return self.address, DOOR_PORT + self.starts
 
     def start(self) -> None:
+        """Start a process with a configuration of now."""
         run, self.starts = self.run, self.starts + 1
         path = run.folder / f"{self.name}.json"
         path.write_text(json.dumps(self.told()))
@@ -236,6 +245,7 @@
                 process.signal(signal.SIGHUP)
 
     def kill(self) -> None:
+        """Kill its process."""
         if self.process is not None and self.node is not None:
             self.run.history.add(self.run.now(), "stop", self.name)
             self.run.refuse(self.name, True)
@@ -243,15 +253,17 @@
         self.node = None
 
     def leave(self) -> None:
+        """SIGTERM."""
         if self.process is not None:
             self.process.asked = True
             self.process.signal(signal.SIGTERM)
 
     def stop(self, seconds: float) -> None:
+        """Stop its process for so many seconds."""
         process = self.process
         if process is not None:
             process.stop()
-            self.run.world.at(self.run.world.now + seconds, None, process.go_on)
+            self.run.network.at(self.run.network.now + seconds, None, process.go_on)
 
     def upgrade(self) -> None:
         """A second process beside the first, which gets SIGTERM once the new one says yes."""
@@ -271,12 +283,12 @@
                         run.now(), "call", self.name, what="late: a new process says no for 6 s"
                     )
                     return
-                run.world.at(run.world.now + LOOK_S, None, self._when_yes, old, latest)
+                run.network.at(run.network.now + LOOK_S, None, self._when_yes, old, latest)
                 return
             old.asked = True
             old.signal(signal.SIGTERM)
             longest = max(m.hard_ms for m in run.x.method) / 1000
-            run.world.at(run.world.now + longest + ENDED_S, None, self._ended, old)
+            run.network.at(run.network.now + longest + ENDED_S, None, self._ended, old)
 
         run.ask(self.at_door(), "STATUS", answered)
 
@@ -293,10 +305,11 @@
         self.start()
         second = self.process
         self.process = first
-        self.run.world.at(self.run.world.now + LOOK_S, None, second.kill)
+        self.run.network.at(self.run.network.now + LOOK_S, None, second.kill)
         self.starts = starts
 
     def end(self) -> None:
+        """No process of it is left."""
         for process in (self.process, self.elder):
             if process is not None:
                 process.kill()
@@ -304,10 +317,11 @@
             self.held.close()
 
     def lines(self) -> list[dict[str, Any]]:
+        """Its log's lines; what is no JSON is a fault."""
         found = []
         for line in self.log.read_text().splitlines() if self.log.exists() else ():
             with suppress(ValueError):
                 found.append(json.loads(line))
                 continue
-            self.run.world.faults.append(f"{self.name}: {line[:200]}")
+            self.run.network.faults.append(f"{self.name}: {line[:200]}")
         return found
--- a/hookpitch/testbed/reactor.py
+++ b/hookpitch/testbed/reactor.py
@@ -1,9 +1,8 @@
 """What the programs of a machine in virtual time are given in place of Twisted's reactor.
 
-`Reactor` is `IReactorTime` and the parts of `IReactorTCP` and `IReactorUDP` that they use; a
-`Port` is a
-process's hold on a listening socket, a `Connector` one dial, a `DatagramPort` a socket for
-datagrams.
+`Reactor` is `IReactorTime` and the parts of `IReactorTCP` and `IReactorUDP` that they use; a `Port`
+is a process's hold on a listening socket, a `Connector` one dial, a `DatagramPort` a socket for
+datagrams. Times in seconds.
 
 Sources: Twisted's interfaces; listen(2), socket(7) and udp(7) of Linux.
 """
@@ -28,7 +27,7 @@
 from twisted.python.failure import Failure
 
 from hookpitch.testbed.interfaces import DelayedCall, Machine, Network
-from hookpitch.testbed.simulated_tcp import End, pair
+from hookpitch.testbed.simulated_tcp import Endpoint, pair
 
 DATAGRAMS = 1 << 18  # bytes of them that wait at a socket; what comes beyond is lost
 DATAGRAM_MOST = 65507  # bytes
@@ -38,34 +37,39 @@
     """`IReactorTime` and the used part of `IReactorTCP` for the programs of one machine."""
 
     def __init__(self, machine: Machine) -> None:
-        self.machine, self.world, self.running = machine, machine.world, True
+        self.machine, self.network, self.running = machine, machine.network, True
 
     def seconds(self) -> float:
-        return self.world.now
+        """The time, in seconds."""
+        return self.network.now
 
     def callLater(
         self, delay: float, func: Callable[..., object], *args: Any, **kw: Any
-    ) -> DelayedCall:  # noqa: ANN401, N802
-        return self.world.at(self.world.now + max(0.0, delay), self.machine, func, *args, **kw)
+    ) -> DelayedCall:
+        """Schedule a call for this machine's process."""
+        return self.network.at(self.network.now + max(0.0, delay), self.machine, func, *args, **kw)
 
-    def callFromThread(self, func: Callable[..., object], *args: Any, **kw: Any) -> None:  # noqa: ANN401, N802
+    def callFromThread(self, func: Callable[..., object], *args: Any, **kw: Any) -> None:
+        """Schedule a call for now."""
         self.callLater(0, func, *args, **kw)
 
-    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:  # noqa: ANN401, N802
+    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:
+        """Listen; CannotListenError where the port is taken."""
         if port == 0:
             port = self.machine.port()
         if port in self.machine.listeners:
             raise CannotListenError(interface, port, OSError(errno.EADDRINUSE, "address in use"))
-        listening = self.machine.listeners[port] = Listening(self.world, port, backlog)
+        listening = self.machine.listeners[port] = Listening(self.network, port, backlog)
         return Port(self.machine, listening, factory)
 
-    def listenUDP(  # noqa: N802
+    def listenUDP(
         self,
         port: int,
         protocol: Any,
         interface: str = "",
-        maxPacketSize: int = 8192,  # noqa: ANN401, N803
+        maxPacketSize: int = 8192,  # noqa: N803 - Twisted's name
     ) -> DatagramPort:
+        """Bind a datagram socket; CannotListenError where the port is taken."""
         if port == 0:
             port = self.machine.port()
         if port in self.machine.sockets:
@@ -76,7 +80,8 @@
         protocol.makeConnection(made)
         return made
 
-    def adoptStreamPort(self, fileno: int, family: int, factory: Any) -> Port:  # noqa: ANN401, N802
+    def adoptStreamPort(self, fileno: int, family: int, factory: Any) -> Port:
+        """Accept at a listening socket that was handed down."""
         return Port(self.machine, self.machine.handed[fileno], factory)
 
     def connectTCP(
@@ -84,14 +89,16 @@
         host: str,
         port: int,
         factory: Any,
-        timeout: float | None = 30,  # noqa: ANN401, N802
-        bindAddress: object = None,
-    ) -> Connector:  # noqa: N803
+        timeout: float | None = 30,
+        bindAddress: object = None,  # noqa: N803 - Twisted's name
+    ) -> Connector:
+        """Dial."""
         connector = Connector(self.machine, host, port, factory, timeout)
         connector.connect()
         return connector
 
     def stop(self) -> None:
+        """The process ends by itself."""
         self.running = False
         self.machine.running = False
         if self.stopped is not None:
@@ -99,7 +106,8 @@
 
     stopped: Callable[[], None] | None = None  # told when the process ends by itself
 
-    def addSystemEventTrigger(self, *args: object) -> None:  # noqa: N802
+    def addSystemEventTrigger(self, *args: object) -> None:
+        """Nothing: a simulated process has no shutdown of its own."""
         pass
 
 
@@ -107,35 +115,37 @@
     """A listening socket in the kernel: what it has accepted waits for one of the processes that
     hold it."""
 
-    def __init__(self, world: Network, port: int, backlog: int, kept: bool = False) -> None:
+    def __init__(self, network: Network, port: int, backlog: int, kept: bool = False) -> None:
         """`kept`: somebody holds it beside the processes that read it, so it outlasts them."""
-        self.world, self.port, self.backlog, self.kept = world, port, backlog, kept
-        self.line: deque[End] = deque()
+        self.network, self.port, self.backlog, self.kept = network, port, backlog, kept
+        self.line: deque[Endpoint] = deque()
         self.ports: list[Port] = []
 
-    def arrived(self, end: End) -> None:
-        end.machine.ends.pop(end)  # no process's descriptor yet
+    def arrived(self, end: Endpoint) -> None:
+        """A connection was accepted by the kernel."""
+        end.machine.endpoints.pop(end)  # no process's descriptor yet
         self.line.append(end)
         for port in self.ports:  # all wake, the first takes it
-            self.world.at(self.world.now, port.machine, port.doRead)
+            self.network.at(self.network.now, port.machine, port.doRead)
 
 
 class Port:
     """A process's hold on a listening socket."""
 
-    def __init__(self, machine: Machine, listening: Listening, factory: Any) -> None:  # noqa: ANN401
+    def __init__(self, machine: Machine, listening: Listening, factory: Any) -> None:
         self.machine, self.listening, self.factory = machine, listening, factory
         self.sessionno = 0
         machine.ports[self] = None
         listening.ports.append(self)
         for _ in listening.line:  # accepted while nobody read
-            machine.world.at(machine.world.now, machine, self.doRead)
+            machine.network.at(machine.network.now, machine, self.doRead)
         factory.doStart()
 
-    def getHost(self) -> IPv4Address:  # noqa: N802
+    def getHost(self) -> IPv4Address:
+        """The address it is bound to."""
         return IPv4Address("TCP", self.machine.address, self.listening.port)
 
-    def doRead(self) -> None:  # noqa: N802
+    def doRead(self) -> None:
         """Take one connection that the kernel has accepted."""
         line, machine = self.listening.line, self.machine
         if not line or self not in machine.ports:
@@ -144,7 +154,7 @@
         if end.over:
             return
         end.machine = machine
-        machine.ends[end] = None
+        machine.endpoints[end] = None
         self.sessionno += 1
         if machine.held > machine.descriptors:
             end.drop(reset=False)  # Twisted's way out of EMFILE: accept and close
@@ -165,7 +175,8 @@
             while listening.line:
                 listening.line.popleft().drop(reset=True)
 
-    def stopListening(self) -> None:  # noqa: N802
+    def stopListening(self) -> None:
+        """Close it."""
         if self in self.machine.ports:
             self.close()
             self.factory.doStop()
@@ -174,25 +185,27 @@
 class DatagramPort:
     """A socket for datagrams: Twisted's `IUDPTransport`. What comes unread waits, up to a bound."""
 
-    def __init__(self, machine: Machine, port: int, protocol: Any, most: int) -> None:  # noqa: ANN401
+    def __init__(self, machine: Machine, port: int, protocol: Any, most: int) -> None:
         self.machine, self.port, self.protocol, self.most = machine, port, protocol, most
         self.kernel: deque[tuple[bytes, tuple[str, int]]] = deque()
         self.unread = self.overrun = 0
 
-    def getHost(self) -> IPv4Address:  # noqa: N802
+    def getHost(self) -> IPv4Address:
+        """The address it is bound to."""
         return IPv4Address("UDP", self.machine.address, self.port)
 
     def write(self, data: bytes, addr: tuple[str, int] | None = None) -> None:
+        """Send one datagram; OSError where it cannot be sent."""
         if addr is None or len(data) > DATAGRAM_MOST:
             raise OSError(errno.EMSGSIZE if addr else errno.EDESTADDRREQ, "cannot be sent")
-        world, here, (host, port) = self.machine.world, (self.machine.address, self.port), addr
+        network, here, (host, port) = self.machine.network, (self.machine.address, self.port), addr
 
         def arrive() -> None:
-            there = world.machines[host].sockets.get(port)
+            there = network.machines[host].sockets.get(port)
             if there is not None:
                 there.arrived(bytes(data), here)
 
-        world.datagram(self.machine.address, host, len(data) + 28, arrive)
+        network.datagram(self.machine.address, host, len(data) + 28, arrive)
 
     def arrived(self, data: bytes, whence: tuple[str, int]) -> None:
         """It has come to this machine's kernel."""
@@ -201,7 +214,7 @@
             return
         self.kernel.append((data[: self.most], whence))
         self.unread += len(data)
-        self.machine.world.at(self.machine.world.now, self.machine, self._read)
+        self.machine.network.at(self.machine.network.now, self.machine, self._read)
 
     def _read(self) -> None:
         if self.kernel and self.protocol is not None:
@@ -210,10 +223,12 @@
             self.protocol.datagramReceived(data, whence)
 
     def close(self) -> None:
+        """Close it; what it held is lost."""
         self.machine.sockets.pop(self.port, None)
         self.protocol = None
 
-    def stopListening(self) -> Deferred[None]:  # noqa: N802
+    def stopListening(self) -> Deferred[None]:
+        """Close it."""
         protocol = self.protocol
         if protocol is not None:
             self.close()
@@ -226,7 +241,7 @@
 
     def __init__(
         self, machine: Machine, host: str, port: int, factory: Any, timeout: float | None
-    ) -> None:  # noqa: ANN401
+    ) -> None:
         self.machine, self.host, self.port, self.factory, self.timeout = (
             machine,
             host,
@@ -234,59 +249,63 @@
             factory,
             timeout,
         )
-        self.end: End | None = None
+        self.end: Endpoint | None = None
         self.over = False
         self._timer: DelayedCall | None = None
 
-    def getDestination(self) -> IPv4Address:  # noqa: N802
+    def getDestination(self) -> IPv4Address:
+        """The address it dials."""
         return IPv4Address("TCP", self.host, self.port)
 
     def connect(self) -> None:
-        machine, world = self.machine, self.machine.world
+        """Begin the dial."""
+        machine, network = self.machine, self.machine.network
         self.factory.doStart()
         self.factory.startedConnecting(self)
         if machine.held >= machine.descriptors:
             fault = ConnectBindError(errno.EMFILE, "too many open files")
-            world.at(world.now, machine, self.failed, fault)
+            network.at(network.now, machine, self.failed, fault)
             return
         machine.dials[self] = None
         if self.timeout is not None:
-            self._timer = world.at(world.now + self.timeout, machine, self.failed, TimeoutError())
-        world.send(machine.address, self.host, 60, self._knock)
+            self._timer = network.at(
+                network.now + self.timeout, machine, self.failed, TimeoutError()
+            )
+        network.send(machine.address, self.host, 60, self._knock)
 
     def _knock(self) -> None:
         """The first packet has come to the other machine, seen by its kernel alone."""
         if self.over:
             return
-        world, there = self.machine.world, self.machine.world.machines.get(self.host)
+        network, there = self.machine.network, self.machine.network.machines.get(self.host)
         if there is None or not there.present:
             return  # nobody answers
         port = there.listeners.get(self.port)
-        spoil = world.link(self.machine.address, self.host).spoil
-        if spoil.deaf:
+        impairment = network.link(self.machine.address, self.host).impairment
+        if impairment.deaf:
             return
-        if port is None or spoil.refusing:
-            world.send(self.host, self.machine.address, 60, self._refused)
+        if port is None or impairment.refusing:
+            network.send(self.host, self.machine.address, 60, self._refused)
             return
         if len(port.line) >= port.backlog:
             return  # the kernel drops it
         near, far = pair(self.machine, there, self.port)
         port.arrived(far)
-        world.send(self.host, self.machine.address, 60, lambda: self._up(near))
+        network.send(self.host, self.machine.address, 60, lambda: self._up(near))
 
     def _refused(self) -> None:
-        self.machine.world.at(
-            self.machine.world.now, self.machine, self.failed, ConnectionRefusedError()
+        self.machine.network.at(
+            self.machine.network.now, self.machine, self.failed, ConnectionRefusedError()
         )
 
-    def _up(self, near: End) -> None:
+    def _up(self, near: Endpoint) -> None:
         if self.over or not self.machine.present:
             near.drop(reset=True)
             return
         self.end = near
-        self.machine.world.at(self.machine.world.now, self.machine, self._made, near)
+        self.machine.network.at(self.machine.network.now, self.machine, self._made, near)
 
-    def _made(self, near: End) -> None:
+    def _made(self, near: Endpoint) -> None:
         if self.over:
             near.drop(reset=True)
             return
@@ -308,17 +327,19 @@
             self._timer.cancel()
 
     def failed(self, fault: Exception) -> None:
+        """The dial has failed, unless it is over."""
         if not self.over:
             self._finish()
             self.factory.clientConnectionFailed(self, Failure(fault))
 
     def disconnect(self) -> None:
+        """Give up the dial, or close its connection."""
         if self.end is not None and self.over:
             self.end.loseConnection()
         else:
             self.failed(UserError())
 
-    stopConnecting = disconnect  # noqa: N815
+    stopConnecting = disconnect  # noqa: N815 - Twisted's name
 
     def forget(self) -> None:
         """Its process is no more."""
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -1,19 +1,16 @@
-"""Every link of a run on loopback goes through a relay, a process of its own: delays, loss, cuts,
-dead dials.
+"""A relay process carries every link of a run on loopback and impairs it: delay, loss, cuts.
 
 A TCP link has an address at which it is dialled and one to which it is carried; each connection is
-two
-sides and two flows, and each flow obeys its direction's `Spoil` (`lab/links.py`). What a cut holds
-back
-stands in a bounded buffer and then in the kernels, as on a network. A dial that never comes up is
-one that
-the kernel drops: the listening socket's line is kept full. Datagrams go between pairs of sockets.
-
-Invariants: bytes of a direction come in order, whole or not at all; a reset discards what was
-under way;
-`closed` is told when a node's end of a connection ends, under the port at which the server sees it.
-
-Sources: tcp(7), listen(2) of Linux (a full line drops SYNs); RFC 9293.
+two sides and two flows, and each flow obeys its direction's `Impairment` (`links.py`). What a cut
+holds back stays in a bounded buffer and then in the kernels, as on a network. A dial that is never
+answered is one that the kernel drops: the listening socket's backlog is kept full. Datagrams go
+between pairs of sockets.
+
+Invariants: bytes of a direction come in order, whole or not at all; a reset discards what is in
+flight; `closed` is recorded when a node's end of a connection ends, under the port at which the
+server sees it.
+
+Sources: tcp(7), listen(2) of Linux (a full backlog drops SYNs); RFC 9293.
 """
 
 from __future__ import annotations
@@ -38,8 +35,8 @@
 from zope.interface import implementer
 
 from hookpitch.fakes.history import History
-from hookpitch.testbed.child import Line, Witness, run_child
-from hookpitch.testbed.links import AGAIN_MOST, AGAIN_MS, CLEAN, FAR, Spoil
+from hookpitch.testbed.child import EventRecorder, Line, run_child
+from hookpitch.testbed.links import CLEAN, MOST_RETRANSMITS, RETRANSMIT_MS, UNLIMITED, Impairment
 
 HELD = 1 << 18  # bytes of a flow that are under way; what is more waits in the kernels
 BACKLOG = 4096
@@ -53,10 +50,10 @@
 class Way:
     """One direction between two parties."""
 
-    __slots__ = ("a", "b", "spoil", "free_at", "flows")
+    __slots__ = ("a", "b", "impairment", "free_at", "flows")
 
     def __init__(self, a: str, b: str) -> None:
-        self.a, self.b, self.spoil, self.free_at = a, b, CLEAN, 0.0
+        self.a, self.b, self.impairment, self.free_at = a, b, CLEAN, 0.0
         self.flows: dict[Flow, None] = {}
 
 
@@ -87,37 +84,38 @@
         way.flows[self] = None
 
     def came(self, data: bytes | None) -> None:
-        spoil, now = self.way.spoil, self.relay.reactor.seconds()
-        if spoil is CLEAN and not self.queue and self.sink.transport is not None:
+        """Take bytes that the source has read; None: the end."""
+        impairment, now = self.way.impairment, self.relay.reactor.seconds()
+        if impairment is CLEAN and not self.queue and self.sink.transport is not None:
             self._write(data)
             return
-        if spoil.silent and not spoil.kept:
+        if impairment.silent and not impairment.kept:
             self.torn = True
             return
-        self.last = due = max(self.last, now + self._takes(spoil, now, len(data or b"")))
+        self.last = due = max(self.last, now + self._takes(impairment, now, len(data or b"")))
         self.queue.append((due, data))
         self.size += len(data or b"")
         self._gate()
         self.pump()
 
-    def _takes(self, spoil: Spoil, now: float, size: int) -> float:
+    def _takes(self, impairment: Impairment, now: float, size: int) -> float:
         """Seconds that it is on its way."""
         chance, way = self.relay.chance, self.way
-        takes = spoil.delay_ms / 1000 + (
-            chance.random() * spoil.jitter_ms / 1000 if spoil.jitter_ms else 0.0
+        takes = impairment.delay_ms / 1000 + (
+            chance.random() * impairment.jitter_ms / 1000 if impairment.jitter_ms else 0.0
         )
-        if spoil.bandwidth < FAR:
-            way.free_at = max(now, way.free_at) + (size + 40) / spoil.bandwidth
+        if impairment.bandwidth < UNLIMITED:
+            way.free_at = max(now, way.free_at) + (size + 40) / impairment.bandwidth
             takes += way.free_at - now
-        for n in range(AGAIN_MOST if spoil.loss else 0):
-            if chance.random() >= spoil.loss:
+        for n in range(MOST_RETRANSMITS if impairment.loss else 0):
+            if chance.random() >= impairment.loss:
                 break
-            takes += AGAIN_MS / 1000 * 2**n
+            takes += RETRANSMIT_MS / 1000 * 2**n
         return takes
 
     def pump(self) -> None:
         """Pass on what is due; a cut lets nothing through."""
-        if self.over or self.sink.transport is None or self.way.spoil.silent:
+        if self.over or self.sink.transport is None or self.way.impairment.silent:
             return
         now = self.relay.reactor.seconds()
         while self.queue and self.queue[0][0] <= now + 1e-6:
@@ -140,7 +138,7 @@
         if shut == self.shut or self.source.transport is None or self.over:
             return
         self.shut = shut
-        # Danger: a socket whose end was read is readable for ever, and read again would spin.
+        # A socket whose end was read stays readable: reading it again would spin.
         if shut:
             self.source.transport.pauseProducing()
         elif not self.source.ended:
@@ -148,18 +146,22 @@
 
     # What the sink's transport tells of its buffer.
 
-    def pauseProducing(self) -> None:  # noqa: N802
+    def pauseProducing(self) -> None:
+        """The sink's buffer is full."""
         self.full = True
         self._gate()
 
-    def resumeProducing(self) -> None:  # noqa: N802
+    def resumeProducing(self) -> None:
+        """The sink's buffer has room."""
         self.full = False
         self._gate()
 
-    def stopProducing(self) -> None:  # noqa: N802
+    def stopProducing(self) -> None:
+        """The sink is closed; its side reports that."""
         pass
 
     def end(self) -> None:
+        """Drop what is under way."""
         self.over = True
         self.queue.clear()
         self.way.flows.pop(self, None)
@@ -179,26 +181,31 @@
     transport: Any = None
     out: Flow | None
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
+        """The socket is open."""
         self.transport.setTcpNoDelay(True)
         if self.back is not None:
             self.transport.registerProducer(self.back, True)
         self.pair.made(self)
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
+        """Bytes were read."""
         if self.out is not None and not self.out.over:
             self.out.came(data)
 
-    def readConnectionLost(self) -> None:  # noqa: N802
+    def readConnectionLost(self) -> None:
+        """The peer's end was read."""
         self.ended = True
         self.pair.ending(self)
         if self.out is not None and not self.out.over:
             self.out.came(None)
 
-    def writeConnectionLost(self) -> None:  # noqa: N802
+    def writeConnectionLost(self) -> None:
+        """Nothing: the other side's end was written."""
         pass
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """The socket is closed."""
         self.ended = self.lost = True
         self.pair.ending(self)
         self.pair.gone(self, reason.check(ConnectionDone) is None)
@@ -221,6 +228,7 @@
         self.reset_from: Side | None = None  # a reset that a cut keeps from the other side
 
     def made(self, side: Side) -> None:
+        """One side's socket is open."""
         if side is self.near:
             self.client_port = side.transport.getPeer().port
             self.relay.dial(self)
@@ -252,7 +260,9 @@
             if other.lost:
                 self.end()
             return
-        if side.out.way.spoil.silent:  # the reset is lost; what the other side sends meets nobody
+        if (
+            side.out.way.impairment.silent
+        ):  # the reset is lost; what the other side sends meets nobody
             side.out.queue.clear()
             self.reset_from = side
             return
@@ -263,9 +273,9 @@
         if self.over:
             return
         torn = any(
-            flow.torn and not flow.way.spoil.silent for flow in (self.near.out, self.far.out)
+            flow.torn and not flow.way.impairment.silent for flow in (self.near.out, self.far.out)
         )
-        if torn or (self.reset_from is not None and not self.reset_from.out.way.spoil.silent):
+        if torn or (self.reset_from is not None and not self.reset_from.out.way.impairment.silent):
             self.end()
             return
         self.near.out.pump()
@@ -301,7 +311,8 @@
         self.mode = "shut"
         self.changed()
 
-    def buildProtocol(self, addr: Any) -> Side | None:  # noqa: ANN401, N802
+    def buildProtocol(self, addr: Any) -> Side | None:
+        """Accept a connection; the plugs of a full backlog are none."""
         if (addr.host, addr.port) in self.plugs:
             return None
         pair = Pair(self)
@@ -310,7 +321,7 @@
 
     def changed(self) -> None:
         """A direction's state is another: how are dials met now, and what may go on?"""
-        there, back = self.there.spoil, self.back.spoil
+        there, back = self.there.impairment, self.back.impairment
         mode = "shut" if there.refusing else "open"
         if there.deaf or there.silent or back.silent:
             mode = "deaf"
@@ -345,6 +356,7 @@
                 self.plugs[plug.getsockname()[:2]] = plug
 
     def sever(self) -> None:
+        """Reset all its connections."""
         if self.a == "clients" or self.b == "clients":
             for pair in self.pairs:
                 self.relay.tell("unread", self.b, port=pair.client_port)
@@ -358,10 +370,10 @@
     def __init__(self, relay: Relay, pair: Pair) -> None:
         self.relay, self.pair = relay, pair
 
-    def buildProtocol(self, addr: object) -> Side:  # noqa: N802
+    def buildProtocol(self, addr: object) -> Side:
         return self.pair.far
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         if reason.check(ConnectBindError) is not None and not self.pair.over:
             self.relay.dial(self.pair)  # the port is still in use; the next one
         else:
@@ -375,17 +387,22 @@
         self.relay, self.way, self.to = relay, relay.way(a, b), to
         self.other: Datagrams | None = None
 
-    def datagramReceived(self, data: bytes, addr: object) -> None:  # noqa: N802
-        spoil, relay, chance = self.way.spoil, self.relay, self.relay.chance
-        if spoil.silent or (spoil.loss and chance.random() < spoil.loss):
+    def datagramReceived(self, data: bytes, addr: object) -> None:
+        """Pass a datagram on, as its direction's state has it."""
+        impairment, relay, chance = self.way.impairment, self.relay, self.relay.chance
+        if impairment.silent or (impairment.loss and chance.random() < impairment.loss):
             return
-        for _ in range(2 if spoil.repeat and chance.random() < spoil.repeat else 1):
-            takes = spoil.delay_ms + (chance.random() * spoil.jitter_ms if spoil.jitter_ms else 0.0)
-            if spoil.reorder and chance.random() < spoil.reorder:
-                takes += 2 * spoil.delay_ms + 5.0
-            if spoil.bandwidth < FAR:
+        for _ in range(2 if impairment.repeat and chance.random() < impairment.repeat else 1):
+            takes = impairment.delay_ms + (
+                chance.random() * impairment.jitter_ms if impairment.jitter_ms else 0.0
+            )
+            if impairment.reorder and chance.random() < impairment.reorder:
+                takes += 2 * impairment.delay_ms + 5.0
+            if impairment.bandwidth < UNLIMITED:
                 now = relay.reactor.seconds()
-                self.way.free_at = max(now, self.way.free_at) + (len(data) + 28) / spoil.bandwidth
+                self.way.free_at = (
+                    max(now, self.way.free_at) + (len(data) + 28) / impairment.bandwidth
+                )
                 takes += (self.way.free_at - now) * 1000
             if takes:
                 relay.reactor.callLater(takes / 1000, self.pass_on, data)
@@ -393,8 +410,9 @@
                 self.pass_on(data)
 
     def pass_on(self, data: bytes) -> None:
+        """Write the datagram where the other node receives it."""
         if (
-            not self.way.spoil.silent
+            not self.way.impairment.silent
             and self.other is not None
             and self.other.transport is not None
         ):
@@ -406,7 +424,7 @@
 
     def __init__(
         self, reactor: Any, history: History, begun: float, nodes: list[str], seed: int
-    ) -> None:  # noqa: ANN401
+    ) -> None:
         """`begun`: the run's start on the reactor's clock, in seconds."""
         self.reactor, self.history, self.begun = reactor, history, begun
         self.nodes, self.chance = frozenset(nodes), random.Random(seed)
@@ -415,9 +433,11 @@
         self._ports: dict[str, int] = {}
 
     def tell(self, kind: str, who: str, port: int) -> None:
+        """Record an event of the network."""
         self.history.add((self.reactor.seconds() - self.begun) * 1000, kind, who, port=port)
 
     def way(self, a: str, b: str) -> Way:
+        """The state of one direction."""
         return self.ways.setdefault((a, b), Way(a, b))
 
     def tcp(self, a: str, b: str, at: tuple[str, int], to: tuple[str, int], whence: str) -> Link:
@@ -445,6 +465,7 @@
         self.reactor.listenUDP(back[1], here, interface=back[0])
 
     def dial(self, pair: Pair) -> None:
+        """Dial the listening party for a connection that was accepted."""
         link = pair.link
         port = self._ports.get(link.whence, FIRST_PORT) + 1
         self._ports[link.whence] = FIRST_PORT if port >= LAST_PORT else port
@@ -455,16 +476,15 @@
             host, number, factory, timeout=DIAL_S, bindAddress=(link.whence, port)
         )
 
-    def order(self, what: str, *args: Any) -> None:  # noqa: ANN401
-        """`spoil` A B STATE: what that direction is like from now on; `sever` A B: its connections
-        end;
-        `tcp`: a new link."""
-        if what == "spoil":
+    def order(self, what: str, *args: Any) -> None:
+        """`impair` A B STATE: what that direction is like from now on; `sever` A B: its connections
+        end; `tcp`: a new link."""
+        if what == "impair":
             a, b, state = args
             way = self.ways.get((a, b))
             if way is not None:
-                spoil = msgspec.convert(state, Spoil)
-                way.spoil = CLEAN if spoil == CLEAN else spoil
+                impairment = msgspec.convert(state, Impairment)
+                way.impairment = CLEAN if impairment == CLEAN else impairment
                 for link in self._between(a, b):
                     link.changed()
         elif what == "tcp":
@@ -478,16 +498,17 @@
         return [*self.links.get((a, b), ()), *self.links.get((b, a), ())]
 
 
-def made(reactor: Any, given: dict[str, Any], history: Witness, line: Line) -> Any:  # noqa: ANN401
+def made(reactor: Any, given: dict[str, Any], history: EventRecorder, line: Line) -> Any:
+    """What carries out orders."""
     relay = Relay(reactor, history, given["begun"], given["nodes"], given["seed"])
     for a, b, at, to, whence in given["tcp"]:
         relay.tcp(a, b, tuple(at), tuple(to), whence)
     for a, b, at, back, there, here in given["udp"]:
         relay.udp(a, b, tuple(at), tuple(back), {b: tuple(there), a: tuple(here)})
 
-    def order(what: str, *args: Any) -> None:  # noqa: ANN401
+    def order(what: str, *args: Any) -> None:
         if what == "sync":  # all that was ordered before is done
-            line.say("done", *args)
+            line.send("done", *args)
         else:
             relay.order(what, *args)
 
--- a/hookpitch/testbed/report.py
+++ b/hookpitch/testbed/report.py
@@ -49,6 +49,7 @@
 
 
 def page(summary: dict[str, Any]) -> str:
+    """The page, from the figures that `metrics.summary` gives."""
     rows = "".join(f"<tr><td>{k}</td><td>{v:g}</td></tr>" for k, v in summary["whole"].items())
     expected = "".join(
         f'<tr class="{"" if e["holds"] else "no"}"><td>{html.escape(e["text"])}</td><td>{e["figure"]:g}</td>'  # noqa: E501
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -21,10 +21,10 @@
 from hookpitch.testbed.experiment_schema import Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Judge
-from hookpitch.testbed.links import Spoil
+from hookpitch.testbed.links import Impairment
 from hookpitch.testbed.nodes import DISCOVERY_PORT, Node, NodeHost
-from hookpitch.testbed.simulated_tcp import End
-from hookpitch.testbed.simulation import World
+from hookpitch.testbed.simulated_tcp import Endpoint
+from hookpitch.testbed.simulation import SimulatedNetwork
 
 ORIGIN_PORT = 8080
 
@@ -33,13 +33,13 @@
     """A run in virtual time."""
 
     def __init__(self, x: Experiment, seed: int) -> None:
-        super().__init__(x, seed, World(seed))
+        super().__init__(x, seed, SimulatedNetwork(seed))
         self.origin = Origin(self.origin_make(), 0.0, self.chance)
         self.servers: dict[str, CacheServer] = {}
         self.nodes: dict[str, Node] = {}
         self._build()
 
-    def _closed(self, end: End) -> None:
+    def _closed(self, end: Endpoint) -> None:
         """What the network sees of a node's connections."""
         name = self.names.get(end.machine.address)
         if name is None:
@@ -49,7 +49,7 @@
         elif end.kernel:
             self.history.add(self.now(), "unread", name, port=end.peer_port)
 
-    def _unheard(self, end: End) -> None:
+    def _unheard(self, end: Endpoint) -> None:
         name = self.names.get(end.machine.address)
         if name is not None and end.port == NODE_PORT:
             self.history.add(self.now(), "unread", name, port=end.peer_port)
@@ -57,19 +57,19 @@
     # ---- building
 
     def _build(self) -> None:
-        x, world = self.x, self.world
-        # What the processes of one node share outside of the world: a descriptor's number and a
+        x, network = self.x, self.network
+        # What the processes of one node share outside of the network: a descriptor's number and a
         # folder.
         self.descriptor = os.open(os.devnull, os.O_RDONLY)
         self.folder = tempfile.TemporaryDirectory(prefix="hookpitch-lab-")
-        world.closed, world.unheard = self._closed, self._unheard
-        world.plain.delay, world.plain.jitter = x.net.delay_ms / 1000, x.net.jitter_ms / 1000
-        web = world.machine("10.2.0.2").reactor
+        network.closed, network.unheard = self._closed, self._unheard
+        network.plain.delay, network.plain.jitter = x.net.delay_ms / 1000, x.net.jitter_ms / 1000
+        web = network.machine("10.2.0.2").reactor
         self.origin_server = OriginServer(
             self.origin, web, self.history, self.chance, self._whose, 0.0
         )
         self.origin_server.size_of = self.size_of
-        there = world.machine("10.2.0.1").reactor
+        there = network.machine("10.2.0.1").reactor
         self.discovery = DiscoveryServer(self.directory, there, self.history, self._whose, 0.0)
         self.discovery.calls_per_s = x.discovery.calls_per_s
         self._listen()
@@ -86,8 +86,8 @@
         for (
             node
         ) in self.nodes.values():  # clients sit beside the nodes: a far network is not between them
-            world.connect("10.3.0.1", node.address, x.net.delay_ms / 1000, x.net.jitter_ms / 1000)
-        self.crowd = self.clients(world.machine("10.3.0.1").reactor, 0.0)
+            network.connect("10.3.0.1", node.address, x.net.delay_ms / 1000, x.net.jitter_ms / 1000)
+        self.crowd = self.clients(network.machine("10.3.0.1").reactor, 0.0)
 
     def _listen(self, which: str = "") -> None:
         """The origin and discovery, or the one that has just started."""
@@ -96,17 +96,19 @@
             ("discovery", self.discovery, "10.2.0.1", DISCOVERY_PORT),
         ):
             if which in ("", name):
-                server.reactor = self.world.machine(address).start()
+                server.reactor = self.network.machine(address).start()
                 server.reactor.listenTCP(port, server, interface=address, backlog=4096)
 
     def address(self, name: str) -> str:
+        """The address of anything that has a name."""
         fixed = {"origin": "10.2.0.2", "discovery": "10.2.0.1", "clients": "10.3.0.1"}
         return fixed.get(name) or self.addresses.get(name) or self.nodes[name].address
 
     def add_server(self, name: str, cold: bool) -> None:
+        """Start a cache server and list it."""
         n = len(self.addresses)
         address = self.addresses.setdefault(name, f"10.1.{n >> 8}.{1 + (n & 255)}")
-        make, reactor = self.make(n), self.world.machine(address).reactor
+        make, reactor = self.make(n), self.network.machine(address).reactor
         server = CacheServer(
             name, make, reactor, self.history, self.origin, self.chance, self._whose, 0.0
         )
@@ -115,19 +117,21 @@
         server.start([address], CACHE_PORT, cold)
         self.list_server(name, cold)
 
-    def _whose(self, transport: Any) -> str:  # noqa: ANN401
+    def _whose(self, transport: Any) -> str:
         """The node at the other end."""
         address = transport.getPeer().host
         return self.names.get(address, address)
 
     # ---- what faults ask for
 
-    def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
+    def order(self, name: str, what: str, *args: Any) -> None:
+        """Carry out an order at once."""
         fixed = {"origin": self.origin_server, "discovery": self.discovery}
         carry_out(fixed.get(name) or self.servers[name], what, *args)
 
     def kill(self, name: str) -> bool:
-        machine = self.world.machine(self.address(name))
+        """Kill the machine's process; False where none runs."""
+        machine = self.network.machine(self.address(name))
         if not machine.running:
             return False
         if name == "origin":
@@ -140,7 +144,8 @@
         return True
 
     def begin(self, name: str) -> None:
-        machine = self.world.machine(self.address(name))
+        """Start a process on the machine."""
+        machine = self.network.machine(self.address(name))
         if machine.running:
             return
         if name in self.servers:
@@ -154,44 +159,54 @@
             self.discovery.begin()
 
     def stall(self, name: str, seconds: float) -> None:
+        """Stop the machine's process for so long."""
         if name in self.nodes:
             self.nodes[name].machine.stop(seconds)
         else:
-            self.world.machine(self.address(name)).stop(seconds)
+            self.network.machine(self.address(name)).stop(seconds)
 
     def vanish(self, name: str, gone: bool) -> None:
-        machine = self.world.machine(self.address(name))
+        """Take the machine off the network, or bring it back."""
+        machine = self.network.machine(self.address(name))
         if gone:
             machine.vanish()
         else:
             machine.come_back()
 
-    def spoil(self, ways: Iterable[tuple[str, str]], by: object, spoil: Spoil | None) -> None:
+    def impair(
+        self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
+    ) -> None:
+        """Impair directions between machines."""
         for a, b in ways:
-            self.world.spoil(self.address(a), self.address(b), by, spoil)
+            self.network.impair(self.address(a), self.address(b), by, impairment)
 
     def sever(self, ways: Iterable[tuple[str, str]]) -> None:
+        """Reset all connections between machines."""
         for a, b in ways:
             if "clients" in (a, b):
                 node = a if b == "clients" else b
-                for end in [e for m in self.world.at_address(self.address(node)) for e in m.ends]:
+                for end in [
+                    e for m in self.network.at_address(self.address(node)) for e in m.endpoints
+                ]:
                     if end.peer_address == self.address("clients"):
                         self.history.add(self.now(), "unread", node, port=end.peer_port)
-            self.world.sever(self.address(a), self.address(b))
+            self.network.sever(self.address(a), self.address(b))
 
     def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
+        """Carry out an operator's call at once."""
         self.called(node, line, not self.nodes[node].call(line), kind, what)
 
     # ---- running
 
     def run(self) -> Ended:
-        begun, x, world = time.perf_counter(), self.x, self.world
+        """Run the whole experiment and judge it."""
+        begun, x, network = time.perf_counter(), self.x, self.network
         for node in self.nodes.values():
-            world.at(0.0, None, node.start)
-        world.at(BEFORE_S, None, self.crowd.start)
+            network.at(0.0, None, node.start)
+        network.at(BEFORE_S, None, self.crowd.start)
         schedule_faults(self)
-        world.at(x.seconds, None, self.crowd.stop)
-        world.run(x.seconds + self.span())
+        network.at(x.seconds, None, self.crowd.stop)
+        network.run(x.seconds + self.span())
         for node in self.nodes.values():
             if node.node is not None:  # of one that was killed, the figures were taken then
                 self.counted(node, node.counters)
@@ -201,4 +216,4 @@
         broken = judge.judge(self.history, self.now()) + judge.check_counters(
             self.history, self.counters
         )
-        return self.ended(broken, world.events, time.perf_counter() - begun)
+        return self.ended(broken, network.events, time.perf_counter() - begun)
--- a/hookpitch/testbed/simulated_tcp.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -1,16 +1,13 @@
-"""TCP in virtual time: a connection is two `End`s.
+"""TCP in virtual time: a connection is two `Endpoint`s.
 
 What one writes goes through a bounded send buffer, over a link, into the bounded receive buffer of
-the
-other's kernel, and is read in the other's turn.
+the other's kernel, and is read in an event of the other's process.
 
-Invariants: what was in flight plus what stands unread never exceeds `KERNEL`; every `End` ends
-with exactly
-one `connectionLost` unless its machine vanished.
+Invariants: bytes in flight and bytes unread together never exceed `KERNEL`; every `Endpoint` ends
+with exactly one `connectionLost` unless its machine vanished.
 
 Sources: Twisted's interfaces; RFC 9293 for resets, half-closes and zero windows; socket(7) and
-tcp(7)
-of Linux for what a close with unread bytes does.
+tcp(7) of Linux for what a close with unread bytes does.
 """
 
 from __future__ import annotations
@@ -32,9 +29,9 @@
 READ = 1 << 16  # bytes read in one turn
 
 
-def pair(a: Machine, b: Machine, port: int) -> tuple[End, End]:
+def pair(a: Machine, b: Machine, port: int) -> tuple[Endpoint, Endpoint]:
     """The two ends of a new connection."""
-    near, far = End(a, a.port(), b.address, port), End(b, port, a.address, 0)
+    near, far = Endpoint(a, a.port(), b.address, port), Endpoint(b, port, a.address, 0)
     near.peer, far.peer, far.peer_port = far, near, near.port
     return near, far
 
@@ -44,7 +41,7 @@
 
     __slots__ = ("end",)
 
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: Endpoint) -> None:
         self.end = end
 
     def recv(self, count: int, flags: int = 0) -> bytes:
@@ -56,11 +53,11 @@
 
     def getsockopt(self, level: int, option: int, size: int = 0) -> bytes:
         """TCP_INFO: of Linux' struct tcp_info only tcpi_last_data_recv, in milliseconds."""
-        age = max(0.0, self.end.machine.world.now - self.end.came_at) * 1000
+        age = max(0.0, self.end.machine.network.now - self.end.came_at) * 1000
         return struct.pack("14I", *[0] * 13, int(age))
 
 
-class End:
+class Endpoint:
     """One end of a connection: Twisted's `ITCPTransport`."""
 
     TLS = False
@@ -72,7 +69,7 @@
             peer_address,
             peer_port,
         )
-        self.peer: End = self
+        self.peer: Endpoint = self
         self.protocol: Any = None
         self.connector: Dialler | None = None
         self.socket = _Socket(self)
@@ -82,7 +79,7 @@
             0,
             0,
         )  # bytes: arrived here; sent from here and not yet read there
-        self.came_at, self.last_arrival = machine.world.now, 0.0
+        self.came_at, self.last_arrival = machine.network.now, 0.0
         self.ended = False  # the peer's end of sending has arrived
         self.was_reset = False
         self.over = self.aborted = False  # this end's socket is closed; with a reset
@@ -92,32 +89,39 @@
         self.streaming = False
         self._reading_due = self._feeding = False
         self._told_end = False
-        machine.ends[self] = None
+        machine.endpoints[self] = None
 
     # ---- what programs call
 
-    def getHost(self) -> IPv4Address:  # noqa: N802
+    def getHost(self) -> IPv4Address:
+        """This end's address."""
         return IPv4Address("TCP", self.machine.address, self.port)
 
-    def getPeer(self) -> IPv4Address:  # noqa: N802
+    def getPeer(self) -> IPv4Address:
+        """The other end's address."""
         return IPv4Address("TCP", self.peer_address, self.peer_port)
 
-    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
+    def setTcpNoDelay(self, enabled: bool) -> None:
+        """Nothing: bytes are sent at once."""
         pass
 
-    def setTcpKeepAlive(self, enabled: bool) -> None:  # noqa: N802
+    def setTcpKeepAlive(self, enabled: bool) -> None:
+        """Nothing: no keep-alive is simulated."""
         pass
 
     def write(self, data: bytes) -> None:
+        """Send bytes, through the send buffer."""
         if self.over or self.disconnecting or self.sent_end or not data:
             return
         self.out.append(bytes(data))
         self.pump()
 
-    def writeSequence(self, data: list[bytes]) -> None:  # noqa: N802
+    def writeSequence(self, data: list[bytes]) -> None:
+        """Send several pieces."""
         self.write(b"".join(data))
 
-    def registerProducer(self, producer: Any, streaming: bool) -> None:  # noqa: ANN401, N802
+    def registerProducer(self, producer: Any, streaming: bool) -> None:
+        """Ask a producer for data whenever the send buffer is empty."""
         if self.producer is not None:
             raise RuntimeError("a producer is registered already")
         if self.over:
@@ -127,47 +131,54 @@
         if not streaming:
             producer.resumeProducing()
 
-    def unregisterProducer(self) -> None:  # noqa: N802
+    def unregisterProducer(self) -> None:
+        """The producer has written all."""
         self.producer = None
         if self.disconnecting:
             self._close_if_sent()
 
-    def pauseProducing(self) -> None:  # noqa: N802
+    def pauseProducing(self) -> None:
+        """Stop reading."""
         self.reading = False
 
-    stopReading = pauseProducing  # noqa: N815
+    stopReading = pauseProducing  # noqa: N815 - Twisted's name
 
-    def resumeProducing(self) -> None:  # noqa: N802
+    def resumeProducing(self) -> None:
+        """Read again."""
         if not self.over and not self.disconnecting:
             self.reading = True
             self._read_soon()
 
-    startReading = resumeProducing  # noqa: N815
+    startReading = resumeProducing  # noqa: N815 - Twisted's name
 
-    def loseConnection(self) -> None:  # noqa: N802
+    def loseConnection(self) -> None:
+        """Close once all is sent."""
         if not self.over and not self.disconnecting:
             self.disconnecting, self.reading = True, False
             self._close_if_sent()
 
-    def loseWriteConnection(self) -> None:  # noqa: N802
+    def loseWriteConnection(self) -> None:
+        """Half-close once all is sent."""
         if not self.over and not self.sent_end:
             self._half = True
             self._end_sending()
 
-    def abortConnection(self) -> None:  # noqa: N802
+    def abortConnection(self) -> None:
+        """Close with a reset."""
         if not self.over:
             self.disconnecting, self.reading = True, False
-            self.machine.world.at(self.machine.world.now, self.machine, self._aborted)
+            self.machine.network.at(self.machine.network.now, self.machine, self._aborted)
 
     _half = False
 
-    def connectionLost(self, reason: Failure) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure) -> None:
         """As Twisted's transports: closed at once, for the reason given."""
         self._lost(reason.value, reset=reason.check(ConnectionAborted) is not None)
 
     # ---- within
 
-    def open(self, protocol: Any) -> None:  # noqa: ANN401
+    def open(self, protocol: Any) -> None:
+        """Hand the connection to its program."""
         self.protocol = protocol
         protocol.makeConnection(self)
         self._read_soon()
@@ -177,20 +188,20 @@
 
     def pump(self) -> None:
         """Send as much as the other end's buffer takes."""
-        world = self.machine.world
+        network = self.machine.network
         while self.out and self.travelling + self.peer.unread < KERNEL and not self.over:
             data = self.out.popleft()
             if len(data) > SEGMENT:
                 self.out.appendleft(data[SEGMENT:])
                 data = data[:SEGMENT]
             self.travelling += len(data)
-            world.send(
+            network.send(
                 self.machine.address, self.peer_address, len(data) + 40, self._carry(data), self
             )
         if not self.out:
             if self.producer is not None and not self._feeding:
                 self._feeding = True
-                world.at(world.now, self.machine, self._feed)
+                network.at(network.now, self.machine, self._feed)
             if self.disconnecting:
                 self._close_if_sent()
             elif self._half and not self.sent_end:
@@ -206,18 +217,18 @@
 
     def arrive(self, data: bytes) -> None:
         """Bytes have come to this machine's kernel."""
-        peer, world = self.peer, self.machine.world
+        peer, network = self.peer, self.machine.network
         if not self.machine.present:
             return
         peer.travelling -= len(data)
         if self.over:
-            if world.unheard is not None:
-                world.unheard(self)
+            if network.unheard is not None:
+                network.unheard(self)
             peer.reset_by_peer(self.machine)
             return
         self.kernel.append(data)
         self.unread += len(data)
-        self.came_at = self.machine.world.now
+        self.came_at = self.machine.network.now
         self._read_soon()
 
     def _read_soon(self) -> None:
@@ -230,7 +241,7 @@
             and not self.over
         ):
             self._reading_due = True
-            self.machine.world.at(self.machine.world.now, self.machine, self._turn)
+            self.machine.network.at(self.machine.network.now, self.machine, self._turn)
 
     def _turn(self) -> None:
         self._reading_due = False
@@ -238,7 +249,7 @@
             self.doRead()
             self._read_soon()
 
-    def doRead(self) -> None:  # noqa: N802
+    def doRead(self) -> None:
         """One turn of reading, as the reactor does it."""
         if self.over or self.protocol is None:
             return
@@ -247,9 +258,9 @@
             while self.kernel and len(data) + len(self.kernel[0]) <= READ:
                 data += self.kernel.popleft()
             self.unread -= len(data)
-            peer, world = self.peer, self.machine.world
+            peer, network = self.peer, self.machine.network
             if peer.out:
-                world.send(self.machine.address, self.peer_address, 40, peer.pump)
+                network.send(self.machine.address, self.peer_address, 40, peer.pump)
             self.protocol.dataReceived(data)
         elif self.was_reset:
             self._lost(ConnectionLost(), told=True)
@@ -264,18 +275,19 @@
     def _end_sending(self) -> None:
         if not self.out and not self.sent_end:
             self.sent_end = True
-            self.machine.world.send(
+            self.machine.network.send(
                 self.machine.address, self.peer_address, 40, self.peer.end_arrives, self
             )
 
     def end_arrives(self) -> None:
+        """The peer's end of sending has arrived."""
         if self.machine.present and not self.over:
             self.ended = True
             self._read_soon()
 
     def _close_if_sent(self) -> None:
         if not self.out and self.producer is None and not self.over:
-            self.machine.world.at(self.machine.world.now, self.machine, self._closed)
+            self.machine.network.at(self.machine.network.now, self.machine, self._closed)
 
     def _closed(self) -> None:
         if not self.over and not self.out:
@@ -283,9 +295,10 @@
 
     def reset_by_peer(self, there: Machine) -> None:
         """The other machine knows nothing of this connection: its answer takes the way back."""
-        there.world.send(there.address, self.machine.address, 40, self.reset_arrives)
+        there.network.send(there.address, self.machine.address, 40, self.reset_arrives)
 
     def reset_arrives(self) -> None:
+        """The peer's reset has arrived."""
         if self.machine.present and not self.over:
             self.was_reset = True
             self.out.clear()
@@ -294,8 +307,13 @@
             elif self.reading:
                 self._read_soon()
             else:  # a connection that is not read still learns of a reset
-                self.machine.world.at(
-                    self.machine.world.now, self.machine, self._lost, ConnectionLost(), False, True
+                self.machine.network.at(
+                    self.machine.network.now,
+                    self.machine,
+                    self._lost,
+                    ConnectionLost(),
+                    False,
+                    True,
                 )
 
     def _lost(self, fault: Exception, reset: bool = False, told: bool = False) -> None:
@@ -318,24 +336,24 @@
     def _tell(self, reset: bool, told: bool) -> None:
         if told or not self.machine.present:
             return
-        world, peer = self.machine.world, self.peer
+        network, peer = self.machine.network, self.peer
         if reset:
             self.aborted = True
-            world.send(
+            network.send(
                 self.machine.address, self.peer_address, 40, peer.reset_arrives, self, once=True
             )
         elif not self.sent_end:
             self.sent_end = True
-            world.send(self.machine.address, self.peer_address, 40, peer.end_arrives, self)
+            network.send(self.machine.address, self.peer_address, 40, peer.end_arrives, self)
 
     def _gone(self) -> None:
-        if self.machine.world.closed is not None:
-            self.machine.world.closed(self)
+        if self.machine.network.closed is not None:
+            self.machine.network.closed(self)
         self.over, self.connected, self.reading = True, False, False
         self.out.clear()
         self.kernel.clear()
         self.unread = 0
-        self.machine.ends.pop(self, None)
+        self.machine.endpoints.pop(self, None)
 
     def drop(self, reset: bool, told: bool = False) -> None:
         """The kernel closes this end without the program: it is dead, or never took it."""
@@ -347,6 +365,6 @@
             if program is not None:
                 self.protocol = None
                 failure = Failure(ConnectionLost())
-                self.machine.world.at(
-                    self.machine.world.now, self.machine, program.connectionLost, failure
+                self.machine.network.at(
+                    self.machine.network.now, self.machine, program.connectionLost, failure
                 )
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -1,16 +1,12 @@
 """Machines and links in virtual time: one order of events for all.
 
-What it is: a `World` holds one heap of events, ordered by time and by the number in which they
-were asked
-for; nothing else moves time. A `Machine` has an address, listeners, descriptors and, where one is
-given, a
-CPU that its events use up; what its programs are given in place of Twisted's reactor is in
-`lab/reactor.py`,
-connections are in `lab/ends.py`. A `Link` is one direction between two machines.
+A `SimulatedNetwork` holds one heap of events, ordered by time and by the number in which they were
+scheduled; nothing else moves time. A `Machine` has an address, listeners, descriptors and, where
+one is given, a CPU that its events use up; its programs' reactor is in `reactor.py`, connections
+are in `simulated_tcp.py`. A `Link` is one direction between two machines. Times in seconds.
 
 Invariants: bytes of a direction arrive in order, once, whole, or not at all. One seed is one
-history: chance
-comes from one generator, and nothing asks the wall clock.
+history: random numbers come from one generator, and nothing reads the wall clock.
 
 Sources: RFC 9293 for what is sent again, RFC 768 for what is not.
 """
@@ -26,69 +22,80 @@
 
 from twisted.internet.error import AlreadyCalled
 
-from hookpitch.testbed.links import AGAIN_MOST, AGAIN_MS, CLEAN, Spoil, Spoils
+from hookpitch.testbed.links import (
+    CLEAN,
+    MOST_RETRANSMITS,
+    RETRANSMIT_MS,
+    UNLIMITED,
+    Impairment,
+    Impairments,
+)
 from hookpitch.testbed.reactor import Connector, DatagramPort, Listening, Port, Reactor
-from hookpitch.testbed.simulated_tcp import End
+from hookpitch.testbed.simulated_tcp import Endpoint
 
-FAR = float("inf")
-DIAL_AGAIN = 5  # times as late as the rest is a dial's first packet sent again
+DIAL_RETRANSMIT_FACTOR = 5  # a dial's first packet is sent again after so many times the usual time
 
 
 class Call:
     """One event: Twisted's `IDelayedCall`."""
 
-    __slots__ = ("world", "machine", "time", "n", "func", "args", "kw", "life")
+    __slots__ = ("network", "machine", "time", "n", "func", "args", "kw", "life")
 
     def __init__(
         self,
-        world: World,
+        network: SimulatedNetwork,
         machine: Machine | None,
         time: float,
         func: Callable[..., object],
         args: tuple[Any, ...],
         kw: dict[str, Any],
     ) -> None:
-        self.world, self.machine, self.time, self.func, self.args, self.kw = (
-            world,
+        self.network, self.machine, self.time, self.func, self.args, self.kw = (
+            network,
             machine,
             time,
             func,
             args,
             kw,
         )
-        self.n = world.number()
+        self.n = network.number()
         self.life = machine.life if machine is not None else 0
 
-    def getTime(self) -> float:  # noqa: N802
+    def getTime(self) -> float:
+        """When it is due, in seconds."""
         return self.time
 
     def active(self) -> bool:
+        """Whether it is still due."""
         return self.func is not None
 
     def cancel(self) -> None:
+        """Give it up; AlreadyCalled where it is not due."""
         if self.func is None:
             raise AlreadyCalled
         self.func = None  # type: ignore[assignment]
 
     def reset(self, seconds: float) -> None:
-        self._move(self.world.now + seconds)
+        """Have it due so many seconds from now."""
+        self._move(self.network.now + seconds)
 
     def delay(self, seconds: float) -> None:
+        """Have it due so many seconds later."""
         self._move(self.time + seconds)
 
     def _move(self, time: float) -> None:
         if self.func is None:
             raise AlreadyCalled
-        again = Call(self.world, self.machine, time, self.func, self.args, self.kw)
+        again = Call(self.network, self.machine, time, self.func, self.args, self.kw)
         # The place in the heap cannot move: this object takes the new one, a husk keeps the old.
-        husk = self.world.places.pop(self.n, None)
+        husk = self.network.places.pop(self.n, None)
         if husk is not None:
             husk[2] = None
         self.time, self.n = time, again.n
-        self.world.push(self)
+        self.network.push(self)
 
 
-class World:
+class SimulatedNetwork:
     """All machines and links, and the one order of events. Times in seconds."""
 
     def __init__(self, seed: int, epoch: float = 1.7e9) -> None:
@@ -102,16 +109,20 @@
         self.machines: dict[str, Machine] = {}
         self.links: dict[tuple[str, str], Link] = {}
         self.plain = Link(0.0002)
-        self._spoils = Spoils()
+        self._impairments = Impairments()
         self.faults: list[str] = []  # what programs raised
-        self.closed: Callable[[End], None] | None = None  # told of each end that is closed
-        self.unheard: Callable[[End], None] | None = None  # and of bytes that came to one that was
+        self.closed: Callable[[Endpoint], None] | None = None  # told of each end that is closed
+        self.unheard: Callable[[Endpoint], None] | None = (
+            None  # and of bytes that came to one that was
+        )
 
     def number(self) -> int:
+        """The number of a new event."""
         self._count += 1
         return self._count
 
     def push(self, call: Call) -> None:
+        """Put a call into the order of events."""
         place = [call.time, call.n, call]
         self.places[call.n] = place
         heapq.heappush(self._heap, place)
@@ -121,10 +132,10 @@
         time: float,
         machine: Machine | None,
         func: Callable[..., object],
-        *args: Any,  # noqa: ANN401
+        *args: Any,
         **kw: Any,
-    ) -> Call:  # noqa: ANN401
-        """`func(*args)` is due at `time`, as an event of `machine` (None: of the world itself)."""
+    ) -> Call:
+        """`func(*args)` is due at `time`, as an event of `machine` (None: of the network)."""
         call = Call(self, machine, max(time, self.now), func, args, kw)
         self.push(call)
         return call
@@ -157,7 +168,7 @@
             func(*call.args, **call.kw)
             if machine is not None and machine.event_cost:
                 machine.spend(machine.event_cost)
-        except Exception as fault:  # noqa: BLE001 - as a reactor does: told, and the next event
+        except Exception as fault:  # noqa: BLE001 - as a reactor does: recorded, and the next event
             self.faults.append(f"{self.now:.6f} {fault!r}")
             if self.raising:
                 raise
@@ -166,7 +177,8 @@
 
     # ---- machines and links
 
-    def machine(self, address: str, **given: Any) -> Machine:  # noqa: ANN401
+    def machine(self, address: str, **given: Any) -> Machine:
+        """The machine at an address, made where there is none."""
         if address not in self.machines:
             self.machines[address] = Machine(self, address, **given)
         return self.machines[address]
@@ -177,14 +189,14 @@
         return found if found is not None else self.plain
 
     def connect(
-        self, a: str, b: str, delay: float, jitter: float = 0.0, bandwidth: float = FAR
+        self, a: str, b: str, delay: float, jitter: float = 0.0, bandwidth: float = UNLIMITED
     ) -> None:
         """Both ways between two machines: seconds, seconds at the most, bytes a second."""
         for pair in ((a, b), (b, a)):
             self.links[pair] = Link(delay, jitter, bandwidth)
 
     def own(self, a: str, b: str) -> Link:
-        """The way from a to b as one that can be spoilt without touching others."""
+        """The way from a to b as one that can be impaired without touching others."""
         if (a, b) not in self.links:
             plain = self.plain
             self.links[a, b] = Link(plain.delay, plain.jitter, plain.bandwidth)
@@ -198,7 +210,7 @@
         b: str,
         size: int,
         arrive: Callable[[], None],
-        end: End | None = None,
+        end: Endpoint | None = None,
         once: bool = False,
     ) -> None:
         """A packet of so many bytes goes from a to b; `arrive` is called where and when it comes.
@@ -209,14 +221,14 @@
         here = self.machines.get(a)
         if (here is not None and not here.present) or b not in self.machines:
             return
-        if link.spoil.silent:
+        if link.impairment.silent:
             self._hold(link, (a, b, size, arrive, end), once)
             return
         when, lost = self._arrival(link, size), False
-        if link.spoil.loss:
-            again = AGAIN_MS / 1000 * (1 if end is not None else DIAL_AGAIN)
-            for n in range(AGAIN_MOST):
-                if self.chance.random() >= link.spoil.loss:
+        if link.impairment.loss:
+            again = RETRANSMIT_MS / 1000 * (1 if end is not None else DIAL_RETRANSMIT_FACTOR)
+            for n in range(MOST_RETRANSMITS):
+                if self.chance.random() >= link.impairment.loss:
                     break
                 when, lost = when + again * 2**n, True
         if end is not None:  # TCP keeps the order of a direction
@@ -229,30 +241,30 @@
         b: str,
         size: int,
         arrive: Callable[[], None],
-        end: End | None,
+        end: Endpoint | None,
         once: bool,
         lost: bool,
     ) -> None:
         link = self.link(a, b)
-        # Danger: a kernel that has reset a connection sends nothing of it again.
+        # A kernel that has reset a connection sends nothing of it again.
         if lost and end is not None and end.aborted and not once:
             return
-        if link.spoil.silent:  # cut while it was on its way
+        if link.impairment.silent:  # cut while it was on its way
             self._hold(link, (a, b, size, arrive, end), once)
         elif self.machines[b].present:
             arrive()
 
     def _arrival(self, link: Link, size: int) -> float:
         """When a packet that is sent now comes, if it is not lost."""
-        spoil = link.spoil
-        start, width = max(self.now, link.free_at), min(link.bandwidth, spoil.bandwidth)
-        if width < FAR:
+        impairment = link.impairment
+        start, width = max(self.now, link.free_at), min(link.bandwidth, impairment.bandwidth)
+        if width < UNLIMITED:
             link.free_at = start = start + size / width
-        jitter = link.jitter + spoil.jitter_ms / 1000
+        jitter = link.jitter + impairment.jitter_ms / 1000
         return (
             start
             + link.delay
-            + spoil.delay_ms / 1000
+            + impairment.delay_ms / 1000
             + (self.chance.random() * jitter if jitter else 0.0)
         )
 
@@ -260,7 +272,7 @@
         end = packet[4]
         if once:
             return
-        if end is not None and not link.spoil.kept:
+        if end is not None and not link.impairment.kept:
             link.torn[end] = None
         else:
             link.held.append(packet)
@@ -270,31 +282,33 @@
         link, here = self.link(a, b), self.machines.get(a)
         if (here is not None and not here.present) or b not in self.machines:
             return
-        spoil = link.spoil
-        if spoil.silent or (spoil.loss and self.chance.random() < spoil.loss):
+        impairment = link.impairment
+        if impairment.silent or (impairment.loss and self.chance.random() < impairment.loss):
             return
-        for _ in range(2 if spoil.repeat and self.chance.random() < spoil.repeat else 1):
+        for _ in range(2 if impairment.repeat and self.chance.random() < impairment.repeat else 1):
             when = self._arrival(link, size)
-            if spoil.reorder and self.chance.random() < spoil.reorder:
+            if impairment.reorder and self.chance.random() < impairment.reorder:
                 when += 2 * (
-                    link.delay + spoil.delay_ms / 1000
+                    link.delay + impairment.delay_ms / 1000
                 )  # what is sent meanwhile overtakes it
             self.at(when, None, self._datagram_arrived, a, b, arrive)
 
     def _datagram_arrived(self, a: str, b: str, arrive: Callable[[], None]) -> None:
-        if not self.link(a, b).spoil.silent and self.machines[b].present:
+        if not self.link(a, b).impairment.silent and self.machines[b].present:
             arrive()
 
-    def spoil(self, a: str, b: str, by: object, spoil: Spoil | None) -> None:
+    def impair(self, a: str, b: str, by: object, impairment: Impairment | None) -> None:
         """What `by` does to the way from a to b from now on; None: nothing any more. At the end of
         a silence,
         what it held back is sent, in its order, or its connections break."""
         link = self.own(a, b)
-        silent = link.spoil.silent
-        link.spoil = (
-            self._spoils.lift((a, b), by) if spoil is None else self._spoils.put((a, b), by, spoil)
+        silent = link.impairment.silent
+        link.impairment = (
+            self._impairments.remove((a, b), by)
+            if impairment is None
+            else self._impairments.put((a, b), by, impairment)
         )
-        if not silent or link.spoil.silent:
+        if not silent or link.impairment.silent:
             return
         held, torn = link.held, link.torn
         link.held, link.torn = [], {}
@@ -309,14 +323,15 @@
 
     def silence(self, a: str, b: str) -> None:
         """Nothing gets through from a to b until it is healed."""
-        self.spoil(a, b, "silence", Spoil(silent=True))
+        self.impair(a, b, "silence", Impairment(silent=True))
 
     def heal(self, a: str, b: str) -> None:
-        self.spoil(a, b, "silence", None)
+        """Take a silence off."""
+        self.impair(a, b, "silence", None)
 
     def sever(self, a: str, b: str) -> None:
         """All connections between two machines are reset, at both ends."""
-        for end in [end for m in self.at_address(a) for end in m.ends]:
+        for end in [end for m in self.at_address(a) for end in m.endpoints]:
             if end.peer_address == b:
                 for one in (end, end.peer):
                     one.drop(reset=False, told=True)
@@ -333,13 +348,13 @@
 
     delay: float  # seconds
     jitter: float = 0.0  # seconds at the most, on top
-    bandwidth: float = FAR  # bytes a second
-    spoil: Spoil = CLEAN  # what faults make of it
+    bandwidth: float = UNLIMITED  # bytes a second
+    impairment: Impairment = CLEAN  # what faults make of it
     free_at: float = 0.0
     held: list[tuple[Any, ...]] = field(
         default_factory=list
     )  # what a silence holds back: arguments of `send`
-    torn: dict[End, None] = field(default_factory=dict)  # whose bytes it swallowed
+    torn: dict[Endpoint, None] = field(default_factory=dict)  # whose bytes it swallowed
 
 
 class Machine:
@@ -348,14 +363,14 @@
     address is a `Machine` of its own, made by `beside`: the kernel's listening sockets are common
     to both."""
 
-    def __init__(self, world: World, address: str, descriptors: int = 1 << 20) -> None:
-        self.world, self.address, self.descriptors = world, address, descriptors
+    def __init__(self, network: SimulatedNetwork, address: str, descriptors: int = 1 << 20) -> None:
+        self.network, self.address, self.descriptors = network, address, descriptors
         self.listeners: dict[int, Listening] = {}  # the kernel's, of all processes here
         self.handed: dict[int, Listening] = {}  # by descriptor: handed down to every process here
         self.ports: dict[Port, None] = {}  # this process's
         self.sockets: dict[int, DatagramPort] = {}  # for datagrams, of all processes here
         self.others: list[Machine] = []  # processes beside this one
-        self.ends: dict[End, None] = {}
+        self.endpoints: dict[Endpoint, None] = {}
         self.dials: dict[Connector, None] = {}
         self.present, self.running = True, True
         self.life = 0  # of its process; what an earlier one asked for is not done
@@ -373,11 +388,12 @@
 
     @property
     def held(self) -> int:
-        return len(self.ends) + len(self.dials) + len(self.ports)
+        """Descriptors in use."""
+        return len(self.endpoints) + len(self.dials) + len(self.ports)
 
     def beside(self) -> Machine:
         """Another process at this address, with descriptors and a part of a core of its own."""
-        other = Machine(self.world, self.address, self.descriptors)
+        other = Machine(self.network, self.address, self.descriptors)
         other.listeners, other.handed, other._ports = self.listeners, self.handed, self._ports
         other.sockets, other.others = self.sockets, self.others
         self.others.append(other)
@@ -388,39 +404,39 @@
         """A socket listens that no process here owns; each can adopt it, and it outlasts them
         all."""
         self.handed[descriptor] = self.listeners[port] = Listening(
-            self.world, port, backlog, kept=True
+            self.network, port, backlog, kept=True
         )
 
     def spend(self, seconds: float) -> None:
         """The event that is on takes so much of the CPU: what comes next waits."""
         self.used += seconds
-        self.free_at = max(self.free_at, self.world.now) + seconds
+        self.free_at = max(self.free_at, self.network.now) + seconds
 
     def wake(self) -> None:
         """See to it that what waits is gone on with once the machine is free."""
         if not self._waking and self.waiting:
             self._waking = True
-            self.world.at(max(self.free_at, self.world.now), None, self._woken)
+            self.network.at(max(self.free_at, self.network.now), None, self._woken)
 
     def _woken(self) -> None:
         self._waking = False
-        while self.waiting and self.free_at <= self.world.now:
+        while self.waiting and self.free_at <= self.network.now:
             call, n = self.waiting.popleft()
             if (
                 call.func is not None and call.n == n and call.life == self.life
             ):  # neither cancelled nor moved
-                self.world._do(call, self)
+                self.network._do(call, self)
         self.wake()
 
     def stop(self, seconds: float) -> None:
         """The process is stopped for so long; no CPU is used."""
-        self.free_at = max(self.free_at, self.world.now + seconds)
+        self.free_at = max(self.free_at, self.network.now + seconds)
 
     def kill(self) -> None:
         """The process dies: its connections are reset, new ones refused."""
         self.life += 1
-        self.running, self.free_at = False, self.world.now
-        for end in list(self.ends):
+        self.running, self.free_at = False, self.network.now
+        for end in list(self.endpoints):
             end.drop(reset=True)
         for dial in list(self.dials):
             dial.forget()
@@ -443,9 +459,10 @@
         """It is back as it was; what was sent to it meanwhile is lost, and open connections are
         reset."""
         self.present = True
-        for end in list(self.ends):
+        for end in list(self.endpoints):
             end.drop(reset=True, told=True)
 
     def port(self) -> int:
+        """The next local port."""
         self._ports[0] += 1
         return self._ports[0]
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -1,8 +1,7 @@
-"""Stand-ins in a process of their own: cache servers, the origin or discovery of a run on loopback.
+"""Fake servers in a process of their own: cache servers, the origin or discovery of a loopback run.
 
-What one process would tell another goes over the control line: which server missed an RPC, and
-what the
-origin has stored where.
+What one process reports to another goes over the control line: which server missed an RPC, and
+what the origin has stored where.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 from hookpitch.fakes.discovery import Directory, Listed
 from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 from hookpitch.fakes.origin import Origin, OriginMake
-from hookpitch.testbed.child import Line, Witness, run_child
+from hookpitch.testbed.child import EventRecorder, Line, run_child
 
 
 class FarOrigin:
@@ -31,7 +30,8 @@
         self.line, self.caches = line, dict[str, Cache]()
 
     def miss(self, rpc: str, cache: Cache) -> None:
-        self.line.say("miss", rpc, cache.name)
+        """Report a miss to the origin's process."""
+        self.line.send("miss", rpc, cache.name)
 
 
 class FarCache:
@@ -41,16 +41,20 @@
         self.line, self.name = line, name
 
     def store(self, key: str) -> None:
-        self.line.say("order", self.name, "store", key)
+        """Ask the cache's process to store a key."""
+        self.line.send("order", self.name, "store", key)
 
     def drop(self, key: str) -> None:
-        self.line.say("order", self.name, "drop", key)
+        """Ask the cache's process to drop a key."""
+        self.line.send("order", self.name, "drop", key)
 
 
 class Standins:
     """Those of one process."""
 
-    def __init__(self, reactor: Any, given: dict[str, Any], history: Witness, line: Line) -> None:  # noqa: ANN401
+    def __init__(
+        self, reactor: Any, given: dict[str, Any], history: EventRecorder, line: Line
+    ) -> None:
         self.reactor, self.history, self.line = reactor, history, line
         self.begun, self.nets = given["begun"], given["nets"]
         self.chance = random.Random(given["seed"])
@@ -59,7 +63,7 @@
         for role in given["roles"]:
             getattr(self, f"_{role['kind']}")(role)
 
-    def _whose(self, transport: Any) -> str:  # noqa: ANN401
+    def _whose(self, transport: Any) -> str:
         """The node at the other end, by its net: the first two numbers of the address."""
         net = ".".join(transport.getPeer().host.split(".")[:2])
         return self.nets.get(net, net)
@@ -107,7 +111,8 @@
         self.there["discovery"] = server
         self.reactor.listenTCP(role["port"], server, interface=role["address"], backlog=4096)
 
-    def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
+    def order(self, name: str, what: str, *args: Any) -> None:
+        """Carry out one order of the run."""
         server = self.there[name]
         if what == "miss" and isinstance(server, OriginServer):
             rpc, cache = args
@@ -117,7 +122,8 @@
             carry_out(server, what, *args)
 
 
-def made(reactor: Any, given: dict[str, Any], history: Witness, line: Line) -> Any:  # noqa: ANN401
+def made(reactor: Any, given: dict[str, Any], history: EventRecorder, line: Line) -> Any:
+    """What carries out orders; ValueError where an address is taken."""
     try:
         return Standins(reactor, given, history, line).order
     except CannotListenError as fault:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,7 @@
 from hookpitch.testbed.rules import Rules
 from hookpitch.testbed.run import Run
 from hookpitch.testbed.simulated_tcp import KERNEL
-from hookpitch.testbed.simulation import World
+from hookpitch.testbed.simulation import SimulatedNetwork
 
 ROOT = Path(__file__).parent.parent
 SMALL = """
@@ -365,20 +365,20 @@
         self.seen = seen
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.seen.append((round(self.world.now, 4), len(data)))
+        self.seen.append((round(self.network.now, 4), len(data)))
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        self.seen.append((round(self.world.now, 4), type(reason.value).__name__))
+        self.seen.append((round(self.network.now, 4), type(reason.value).__name__))
 
 
 class Pair:
     """Two machines with a connection between them, a tenth of a second apart."""
 
     def __init__(self) -> None:
-        self.world, self.here, self.there = World(3), [], []
-        Echo.world = self.world
-        self.a, self.b = self.world.machine("1.1.1.1"), self.world.machine("2.2.2.2")
-        self.world.connect("1.1.1.1", "2.2.2.2", 0.1)
+        self.network, self.here, self.there = SimulatedNetwork(3), [], []
+        Echo.network = self.network
+        self.a, self.b = self.network.machine("1.1.1.1"), self.network.machine("2.2.2.2")
+        self.network.connect("1.1.1.1", "2.2.2.2", 0.1)
         self.server = Echo(self.there)
         self.client = Echo(self.here)
         factory = Factory()
@@ -387,7 +387,7 @@
         dial = ClientFactory()
         dial.buildProtocol = lambda _: self.client
         dial.clientConnectionFailed = lambda _, reason: self.here.append(
-            (round(self.world.now, 4), "failed")
+            (round(self.network.now, 4), "failed")
         )
         self.dial = dial
         self.connector = self.a.reactor.connectTCP("2.2.2.2", 80, dial, timeout=None)
@@ -395,10 +395,10 @@
 
 def test_bytes_take_their_time_and_a_close_comes_behind_them() -> None:
     p = Pair()
-    p.world.run(0.25)
+    p.network.run(0.25)
     p.client.transport.write(b"x" * 10)
     p.client.transport.loseConnection()
-    p.world.run(1.0)
+    p.network.run(1.0)
     assert p.there == [(0.35, 10), (0.35, "ConnectionDone")] and p.here == [
         (0.25, "ConnectionDone")
     ]
@@ -406,63 +406,63 @@
 
 def test_a_reader_that_stops_holds_the_writer_back() -> None:
     p = Pair()
-    p.world.run(0.25)
+    p.network.run(0.25)
     p.server.transport.pauseProducing()
     p.client.transport.write(b"x" * (3 * KERNEL))
-    p.world.run(5.0)
+    p.network.run(5.0)
     assert not p.there and p.server.transport.unread == KERNEL
     assert sum(map(len, p.client.transport.out)) == 2 * KERNEL
     p.server.transport.resumeProducing()
-    p.world.run(20.0)
+    p.network.run(20.0)
     assert sum(n for _, n in p.there) == 3 * KERNEL and not p.client.transport.out
 
 
 def test_silence_holds_back_what_stands_and_a_reset_end_sends_nothing_more() -> None:
     p = Pair()
-    p.world.run(0.25)
-    p.world.silence("1.1.1.1", "2.2.2.2")
+    p.network.run(0.25)
+    p.network.silence("1.1.1.1", "2.2.2.2")
     p.client.transport.write(b"late")
-    p.world.run(3.0)
+    p.network.run(3.0)
     assert not p.there
-    p.world.heal("1.1.1.1", "2.2.2.2")
-    p.world.run(4.0)
+    p.network.heal("1.1.1.1", "2.2.2.2")
+    p.network.run(4.0)
     assert p.there == [(3.1, 4)]
-    p.world.silence("1.1.1.1", "2.2.2.2")
+    p.network.silence("1.1.1.1", "2.2.2.2")
     p.client.transport.write(b"never")
     p.client.transport.abortConnection()
-    p.world.run(5.0)
-    p.world.heal("1.1.1.1", "2.2.2.2")
-    p.world.run(6.0)
+    p.network.run(5.0)
+    p.network.heal("1.1.1.1", "2.2.2.2")
+    p.network.run(6.0)
     assert p.there == [(3.1, 4)] and p.here == [(4.0, "ConnectionAborted")]
 
 
 def test_death_resets_vanishing_says_nothing_and_nobody_listens_after() -> None:
     p = Pair()
-    p.world.run(0.25)
+    p.network.run(0.25)
     p.b.vanish()
     p.client.transport.write(b"x")
-    p.world.run(1.0)
+    p.network.run(1.0)
     assert not p.here
     p.b.come_back()
-    p.world.run(2.0)
+    p.network.run(2.0)
     assert p.here == [(1.1, "ConnectionLost")]
     p.b.kill()
     p.a.reactor.connectTCP("2.2.2.2", 80, p.dial, timeout=None)
-    p.world.run(3.0)
+    p.network.run(3.0)
     assert p.here[1:] == [(2.2, "failed")]
 
 
 def test_a_busy_machine_does_its_events_in_order_when_it_is_free() -> None:
-    world, seen = World(1), []
-    machine = world.machine("1.1.1.1")
+    network, seen = SimulatedNetwork(1), []
+    machine = network.machine("1.1.1.1")
     machine.event_cost = 0.01
     for n in range(5):
-        machine.reactor.callLater(0.001 * n, lambda n=n: seen.append((round(world.now, 3), n)))
+        machine.reactor.callLater(0.001 * n, lambda n=n: seen.append((round(network.now, 3), n)))
     cancelled = machine.reactor.callLater(0.002, seen.append, "cancelled")
-    moved = machine.reactor.callLater(0.0025, lambda: seen.append((round(world.now, 3), "moved")))
-    world.at(0.004, None, cancelled.cancel)
-    world.at(0.005, None, moved.reset, 0.2)
-    world.run(1.0)
+    moved = machine.reactor.callLater(0.0025, lambda: seen.append((round(network.now, 3), "moved")))
+    network.at(0.004, None, cancelled.cancel)
+    network.at(0.005, None, moved.reset, 0.2)
+    network.run(1.0)
     assert seen == [(0.0, 0), (0.01, 1), (0.02, 2), (0.03, 3), (0.04, 4), (0.205, "moved")]
     assert round(machine.used, 3) == 0.06
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,147 +7,151 @@
 
 from hookpitch.testbed.experiment import read
 from hookpitch.testbed.groups import directions, members
-from hookpitch.testbed.links import Spoil, together
+from hookpitch.testbed.links import Impairment, combined
 from hookpitch.testbed.reactor import DATAGRAMS
-from hookpitch.testbed.simulation import World
+from hookpitch.testbed.simulation import SimulatedNetwork
 
 A, B = "1.1.1.1", "2.2.2.2"
 
 
 def pair() -> Pair:
     p = Pair()
-    p.world.run(0.25)
+    p.network.run(0.25)
     return p
 
 
 def test_two_cuts_of_one_way_end_with_the_later_one() -> None:
     p = pair()
-    p.world.spoil(A, B, 1, Spoil(silent=True))
-    p.world.spoil(A, B, 2, Spoil(silent=True))
+    p.network.impair(A, B, 1, Impairment(silent=True))
+    p.network.impair(A, B, 2, Impairment(silent=True))
     p.client.transport.write(b"late")
-    p.world.run(1.0)
-    p.world.spoil(A, B, 1, None)
-    p.world.run(2.0)
+    p.network.run(1.0)
+    p.network.impair(A, B, 1, None)
+    p.network.run(2.0)
     assert not p.there, "the second cut is still on"
-    p.world.spoil(A, B, 2, None)
-    p.world.run(3.0)
+    p.network.impair(A, B, 2, None)
+    p.network.run(3.0)
     assert p.there == [(2.1, 4)]
 
 
 def test_what_a_cut_swallows_never_comes_and_breaks_its_connection_and_no_other() -> None:
     p = pair()
-    p.world.spoil(A, B, 1, Spoil(silent=True, kept=False))
-    p.world.run(1.0)
-    p.world.spoil(A, B, 1, None)
+    p.network.impair(A, B, 1, Impairment(silent=True, kept=False))
+    p.network.run(1.0)
+    p.network.impair(A, B, 1, None)
     p.client.transport.write(b"well")
-    p.world.run(2.0)
+    p.network.run(2.0)
     assert (
         p.there == [(1.1, 4)] and not p.here
     )  # nothing was sent in the cut: the connection stands
-    p.world.spoil(A, B, 1, Spoil(silent=True, kept=False))
+    p.network.impair(A, B, 1, Impairment(silent=True, kept=False))
     p.client.transport.write(b"gone")
-    p.world.run(3.0)
-    p.world.spoil(A, B, 1, None)
-    p.world.run(4.0)
+    p.network.run(3.0)
+    p.network.impair(A, B, 1, None)
+    p.network.run(4.0)
     assert p.there == [(1.1, 4), (3.0, "ConnectionLost")] and p.here == [(3.0, "ConnectionLost")]
 
 
 def test_a_lossy_stream_comes_whole_and_late_and_a_reset_one_comes_no_more() -> None:
     p = pair()
-    p.world.spoil(A, B, 1, Spoil(loss=0.3))
+    p.network.impair(A, B, 1, Impairment(loss=0.3))
     for _ in range(40):
         p.client.transport.write(b"x" * 10)
-    p.world.run(30.0)
+    p.network.run(30.0)
     assert sum(n for _, n in p.there) == 400 and p.there[-1][0] >= 0.55
-    p.world.spoil(A, B, 1, Spoil(loss=0.999))
+    p.network.impair(A, B, 1, Impairment(loss=0.999))
     before = len(p.there)
     p.client.transport.write(b"x")
     p.client.transport.abortConnection()
-    p.world.run(60.0)
+    p.network.run(60.0)
     assert all(not isinstance(n, int) for _, n in p.there[before:])
 
 
 @pytest.mark.parametrize(
-    ("spoil", "seen"),
+    ("impairment", "seen"),
     [
-        (Spoil(refusing=True), [(1.2, "failed")]),
-        (Spoil(deaf=True), []),
-        (Spoil(delay_ms=100.0), []),
+        (Impairment(refusing=True), [(1.2, "failed")]),
+        (Impairment(deaf=True), []),
+        (Impairment(delay_ms=100.0), []),
     ],
 )
-def test_a_dial_is_refused_or_gets_no_answer(spoil: Spoil, seen: list) -> None:
+def test_a_dial_is_refused_or_gets_no_answer(impairment: Impairment, seen: list) -> None:
     p = pair()
-    p.world.run(1.0)
-    p.world.spoil(A, B, 1, spoil)
+    p.network.run(1.0)
+    p.network.impair(A, B, 1, impairment)
     p.a.reactor.connectTCP(B, 80, p.dial, timeout=None)
-    p.world.run(5.0)
+    p.network.run(5.0)
     assert p.here == seen
 
 
 def test_a_severed_link_loses_all_its_connections_and_a_narrow_one_takes_its_time() -> None:
     p = pair()
-    p.world.spoil(A, B, 1, Spoil(bandwidth=100.0))
+    p.network.impair(A, B, 1, Impairment(bandwidth=100.0))
     p.client.transport.write(b"x" * 60)  # and 40 of the packet's own
-    p.world.run(3.0)
+    p.network.run(3.0)
     assert p.there == [(1.35, 60)]
-    p.world.sever(A, B)
-    p.world.run(4.0)
+    p.network.sever(A, B)
+    p.network.run(4.0)
     assert p.there[1:] == [(3.0, "ConnectionLost")] and p.here == [(3.0, "ConnectionLost")]
 
 
 class Heard(DatagramProtocol):
-    def __init__(self, world: World) -> None:
-        self.world, self.seen = world, list[tuple[float, bytes, tuple[str, int]]]()
+    def __init__(self, network: SimulatedNetwork) -> None:
+        self.network, self.seen = network, list[tuple[float, bytes, tuple[str, int]]]()
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        self.seen.append((round(self.world.now, 4), data, addr))
+        self.seen.append((round(self.network.now, 4), data, addr))
 
 
-def datagrams() -> tuple[World, Heard, Heard]:
-    world = World(5)
-    world.connect(A, B, 0.01)
-    here, there = Heard(world), Heard(world)
-    world.machine(A).reactor.listenUDP(7, here, interface=A)
-    world.machine(B).reactor.listenUDP(7, there, interface=B)
-    return world, here, there
+def datagrams() -> tuple[SimulatedNetwork, Heard, Heard]:
+    network = SimulatedNetwork(5)
+    network.connect(A, B, 0.01)
+    here, there = Heard(network), Heard(network)
+    network.machine(A).reactor.listenUDP(7, here, interface=A)
+    network.machine(B).reactor.listenUDP(7, there, interface=B)
+    return network, here, there
 
 
 def test_datagrams_go_both_ways_and_each_fault_is_what_it_says() -> None:
-    world, here, there = datagrams()
+    network, here, there = datagrams()
     here.transport.write(b"to", (B, 7))
     there.transport.write(b"back", (A, 7))
     here.transport.write(b"nobody", (B, 8))
-    world.run(1.0)
+    network.run(1.0)
     assert there.seen == [(0.01, b"to", (A, 7))] and here.seen == [(0.01, b"back", (B, 7))]
-    cases = ((Spoil(loss=0.5), 60, 140), (Spoil(repeat=0.5), 260, 340), (Spoil(silent=True), 0, 0))
-    for spoil, least, most in cases:
-        world.spoil(A, B, 1, spoil)
+    cases = (
+        (Impairment(loss=0.5), 60, 140),
+        (Impairment(repeat=0.5), 260, 340),
+        (Impairment(silent=True), 0, 0),
+    )
+    for impairment, least, most in cases:
+        network.impair(A, B, 1, impairment)
         before = len(there.seen)
         for _ in range(200):
             here.transport.write(b"x", (B, 7))
-        world.run(world.now + 1.0)
+        network.run(network.now + 1.0)
         assert least <= len(there.seen) - before <= most
-    world.spoil(A, B, 1, Spoil(reorder=0.3))
+    network.impair(A, B, 1, Impairment(reorder=0.3))
     before = len(there.seen)
     for n in range(100):
-        world.at(world.now + n * 0.005, None, here.transport.write, b"%d" % n, (B, 7))
-    world.run(world.now + 2.0)
+        network.at(network.now + n * 0.005, None, here.transport.write, b"%d" % n, (B, 7))
+    network.run(network.now + 2.0)
     came = [int(data) for _, data, _ in there.seen[before:]]
     assert sorted(came) == list(range(100)) != came
 
 
 def test_a_stopped_process_reads_what_its_socket_held_and_loses_the_rest() -> None:
-    world, here, there = datagrams()
-    world.machine(B).stop(5.0)
+    network, here, there = datagrams()
+    network.machine(B).stop(5.0)
     for _ in range(300):
         here.transport.write(b"x" * 1024, (B, 7))
-    world.run(4.0)
+    network.run(4.0)
     assert not there.seen
-    world.run(6.0)
+    network.run(6.0)
     assert len(there.seen) == DATAGRAMS // 1024 and there.transport.overrun == 300 - len(there.seen)
-    world.machine(B).kill()
+    network.machine(B).kill()
     here.transport.write(b"dead", (B, 7))
-    world.run(7.0)
+    network.run(7.0)
     assert len(there.seen) == DATAGRAMS // 1024
 
 
@@ -173,12 +177,12 @@
     assert directions(["n0"], ["n0", "n1"], nodes, False) == [("n0", "n1")]
 
 
-def test_spoils_add_up() -> None:
+def test_impairments_add_up() -> None:
     two = (
-        Spoil(delay_ms=5, loss=0.5, bandwidth=10),
-        Spoil(delay_ms=3, loss=0.5, silent=True, kept=False),
+        Impairment(delay_ms=5, loss=0.5, bandwidth=10),
+        Impairment(delay_ms=3, loss=0.5, silent=True, kept=False),
     )
-    both = together(two)
+    both = combined(two)
     assert (both.delay_ms, both.loss, both.bandwidth, both.silent, both.kept) == (
         8,
         0.75,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,8 +11,8 @@
 import msgspec
 import pytest
 
-from hookpitch.testbed.child import witnessed
-from hookpitch.testbed.links import CLEAN, Spoil
+from hookpitch.testbed.child import recorded_events
+from hookpitch.testbed.links import CLEAN, Impairment
 
 NET = "127.9"  # no run's
 AT, TO, WHENCE = (f"{NET}.1.1", 29100), (f"{NET}.2.1", 29101), f"{NET}.9.9"
@@ -57,8 +57,10 @@
         self.line.flush()
         assert json.loads(self.line.readline()) == ["done"]
 
-    def spoil(self, spoil: Spoil = CLEAN, back: bool = False, a: str = "n0", b: str = "s0") -> None:
-        self.say("spoil", *((b, a) if back else (a, b)), msgspec.to_builtins(spoil))
+    def impair(
+        self, impairment: Impairment = CLEAN, back: bool = False, a: str = "n0", b: str = "s0"
+    ) -> None:
+        self.say("impair", *((b, a) if back else (a, b)), msgspec.to_builtins(impairment))
 
     def connect(self) -> tuple[socket.socket, socket.socket]:
         near = socket.create_connection(AT, 3)
@@ -116,27 +118,29 @@
         far.recv(10)
     rig.say("sever", "n0", "s0")
     assert port in [
-        e.port for e in witnessed(rig.folder / "history") if (e.kind, e.who) == ("closed", "n0")
+        e.port
+        for e in recorded_events(rig.folder / "history")
+        if (e.kind, e.who) == ("closed", "n0")
     ]
 
 
 def test_a_cut_holds_what_is_sent_and_passes_it_on_in_order_when_it_ends(rig: Rig) -> None:
     near, far = rig.connect()
-    rig.spoil(Spoil(silent=True))
+    rig.impair(Impairment(silent=True))
     near.sendall(b"one ")
     near.sendall(b"two")
     far.sendall(b"the other way is open")
     assert near.recv(100) == b"the other way is open" and silent(far)
-    rig.spoil()
+    rig.impair()
     assert far.recv(100) + (b"" if silent(far) else b"?") == b"one two"
 
 
 def test_what_a_cut_swallows_breaks_its_connection_alone(rig: Rig) -> None:
     torn, idle = rig.connect(), rig.connect()
-    rig.spoil(Spoil(silent=True, kept=False))
+    rig.impair(Impairment(silent=True, kept=False))
     torn[0].sendall(b"gone")
     assert silent(torn[1])
-    rig.spoil()
+    rig.impair()
     for peer in torn:
         with pytest.raises(ConnectionResetError):
             peer.recv(10)
@@ -146,27 +150,27 @@
 
 def test_a_reset_in_a_cut_is_told_when_it_ends_and_an_end_comes_behind_the_bytes(rig: Rig) -> None:
     reset, ended = rig.connect(), rig.connect()
-    rig.spoil(Spoil(silent=True))
+    rig.impair(Impairment(silent=True))
     reset[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     reset[0].sendall(b"never")
     reset[0].close()
     ended[0].sendall(b"late")
     ended[0].close()
     assert silent(reset[1]) and silent(ended[1])
-    rig.spoil()
+    rig.impair()
     with pytest.raises(ConnectionResetError):
         reset[1].recv(10)
     assert ended[1].recv(10) == b"late" and ended[1].recv(10) == b""
 
 
-@pytest.mark.parametrize("spoil", [Spoil(deaf=True), Spoil(silent=True)])
+@pytest.mark.parametrize("impairment", [Impairment(deaf=True), Impairment(silent=True)])
 def test_a_dial_through_a_dead_link_never_comes_up_and_does_when_it_is_well(
-    rig: Rig, spoil: Spoil
+    rig: Rig, impairment: Impairment
 ) -> None:
-    rig.spoil(spoil, back=spoil.silent)  # a cut of the way back is enough
+    rig.impair(impairment, back=impairment.silent)  # a cut of the way back is enough
     with pytest.raises(TimeoutError):
         socket.create_connection(AT, 0.4)
-    rig.spoil(back=spoil.silent)
+    rig.impair(back=impairment.silent)
     near, far = rig.connect()
     near.sendall(b"well")
     assert far.recv(10) == b"well"
@@ -174,12 +178,12 @@
 
 def test_dials_are_refused_while_told_so_and_a_severed_link_resets_all(rig: Rig) -> None:
     first = rig.connect()
-    rig.spoil(Spoil(refusing=True))
+    rig.impair(Impairment(refusing=True))
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(AT, 3)
     first[0].sendall(b"stands")
     assert first[1].recv(10) == b"stands"
-    rig.spoil()
+    rig.impair()
     second = rig.connect()
     rig.say("sever", "n0", "s0")
     for peer in (*first, *second):
@@ -194,21 +198,21 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "least_s", "size"),
+    ("impairment", "least_s", "size"),
     [
-        (Spoil(delay_ms=120.0), 0.12, 10),
-        (Spoil(bandwidth=20000.0), 0.2, 4000),
-        (Spoil(loss=0.95), 0.2, 10),  # a stream's bytes come late
+        (Impairment(delay_ms=120.0), 0.12, 10),
+        (Impairment(bandwidth=20000.0), 0.2, 4000),
+        (Impairment(loss=0.95), 0.2, 10),  # a stream's bytes come late
     ],
 )
 def test_a_slow_narrow_or_lossy_link_takes_its_time(
-    rig: Rig, spoil: Spoil, least_s: float, size: int
+    rig: Rig, impairment: Impairment, least_s: float, size: int
 ) -> None:
     near, far = rig.connect()
-    rig.spoil(spoil)
+    rig.impair(impairment)
     begun = time.monotonic()
     near.sendall(b"x" * size)
-    if spoil.loss:
+    if impairment.loss:
         assert silent(far, least_s * 0.9)
         return
     got = 0
@@ -219,7 +223,7 @@
 
 def test_a_reader_that_stops_holds_the_writer_back(rig: Rig) -> None:
     near, _ = rig.connect()
-    rig.spoil(Spoil(silent=True))
+    rig.impair(Impairment(silent=True))
     near.settimeout(0.5)
     sent = 0
     with pytest.raises(TimeoutError):
@@ -255,13 +259,13 @@
     b.sendto(b"back", whence)
     assert a.recvfrom(100) == (b"back", SEEN["n1"])
     assert burst() == list(range(60))
-    rig.spoil(Spoil(silent=True), b="n1")
+    rig.impair(Impairment(silent=True), b="n1")
     assert not burst(5)
-    rig.spoil(Spoil(loss=0.5), b="n1")
+    rig.impair(Impairment(loss=0.5), b="n1")
     assert 10 < len(burst()) < 50
-    rig.spoil(Spoil(repeat=0.5), b="n1")
+    rig.impair(Impairment(repeat=0.5), b="n1")
     assert 70 < len(burst()) < 110
-    rig.spoil(Spoil(reorder=0.3), b="n1")
+    rig.impair(Impairment(reorder=0.3), b="n1")
     got = burst()
     assert sorted(got) == list(range(60)) != got
     a.close()
