--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -20,19 +20,20 @@
 from hookpitch.fakes.history import History
 from hookpitch.fakes.load_clients import Crowd, Keys, Kind, Manner, Rudes
 from hookpitch.fakes.origin import OriginMake
-from hookpitch.testbed.experiment_schema import Experiment, placement_by_method
+from hookpitch.testbed.experiment_schema import Experiment, Method, placement_by_method
 from hookpitch.testbed.links import Impairment
 from hookpitch.testbed.rules import REUSE_WITHIN_MS, TOLERANCE_MS, Rules, Violation
 
 NODE_PORT = 6379
 CACHE_PORT = 6379
+CLOSED_PORT = 9
 SETTLE_S = 2.0  # after the last RPC was asked, before the run ends
 # A node with fewer descriptors closes new connections unread while all of its sockets are busy.
 SOCKETS_FOR_ALL = 256
 
 
 @dataclass(slots=True)
-class Ended:
+class RunResult:
     """What came of a run."""
 
     experiment: Experiment
@@ -46,12 +47,10 @@
     real_s: float
     rude_kept_ms: list[float] = field(default_factory=list)
     no_room: int = 0
-    void: list[str] = field(
-        default_factory=list
-    )  # why the run could not be judged: the rig fell behind
-    rig: dict[str, float] = field(
-        default_factory=dict
-    )  # how late each of the rig's processes was, in ms
+    # Why the run could not be judged: the testbed fell behind.
+    void: list[str] = field(default_factory=list)
+    # How late each of the testbed's processes was, in ms.
+    rig: dict[str, float] = field(default_factory=dict)
 
 
 class BaseRun:
@@ -61,17 +60,21 @@
     crowd: Crowd
     nodes: dict[str, Any]
 
-    def __init__(self, x: Experiment, seed: int, network: Any) -> None:
-        self.x, self.seed, self.network = x, seed, network
-        self.history, self.logs = History(), list[tuple[float, str, str]]()
+    def __init__(self, experiment: Experiment, seed: int, network: Any) -> None:
+        """`network`: schedules calls; the simulated network, or the wall clock on loopback."""
+        self.experiment = experiment
+        self.seed = seed
+        self.network = network
+        self.history = History()
+        self.logs: list[tuple[float, str, str]] = []  # in ms, node, text
         self.chance = random.Random(seed * 7919 + 1)
         self.directory = Directory()
         self.counters: dict[str, dict[str, int]] = {}
         self.addresses: dict[str, str] = {}  # of servers, by name
         self.names: dict[str, str] = {}  # of nodes, by address
         self.rudes: list[Rudes] = []
-        self.keys = Keys(x.traffic.keys, x.traffic.skew)
-        self.drained: dict[str, None] = {}  # nodes that were told to hold no clients
+        self.keys = Keys(experiment.traffic.keys, experiment.traffic.skew)
+        self.drained: dict[str, None] = {}  # nodes that an operator has paused
 
     def now(self) -> float:
         """Time since the run's start, in ms."""
@@ -80,16 +83,16 @@
     # ---- what a clock does its own way
 
     def order(self, name: str, what: str, *args: Any) -> None:
-        """An order to a stand-in (`standin/orders.py`)."""
+        """Give a fake server an order (`fakes/control_commands.py`)."""
         raise NotImplementedError
 
     def kill(self, name: str) -> bool:
-        """A stand-in dies in the middle of its work; False where it is dead."""
+        """Kill the process of a fake server; False where none runs."""
         raise NotImplementedError
 
     def begin(self, name: str) -> None:
-        """One that is dead starts under its name and address: a server cold, discovery with
-        versions anew."""
+        """Start a fake server that is dead under its name and address: a cache server cold,
+        discovery with versions from the start."""
         raise NotImplementedError
 
     def stall(self, name: str, seconds: float) -> None:
@@ -115,8 +118,7 @@
         raise NotImplementedError
 
     def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
-        """An operator's call at a node's door; where the node says yes, `kind` goes into the
-        history."""
+        """Send an admin command to a node; where it agrees, `kind` goes into the history."""
         raise NotImplementedError
 
     def called(self, node: str, line: str, yes: bool, kind: str, what: str) -> None:
@@ -138,9 +140,10 @@
 
     def clients(self, reactor: Any, begun: float) -> Crowd:
         """The load clients, for all nodes."""
-        t = self.x.traffic
+        t = self.experiment.traffic
         kinds = [
-            Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size) for m in self.x.method
+            Kind(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size)
+            for m in self.experiment.method
         ]
         manner = Manner(
             t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving
@@ -156,8 +159,8 @@
 
     def make(self, n: int) -> Make:
         """Of the server with number n."""
-        f = self.x.fleet
-        work = {m.name: m.work_ms for m in self.x.method}
+        f = self.experiment.fleet
+        work = {m.name: m.work_ms for m in self.experiment.method}
         return Make(
             f.cores,
             f.line,
@@ -175,100 +178,97 @@
 
     def origin_make(self) -> OriginMake:
         """What the origin is made with."""
-        return OriginMake(self.x.origin.cores, self.x.origin.line, self.x.origin.work_ms)
+        return OriginMake(
+            self.experiment.origin.cores,
+            self.experiment.origin.line,
+            self.experiment.origin.work_ms,
+        )
 
     def size_of(self, key: str) -> int:
         """Bytes of a key's value; 0 for a small one."""
-        t = self.x.traffic
+        t = self.experiment.traffic
         return int(t.large_kb * 1024) if crc32(key.encode()) % 1000 < 1000 * t.large else 0
 
     def list_server(self, name: str, cold: bool) -> None:
         """Have discovery list a server as in service."""
         n = list(self.addresses).index(name)
-        zone = n % self.x.fleet.zones
+        zone = n % self.experiment.fleet.zones
         born = (self.network.epoch * 1000 + self.now()) if cold else 0.0
-        kind = self.x.fleet.kinds[n % len(self.x.fleet.kinds)]
+        kind = self.experiment.fleet.kinds[n % len(self.experiment.fleet.kinds)]
         self.history.add(self.now(), "place", name, what=f"{kind} z{zone}")
         self.order(
             "discovery", "put", name, self.dial(name), kind, f"z{zone}", n, "in_service", 1.0, born
         )
 
-    def told(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:
-        """What a node is told at its start, as the platform's JSON; `net` as discovery has it for
-        this
-        node."""
-        x, seq_hosts = self.x, self.directory.whole()
-        kinds = list(dict.fromkeys(x.fleet.kinds))
-        hosts = [h.wire(net) for h in seq_hosts[1]] if x.nodes.known != "none" else []
-        if x.nodes.known == "yesterday":  # other processes, at ports where nobody listens now
-            old = [h for h in hosts if h["class"] != "origin"]
-            hosts = [
-                h | {"host": f"y{h['host']}", "dial": f"{h['dial'].rpartition(':')[0]}:9"}
-                for h in old
-            ]
-        seq = seq_hosts[0] if x.nodes.known == "now" else 0
-        methods = [
-            {
-                "name": m.name,
-                "soft_deadline_s": m.soft_ms / 1000,
-                "hard_deadline_s": m.hard_ms / 1000,
-                "gain": m.gain,
-                "idempotency": m.idempotency,
-                "allowed_on": list(m.allowed_on),
-                "runs_in": list(m.runs_in),
-            }
-            for m in x.method
-        ]
+    def node_config(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:
+        """A node's configuration as the platform's JSON; `net`: its loopback network, which fills
+        in the addresses that discovery lists."""
+        experiment = self.experiment
         return {
             "name": node.name,
             "listen": f"{node.address}:{NODE_PORT}",
             "discovery": discovery,
             "seed": self.seed * 1000 + len(self.nodes) * node.starts + int(node.name[1:]),
-            "limits": {"memory_mb": x.nodes.memory_mb, "sockets": x.nodes.sockets},
-            "known": {"seq": seq, "whole": True, "hosts": hosts},
-            "settings": {
-                "balancers": x.nodes.count,
-                "methods": methods,
-                "host_types": [*kinds, "origin"],
-                "family_info": {"mode": "aside", "origin_kind": len(kinds)},
-                "limits": {
-                    "most_transmissions": 3,
-                    "cancelling": True,
-                    "dial_timeout_s": 0.25,
-                    "conn_idle_s": 60.0,
-                },
-                "rules": {
-                    "cold_from": x.fleet.cold_from,
-                    "cold_s": x.fleet.cold_s,
-                    "tip_after_s": x.fleet.tip_s,
-                    "ask_within_s": 10.0,
-                    "overload_factor": x.fleet.fall_multiple,
-                },
-                "tick_s": 0.001,
+            "limits": {
+                "memory_mb": experiment.nodes.memory_mb,
+                "sockets": experiment.nodes.sockets,
+            },
+            "known": self._known_list(net),
+            "settings": self._node_settings(),
+        }
+
+    def _known_list(self, net: str) -> dict[str, Any]:
+        """The list in a node's configuration: the present one, an outdated one or none."""
+        known = self.experiment.nodes.known
+        sequence, listed = self.directory.whole()
+        hosts = [host.wire(net) for host in listed] if known != "none" else []
+        if known == "yesterday":
+            hosts = [_outdated(host) for host in hosts if host["class"] != "origin"]
+        return {"seq": sequence if known == "now" else 0, "whole": True, "hosts": hosts}
+
+    def _node_settings(self) -> dict[str, Any]:
+        fleet = self.experiment.fleet
+        kinds = list(dict.fromkeys(fleet.kinds))
+        return {
+            "balancers": self.experiment.nodes.count,
+            "methods": [_method_settings(method) for method in self.experiment.method],
+            "host_types": [*kinds, "origin"],
+            "family_info": {"mode": "aside", "origin_kind": len(kinds)},
+            "limits": {
+                "most_transmissions": 3,
+                "cancelling": True,
+                "dial_timeout_s": 0.25,
+                "conn_idle_s": 60.0,
             },
+            "rules": {
+                "cold_from": fleet.cold_from,
+                "cold_s": fleet.cold_s,
+                "tip_after_s": fleet.tip_s,
+                "ask_within_s": 10.0,
+                "overload_factor": fleet.fall_multiple,
+            },
+            "tick_s": 0.001,
         }
 
-    def file(self, node: Any, top: dict[str, Any], wrong: int) -> str:
-        """A node's file as text, with other settings at each second time; `wrong`: in one of the
-        forms that
-        no node may take."""
-        node.reloads += not wrong
+    def config_text(self, node: Any, config: dict[str, Any], malformed: int) -> str:
+        """A node's configuration file, with other settings at each second reload; `malformed`, from
+        1: in one of the forms that no node may accept."""
+        if not malformed:
+            node.reloads += 1
         if node.reloads % 2:
-            top["settings"] |= {"weights": "live"}
-            top["settings"]["limits"]["dial_timeout_s"] = 0.3
-            top["settings"]["methods"][0]["hard_deadline_s"] += 0.1
-        whole = json.dumps(top)
-        forms = (
-            whole[: len(whole) // 2],
-            "[]",
-            "{}",
-            json.dumps(top | {"settings": {"methods": []}}),
-        )
-        return forms[(wrong - 1) % len(forms)] if wrong else whole
+            config["settings"] |= {"weights": "live"}
+            config["settings"]["limits"]["dial_timeout_s"] = 0.3
+            config["settings"]["methods"][0]["hard_deadline_s"] += 0.1
+        text = json.dumps(config)
+        if not malformed:
+            return text
+        no_methods = json.dumps(config | {"settings": {"methods": []}})
+        forms = (text[: len(text) // 2], "[]", "{}", no_methods)
+        return forms[(malformed - 1) % len(forms)]
 
     def rules(self) -> Rules:
         """What the judge allows this run."""
-        x = self.x
+        x = self.experiment
         return Rules(
             retriable={m.name: m.idempotency == "retryable" for m in x.method},
             # With fewer keys than caches, a node has no use for each of them.
@@ -288,7 +288,7 @@
 
     def span(self) -> float:
         """Seconds from the last RPC to the run's end."""
-        return max(m.hard_ms for m in self.x.method) / 1000 + SETTLE_S
+        return max(m.hard_ms for m in self.experiment.method) / 1000 + SETTLE_S
 
     def invariants(self) -> list[Violation]:
         """What the nodes' own counters tell of them."""
@@ -299,11 +299,11 @@
             if counter.startswith("broken.") or counter == "faults"
         ]
 
-    def ended(self, broken: list[Violation], events: int, real_s: float, **rig: Any) -> Ended:
+    def ended(self, broken: list[Violation], events: int, real_s: float, **rig: Any) -> RunResult:
         """The run's result."""
         kept = [ms for rudes in self.rudes for ms in rudes.kept_ms]
-        return Ended(
-            self.x,
+        return RunResult(
+            self.experiment,
             self.seed,
             self.history,
             broken + self.invariants(),
@@ -316,3 +316,21 @@
             self.crowd.no_room,
             **rig,
         )
+
+
+def _method_settings(method: Method) -> dict[str, Any]:
+    return {
+        "name": method.name,
+        "soft_deadline_s": method.soft_ms / 1000,
+        "hard_deadline_s": method.hard_ms / 1000,
+        "gain": method.gain,
+        "idempotency": method.idempotency,
+        "allowed_on": list(method.allowed_on),
+        "runs_in": list(method.runs_in),
+    }
+
+
+def _outdated(host: dict[str, Any]) -> dict[str, Any]:
+    """A listed server as one that is gone: another name, and a port where nobody listens."""
+    address = host["dial"].rpartition(":")[0]
+    return host | {"host": f"y{host['host']}", "dial": f"{address}:{CLOSED_PORT}"}
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -34,7 +34,7 @@
         """`offset`: seconds of the network's time at which the run's began."""
         run, fault = self.run, self.fault
         if fault.what in PROCESS_FAULTS:
-            whom = run.x.group(self.n, run.seed)
+            whom = run.experiment.group(self.n, run.seed)
             for n, name in enumerate(whom):
                 at = offset + fault.at + fault.spread * n / len(whom)
                 run.network.at(at, None, self._told, "begins", getattr(self, fault.what), name)
@@ -71,7 +71,7 @@
     # ---- links
 
     def _ways(self) -> list[tuple[str, str]]:
-        return self.run.x.directions(self.n, self.run.seed)
+        return self.run.experiment.directions(self.n, self.run.seed)
 
     def _impairment(self) -> Impairment:
         f = self.fault
@@ -93,7 +93,9 @@
         self._apart(ways)
         if self.fault.what == "flap":
             self._turn(
-                ways, True, self.run.network.now + (self.fault.lasting or self.run.x.seconds)
+                ways,
+                True,
+                self.run.network.now + (self.fault.lasting or self.run.experiment.seconds),
             )
         else:
             self.run.impair(ways, self.n, self._impairment())
@@ -109,7 +111,7 @@
 
     def _apart(self, ways: list[tuple[str, str]]) -> None:
         """What nodes cannot know or answer in that time is told to the judge."""
-        span = 1000 * (self.fault.lasting or self.run.x.seconds)
+        span = 1000 * (self.fault.lasting or self.run.experiment.seconds)
         for pair in dict.fromkeys(tuple(sorted(way)) for way in ways):
             for outside in OUTSIDE:
                 if outside in pair:
@@ -398,7 +400,7 @@
         nothing."""
         for name, node in self.run.nodes.items():
             calls = Calls(
-                self.run.crowd.reactor, self.run.history, name, node.at_door(), self.run.begun
+                self.run.crowd.reactor, self.run.history, name, node.admin_address(), self.run.begun
             )
             calls.start(self.fault.lasting or 1.0, self.fault.by or 5.0)
 
@@ -419,7 +421,7 @@
 
     def node_slow_ends(self) -> None:
         """Its events take what the experiment says."""
-        self.node.machine.event_cost = self.run.x.nodes.event_us / 1e6
+        self.node.machine.event_cost = self.run.experiment.nodes.event_us / 1e6
 
     # ---- traffic's, the network's
 
@@ -433,11 +435,11 @@
 
     def surge(self) -> None:
         """The load is `by` times as high (3)."""
-        self.run.crowd.rate = self.run.x.traffic.rate * (self.fault.by or 3.0)
+        self.run.crowd.rate = self.run.experiment.traffic.rate * (self.fault.by or 3.0)
 
     def surge_ends(self) -> None:
         """The load is the experiment's."""
-        self.run.crowd.rate = self.run.x.traffic.rate
+        self.run.crowd.rate = self.run.experiment.traffic.rate
 
     def hot_key(self) -> None:
         """A share `by` (0.2) of RPCs is for one key."""
@@ -470,5 +472,5 @@
 
 def schedule_faults(run: BaseRun, offset: float = 0.0) -> None:
     """Schedule all faults of the run's experiment; it began `offset` seconds into its clock."""
-    for number, fault in enumerate(run.x.fault):
+    for number, fault in enumerate(run.experiment.fault):
         ScheduledFault(run, number, fault).plan(offset)
--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hookpitch.testbed.base_run import Ended
+from hookpitch.testbed.base_run import RunResult
 from hookpitch.testbed.experiment import read
 from hookpitch.testbed.experiment_schema import Experiment
 from hookpitch.testbed.fuzz_draw import KINDS, draw, experiment_text
@@ -27,7 +27,7 @@
     return read(experiment_text(experiment), experiment.name)
 
 
-def rules_broken(ended: Ended) -> list[str]:
+def rules_broken(ended: RunResult) -> list[str]:
     """The rules that were broken, each once; `program` where a program raised."""
     program = {"program"} if ended.faults else set()
     return sorted({violation.rule for violation in ended.broken} | program)
@@ -66,7 +66,7 @@
     return Found(seed, broken, small, first)
 
 
-def attempt(experiment: Experiment) -> Ended:
+def attempt(experiment: Experiment) -> RunResult:
     """Run it once in virtual time; what a program raises is recorded and does not end the run."""
     run = Run(experiment, experiment.seed)
     run.network.raising = False
--- a/hookpitch/testbed/metrics.py
+++ b/hookpitch/testbed/metrics.py
@@ -12,7 +12,7 @@
 
 from hookpitch.fakes.history import Event
 from hookpitch.testbed import membership
-from hookpitch.testbed.base_run import Ended
+from hookpitch.testbed.base_run import RunResult
 from hookpitch.testbed.experiment_schema import FIGURES, MEMBER_FIGURES, Expectation, Experiment
 
 ORIGIN = "origin"
@@ -48,7 +48,7 @@
 class Span(NamedTuple):
     """What one figure is computed from: a run, and its RPCs that were asked in a span."""
 
-    ended: Ended
+    ended: RunResult
     rpcs: Sequence[RpcRecord]
     since_s: float
     until_s: float
@@ -94,7 +94,7 @@
 
 
 def figure(
-    name: str, ended: Ended, rpcs: Sequence[RpcRecord], since_s: float, until_s: float
+    name: str, ended: RunResult, rpcs: Sequence[RpcRecord], since_s: float, until_s: float
 ) -> float:
     """One figure over RPCs asked in a span of seconds; ValueError where there is none of that
     name. Shares are of gain for `served`, of RPCs otherwise."""
@@ -261,7 +261,7 @@
 # ---- expectations and the summary
 
 
-def check_expectations(ended: Ended) -> list[CheckedExpectation]:
+def check_expectations(ended: RunResult) -> list[CheckedExpectation]:
     """Each expectation of the experiment with its figure, and whether it holds."""
     rpcs = rpc_records(ended.experiment, ended.history.events)
     found = []
@@ -278,7 +278,7 @@
     return found
 
 
-def summary(ended: Ended) -> dict[str, Any]:
+def summary(ended: RunResult) -> dict[str, Any]:
     """All figures as plain data, for `--json` and for comparisons."""
     experiment = ended.experiment
     rpcs = rpc_records(experiment, ended.history.events)
@@ -311,12 +311,16 @@
 
 
 def _figures(
-    names: Iterable[str], ended: Ended, rpcs: Sequence[RpcRecord], since_s: float, until_s: float
+    names: Iterable[str],
+    ended: RunResult,
+    rpcs: Sequence[RpcRecord],
+    since_s: float,
+    until_s: float,
 ) -> dict[str, float]:
     return {name: round(figure(name, ended, rpcs, since_s, until_s), 4) for name in names}
 
 
-def _whole_figures(ended: Ended, rpcs: Sequence[RpcRecord]) -> dict[str, float]:
+def _whole_figures(ended: RunResult, rpcs: Sequence[RpcRecord]) -> dict[str, float]:
     """The figures that every run has, then those of starting and, for members, of membership."""
     names = list(FIGURES[: FIGURES.index("misses") + 1])
     for name in FIGURES[FIGURES.index("list_calls") :]:
@@ -325,7 +329,7 @@
     return _figures(names, ended, rpcs, 0.0, ended.experiment.seconds)
 
 
-def _figures_by_method(ended: Ended, rpcs: Sequence[RpcRecord]) -> dict[str, dict[str, float]]:
+def _figures_by_method(ended: RunResult, rpcs: Sequence[RpcRecord]) -> dict[str, dict[str, float]]:
     found = {}
     for method in ended.experiment.method:
         some = [rpc for rpc in rpcs if rpc.method == method.name]
@@ -333,7 +337,7 @@
     return found
 
 
-def _figures_by_second(ended: Ended, rpcs: Sequence[RpcRecord]) -> list[dict[str, float]]:
+def _figures_by_second(ended: RunResult, rpcs: Sequence[RpcRecord]) -> list[dict[str, float]]:
     found = []
     for second in range(int(ended.experiment.seconds)):
         some = [rpc for rpc in rpcs if second * 1000 <= rpc.at < (second + 1) * 1000]
@@ -342,6 +346,6 @@
     return found
 
 
-def _transmissions_by_server(ended: Ended) -> dict[str, int]:
+def _transmissions_by_server(ended: RunResult) -> dict[str, int]:
     sent = Counter(event.who for event in ended.history.events if event.kind == "came")
     return dict(sorted(sent.items()))
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -20,7 +20,7 @@
 from hookpitch.testbed.simulation import Machine
 
 DISCOVERY_PORT = 8500
-DOOR_PORT = 15000
+ADMIN_PORT = 15000
 READY_S = 6.0  # by then a new process beside an old one serves
 LOOK_S = 0.1  # between two looks at whether it does
 SEEDS = 3  # nodes that all others are told
@@ -54,26 +54,28 @@
 
     def __init__(self, run: NodeHost, name: str, address: str) -> None:
         self.run, self.name, self.address = run, name, address
-        self.machine = run.network.machine(address, descriptors=run.x.nodes.sockets)
-        self.machine.event_cost = run.x.nodes.event_us / 1e6
+        self.machine = run.network.machine(address, descriptors=run.experiment.nodes.sockets)
+        self.machine.event_cost = run.experiment.nodes.event_us / 1e6
         self.starts = self.reloads = 0
         self.node: SocketNode | None = None
         self.elder: SocketNode | None = None  # the process before it, while it still serves
         self.counters = Counters()
         # Where an upgrade is due, the socket is the platform's and every process inherits it.
-        self.upgraded = any(f.what == "node_upgrade" and f.whom == name for f in run.x.fault)
+        self.upgraded = any(
+            f.what == "node_upgrade" and f.whom == name for f in run.experiment.fault
+        )
         if self.upgraded:
             self.machine.hand_down(run.descriptor, NODE_PORT, LISTEN_BACKLOG)
-        self.door = DOOR_PORT
+        self.admin_port = ADMIN_PORT
 
     def start(self) -> None:
         """Start a process with a configuration of now."""
         run, self.starts = self.run, self.starts + 1
         run.history.add(run.now(), "start", self.name)
-        machine, self.door = self.machine, DOOR_PORT + self.starts - 1
+        machine, self.admin_port = self.machine, ADMIN_PORT + self.starts - 1
         reactor = machine.start()
-        top = run.told(self, f"10.2.0.1:{DISCOVERY_PORT}")
-        told = parse_node_config(top | {"management": f"{self.address}:{self.door}"}, {})
+        top = run.node_config(self, f"10.2.0.1:{DISCOVERY_PORT}")
+        told = parse_node_config(top | {"management": f"{self.address}:{self.admin_port}"}, {})
         if self.upgraded:
             process = f"{self.starts}"
             told = replace(
@@ -86,15 +88,17 @@
         clock = Clock(reactor, reactor.seconds, lambda: network.epoch + network.now)
         log = _Log(run, self.name)
         self.node = SocketNode(reactor, clock, told, self.counters, log, lambda: machine.used)
-        if run.x.nodes.snapshot_s:
+        if run.experiment.nodes.snapshot_s:
             kept = SnapshotSettings(
-                f"{run.folder.name}/{{name}}.snapshot", run.x.name, run.x.nodes.snapshot_s
+                f"{run.folder.name}/{{name}}.snapshot",
+                run.experiment.name,
+                run.experiment.nodes.snapshot_s,
             )
             self.node.snapshot_store = SnapshotStore(kept, self.node, partial(self._away, reactor))
-        if run.x.nodes.members:
-            port = run.x.nodes.peer_port
+        if run.experiment.nodes.members:
+            port = run.experiment.nodes.peer_port
             seeds = tuple((n.address, port) for n in list(run.nodes.values())[:SEEDS])
-            attach(MemberSettings((self.address, port), run.x.name, seeds), self.node)
+            attach(MemberSettings((self.address, port), run.experiment.name, seeds), self.node)
         self.node.start()
 
     @staticmethod
@@ -115,14 +119,14 @@
         """A second process that dies as soon as it has begun; the first serves on."""
         if self.node is None or self.elder is not None:
             return
-        old, machine, counters, door = self.node, self.machine, self.counters, self.door
+        old, machine, counters, door = self.node, self.machine, self.counters, self.admin_port
         self.machine = machine.beside()
         self.start()
         self.run.counted(self, self.counters)
         self.machine.kill()
         if self.node.shared_state is not None:  # the kernel lets go of a dead process's locks
             self.node.shared_state.close()
-        self.node, self.machine, self.counters, self.door = old, machine, counters, door
+        self.node, self.machine, self.counters, self.admin_port = old, machine, counters, door
 
     def _when_ready(
         self, old: SocketNode, machine: Machine, counters: Counters, latest: float
@@ -165,7 +169,9 @@
         """SIGHUP, with its file written anew."""
         path = Path(self.run.folder.name) / f"{self.name}.json"
         path.write_text(
-            self.run.file(self, self.run.told(self, f"10.2.0.1:{DISCOVERY_PORT}"), wrong)
+            self.run.config_text(
+                self, self.run.node_config(self, f"10.2.0.1:{DISCOVERY_PORT}"), wrong
+            )
         )
         if self.node is not None:
             self.node.reload(partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
@@ -175,9 +181,9 @@
         if self.node is not None:
             self.node.shut_down()
 
-    def at_door(self) -> tuple[str, int]:
+    def admin_address(self) -> tuple[str, int]:
         """Where its admin port listens."""
-        return self.address, self.door
+        return self.address, self.admin_port
 
     def call(self, line: str) -> str:
         """An operator's call, answered at once; while two processes are one node, either may be
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -25,7 +25,7 @@
 
 from hookpitch.fakes.discovery import Listed
 from hookpitch.fakes.load_clients import Crowd
-from hookpitch.testbed.base_run import Ended
+from hookpitch.testbed.base_run import RunResult
 from hookpitch.testbed.child import Line, LoopMonitor, recorded_events
 from hookpitch.testbed.experiment_schema import PROCESS_FAULTS, VIRTUAL_ONLY, Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
@@ -157,17 +157,17 @@
 
     def _on_their_own(self) -> set[str]:
         """Servers that a fault stops or kills: each has a process of its own."""
-        found = {f.whom for f in self.x.fault if f.what in OWN_PROCESS}
+        found = {f.whom for f in self.experiment.fault if f.what in OWN_PROCESS}
         if "all" in found:
-            found |= {f"s{n}" for n in range(self.x.fleet.caches)}
-        for n, fault in enumerate(self.x.fault):
+            found |= {f"s{n}" for n in range(self.experiment.fleet.caches)}
+        for n, fault in enumerate(self.experiment.fault):
             if fault.what in PROCESS_FAULTS:
-                found |= set(self.x.group(n, self.seed))
+                found |= set(self.experiment.group(n, self.seed))
         return found
 
     def build(self) -> None:
         """All processes but the nodes are started. ValueError says in one line why not."""
-        x, first = self.x, self._block()
+        x, first = self.experiment, self._block()
         self.nets = {f"n{n}": f"127.{FIRST_NET + first * BLOCK + n}" for n in range(x.nodes.count)}
         self.names = {net: name for name, net in self.nets.items()}
         self.own = f"127.{STANDIN_NET + first}"
@@ -201,7 +201,7 @@
 
     def _block(self) -> int:
         """The first of as many free blocks of nets as the nodes need, held until the run's end."""
-        need = -(-self.x.nodes.count // BLOCK)
+        need = -(-self.experiment.nodes.count // BLOCK)
         for n in range(BLOCKS):
             held = (Path(tempfile.gettempdir()) / f"hookpitch-lab-{n}.lock").open("w")
             try:
@@ -234,7 +234,7 @@
         return f"{self.own}.{4 + n // 250}.{1 + n % 250}"
 
     def _standins_given(self, roles: list[dict[str, Any]]) -> dict[str, Any]:
-        t = self.x.traffic
+        t = self.experiment.traffic
         return {
             "nets": self.names,
             "roles": roles,
@@ -250,7 +250,9 @@
             roles = []
             for server in servers:
                 make = msgspec.to_builtins(self.make(list(self.addresses).index(server)))
-                warm = self.x.traffic.keys if self.x.fleet.warm and not again else 0
+                warm = (
+                    self.experiment.traffic.keys if self.experiment.fleet.warm and not again else 0
+                )
                 roles.append(
                     {
                         "kind": "cache",
@@ -291,7 +293,7 @@
             "hosts": fields,
             "seq": 1 if again else seq,
             "lag_ms": self.directory.lag_ms,
-            "calls_per_s": self.x.discovery.calls_per_s,
+            "calls_per_s": self.experiment.discovery.calls_per_s,
         }
         return self._standins_given([role])
 
@@ -300,7 +302,7 @@
         tcp: list[list[Any]] = []
         udp: list[list[Any]] = []
         for name in some:
-            net, port = self.nets[name], self.x.nodes.peer_port
+            net, port = self.nets[name], self.experiment.nodes.peer_port
             whence = f"{net}.9.9"
             tcp.append(
                 [
@@ -336,7 +338,7 @@
 
     def peer(self, a: str, b: str) -> tuple[str, int]:
         """Where node a finds node b, by TCP and by UDP."""
-        return f"{self.nets[a]}.200.{1 + int(b[1:])}", self.x.nodes.peer_port
+        return f"{self.nets[a]}.200.{1 + int(b[1:])}", self.experiment.nodes.peer_port
 
     def dials(self, net: str) -> list[str]:
         """Where a node of that net finds the origin and each server that is there by now."""
@@ -408,7 +410,7 @@
     def refuse(self, name: str, on: bool) -> None:
         """While a process is down, its links refuse dials as its kernel would."""
         if name in self.nodes:
-            peers = self.nodes if self.x.nodes.peer_port else ()
+            peers = self.nodes if self.experiment.nodes.peer_port else ()
             ways = [("clients", name), *((n, name) for n in peers if n != name)]
         else:
             ways = [(n, name) for n in self.nodes]
@@ -460,7 +462,9 @@
     def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
         """Send an operator's call to a node."""
         self.ask(
-            self.nodes[node].at_door(), line, lambda yes: self.called(node, line, yes, kind, what)
+            self.nodes[node].admin_address(),
+            line,
+            lambda yes: self.called(node, line, yes, kind, what),
         )
 
     def when_serving(self, node: NodeProcess) -> None:
@@ -518,7 +522,7 @@
         none."""
         worst: dict[str, float] = dict.fromkeys([*self.children, "clients"], 0.0)
         end = (
-            self.x.seconds + self.span()
+            self.experiment.seconds + self.span()
         ) * 1000  # from then on nodes leave, and nothing is asked
         for e in self.history.events:
             if e.kind != "rig" or not 0 <= e.at <= end:
@@ -528,7 +532,7 @@
             worst[e.who] = max(worst.get(e.who, 0.0), e.value)
         return worst
 
-    def run(self) -> Ended:
+    def run(self) -> RunResult:
         """Run the whole experiment and judge it; ValueError where it could not be run."""
         begun = time.perf_counter()
         try:
@@ -538,7 +542,9 @@
             self.reactor.addSystemEventTrigger("before", "shutdown", setattr, self, "closing", True)
             self.reactor.run()
             if self.failed or not self.over:
-                raise ValueError(self.failed[0] if self.failed else f"{self.x.name}: interrupted")
+                raise ValueError(
+                    self.failed[0] if self.failed else f"{self.experiment.name}: interrupted"
+                )
             return self._ended(begun)
         finally:
             self.end()
@@ -578,7 +584,7 @@
             self.reactor.callLater(0.05, call, until)
 
     def _begin(self) -> None:
-        x, at = self.x, self.network.now
+        x, at = self.experiment, self.network.now
         self.offset = at
         self.network.at(at + BEFORE_S, None, self.crowd.start)
         schedule_faults(self, at)
@@ -589,7 +595,9 @@
 
     def _progress(self) -> None:
         now = self.network.now - self.offset
-        self.tell(f"{now:5.1f} s of {self.x.seconds + self.span():g}, {self.crowd.count} RPCs")
+        self.tell(
+            f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, {self.crowd.count} RPCs"
+        )
         self.reactor.callLater(1.0, self._progress)
 
     def _leave(self) -> None:
@@ -613,7 +621,7 @@
         else:
             self.reactor.callLater(0.05, self._gone, until)
 
-    def _ended(self, begun: float) -> Ended:
+    def _ended(self, begun: float) -> RunResult:
         offset = self.offset * 1000
         for name in self.children:
             self.history.events += recorded_events(self.folder / f"{name}.history")
@@ -678,7 +686,7 @@
 
 def run_on_loopback(
     x: Experiment, seed: int, logs: Path | None = None, tell: Callable[[str], None] | None = None
-) -> Ended:
+) -> RunResult:
     """One run in this process, whose reactor can run only once. `logs`: a folder that keeps all of
     them."""
     from twisted.internet import reactor
@@ -711,7 +719,7 @@
                 reactor.callLater(0.05, look)
                 return
             node = run.nodes["n0"]
-            told = run.told(node, f"{node.net}.2.1:{DISCOVERY_PORT}", node.net)
+            told = run.node_config(node, f"{node.net}.2.1:{DISCOVERY_PORT}", node.net)
             told["listen"] = f"{node.address}:{NODE_PORT}"
             if post is not None:
                 post.write_text(json.dumps(told, indent=1))
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -26,7 +26,7 @@
 READY_S = 6.0  # by then a new process beside an old one says yes
 LOOK_S = 0.05
 SEEDS = 3  # members that all others are told
-NODE_PORT, DISCOVERY_PORT, DOOR_PORT = 26380, 28500, 25000
+NODE_PORT, DISCOVERY_PORT, ADMIN_PORT = 26380, 28500, 25000
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
@@ -173,21 +173,21 @@
         self.node: NodeProcess | None = None
         self.log = run.folder / f"{name}.log"
         self.held: socket.socket | None = None  # the clients' socket, where processes inherit it
-        if any(f.what == "node_upgrade" and f.whom == name for f in run.x.fault):
+        if any(f.what == "node_upgrade" and f.whom == name for f in run.experiment.fault):
             self.held = socket.socket()
             self.held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.held.bind((self.address, NODE_PORT))
             self.held.listen(4096)
 
-    def at_door(self) -> tuple[str, int]:
+    def admin_address(self) -> tuple[str, int]:
         """Where its admin port listens."""
-        return self.address, DOOR_PORT + self.starts
+        return self.address, ADMIN_PORT + self.starts
 
     def start(self) -> None:
         """Start a process with a configuration of now."""
         run, self.starts = self.run, self.starts + 1
         path = run.folder / f"{self.name}.json"
-        path.write_text(json.dumps(self.told()))
+        path.write_text(json.dumps(self.config()))
         run.history.add(run.now(), "start", self.name)
         shared = run.folder / f"{self.name}.shared"
         shared.mkdir(exist_ok=True)
@@ -200,25 +200,29 @@
         if self.held is not None:
             fds = [self.held.fileno()]
             environment["PROXY_INHERITED_FD"] = str(fds[0])
-        flags = [] if run.x.nodes.debug else ["-O"]
+        flags = [] if run.experiment.nodes.debug else ["-O"]
         words = [sys.executable, *flags, "-m", "hookpitch"]
         self.process, self.node = Process(words, self.log, environment, *fds), self
         run.when_serving(self)
 
     def sections(self) -> list[str]:
         """The operator's file, by lines; none where nothing is turned on."""
-        run, x, lines = self.run, self.run.x.nodes, list[str]()
+        run, x, lines = self.run, self.run.experiment.nodes, list[str]()
         if x.snapshot_s:
             lines += [
                 "[snapshot]",
                 f'path = "{run.folder}/{{name}}.snapshot"',
-                f'fleet = "{run.x.name}"',
+                f'fleet = "{run.experiment.name}"',
                 f"every_s = {x.snapshot_s}",
             ]
         if x.members:  # each finds another at an address of its own, where a relay listens
             at = {other: f"{run.nets[other]}.0.1:{x.peer_port}" for other in run.nets}
             seeds = ", ".join(f'"{address}"' for address in list(at.values())[:SEEDS])
-            lines += ["[members]", f'listen = "{at[self.name]}"', f'fleet = "{run.x.name}"']
+            lines += [
+                "[members]",
+                f'listen = "{at[self.name]}"',
+                f'fleet = "{run.experiment.name}"',
+            ]
             lines += [f"seeds = [{seeds}]", "[members.dial]"]
             for other, address in at.items():
                 if other != self.name:
@@ -231,15 +235,17 @@
                     ]
         return lines
 
-    def told(self) -> dict[str, Any]:
+    def config(self) -> dict[str, Any]:
         """Its file."""
-        host, door = self.at_door()
-        told = self.run.told(self, f"{self.net}.2.1:{DISCOVERY_PORT}", self.net)
+        host, door = self.admin_address()
+        told = self.run.node_config(self, f"{self.net}.2.1:{DISCOVERY_PORT}", self.net)
         return told | {"listen": f"{self.address}:{NODE_PORT}", "management": f"{host}:{door}"}
 
     def reload(self, wrong: int) -> None:
         """SIGHUP, with its file written anew."""
-        (self.run.folder / f"{self.name}.json").write_text(self.run.file(self, self.told(), wrong))
+        (self.run.folder / f"{self.name}.json").write_text(
+            self.run.config_text(self, self.config(), wrong)
+        )
         for process in (self.process, self.elder):
             if process is not None:
                 process.signal(signal.SIGHUP)
@@ -287,10 +293,10 @@
                 return
             old.asked = True
             old.signal(signal.SIGTERM)
-            longest = max(m.hard_ms for m in run.x.method) / 1000
+            longest = max(m.hard_ms for m in run.experiment.method) / 1000
             run.network.at(run.network.now + longest + ENDED_S, None, self._ended, old)
 
-        run.ask(self.at_door(), "STATUS", answered)
+        run.ask(self.admin_address(), "STATUS", answered)
 
     def _ended(self, old: Process) -> None:
         old.kill()
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -17,7 +17,7 @@
 from hookpitch.fakes.discovery import Listed
 from hookpitch.fakes.http_servers import DiscoveryServer, OriginServer
 from hookpitch.fakes.origin import Origin
-from hookpitch.testbed.base_run import CACHE_PORT, NODE_PORT, Ended
+from hookpitch.testbed.base_run import CACHE_PORT, NODE_PORT, RunResult
 from hookpitch.testbed.experiment_schema import Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Judge
@@ -57,7 +57,7 @@
     # ---- building
 
     def _build(self) -> None:
-        x, network = self.x, self.network
+        x, network = self.experiment, self.network
         # What the processes of one node share outside of the network: a descriptor's number and a
         # folder.
         self.descriptor = os.open(os.devnull, os.O_RDONLY)
@@ -198,9 +198,9 @@
 
     # ---- running
 
-    def run(self) -> Ended:
+    def run(self) -> RunResult:
         """Run the whole experiment and judge it."""
-        begun, x, network = time.perf_counter(), self.x, self.network
+        begun, x, network = time.perf_counter(), self.experiment, self.network
         for node in self.nodes.values():
             network.at(0.0, None, node.start)
         network.at(BEFORE_S, None, self.crowd.start)
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -7,9 +7,10 @@
 import pytest
 
 from hookpitch.fakes.history import History
+from hookpitch.testbed.base_run import RunResult
 from hookpitch.testbed.experiment import load, read
 from hookpitch.testbed.metrics import RpcRecord, check_expectations, figure, rpc_records
-from hookpitch.testbed.run import Ended, Run
+from hookpitch.testbed.run import Run
 
 FILES = sorted((Path(__file__).parent.parent / "experiments").glob("start-*.toml"))
 
@@ -43,7 +44,7 @@
     history.add(1500.0, "told", "n0", what="whole")
     history.add(1600.0, "stop", "n1")  # of one that was killed before, nothing is asked
     history.add(4700.0, "told", "n2", what="nothing")
-    ended = Ended(read("name = 'a-b'\nseconds = 20.0"), 1, history, [], [], {}, [], 0, 0.0)
+    ended = RunResult(read("name = 'a-b'\nseconds = 20.0"), 1, history, [], [], {}, [], 0, 0.0)
     assert (
         figure("list_calls", ended, [], 0, 20) == 3
         and figure("dials_at_one", ended, [], 0, 20) == 2
