--- a/benchmarks/start_size.py
+++ b/benchmarks/start_size.py
@@ -19,7 +19,8 @@
 
 import msgspec
 
-from hookpitch.testbed.experiment import Experiment, load
+from hookpitch.testbed.experiment import load
+from hookpitch.testbed.experiment_schema import Experiment
 from hookpitch.testbed.metrics import figure, rpc_records
 from hookpitch.testbed.run import Run
 
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -1,8 +1,7 @@
-"""A start in phases: each with its condition and its bound, and a node that serves in all of
-them."""
+"""The phases of a start: each with its condition and its timeout; a node serves in all of them."""
 
 import pytest
-from fleet import DISCOVERY, Sockets, get
+from socket_node import DISCOVERY, Sockets, get
 from test_sockets import serve, watch
 
 from hookpitch.startup.phases import (
@@ -17,51 +16,59 @@
 NOTHING = StartupProgress(False, 0, 0, 0)
 
 
-def test_each_phase_ends_by_its_condition() -> None:
+def test_each_phase_ends_when_its_condition_holds() -> None:
     s = StartupPhases(0.0)
     assert not s.advance(100.0, NOTHING)
-    assert s.advance(200.0, StartupProgress(True, 0, 0, 0)) and s.phase == Phase.CONNECTING
+    assert s.advance(200.0, StartupProgress(True, 0, 0, 0))
+    assert s.phase == Phase.CONNECTING
     assert not s.advance(300.0, StartupProgress(True, 5, 2, 0))
-    assert s.advance(400.0, StartupProgress(True, 5, 3, 0)) and s.phase == Phase.WARMING_UP
+    assert s.advance(400.0, StartupProgress(True, 5, 3, 0))
+    assert s.phase == Phase.WARMING_UP
     assert not s.advance(500.0, StartupProgress(True, 5, 5, 2))
-    assert s.advance(600.0, StartupProgress(True, 5, 5, 3)) and s.phase == Phase.STEADY
-    assert not s.missing and not s.advance(1e9, NOTHING)
+    assert s.advance(600.0, StartupProgress(True, 5, 5, 3))
+    assert s.phase == Phase.STEADY
+    assert not s.missing
+    assert not s.advance(1e9, NOTHING)
 
 
 @pytest.mark.parametrize(
-    ("seen", "lacks"),
+    ("progress", "expected"),
     [
         (NOTHING, ["unlisted", "", ""]),
         (StartupProgress(False, 9, 1, 1), ["unlisted", "unanswered", "unknown"]),
     ],
 )
-def test_each_phase_has_a_bound_and_says_what_it_lacked(
-    seen: StartupProgress, lacks: list[str]
+def test_each_phase_has_a_timeout_and_records_what_was_missing(
+    progress: StartupProgress, expected: list[str]
 ) -> None:
     s, now, lacked = StartupPhases(0.0), 0.0, []
     for bound in (ENDPOINTS_TIMEOUT_MS, CONNECT_TIMEOUT_MS, WARMUP_TIMEOUT_MS):
-        assert not s.advance(now + bound - 1, seen)
+        assert not s.advance(now + bound - 1, progress)
         now += bound
-        assert s.advance(now, seen)
+        assert s.advance(now, progress)
         lacked.append(s.missing)
-    assert s.phase == Phase.STEADY and lacked == lacks
+    assert s.phase == Phase.STEADY
+    assert lacked == expected
 
 
-def test_phases_only_rise_one_at_a_time_also_after_a_long_stop() -> None:
+def test_phases_rise_one_at_a_time_also_after_a_long_suspension() -> None:
     s = StartupPhases(0.0)
     for phase in (1, 2, 3):
-        assert s.advance(1e7, StartupProgress(True, 3, 3, 3)) and s.phase == phase
+        assert s.advance(1e7, StartupProgress(True, 3, 3, 3))
+        assert s.phase == phase
     assert not s.advance(2e7, NOTHING)
 
 
-def test_a_node_serves_from_the_first_phase_on_and_tells_of_each() -> None:
+def test_a_node_serves_from_the_first_phase_on_and_reports_each() -> None:
     s = Sockets(1)
     c = s.client()
     c.say(get("r1"))
     serve(s)
-    assert c.take() and s.counters.counts.get("start.phase", 0) == 0
-    figures = dict(s.node.metrics())
-    assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS and s.node.not_ready_reason() == ""
+    assert c.take()
+    assert s.counters.counts.get("start.phase", 0) == 0
+    figures = dict(s.node.commands.metrics())
+    assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS
+    assert s.node.commands.not_ready_reason() == ""
     s.pass_time(300)
     watch(s, {"seq": 6, "whole": True, "hosts": s.hosts})
     for n in range(40):
@@ -70,21 +77,22 @@
         s.pass_time(300)
         if n % 6 == 5:
             watch(s, b"")
-    assert dict(s.node.metrics())["start_phase"] == Phase.STEADY
+    assert dict(s.node.commands.metrics())["start_phase"] == Phase.STEADY
     assert s.counters.counts["start.listed_ms"] < 1000
 
 
-def test_a_node_whose_discovery_is_silent_goes_on_and_counts_it() -> None:
+def test_a_node_whose_discovery_is_silent_moves_on_and_counts_it() -> None:
     s = Sockets(1)
     s.network.ways[DISCOVERY] = "silent"
     s.pass_time(ENDPOINTS_TIMEOUT_MS + CONNECT_TIMEOUT_MS + WARMUP_TIMEOUT_MS + 2000)
-    assert dict(s.node.metrics())["start_phase"] == Phase.STEADY
-    assert s.counters.counts["start.unlisted"] == 1 and "start.unanswered" not in s.counters.counts
+    assert dict(s.node.commands.metrics())["start_phase"] == Phase.STEADY
+    assert s.counters.counts["start.unlisted"] == 1
+    assert "start.unanswered" not in s.counters.counts
 
 
-def test_a_node_without_any_list_says_that_it_is_not_ready() -> None:
+def test_a_node_without_endpoints_reports_that_it_is_not_ready() -> None:
     s = Sockets(1)
     s.node.host.router.backends.clear()  # it was told none
-    assert s.node.not_ready_reason() == "no list of servers yet"
+    assert s.node.commands.not_ready_reason() == "no list of servers yet"
     watch(s, {"seq": 6, "whole": True, "hosts": Sockets(1).hosts})
-    assert s.node.not_ready_reason() == ""
+    assert s.node.commands.not_ready_reason() == ""
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,5 +1,4 @@
-"""Many nodes that start at once: experiments hold in virtual time, and what a start costs is
-counted."""
+"""Many nodes that start at once: experiments in virtual time, and what a start costs."""
 
 from collections import Counter
 from pathlib import Path
@@ -16,25 +15,26 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
-def test_a_starts_rules_and_expectations_hold(path: Path) -> None:
+def test_the_expectations_of_a_start_experiment_hold(path: Path) -> None:
     ended = Run(load(path), load(path).seed).run()
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
     assert not [(e.text, value) for e, value, holds in check_expectations(ended) if not holds]
 
 
-def test_nodes_that_start_into_trouble_do_no_worse_than_those_that_were_there() -> None:
+def test_nodes_that_start_during_faults_serve_as_well_as_the_running_ones() -> None:
     x = load(next(f for f in FILES if f.stem == "start-into-trouble"))
     ended = Run(x, 1).run()
     starts = Counter(e.who for e in ended.history.events if e.kind == "start")
     rpcs = [s for s in rpc_records(x, ended.history.events) if s.at > 7000.0]  # they are up again
     new, old = ([s for s in rpcs if (starts[s.node] > 1) is again] for again in (True, False))
-    assert len(new) > 500 and len(old) > 500
+    assert len(new) > 500
+    assert len(old) > 500
     served = [figure("served", ended, some, 0.0, x.seconds) for some in (new, old)]
     assert served[0] >= served[1] - 0.02
 
 
-def test_what_a_start_costs_is_counted_by_second_and_by_node() -> None:
+def test_the_cost_of_a_start_is_counted_by_second_and_by_node() -> None:
     history = History()
     for at in (1000.0, 1300.0, 1999.0, 2000.0):
         history.add(at, "called", "n0", what="served")
@@ -45,10 +45,8 @@
     history.add(1600.0, "stop", "n1")  # of one that was killed before, nothing is asked
     history.add(4700.0, "told", "n2", what="nothing")
     ended = RunResult(read("name = 'a-b'\nseconds = 20.0"), 1, history, [], [], {}, [], 0, 0.0)
-    assert (
-        figure("list_calls", ended, [], 0, 20) == 3
-        and figure("dials_at_one", ended, [], 0, 20) == 2
-    )
+    assert figure("list_calls", ended, [], 0, 20) == 3
+    assert figure("dials_at_one", ended, [], 0, 20) == 2
     assert figure("listed_s", ended, [], 0, 20) == 3.5
     rpcs = [
         RpcRecord(
@@ -66,8 +64,10 @@
     assert figure("steady_s", ended, rpcs, 0, 20) == 7.0
 
 
-def test_discovery_takes_what_it_is_made_for_and_refuses_the_rest() -> None:
+def test_discovery_accepts_polls_up_to_its_capacity_and_refuses_the_rest() -> None:
     text = "name = 'a-b'\nseconds = 4.0\n[nodes]\ncount = 30\n[discovery]\ncalls_per_s = 2.0"
     ended = Run(read(text), 1).run()
     how = [e.what for e in ended.history.events if e.kind == "called"]
-    assert not ended.broken and how.count("refused") > 5 and how.count("served") <= 2 + 2 * 6
+    assert not ended.broken
+    assert how.count("refused") > 5
+    assert how.count("served") <= 2 + 2 * 6
