--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -28,25 +28,30 @@
     """One fault of a run: `n` is its place in the file."""
 
     def __init__(self, run: BaseRun, n: int, fault: Fault) -> None:
-        self.run, self.n, self.fault = run, n, fault
+        self.run = run
+        self.n = n
+        self.fault = fault
 
     def plan(self, offset: float = 0.0) -> None:
         """`offset`: seconds of the network's time at which the run's began."""
-        run, fault = self.run, self.fault
+        run = self.run
+        fault = self.fault
         if fault.what in PROCESS_FAULTS:
             whom = run.experiment.group(self.n, run.seed)
             for n, name in enumerate(whom):
                 at = offset + fault.at + fault.spread * n / len(whom)
-                run.network.at(at, None, self._told, "begins", getattr(self, fault.what), name)
+                run.network.at(
+                    at, None, self._record_and_call, "begins", getattr(self, fault.what), name
+                )
             return
         link = fault.what in LINK_FAULTS and fault.what != "sever"
         begin = self._link if link else getattr(self, fault.what)
         end = self._link_ends if link else getattr(self, f"{fault.what}_ends", None)
-        run.network.at(offset + fault.at, None, self._told, "begins", begin)
+        run.network.at(offset + fault.at, None, self._record_and_call, "begins", begin)
         if fault.lasting and end is not None:
-            run.network.at(offset + fault.end, None, self._told, "ends", end)
+            run.network.at(offset + fault.end, None, self._record_and_call, "ends", end)
 
-    def _told(self, what: str, call: Any, *args: str) -> None:
+    def _record_and_call(self, what: str, call: Any, *args: str) -> None:
         whom = args[0] if args else self.fault.whom or "-"
         self.run.history.add(self.run.now(), "fault", whom, what=f"{self.fault.what} {what}")
         call(*args)
@@ -367,7 +372,8 @@
             self.run.crowd.in_use.remove(name)
 
     def _still_held(self, name: str, starts: int) -> None:
-        node, held = self.run.nodes[name], self.run.crowd.held[name]
+        node = self.run.nodes[name]
+        held = self.run.crowd.held[name]
         if node.starts == starts and node.node is not None and name in self.run.drained and held:
             self.run.history.add(self.run.now(), "held", name, value=held)
 
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -24,7 +24,7 @@
 ADMIN_PORT = 15000
 READY_S = 6.0  # by then a new process beside an old one serves
 LOOK_S = 0.1  # between two looks at whether it does
-SEEDS = 3  # nodes that all others are told
+SEEDS = 3  # nodes that all others know at first
 DISK_S = 0.005  # that a snapshot takes to be written
 ENDED_S = 0.7  # past its longest deadline, an old process is killed
 
@@ -41,7 +41,8 @@
     """A node's log lines, kept with their times."""
 
     def __init__(self, run: NodeHost, name: str) -> None:
-        self.run, self.name = run, name
+        self.run = run
+        self.name = name
 
     def info(self, event: str, **values: object) -> None:
         """Keep one log line; lines beyond the bound are dropped."""
@@ -54,7 +55,9 @@
     """A node's place: its machine, and the process that runs there now."""
 
     def __init__(self, run: NodeHost, name: str, address: str) -> None:
-        self.run, self.name, self.address = run, name, address
+        self.run = run
+        self.name = name
+        self.address = address
         self.machine = run.network.machine(address, descriptors=run.experiment.nodes.sockets)
         self.machine.event_cost = run.experiment.nodes.event_us / 1e6
         self.starts = self.reloads = 0
@@ -71,24 +74,27 @@
 
     def start(self) -> None:
         """Start a process with a configuration of now."""
-        run, self.starts = self.run, self.starts + 1
+        run = self.run
+        self.starts = self.starts + 1
         run.history.add(run.now(), "start", self.name)
-        machine, self.admin_port = self.machine, ADMIN_PORT + self.starts - 1
+        machine = self.machine
+        self.admin_port = ADMIN_PORT + self.starts - 1
         reactor = machine.start()
         top = run.node_config(self, f"10.2.0.1:{DISCOVERY_PORT}")
-        told = parse_node_config(top | {"management": f"{self.address}:{self.admin_port}"}, {})
+        config = parse_node_config(top | {"management": f"{self.address}:{self.admin_port}"}, {})
         if self.upgraded:
             process = f"{self.starts}"
-            told = replace(
-                told,
+            config = replace(
+                config,
                 inherited_descriptor=run.descriptor,
                 shared_directory=run.folder.name,
                 process_id=process,
             )
-        network, self.counters = run.network, Counters()
+        network = run.network
+        self.counters = Counters()
         clock = Clock(reactor, reactor.seconds, lambda: network.epoch + network.now)
         log = _Log(run, self.name)
-        self.node = SocketNode(reactor, clock, told, self.counters, log, lambda: machine.used)
+        self.node = SocketNode(reactor, clock, config, self.counters, log, lambda: machine.used)
         if run.experiment.nodes.snapshot_s:
             kept = SnapshotSettings(
                 f"{run.folder.name}/{{name}}.snapshot",
@@ -111,8 +117,11 @@
         """A second process beside the first, which gets SIGTERM once the new one says yes."""
         if self.node is None or self.elder is not None:
             return
-        old, machine, counters = self.node, self.machine, self.counters
-        self.elder, self.machine = old, machine.beside()
+        old = self.node
+        machine = self.machine
+        counters = self.counters
+        self.elder = old
+        self.machine = machine.beside()
         self.start()
         self._when_ready(old, machine, counters, self.run.now() + READY_S * 1000)
 
@@ -120,7 +129,10 @@
         """A second process that dies as soon as it has begun; the first serves on."""
         if self.node is None or self.elder is not None:
             return
-        old, machine, counters, door = self.node, self.machine, self.counters, self.admin_port
+        old = self.node
+        machine = self.machine
+        counters = self.counters
+        door = self.admin_port
         self.machine = machine.beside()
         self.start()
         self.run.counted(self, self.counters)
@@ -129,7 +141,10 @@
             self.node.hot_restart.shared_state is not None
         ):  # the kernel lets go of a dead process's locks
             self.node.hot_restart.shared_state.close()
-        self.node, self.machine, self.counters, self.admin_port = old, machine, counters, door
+        self.node = old
+        self.machine = machine
+        self.counters = counters
+        self.admin_port = door
 
     def _when_ready(
         self, old: SocketNode, machine: Machine, counters: Counters, latest: float
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -34,9 +34,14 @@
 from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess, ProcessHost
 from hookpitch.testbed.rules import Rules, Violation
 
-CACHE_PORT, ORIGIN_PORT = 26379, 28080
-FIRST_NET, STANDIN_NET = 10, 200  # of nodes; of the stand-ins themselves
-BLOCKS, BLOCK = 8, 13  # blocks of nets, and nodes in one
+CACHE_PORT = 26379
+ORIGIN_PORT = 28080
+# of nodes; of the stand-ins themselves
+FIRST_NET = 10
+STANDIN_NET = 200
+# blocks of nets, and nodes in one
+BLOCKS = 8
+BLOCK = 13
 NODES_MOST = BLOCKS * BLOCK
 RELAY_NODES = 16  # at a relay
 TOGETHER = 8  # servers in one process, of those that no fault needs alone
@@ -53,8 +58,10 @@
     """What a happening asks of a network: the time since the start, and events at a time."""
 
     def __init__(self, reactor: Any) -> None:
-        self.reactor, self.begun = reactor, reactor.seconds()
-        self.epoch, self.faults = time.time(), list[str]()
+        self.reactor = reactor
+        self.begun = reactor.seconds()
+        self.epoch = time.time()
+        self.faults = list[str]()
 
     @property
     def now(self) -> float:
@@ -68,7 +75,10 @@
     """One call at a node's door."""
 
     def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
-        self.line, self.answered, self.got, self.over = line, answered, b"", False
+        self.line = line
+        self.answered = answered
+        self.got = b""
+        self.over = False
 
     def connectionMade(self) -> None:
         self.transport.write(self.line.encode() + b"\n")
@@ -84,7 +94,8 @@
     noisy = False
 
     def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
-        self.line, self.answered = line, answered
+        self.line = line
+        self.answered = answered
 
     def buildProtocol(self, addr: object) -> _Ask:
         return _Ask(self.line, self.answered)
@@ -104,7 +115,7 @@
     def buildProtocol(self, addr: object) -> Line:
         whose: list[Child] = []
 
-        def told(what: str, *args: Any) -> None:
+        def received(what: str, *args: Any) -> None:
             if what == "hello":
                 whose.append(self.run.children[args[0]])
             elif what == "ready":
@@ -112,7 +123,7 @@
             else:
                 self.run.told_by(whose[0], what, *args)
 
-        line = Line(told, lambda: self.run.lost(whose[0], line) if whose else None)
+        line = Line(received, lambda: self.run.lost(whose[0], line) if whose else None)
         return line
 
 
@@ -134,9 +145,12 @@
                 raise ValueError(f"{x.name}: fault[{n}].what: {why}")
         if x.nodes.count > NODES_MOST:
             raise ValueError(f"{x.name}: nodes.count: wants at most {NODES_MOST} on loopback")
-        self.reactor, self.folder, self.tell = reactor, folder, tell
+        self.reactor = reactor
+        self.folder = folder
+        self.tell = tell
         super().__init__(x, seed, _WallClock(reactor))
-        self.begun, self.control = self.network.begun, str(folder / "control")
+        self.begun = self.network.begun
+        self.control = str(folder / "control")
         self.nets: dict[str, str] = {}  # by node
         self.own = ""  # the stand-ins' net
         self.nodes: dict[str, NodeProcess] = {}
@@ -145,7 +159,9 @@
         self.relays: dict[str, Child] = {}  # by node
         self.void: list[str] = []
         self.failed: list[str] = []  # why the run could not go on
-        self.offset, self.over, self.closing = 0.0, False, False
+        self.offset = 0.0
+        self.over = False
+        self.closing = False
         self._locks: list[Any] = []
         self._impairments = Impairments()
         self._alone = self._on_their_own()
@@ -167,7 +183,8 @@
 
     def build(self) -> None:
         """All processes but the nodes are started. ValueError says in one line why not."""
-        x, first = self.experiment, self._block()
+        x = self.experiment
+        first = self._block()
         self.nets = {f"n{n}": f"127.{FIRST_NET + first * BLOCK + n}" for n in range(x.nodes.count)}
         self.names = {net: name for name, net in self.nets.items()}
         self.own = f"127.{STANDIN_NET + first}"
@@ -271,7 +288,8 @@
         return child
 
     def _origin_given(self) -> dict[str, Any]:
-        make, names = msgspec.to_builtins(self.origin_make()), list(self.addresses)
+        make = msgspec.to_builtins(self.origin_make())
+        names = list(self.addresses)
         host = f"{self.own}.3.2"
         role = {
             "kind": "origin",
@@ -302,7 +320,8 @@
         tcp: list[list[Any]] = []
         udp: list[list[Any]] = []
         for name in some:
-            net, port = self.nets[name], self.experiment.nodes.peer_port
+            net = self.nets[name]
+            port = self.experiment.nodes.peer_port
             whence = f"{net}.9.9"
             tcp.append(
                 [
@@ -324,8 +343,10 @@
             for other in self.nets if port else ():
                 if other == name:
                     continue
-                home, whole = [f"{net}.0.1", port], [f"{self.nets[other]}.0.1", port]
-                here, there = self.peer(name, other), self.peer(other, name)
+                home = [f"{net}.0.1", port]
+                whole = [f"{self.nets[other]}.0.1", port]
+                here = self.peer(name, other)
+                there = self.peer(other, name)
                 tcp.append([name, other, list(here), whole, there[0]])
                 if int(name[1:]) < int(other[1:]):
                     udp.append([name, other, list(here), list(there), whole, home])
@@ -509,7 +530,8 @@
     def rules(self) -> Rules:
         """Bounds are wider by how late the rig was, twice."""
         # An RPC meets its relay on the way there and back.
-        plain, late = super().rules(), 2 * max(self.late().values(), default=0.0)
+        plain = super().rules()
+        late = 2 * max(self.late().values(), default=0.0)
         return replace(
             plain,
             overlap_ms=OVERLAP_MS + late,
@@ -584,7 +606,8 @@
             self.reactor.callLater(0.05, call, until)
 
     def _begin(self) -> None:
-        x, at = self.experiment, self.network.now
+        x = self.experiment
+        at = self.network.now
         self.offset = at
         self.network.at(at + BEFORE_S, None, self.crowd.start)
         schedule_faults(self, at)
@@ -613,7 +636,7 @@
         self._gone(self.network.now + self.span() + LEFT_S)
 
     def _gone(self, until: float) -> None:
-        """Nodes that leave have their time; what they counted is told at their end."""
+        """Nodes that leave have their time; what they counted is logged at their end."""
         if self.network.now > until or not any(
             n.process.running for n in self.nodes.values() if n.process
         ):
@@ -640,8 +663,8 @@
         killed = {
             e.who for e in self.history.events if e.kind == "stop"
         }  # what they counted died with them
-        told = {name: counts for name, counts in self.counters.items() if name not in killed}
-        broken += judge.check_counters(self.history, told)
+        comparable = {name: counts for name, counts in self.counters.items() if name not in killed}
+        broken += judge.check_counters(self.history, comparable)
         real = time.perf_counter() - begun
         return self.ended(broken, len(self.history.events), real, void=self.void, rig=late)
 
@@ -719,13 +742,13 @@
                 reactor.callLater(0.05, look)
                 return
             node = run.nodes["n0"]
-            told = run.node_config(node, f"{node.net}.2.1:{DISCOVERY_PORT}", node.net)
-            told["listen"] = f"{node.address}:{NODE_PORT}"
+            config = run.node_config(node, f"{node.net}.2.1:{DISCOVERY_PORT}", node.net)
+            config["listen"] = f"{node.address}:{NODE_PORT}"
             if post is not None:
-                post.write_text(json.dumps(told, indent=1))
+                post.write_text(json.dumps(config, indent=1))
                 tell(f"a node's file: {post}")
             up = f"{len(run.addresses)} cache servers, the origin and discovery are up"
-            tell(f"{up}; a node: {told['listen']}")
+            tell(f"{up}; a node: {config['listen']}")
             schedule_faults(run, run.network.now)
 
         try:
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -25,8 +25,10 @@
 ENDED_S = 0.7  # past its longest deadline, an old process is killed
 READY_S = 6.0  # by then a new process beside an old one says yes
 LOOK_S = 0.05
-SEEDS = 3  # members that all others are told
-NODE_PORT, DISCOVERY_PORT, ADMIN_PORT = 26380, 28500, 25000
+SEEDS = 3  # members that all others know at first
+NODE_PORT = 26380
+DISCOVERY_PORT = 28500
+ADMIN_PORT = 25000
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
@@ -115,7 +117,10 @@
     def __init__(
         self, run: ProcessHost, name: str, module: str, given: Callable[[], dict[str, Any]]
     ) -> None:
-        self.run, self.name, self.module, self.given = run, name, module, given
+        self.run = run
+        self.name = name
+        self.module = module
+        self.given = given
         self.process: Process | None = None
         self.line: Line | None = None
         self.ready = False
@@ -125,7 +130,8 @@
 
     def start(self) -> None:
         """Start a process of it."""
-        run, self.starts = self.run, self.starts + 1
+        run = self.run
+        self.starts = self.starts + 1
         top = self.given() | {
             "name": self.name,
             "control": run.control,
@@ -140,7 +146,8 @@
 
     def is_ready(self, line: Line) -> None:
         """Its control line is up: send what waited."""
-        self.line, self.ready = line, True
+        self.line = line
+        self.ready = True
         for words in self.orders:
             line.send(*words)
         self.orders.clear()
@@ -157,7 +164,8 @@
 
     def kill(self) -> None:
         """Kill its process."""
-        self.ready, self.line = False, None
+        self.ready = False
+        self.line = None
         if self.process is not None:
             self.process.kill()
 
@@ -166,7 +174,10 @@
     """A node's place on loopback; `node` is itself while a process of it runs."""
 
     def __init__(self, run: ProcessHost, name: str, net: str) -> None:
-        self.run, self.name, self.net, self.address = run, name, net, f"{net}.0.1"
+        self.run = run
+        self.name = name
+        self.net = net
+        self.address = f"{net}.0.1"
         self.starts = self.reloads = 0
         self.process: Process | None = None
         self.elder: Process | None = None  # the one before it, while it still serves
@@ -185,7 +196,8 @@
 
     def start(self) -> None:
         """Start a process with a configuration of now."""
-        run, self.starts = self.run, self.starts + 1
+        run = self.run
+        self.starts = self.starts + 1
         path = run.folder / f"{self.name}.json"
         path.write_text(json.dumps(self.config()))
         run.history.add(run.now(), "start", self.name)
@@ -202,12 +214,15 @@
             environment["PROXY_INHERITED_FD"] = str(fds[0])
         flags = [] if run.experiment.nodes.debug else ["-O"]
         words = [sys.executable, *flags, "-m", "hookpitch"]
-        self.process, self.node = Process(words, self.log, environment, *fds), self
+        self.process = Process(words, self.log, environment, *fds)
+        self.node = self
         run.when_serving(self)
 
     def sections(self) -> list[str]:
         """The operator's file, by lines; none where nothing is turned on."""
-        run, x, lines = self.run, self.run.experiment.nodes, list[str]()
+        run = self.run
+        x = self.run.experiment.nodes
+        lines = list[str]()
         if x.snapshot_s:
             lines += [
                 "[snapshot]",
@@ -229,7 +244,8 @@
                     host, port = run.peer(self.name, other)
                     lines.append(f'"{address}" = "{host}:{port}"')
                     # What another tells of a server is true in the other's net.
-                    mine, theirs = run.dials(self.net), run.dials(run.nets[other])
+                    mine = run.dials(self.net)
+                    theirs = run.dials(run.nets[other])
                     lines += [
                         f'"{there}" = "{here}"' for here, there in zip(mine, theirs, strict=True)
                     ]
@@ -238,8 +254,8 @@
     def config(self) -> dict[str, Any]:
         """Its file."""
         host, door = self.admin_address()
-        told = self.run.node_config(self, f"{self.net}.2.1:{DISCOVERY_PORT}", self.net)
-        return told | {"listen": f"{self.address}:{NODE_PORT}", "management": f"{host}:{door}"}
+        config = self.run.node_config(self, f"{self.net}.2.1:{DISCOVERY_PORT}", self.net)
+        return config | {"listen": f"{self.address}:{NODE_PORT}", "management": f"{host}:{door}"}
 
     def reload(self, wrong: int) -> None:
         """SIGHUP, with its file written anew."""
@@ -307,7 +323,8 @@
         """A second process that dies as soon as it has begun; the first serves on."""
         if self.node is None or self.elder is not None:
             return
-        first, starts = self.process, self.starts
+        first = self.process
+        starts = self.starts
         self.start()
         second = self.process
         self.process = first
--- a/hookpitch/testbed/reactor.py
+++ b/hookpitch/testbed/reactor.py
@@ -37,7 +37,9 @@
     """`IReactorTime` and the used part of `IReactorTCP` for the programs of one machine."""
 
     def __init__(self, machine: Machine) -> None:
-        self.machine, self.network, self.running = machine, machine.network, True
+        self.machine = machine
+        self.network = machine.network
+        self.running = True
 
     def seconds(self) -> float:
         """The time, in seconds."""
@@ -117,7 +119,10 @@
 
     def __init__(self, network: Network, port: int, backlog: int, kept: bool = False) -> None:
         """`kept`: somebody holds it beside the processes that read it, so it outlasts them."""
-        self.network, self.port, self.backlog, self.kept = network, port, backlog, kept
+        self.network = network
+        self.port = port
+        self.backlog = backlog
+        self.kept = kept
         self.line: deque[Endpoint] = deque()
         self.ports: list[Port] = []
 
@@ -133,7 +138,9 @@
     """A process's hold on a listening socket."""
 
     def __init__(self, machine: Machine, listening: Listening, factory: Any) -> None:
-        self.machine, self.listening, self.factory = machine, listening, factory
+        self.machine = machine
+        self.listening = listening
+        self.factory = factory
         self.sessionno = 0
         machine.ports[self] = None
         listening.ports.append(self)
@@ -147,7 +154,8 @@
 
     def doRead(self) -> None:
         """Take one connection that the kernel has accepted."""
-        line, machine = self.listening.line, self.machine
+        line = self.listening.line
+        machine = self.machine
         if not line or self not in machine.ports:
             return
         end = line.popleft()
@@ -186,7 +194,10 @@
     """A socket for datagrams: Twisted's `IUDPTransport`. What comes unread waits, up to a bound."""
 
     def __init__(self, machine: Machine, port: int, protocol: Any, most: int) -> None:
-        self.machine, self.port, self.protocol, self.most = machine, port, protocol, most
+        self.machine = machine
+        self.port = port
+        self.protocol = protocol
+        self.most = most
         self.kernel: deque[tuple[bytes, tuple[str, int]]] = deque()
         self.unread = self.overrun = 0
 
@@ -242,13 +253,11 @@
     def __init__(
         self, machine: Machine, host: str, port: int, factory: Any, timeout: float | None
     ) -> None:
-        self.machine, self.host, self.port, self.factory, self.timeout = (
-            machine,
-            host,
-            port,
-            factory,
-            timeout,
-        )
+        self.machine = machine
+        self.host = host
+        self.port = port
+        self.factory = factory
+        self.timeout = timeout
         self.end: Endpoint | None = None
         self.over = False
         self._timer: DelayedCall | None = None
@@ -259,7 +268,8 @@
 
     def connect(self) -> None:
         """Begin the dial."""
-        machine, network = self.machine, self.machine.network
+        machine = self.machine
+        network = self.machine.network
         self.factory.doStart()
         self.factory.startedConnecting(self)
         if machine.held >= machine.descriptors:
@@ -277,7 +287,8 @@
         """The first packet has come to the other machine, seen by its kernel alone."""
         if self.over:
             return
-        network, there = self.machine.network, self.machine.network.machines.get(self.host)
+        network = self.machine.network
+        there = self.machine.network.machines.get(self.host)
         if there is None or not there.present:
             return  # nobody answers
         port = there.listeners.get(self.port)
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -40,10 +40,9 @@
 
 HELD = 1 << 18  # bytes of a flow that are under way; what is more waits in the kernels
 BACKLOG = 4096
-FIRST_PORT, LAST_PORT = (
-    10000,
-    32000,
-)  # of what the relay dials from: under those that the kernel deals out
+# of what the relay dials from: under those that the kernel deals out
+FIRST_PORT = 10000
+LAST_PORT = 32000
 DIAL_S = 10.0
 
 
@@ -53,7 +52,10 @@
     __slots__ = ("a", "b", "impairment", "free_at", "flows")
 
     def __init__(self, a: str, b: str) -> None:
-        self.a, self.b, self.impairment, self.free_at = a, b, CLEAN, 0.0
+        self.a = a
+        self.b = b
+        self.impairment = CLEAN
+        self.free_at = 0.0
         self.flows: dict[Flow, None] = {}
 
 
@@ -76,16 +78,21 @@
     )
 
     def __init__(self, relay: Relay, way: Way, source: Side, sink: Side) -> None:
-        self.relay, self.way, self.source, self.sink = relay, way, source, sink
+        self.relay = relay
+        self.way = way
+        self.source = source
+        self.sink = sink
         self.queue: deque[tuple[float, bytes | None]] = deque()  # when it is due; None: the end
-        self.size, self.last = 0, 0.0
+        self.size = 0
+        self.last = 0.0
         self.timer: Any = None
         self.torn = self.full = self.shut = self.over = False
         way.flows[self] = None
 
     def came(self, data: bytes | None) -> None:
         """Take bytes that the source has read; None: the end."""
-        impairment, now = self.way.impairment, self.relay.reactor.seconds()
+        impairment = self.way.impairment
+        now = self.relay.reactor.seconds()
         if impairment is CLEAN and not self.queue and self.sink.transport is not None:
             self._write(data)
             return
@@ -100,7 +107,8 @@
 
     def _takes(self, impairment: Impairment, now: float, size: int) -> float:
         """Seconds that it is on its way."""
-        chance, way = self.relay.chance, self.way
+        chance = self.relay.chance
+        way = self.way
         takes = impairment.delay_ms / 1000 + (
             chance.random() * impairment.jitter_ms / 1000 if impairment.jitter_ms else 0.0
         )
@@ -174,7 +182,8 @@
     """One socket of a connection."""
 
     def __init__(self, pair: Pair) -> None:
-        self.pair, self.out = pair, None
+        self.pair = pair
+        self.out = None
         self.ended = self.lost = False  # the peer's end was read; the socket is closed
         self.back: Flow | None = None  # the flow that this side writes
 
@@ -215,8 +224,10 @@
     """One connection through a link."""
 
     def __init__(self, link: Link) -> None:
-        self.link, self.relay = link, link.relay
-        self.near, self.far = Side(self), Side(self)
+        self.link = link
+        self.relay = link.relay
+        self.near = Side(self)
+        self.far = Side(self)
         there = Flow(self.relay, link.there, self.near, self.far)
         back = Flow(self.relay, link.back, self.far, self.near)
         self.near.out = self.far.back = there
@@ -303,8 +314,14 @@
         self, relay: Relay, a: str, b: str, at: tuple[str, int], to: tuple[str, int], whence: str
     ) -> None:
         """`a` dials, `b` listens; `whence`: the address that b sees."""
-        self.relay, self.a, self.b, self.at, self.to, self.whence = relay, a, b, at, to, whence
-        self.there, self.back = relay.way(a, b), relay.way(b, a)
+        self.relay = relay
+        self.a = a
+        self.b = b
+        self.at = at
+        self.to = to
+        self.whence = whence
+        self.there = relay.way(a, b)
+        self.back = relay.way(b, a)
         self.pairs: dict[Pair, None] = {}
         self.plugs: dict[tuple[str, int], socket.socket] = {}
         self.port: Any = None
@@ -321,7 +338,8 @@
 
     def changed(self) -> None:
         """A direction's state is another: how are dials met now, and what may go on?"""
-        there, back = self.there.impairment, self.back.impairment
+        there = self.there.impairment
+        back = self.back.impairment
         mode = "shut" if there.refusing else "open"
         if there.deaf or there.silent or back.silent:
             mode = "deaf"
@@ -331,7 +349,8 @@
             pair.healed()
 
     def _meet(self, mode: str) -> None:
-        before, self.mode = self.mode, mode
+        before = self.mode
+        self.mode = mode
         if before == "deaf":
             for plug in self.plugs.values():
                 plug.close()
@@ -368,7 +387,8 @@
     noisy = False
 
     def __init__(self, relay: Relay, pair: Pair) -> None:
-        self.relay, self.pair = relay, pair
+        self.relay = relay
+        self.pair = pair
 
     def buildProtocol(self, addr: object) -> Side:
         return self.pair.far
@@ -384,12 +404,16 @@
     """Where one node finds another: what comes here leaves from where the other finds this one."""
 
     def __init__(self, relay: Relay, a: str, b: str, to: tuple[str, int]) -> None:
-        self.relay, self.way, self.to = relay, relay.way(a, b), to
+        self.relay = relay
+        self.way = relay.way(a, b)
+        self.to = to
         self.other: Datagrams | None = None
 
     def datagramReceived(self, data: bytes, addr: object) -> None:
         """Pass a datagram on, as its direction's state has it."""
-        impairment, relay, chance = self.way.impairment, self.relay, self.relay.chance
+        impairment = self.way.impairment
+        relay = self.relay
+        chance = self.relay.chance
         if impairment.silent or (impairment.loss and chance.random() < impairment.loss):
             return
         for _ in range(2 if impairment.repeat and chance.random() < impairment.repeat else 1):
@@ -426,8 +450,11 @@
         self, reactor: Any, history: History, begun: float, nodes: list[str], seed: int
     ) -> None:
         """`begun`: the run's start on the reactor's clock, in seconds."""
-        self.reactor, self.history, self.begun = reactor, history, begun
-        self.nodes, self.chance = frozenset(nodes), random.Random(seed)
+        self.reactor = reactor
+        self.history = history
+        self.begun = begun
+        self.nodes = frozenset(nodes)
+        self.chance = random.Random(seed)
         self.ways: dict[tuple[str, str], Way] = {}
         self.links: dict[tuple[str, str], list[Link]] = {}
         self._ports: dict[str, int] = {}
@@ -459,8 +486,10 @@
     ) -> None:
         """Datagrams between two nodes: a finds b at `at`, b finds a at `back`; `to`: where each
         is."""
-        there, here = Datagrams(self, a, b, to[b]), Datagrams(self, b, a, to[a])
-        there.other, here.other = here, there
+        there = Datagrams(self, a, b, to[b])
+        here = Datagrams(self, b, a, to[a])
+        there.other = here
+        here.other = there
         self.reactor.listenUDP(at[1], there, interface=at[0])
         self.reactor.listenUDP(back[1], here, interface=back[0])
 
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -57,13 +57,16 @@
     # ---- building
 
     def _build(self) -> None:
-        x, network = self.experiment, self.network
+        x = self.experiment
+        network = self.network
         # What the processes of one node share outside of the network: a descriptor's number and a
         # folder.
         self.descriptor = os.open(os.devnull, os.O_RDONLY)
         self.folder = tempfile.TemporaryDirectory(prefix="hookpitch-lab-")
-        network.closed, network.unheard = self._closed, self._unheard
-        network.plain.delay, network.plain.jitter = x.net.delay_ms / 1000, x.net.jitter_ms / 1000
+        network.closed = self._closed
+        network.unheard = self._unheard
+        network.plain.delay = x.net.delay_ms / 1000
+        network.plain.jitter = x.net.jitter_ms / 1000
         web = network.machine("10.2.0.2").reactor
         self.origin_server = OriginServer(
             self.origin, web, self.history, self.chance, self._whose, 0.0
@@ -108,7 +111,8 @@
         """Start a cache server and list it."""
         n = len(self.addresses)
         address = self.addresses.setdefault(name, f"10.1.{n >> 8}.{1 + (n & 255)}")
-        make, reactor = self.make(n), self.network.machine(address).reactor
+        make = self.make(n)
+        reactor = self.network.machine(address).reactor
         server = CacheServer(
             name, make, reactor, self.history, self.origin, self.chance, self._whose, 0.0
         )
@@ -200,7 +204,9 @@
 
     def run(self) -> RunResult:
         """Run the whole experiment and judge it."""
-        begun, x, network = time.perf_counter(), self.experiment, self.network
+        begun = time.perf_counter()
+        x = self.experiment
+        network = self.network
         for node in self.nodes.values():
             network.at(0.0, None, node.start)
         network.at(BEFORE_S, None, self.crowd.start)
--- a/hookpitch/testbed/simulated_tcp.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -31,8 +31,11 @@
 
 def pair(a: Machine, b: Machine, port: int) -> tuple[Endpoint, Endpoint]:
     """The two ends of a new connection."""
-    near, far = Endpoint(a, a.port(), b.address, port), Endpoint(b, port, a.address, 0)
-    near.peer, far.peer, far.peer_port = far, near, near.port
+    near = Endpoint(a, a.port(), b.address, port)
+    far = Endpoint(b, port, a.address, 0)
+    near.peer = far
+    far.peer = near
+    far.peer_port = near.port
     return near, far
 
 
@@ -63,27 +66,27 @@
     TLS = False
 
     def __init__(self, machine: Machine, port: int, peer_address: str, peer_port: int) -> None:
-        self.machine, self.port, self.peer_address, self.peer_port = (
-            machine,
-            port,
-            peer_address,
-            peer_port,
-        )
+        self.machine = machine
+        self.port = port
+        self.peer_address = peer_address
+        self.peer_port = peer_port
         self.peer: Endpoint = self
         self.protocol: Any = None
         self.connector: Dialler | None = None
         self.socket = _Socket(self)
         self.out: deque[bytes] = deque()  # handed over by the program, not yet sent
         self.kernel: deque[bytes] = deque()  # arrived, unread
-        self.unread, self.travelling = (
-            0,
-            0,
-        )  # bytes: arrived here; sent from here and not yet read there
-        self.came_at, self.last_arrival = machine.network.now, 0.0
+        # bytes: arrived here; sent from here and not yet read there
+        self.unread = 0
+        self.travelling = 0
+        self.came_at = machine.network.now
+        self.last_arrival = 0.0
         self.ended = False  # the peer's end of sending has arrived
         self.was_reset = False
         self.over = self.aborted = False  # this end's socket is closed; with a reset
-        self.connected, self.disconnecting, self.reading = True, False, True
+        self.connected = True
+        self.disconnecting = False
+        self.reading = True
         self.sent_end = False
         self.producer: Any = None
         self.streaming = False
@@ -127,7 +130,8 @@
         if self.over:
             producer.stopProducing()
             return
-        self.producer, self.streaming = producer, streaming
+        self.producer = producer
+        self.streaming = streaming
         if not streaming:
             producer.resumeProducing()
 
@@ -154,7 +158,8 @@
     def loseConnection(self) -> None:
         """Close once all is sent."""
         if not self.over and not self.disconnecting:
-            self.disconnecting, self.reading = True, False
+            self.disconnecting = True
+            self.reading = False
             self._close_if_sent()
 
     def loseWriteConnection(self) -> None:
@@ -166,7 +171,8 @@
     def abortConnection(self) -> None:
         """Close with a reset."""
         if not self.over:
-            self.disconnecting, self.reading = True, False
+            self.disconnecting = True
+            self.reading = False
             self.machine.network.at(self.machine.network.now, self.machine, self._aborted)
 
     _half = False
@@ -217,7 +223,8 @@
 
     def arrive(self, data: bytes) -> None:
         """Bytes have come to this machine's kernel."""
-        peer, network = self.peer, self.machine.network
+        peer = self.peer
+        network = self.machine.network
         if not self.machine.present:
             return
         peer.travelling -= len(data)
@@ -258,7 +265,8 @@
             while self.kernel and len(data) + len(self.kernel[0]) <= READ:
                 data += self.kernel.popleft()
             self.unread -= len(data)
-            peer, network = self.peer, self.machine.network
+            peer = self.peer
+            network = self.machine.network
             if peer.out:
                 network.send(self.machine.address, self.peer_address, 40, peer.pump)
             self.protocol.dataReceived(data)
@@ -324,9 +332,11 @@
         self._tell(reset or bool(self.kernel), told)
         self._gone()
         if self.producer is not None:
-            producer, self.producer = self.producer, None
+            producer = self.producer
+            self.producer = None
             producer.stopProducing()
-        protocol, self.protocol = self.protocol, None
+        protocol = self.protocol
+        self.protocol = None
         if protocol is not None:
             failure = Failure(fault)
             protocol.connectionLost(failure)
@@ -336,7 +346,8 @@
     def _tell(self, reset: bool, told: bool) -> None:
         if told or not self.machine.present:
             return
-        network, peer = self.machine.network, self.peer
+        network = self.machine.network
+        peer = self.peer
         if reset:
             self.aborted = True
             network.send(
@@ -349,7 +360,9 @@
     def _gone(self) -> None:
         if self.machine.network.closed is not None:
             self.machine.network.closed(self)
-        self.over, self.connected, self.reading = True, False, False
+        self.over = True
+        self.connected = False
+        self.reading = False
         self.out.clear()
         self.kernel.clear()
         self.unread = 0
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -50,14 +50,12 @@
         args: tuple[Any, ...],
         kw: dict[str, Any],
     ) -> None:
-        self.network, self.machine, self.time, self.func, self.args, self.kw = (
-            network,
-            machine,
-            time,
-            func,
-            args,
-            kw,
-        )
+        self.network = network
+        self.machine = machine
+        self.time = time
+        self.func = func
+        self.args = args
+        self.kw = kw
         self.n = network.number()
         self.life = machine.life if machine is not None else 0
 
@@ -91,7 +89,8 @@
         husk = self.network.places.pop(self.n, None)
         if husk is not None:
             husk[2] = None
-        self.time, self.n = time, again.n
+        self.time = time
+        self.n = again.n
         self.network.push(self)
 
 
@@ -100,7 +99,9 @@
 
     def __init__(self, seed: int, epoch: float = 1.7e9) -> None:
         """`epoch`: Unix time at the start, in seconds."""
-        self.seed, self.epoch, self.now = seed, epoch, 0.0
+        self.seed = seed
+        self.epoch = epoch
+        self.now = 0.0
         self.chance = random.Random(seed)
         self._heap: list[list[Any]] = []
         self.places: dict[int, list[Any]] = {}
@@ -162,7 +163,9 @@
         self.now = max(self.now, until)
 
     def _do(self, call: Call, machine: Machine | None) -> None:
-        func, call.func = call.func, None  # type: ignore[assignment]
+        # type: ignore[assignment]
+        func = call.func
+        call.func = None
         self.events += 1
         try:
             func(*call.args, **call.kw)
@@ -224,13 +227,15 @@
         if link.impairment.silent:
             self._hold(link, (a, b, size, arrive, end), once)
             return
-        when, lost = self._arrival(link, size), False
+        when = self._arrival(link, size)
+        lost = False
         if link.impairment.loss:
             again = RETRANSMIT_MS / 1000 * (1 if end is not None else DIAL_RETRANSMIT_FACTOR)
             for n in range(MOST_RETRANSMITS):
                 if self.chance.random() >= link.impairment.loss:
                     break
-                when, lost = when + again * 2**n, True
+                when = when + again * 2**n
+                lost = True
         if end is not None:  # TCP keeps the order of a direction
             when = end.last_arrival = max(when, end.last_arrival)
         self.at(when, None, self._arrived, a, b, size, arrive, end, once, lost)
@@ -257,7 +262,8 @@
     def _arrival(self, link: Link, size: int) -> float:
         """When a packet that is sent now comes, if it is not lost."""
         impairment = link.impairment
-        start, width = max(self.now, link.free_at), min(link.bandwidth, impairment.bandwidth)
+        start = max(self.now, link.free_at)
+        width = min(link.bandwidth, impairment.bandwidth)
         if width < UNLIMITED:
             link.free_at = start = start + size / width
         jitter = link.jitter + impairment.jitter_ms / 1000
@@ -279,7 +285,8 @@
 
     def datagram(self, a: str, b: str, size: int, arrive: Callable[[], None]) -> None:
         """Like `send`, for what nobody sends again: it comes once, twice, late or never."""
-        link, here = self.link(a, b), self.machines.get(a)
+        link = self.link(a, b)
+        here = self.machines.get(a)
         if (here is not None and not here.present) or b not in self.machines:
             return
         impairment = link.impairment
@@ -310,8 +317,10 @@
         )
         if not silent or link.impairment.silent:
             return
-        held, torn = link.held, link.torn
-        link.held, link.torn = [], {}
+        held = link.held
+        torn = link.torn
+        link.held = []
+        link.torn = {}
         for end in torn:
             for one in (end, end.peer):
                 one.drop(reset=False, told=True)
@@ -364,7 +373,9 @@
     to both."""
 
     def __init__(self, network: SimulatedNetwork, address: str, descriptors: int = 1 << 20) -> None:
-        self.network, self.address, self.descriptors = network, address, descriptors
+        self.network = network
+        self.address = address
+        self.descriptors = descriptors
         self.listeners: dict[int, Listening] = {}  # the kernel's, of all processes here
         self.handed: dict[int, Listening] = {}  # by descriptor: handed down to every process here
         self.ports: dict[Port, None] = {}  # this process's
@@ -372,12 +383,12 @@
         self.others: list[Machine] = []  # processes beside this one
         self.endpoints: dict[Endpoint, None] = {}
         self.dials: dict[Connector, None] = {}
-        self.present, self.running = True, True
+        self.present = True
+        self.running = True
         self.life = 0  # of its process; what an earlier one asked for is not done
-        self.free_at, self.used = (
-            0.0,
-            0.0,
-        )  # until when it is at work or stopped; seconds of CPU used
+        # until when it is at work or stopped; seconds of CPU used
+        self.free_at = 0.0
+        self.used = 0.0
         self.event_cost = 0.0  # seconds of CPU that each of its events takes
         self.waiting: deque[tuple[Call, int]] = (
             deque()
@@ -394,8 +405,11 @@
     def beside(self) -> Machine:
         """Another process at this address, with descriptors and a part of a core of its own."""
         other = Machine(self.network, self.address, self.descriptors)
-        other.listeners, other.handed, other._ports = self.listeners, self.handed, self._ports
-        other.sockets, other.others = self.sockets, self.others
+        other.listeners = self.listeners
+        other.handed = self.handed
+        other._ports = self._ports
+        other.sockets = self.sockets
+        other.others = self.others
         self.others.append(other)
         other.event_cost = self.event_cost
         return other
@@ -435,7 +449,8 @@
     def kill(self) -> None:
         """The process dies: its connections are reset, new ones refused."""
         self.life += 1
-        self.running, self.free_at = False, self.network.now
+        self.running = False
+        self.free_at = self.network.now
         for end in list(self.endpoints):
             end.drop(reset=True)
         for dial in list(self.dials):
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -27,7 +27,8 @@
     """The origin as a cache server's process knows it."""
 
     def __init__(self, line: Line) -> None:
-        self.line, self.caches = line, dict[str, Cache]()
+        self.line = line
+        self.caches = dict[str, Cache]()
 
     def miss(self, rpc: str, cache: Cache) -> None:
         """Report a miss to the origin's process."""
@@ -38,7 +39,8 @@
     """A cache server as the origin's process knows it."""
 
     def __init__(self, line: Line, name: str) -> None:
-        self.line, self.name = line, name
+        self.line = line
+        self.name = name
 
     def store(self, key: str) -> None:
         """Ask the cache's process to store a key."""
@@ -55,10 +57,14 @@
     def __init__(
         self, reactor: Any, given: dict[str, Any], history: EventRecorder, line: Line
     ) -> None:
-        self.reactor, self.history, self.line = reactor, history, line
-        self.begun, self.nets = given["begun"], given["nets"]
+        self.reactor = reactor
+        self.history = history
+        self.line = line
+        self.begun = given["begun"]
+        self.nets = given["nets"]
         self.chance = random.Random(given["seed"])
-        self.large, self.large_size = given["large"], given["large_size"]
+        self.large = given["large"]
+        self.large_size = given["large_size"]
         self.there: dict[str, CacheServer | OriginServer | DiscoveryServer] = {}
         for role in given["roles"]:
             getattr(self, f"_{role['kind']}")(role)
@@ -72,7 +78,8 @@
         return self.large_size if crc32(key.encode()) % 1000 < 1000 * self.large else 0
 
     def _cache(self, role: dict[str, Any]) -> None:
-        make, origin = msgspec.convert(role["make"], Make), FarOrigin(self.line)
+        make = msgspec.convert(role["make"], Make)
+        origin = FarOrigin(self.line)
         server = CacheServer(
             role["name"],
             make,
