--- a/hookpitch/testbed/report.py
+++ b/hookpitch/testbed/report.py
@@ -50,21 +50,33 @@
 
 def page(summary: dict[str, Any]) -> str:
     """The page, from the figures that `metrics.summary` gives."""
+    title = html.escape(f"{summary['name']}, seed {summary['seed']}")
+    broken = html.escape("\n\n".join(summary["broken"]) or "none")
+    expected = "".join(_expected_row(one) for one in summary["expected"])
+    faults = "".join(_fault_item(fault) for fault in summary["faults"])
     rows = "".join(f"<tr><td>{k}</td><td>{v:g}</td></tr>" for k, v in summary["whole"].items())
-    expected = "".join(
-        f'<tr class="{"" if e["holds"] else "no"}"><td>{html.escape(e["text"])}</td><td>{e["figure"]:g}</td>'  # noqa: E501
-        f"<td>{'holds' if e['holds'] else 'does not hold'}</td></tr>"
-        for e in summary["expected"]
-    )
-    faults = "".join(
-        f"<li>{f['at']:g} s to {f['end']:g} s: {html.escape(f['what'])} {html.escape(f['whom'])}</li>"  # noqa: E501
-        for f in summary["faults"]
+    return "".join(
+        (
+            f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style>",
+            f"<h1>{title}</h1><p>{summary['rpcs']} RPCs, digest {summary['digest']}</p>",
+            f"<h2>Rules broken</h2><pre>{broken}</pre>",
+            f"<h2>Expected</h2><table>{expected}</table>",
+            f"<h2>Time lines</h2>{drawn(summary)}<ul>{faults}</ul>",
+            f"<h2>Figures</h2><table>{rows}</table>",
+        )
     )
-    broken = "\n\n".join(summary["broken"]) or "none"
-    title = f"{summary['name']}, seed {summary['seed']}"
+
+
+def _expected_row(expected: dict[str, Any]) -> str:
+    holds = "holds" if expected["holds"] else "does not hold"
+    style = "" if expected["holds"] else "no"
+    text = html.escape(expected["text"])
     return (
-        f"<!doctype html><meta charset=utf-8><title>{html.escape(title)}</title><style>{STYLE}</style>"  # noqa: E501
-        f"<h1>{html.escape(title)}</h1><p>{summary['rpcs']} RPCs, digest {summary['digest']}</p>"
-        f"<h2>Rules broken</h2><pre>{html.escape(broken)}</pre><h2>Expected</h2><table>{expected}</table>"  # noqa: E501
-        f"<h2>Time lines</h2>{drawn(summary)}<ul>{faults}</ul><h2>Figures</h2><table>{rows}</table>"
+        f'<tr class="{style}"><td>{text}</td><td>{expected["figure"]:g}</td><td>{holds}</td></tr>'
     )
+
+
+def _fault_item(fault: dict[str, Any]) -> str:
+    what = html.escape(fault["what"])
+    whom = html.escape(fault["whom"])
+    return f"<li>{fault['at']:g} s to {fault['end']:g} s: {what} {whom}</li>"
