--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -1,5 +1,5 @@
 """What membership does at its sizes, in virtual time: state machine and codec alone
-(`lab/gossip.py`).
+(`hookpitch/testbed/membership_simulation.py`).
 
     python benchmarks/members_size.py detect 400 --seeds 20
     python benchmarks/members_size.py lossy 100 --loss 0.2 --seconds 120 --seeds 20
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -185,7 +185,7 @@
 ) -> None:
     play = Play(ROOT / "experiments" / "processes-half-cut.toml", tmp_path)
     children = play.when_up(3)
-    (relay,) = [pid for pid, words in children.items() if "lab.relay" in words]
+    (relay,) = [pid for pid, words in children.items() if "testbed.relay" in words]
     begun = time.monotonic()
     os.kill(relay, signal.SIGKILL)
     code, said = play.end()
