--- a/hookpitch/cli/lab/fuzz.py
+++ b/hookpitch/cli/lab/fuzz.py
@@ -34,10 +34,10 @@
 
 def _fault_kinds(only: str | None) -> Sequence[str]:
     """The kinds that the option names, or all."""
-    from hookpitch.testbed.experiment import ON_LINKS, ON_PROCESSES
-    from hookpitch.testbed.fuzz import KINDS
+    from hookpitch.testbed.experiment_schema import LINK_FAULTS, PROCESS_FAULTS
+    from hookpitch.testbed.fuzz_draw import KINDS
 
-    groups = {"links": ON_LINKS, "processes": ON_PROCESSES}
+    groups = {"links": LINK_FAULTS, "processes": PROCESS_FAULTS}
     words = only.split(",") if only else []
     kinds = [kind for word in words for kind in groups.get(word, (word,))]
     for kind in kinds:
@@ -56,12 +56,13 @@
 
 def _fuzz_in_virtual_time(runs: int, seed: int, keep: Path | None, kinds: Sequence[str]) -> bool:
     from hookpitch.testbed import fuzz as fuzzing
+    from hookpitch.testbed.fuzz_draw import experiment_text
 
     found = fuzzing.fuzz(runs, seed, lambda text: click.echo(text, err=True), kinds)
     for finding in found:
         click.echo(f"seed {finding.seed}: {', '.join(finding.broken)}\n  {finding.first}")
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
-            (keep / f"{finding.small.name}.toml").write_text(fuzzing.text(finding.small))
+            (keep / f"{finding.small.name}.toml").write_text(experiment_text(finding.small))
     click.echo(f"{runs} runs, {len(found)} found")
     return bool(found)
--- a/hookpitch/cli/lab/run.py
+++ b/hookpitch/cli/lab/run.py
@@ -13,8 +13,8 @@
 from hookpitch.cli.lab.files import find_experiment
 
 if TYPE_CHECKING:
-    from hookpitch.testbed.experiment import Experiment
-    from hookpitch.testbed.run import Ended
+    from hookpitch.testbed.base_run import RunResult
+    from hookpitch.testbed.experiment_schema import Experiment
 
 MAX_LINES = 5  # printed of each kind of finding
 EXIT_BROKEN = 1
@@ -75,13 +75,13 @@
         return load(find_experiment(name))
 
 
-def _run_in_virtual_time(experiment: Experiment, seed: int) -> Ended:
+def _run_in_virtual_time(experiment: Experiment, seed: int) -> RunResult:
     from hookpitch.testbed.run import Run
 
     return Run(experiment, seed).run()
 
 
-def _run_on_processes(experiment: Experiment, seed: int, logs: Path | None) -> Ended:
+def _run_on_processes(experiment: Experiment, seed: int, logs: Path | None) -> RunResult:
     from hookpitch.testbed.process_run import run_on_loopback
 
     show_progress = sys.stderr.isatty()
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -1,14 +1,10 @@
-"""An experiment on loopback in real time: every node, stand-in and relay a process of its own.
-
-Each node has a net of its own (127.10.x.x, 127.11.x.x, ...), in which relays stand for all that it
-meets:
-servers, the origin, discovery, its clients, the other nodes. So each link is in the lab's hands
-and the
-node's program is unchanged. A machine's nets are dealt out in blocks, so that several small runs,
-or a large
-one, fit beside one another. This process has the clients and the time line, and puts the histories
-of all
-together. A run in which the rig fell behind is void. Sources: the platform's protocol; signal(7).
+"""An experiment on loopback in real time: each node, fake server and relay is a process.
+
+Each node has a loopback network of its own (127.10.x.x, 127.11.x.x, ...), in which relays stand for
+all that it talks to: servers, the origin, discovery, its clients, the other nodes. So the testbed
+controls each link and the node's program is unchanged. Networks are allotted in blocks, so that
+several runs fit beside one another. This process has the clients and the time line, and merges the
+histories of all. A run in which the testbed fell behind is void. Sources: signal(7).
 """
 
 from __future__ import annotations
@@ -29,17 +25,23 @@
 
 from hookpitch.fakes.discovery import FakeEndpoint
 from hookpitch.fakes.load_clients import LoadClients
-from hookpitch.testbed.child import Line, LoopMonitor, witnessed
-from hookpitch.testbed.experiment import ON_PROCESSES, ONLY_VIRTUAL, Experiment
-from hookpitch.testbed.faults import BEFORE_S
-from hookpitch.testbed.judge import Broken, Judge, Rules
-from hookpitch.testbed.links import Spoil, Spoils
-from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess
-from hookpitch.testbed.run import Common, Ended
-
-CACHE_PORT, ORIGIN_PORT = 26379, 28080
-FIRST_NET, STANDIN_NET = 10, 200  # of nodes; of the stand-ins themselves
-BLOCKS, BLOCK = 8, 13  # blocks of nets, and nodes in one
+from hookpitch.testbed.base_run import RunResult
+from hookpitch.testbed.child import Line, LoopMonitor, recorded_events
+from hookpitch.testbed.experiment_schema import PROCESS_FAULTS, VIRTUAL_ONLY, Experiment
+from hookpitch.testbed.faults import BEFORE_S, schedule_faults
+from hookpitch.testbed.judge import Judge
+from hookpitch.testbed.links import Impairment, Impairments
+from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess, ProcessHost
+from hookpitch.testbed.rules import Rules, Violation
+
+CACHE_PORT = 26379
+ORIGIN_PORT = 28080
+# of nodes; of the stand-ins themselves
+FIRST_NET = 10
+STANDIN_NET = 200
+# blocks of nets, and nodes in one
+BLOCKS = 8
+BLOCK = 13
 NODES_MOST = BLOCKS * BLOCK
 RELAY_NODES = 16  # at a relay
 TOGETHER = 8  # servers in one process, of those that no fault needs alone
@@ -52,12 +54,14 @@
 CALL_S = 1.0
 
 
-class _WallWorld:
-    """What a happening asks of a world: the time since the start, and events at a time."""
+class _WallClock:
+    """What a happening asks of a network: the time since the start, and events at a time."""
 
-    def __init__(self, reactor: Any) -> None:  # noqa: ANN401
-        self.reactor, self.begun = reactor, reactor.seconds()
-        self.epoch, self.faults = time.time(), list[str]()
+    def __init__(self, reactor: Any) -> None:
+        self.reactor = reactor
+        self.begun = reactor.seconds()
+        self.epoch = time.time()
+        self.faults = list[str]()
 
     @property
     def now(self) -> float:
@@ -71,15 +75,18 @@
     """One call at a node's door."""
 
     def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
-        self.line, self.answered, self.got, self.over = line, answered, b"", False
+        self.line = line
+        self.answered = answered
+        self.got = b""
+        self.over = False
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.transport.write(self.line.encode() + b"\n")
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         self.got += data
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.answered(self.got.startswith(b"YES"))
 
 
@@ -87,12 +94,13 @@
     noisy = False
 
     def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
-        self.line, self.answered = line, answered
+        self.line = line
+        self.answered = answered
 
-    def buildProtocol(self, addr: object) -> _Ask:  # noqa: N802
+    def buildProtocol(self, addr: object) -> _Ask:
         return _Ask(self.line, self.answered)
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         self.answered(False)
 
 
@@ -104,10 +112,10 @@
     def __init__(self, run: WallRun) -> None:
         self.run = run
 
-    def buildProtocol(self, addr: object) -> Line:  # noqa: N802
+    def buildProtocol(self, addr: object) -> Line:
         whose: list[Child] = []
 
-        def told(what: str, *args: Any) -> None:  # noqa: ANN401
+        def received(what: str, *args: Any) -> None:
             if what == "hello":
                 whose.append(self.run.children[args[0]])
             elif what == "ready":
@@ -115,11 +123,11 @@
             else:
                 self.run.told_by(whose[0], what, *args)
 
-        line = Line(told, lambda: self.run.lost(whose[0], line) if whose else None)
+        line = Line(received, lambda: self.run.lost(whose[0], line) if whose else None)
         return line
 
 
-class WallRun(Common):
+class WallRun(ProcessHost):
     """The same run on loopback."""
 
     def __init__(
@@ -132,14 +140,17 @@
     ) -> None:
         """`tell` is given a line a second of how the run goes."""
         for n, fault in enumerate(x.fault):
-            if fault.what in ONLY_VIRTUAL:
-                why = f"'{fault.what}' is for virtual time alone: {ONLY_VIRTUAL[fault.what]}"
+            if fault.what in VIRTUAL_ONLY:
+                why = f"'{fault.what}' is for virtual time alone: {VIRTUAL_ONLY[fault.what]}"
                 raise ValueError(f"{x.name}: fault[{n}].what: {why}")
         if x.nodes.count > NODES_MOST:
             raise ValueError(f"{x.name}: nodes.count: wants at most {NODES_MOST} on loopback")
-        self.reactor, self.folder, self.tell = reactor, folder, tell
-        super().__init__(x, seed, _WallWorld(reactor))
-        self.begun, self.control = self.world.begun, str(folder / "control")
+        self.reactor = reactor
+        self.folder = folder
+        self.tell = tell
+        super().__init__(x, seed, _WallClock(reactor))
+        self.begun = self.network.begun
+        self.control = str(folder / "control")
         self.nets: dict[str, str] = {}  # by node
         self.own = ""  # the stand-ins' net
         self.nodes: dict[str, NodeProcess] = {}
@@ -148,9 +159,11 @@
         self.relays: dict[str, Child] = {}  # by node
         self.void: list[str] = []
         self.failed: list[str] = []  # why the run could not go on
-        self.offset, self.over, self.closing = 0.0, False, False
+        self.offset = 0.0
+        self.over = False
+        self.closing = False
         self._locks: list[Any] = []
-        self._spoils = Spoils()
+        self._impairments = Impairments()
         self._alone = self._on_their_own()
         self._excused: list[
             tuple[str, float, float]
@@ -160,17 +173,18 @@
 
     def _on_their_own(self) -> set[str]:
         """Servers that a fault stops or kills: each has a process of its own."""
-        found = {f.whom for f in self.x.fault if f.what in OWN_PROCESS}
+        found = {f.whom for f in self.experiment.fault if f.what in OWN_PROCESS}
         if "all" in found:
-            found |= {f"s{n}" for n in range(self.x.fleet.caches)}
-        for n, fault in enumerate(self.x.fault):
-            if fault.what in ON_PROCESSES:
-                found |= set(self.x.group(n, self.seed))
+            found |= {f"s{n}" for n in range(self.experiment.fleet.caches)}
+        for n, fault in enumerate(self.experiment.fault):
+            if fault.what in PROCESS_FAULTS:
+                found |= set(self.experiment.group(n, self.seed))
         return found
 
     def build(self) -> None:
         """All processes but the nodes are started. ValueError says in one line why not."""
-        x, first = self.x, self._block()
+        x = self.experiment
+        first = self._block()
         self.nets = {f"n{n}": f"127.{FIRST_NET + first * BLOCK + n}" for n in range(x.nodes.count)}
         self.names = {net: name for name, net in self.nets.items()}
         self.own = f"127.{STANDIN_NET + first}"
@@ -204,7 +218,7 @@
 
     def _block(self) -> int:
         """The first of as many free blocks of nets as the nodes need, held until the run's end."""
-        need = -(-self.x.nodes.count // BLOCK)
+        need = -(-self.experiment.nodes.count // BLOCK)
         for n in range(BLOCKS):
             held = (Path(tempfile.gettempdir()) / f"hookpitch-lab-{n}.lock").open("w")
             try:
@@ -237,7 +251,7 @@
         return f"{self.own}.{4 + n // 250}.{1 + n % 250}"
 
     def _standins_given(self, roles: list[dict[str, Any]]) -> dict[str, Any]:
-        t = self.x.traffic
+        t = self.experiment.traffic
         return {
             "nets": self.names,
             "roles": roles,
@@ -253,7 +267,9 @@
             roles = []
             for server in servers:
                 make = msgspec.to_builtins(self.make(list(self.addresses).index(server)))
-                warm = self.x.traffic.keys if self.x.fleet.warm and not again else 0
+                warm = (
+                    self.experiment.traffic.keys if self.experiment.fleet.warm and not again else 0
+                )
                 roles.append(
                     {
                         "kind": "cache",
@@ -272,7 +288,8 @@
         return child
 
     def _origin_given(self) -> dict[str, Any]:
-        make, names = msgspec.to_builtins(self.origin_make()), list(self.addresses)
+        make = msgspec.to_builtins(self.origin_make())
+        names = list(self.addresses)
         host = f"{self.own}.3.2"
         role = {
             "kind": "origin",
@@ -294,7 +311,7 @@
             "hosts": fields,
             "seq": 1 if again else seq,
             "lag_ms": self.directory.lag_ms,
-            "calls_per_s": self.x.discovery.calls_per_s,
+            "calls_per_s": self.experiment.discovery.calls_per_s,
         }
         return self._standins_given([role])
 
@@ -303,7 +320,8 @@
         tcp: list[list[Any]] = []
         udp: list[list[Any]] = []
         for name in some:
-            net, port = self.nets[name], self.x.nodes.peer_port
+            net = self.nets[name]
+            port = self.experiment.nodes.peer_port
             whence = f"{net}.9.9"
             tcp.append(
                 [
@@ -325,8 +343,10 @@
             for other in self.nets if port else ():
                 if other == name:
                     continue
-                home, whole = [f"{net}.0.1", port], [f"{self.nets[other]}.0.1", port]
-                here, there = self.peer(name, other), self.peer(other, name)
+                home = [f"{net}.0.1", port]
+                whole = [f"{self.nets[other]}.0.1", port]
+                here = self.peer(name, other)
+                there = self.peer(other, name)
                 tcp.append([name, other, list(here), whole, there[0]])
                 if int(name[1:]) < int(other[1:]):
                     udp.append([name, other, list(here), list(there), whole, home])
@@ -339,7 +359,7 @@
 
     def peer(self, a: str, b: str) -> tuple[str, int]:
         """Where node a finds node b, by TCP and by UDP."""
-        return f"{self.nets[a]}.200.{1 + int(b[1:])}", self.x.nodes.peer_port
+        return f"{self.nets[a]}.200.{1 + int(b[1:])}", self.experiment.nodes.peer_port
 
     def dials(self, net: str) -> list[str]:
         """Where a node of that net finds the origin and each server that is there by now."""
@@ -349,12 +369,15 @@
         ]
 
     def dial(self, name: str) -> str:
+        """Where a server is dialled, for a network that is filled in later."""
         return f"{{net}}.{self.addresses[name]}:{CACHE_PORT}"
 
     def client_dial(self, node: NodeProcess) -> tuple[str, int]:
+        """The relay's address for a node's clients."""
         return f"{node.net}.3.1", NODE_PORT
 
     def add_server(self, name: str, cold: bool) -> None:
+        """Start a process for a new server, with links to all nodes."""
         self._place(name)
         child = self._standin(name, [name], cold)
         for node, relay in self.relays.items():
@@ -364,14 +387,15 @@
 
     # ---- what faults ask for
 
-    def order(self, name: str, what: str, *args: Any) -> None:  # noqa: ANN401
+    def order(self, name: str, what: str, *args: Any) -> None:
+        """Send an order to the process of a fake server."""
         if name == "discovery":
             self._mirror(what, *args)
         child = self.home.get(name)
         if child is not None:
             child.order(name, what, *args)
 
-    def _mirror(self, what: str, *args: Any) -> None:  # noqa: ANN401
+    def _mirror(self, what: str, *args: Any) -> None:
         """What is ordered of discovery is known here, too: for nodes that start."""
         if what == "put":
             self.directory.put(FakeEndpoint(*args))
@@ -383,6 +407,7 @@
             self.directory.restart()
 
     def kill(self, name: str) -> bool:
+        """Kill the process of a fake server."""
         child = self.home[name]
         if child.process is None or not child.ready:
             return False
@@ -392,6 +417,7 @@
         return True
 
     def begin(self, name: str) -> None:
+        """Start the process of a fake server."""
         child = self.home[name]
         if child.ready:
             return
@@ -405,13 +431,14 @@
     def refuse(self, name: str, on: bool) -> None:
         """While a process is down, its links refuse dials as its kernel would."""
         if name in self.nodes:
-            peers = self.nodes if self.x.nodes.peer_port else ()
+            peers = self.nodes if self.experiment.nodes.peer_port else ()
             ways = [("clients", name), *((n, name) for n in peers if n != name)]
         else:
             ways = [(n, name) for n in self.nodes]
-        self.spoil(ways, "down", Spoil(refusing=True) if on else None)
+        self.impair(ways, "down", Impairment(refusing=True) if on else None)
 
     def stall(self, name: str, seconds: float) -> None:
+        """Stop a process; the relay or server it holds back is excused."""
         if name in self.nodes:
             self.nodes[name].stop(seconds)
             return
@@ -421,25 +448,30 @@
             return
         self._excused.append((child.name, self.now(), self.now() + seconds * 1000 + VOID_MS))
         process.stop()
-        self.world.at(self.world.now + seconds, None, process.go_on)
+        self.network.at(self.network.now + seconds, None, process.go_on)
 
     def vanish(self, name: str, gone: bool) -> None:
+        """Silence all links of a server."""
         ways = [way for n in self.nodes for way in ((n, name), (name, n))]
-        self.spoil(ways, "vanished", Spoil(silent=True, kept=False) if gone else None)
+        self.impair(ways, "vanished", Impairment(silent=True, kept=False) if gone else None)
         if not gone:
             self.sever(ways)
 
-    def spoil(self, ways: Iterable[tuple[str, str]], by: object, spoil: Spoil | None) -> None:
+    def impair(
+        self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
+    ) -> None:
+        """Have the relays impair directions."""
         for a, b in ways:
             state = (
-                self._spoils.lift((a, b), by)
-                if spoil is None
-                else self._spoils.put((a, b), by, spoil)
+                self._impairments.remove((a, b), by)
+                if impairment is None
+                else self._impairments.put((a, b), by, impairment)
             )
             for relay in dict.fromkeys(self.relays[name] for name in (a, b) if name in self.relays):
-                relay.order("spoil", a, b, msgspec.to_builtins(state))
+                relay.order("impair", a, b, msgspec.to_builtins(state))
 
     def sever(self, ways: Iterable[tuple[str, str]]) -> None:
+        """Have the relays reset connections."""
         for a, b in ways:
             for relay in dict.fromkeys(self.relays[name] for name in (a, b) if name in self.relays):
                 relay.order("sever", a, b)
@@ -449,8 +481,11 @@
         self.reactor.connectTCP(*door, _Asks(line, answered), timeout=CALL_S)
 
     def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
+        """Send an operator's call to a node."""
         self.ask(
-            self.nodes[node].at_door(), line, lambda yes: self.called(node, line, yes, kind, what)
+            self.nodes[node].admin_address(),
+            line,
+            lambda yes: self.called(node, line, yes, kind, what),
         )
 
     def when_serving(self, node: NodeProcess) -> None:
@@ -464,7 +499,8 @@
 
     # ---- what the rig's processes tell
 
-    def told_by(self, child: Child, what: str, *args: Any) -> None:  # noqa: ANN401
+    def told_by(self, child: Child, what: str, *args: Any) -> None:
+        """Carry out what a child process asks for."""
         if what == "miss":
             self.home["origin"].order("origin", "miss", *args)
         elif what == "order":
@@ -475,10 +511,11 @@
             self._stop(f"{child.name}: {args[0]}")
 
     def lost(self, child: Child, line: Line) -> None:
+        """A control line has ended; the run is void where nobody asked for that."""
         asked = self.closing or child.process is None or child.process.asked
         if child.line is line and child.ready and not asked:
             child.ready = False
-            self.void.append(f"{child.name} died at {self.world.now - self.offset:.1f} s")
+            self.void.append(f"{child.name} died at {self.network.now - self.offset:.1f} s")
             self._stop("")
 
     def _stop(self, why: str) -> None:
@@ -493,12 +530,13 @@
     def rules(self) -> Rules:
         """Bounds are wider by how late the rig was, twice."""
         # An RPC meets its relay on the way there and back.
-        plain, late = super().rules(), 2 * max(self.late().values(), default=0.0)
+        plain = super().rules()
+        late = 2 * max(self.late().values(), default=0.0)
         return replace(
             plain,
             overlap_ms=OVERLAP_MS + late,
             crossing_ms=CROSSING_MS + late,
-            slack_ms=plain.slack_ms + late,
+            tolerance_ms=plain.tolerance_ms + late,
         )
 
     def late(self) -> dict[str, float]:
@@ -506,7 +544,7 @@
         none."""
         worst: dict[str, float] = dict.fromkeys([*self.children, "clients"], 0.0)
         end = (
-            self.x.seconds + self.span()
+            self.experiment.seconds + self.span()
         ) * 1000  # from then on nodes leave, and nothing is asked
         for e in self.history.events:
             if e.kind != "rig" or not 0 <= e.at <= end:
@@ -516,17 +554,19 @@
             worst[e.who] = max(worst.get(e.who, 0.0), e.value)
         return worst
 
-    def run(self) -> Ended:
+    def run(self) -> RunResult:
+        """Run the whole experiment and judge it; ValueError where it could not be run."""
         begun = time.perf_counter()
         try:
             self.build()
-            self._up(self.world.now + READY_S)
-            # Danger: a run that is interrupted closes its lines, and none of its processes has
-            # died.
+            self._up(self.network.now + READY_S)
+            # A run that is interrupted closes its lines itself: none of its processes has died.
             self.reactor.addSystemEventTrigger("before", "shutdown", setattr, self, "closing", True)
             self.reactor.run()
             if self.failed or not self.over:
-                raise ValueError(self.failed[0] if self.failed else f"{self.x.name}: interrupted")
+                raise ValueError(
+                    self.failed[0] if self.failed else f"{self.experiment.name}: interrupted"
+                )
             return self._ended(begun)
         finally:
             self.end()
@@ -560,24 +600,27 @@
         self._begin()
 
     def _wait(self, until: float, call: Callable[[float], None], why: str) -> None:
-        if self.world.now > until:
+        if self.network.now > until:
             self._stop(why)
         else:
             self.reactor.callLater(0.05, call, until)
 
     def _begin(self) -> None:
-        x, at = self.x, self.world.now
+        x = self.experiment
+        at = self.network.now
         self.offset = at
-        self.world.at(at + BEFORE_S, None, self.crowd.start)
-        self.plan(at)
-        self.world.at(at + x.seconds, None, self.crowd.stop)
-        self.world.at(at + x.seconds + self.span(), None, self._leave)
+        self.network.at(at + BEFORE_S, None, self.crowd.start)
+        schedule_faults(self, at)
+        self.network.at(at + x.seconds, None, self.crowd.stop)
+        self.network.at(at + x.seconds + self.span(), None, self._leave)
         if self.tell is not None:
             self._progress()
 
     def _progress(self) -> None:
-        now = self.world.now - self.offset
-        self.tell(f"{now:5.1f} s of {self.x.seconds + self.span():g}, {self.crowd.count} RPCs")
+        now = self.network.now - self.offset
+        self.tell(
+            f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, {self.crowd.count} RPCs"
+        )
         self.reactor.callLater(1.0, self._progress)
 
     def _leave(self) -> None:
@@ -588,23 +631,23 @@
                     process.go_on()
             if node.node is not None:
                 if not node.process.running and not node.process.asked:
-                    self.world.faults.append(f"{node.name} ended by itself")
+                    self.network.faults.append(f"{node.name} ended by itself")
                 node.leave()
-        self._gone(self.world.now + self.span() + LEFT_S)
+        self._gone(self.network.now + self.span() + LEFT_S)
 
     def _gone(self, until: float) -> None:
-        """Nodes that leave have their time; what they counted is told at their end."""
-        if self.world.now > until or not any(
+        """Nodes that leave have their time; what they counted is logged at their end."""
+        if self.network.now > until or not any(
             n.process.running for n in self.nodes.values() if n.process
         ):
             self._stop("")
         else:
             self.reactor.callLater(0.05, self._gone, until)
 
-    def _ended(self, begun: float) -> Ended:
+    def _ended(self, begun: float) -> RunResult:
         offset = self.offset * 1000
         for name in self.children:
-            self.history.events += witnessed(self.folder / f"{name}.history")
+            self.history.events += recorded_events(self.folder / f"{name}.history")
         events = [e._replace(at=e.at - offset) for e in self.history.events]
         self._excused = [(who, a - offset, b - offset) for who, a, b in self._excused]
         self.history.events[:] = _with_deaths(sorted(events, key=lambda e: e.at))
@@ -616,12 +659,12 @@
                 self.void.append(f"{name} was {ms:.0f} ms late, over {VOID_MS:g}")
         end = self.now() - offset
         judge = Judge(self.rules())
-        broken: list[Broken] = judge.judge(self.history, end)
+        broken: list[Violation] = judge.judge(self.history, end)
         killed = {
             e.who for e in self.history.events if e.kind == "stop"
         }  # what they counted died with them
-        told = {name: counts for name, counts in self.counters.items() if name not in killed}
-        broken += judge.figures(self.history, told)
+        comparable = {name: counts for name, counts in self.counters.items() if name not in killed}
+        broken += judge.check_counters(self.history, comparable)
         real = time.perf_counter() - begun
         return self.ended(broken, len(self.history.events), real, void=self.void, rig=late)
 
@@ -633,7 +676,7 @@
             stamp = datetime.fromisoformat(
                 line.get("timestamp", "1970-01-01T00:00:00+00:00")
             ).timestamp()
-            at = 1000 * (stamp - self.world.epoch - self.offset)
+            at = 1000 * (stamp - self.network.epoch - self.offset)
             self.logs.append(
                 (at, node.name, f"{event}: {line['what']}" if "what" in line else event)
             )
@@ -643,7 +686,7 @@
                     if name not in plain:
                         mine[name] = mine.get(name, 0) + count
             elif event == "fault":
-                self.world.faults.append(f"{node.name}: {line.get('text', '')[-300:]}")
+                self.network.faults.append(f"{node.name}: {line.get('text', '')[-300:]}")
 
 
 def _with_deaths(events: list[Any]) -> list[Any]:
@@ -666,7 +709,7 @@
 
 def run_on_loopback(
     x: Experiment, seed: int, logs: Path | None = None, tell: Callable[[str], None] | None = None
-) -> Ended:
+) -> RunResult:
     """One run in this process, whose reactor can run only once. `logs`: a folder that keeps all of
     them."""
     from twisted.internet import reactor
@@ -699,14 +742,14 @@
                 reactor.callLater(0.05, look)
                 return
             node = run.nodes["n0"]
-            told = run.told(node, f"{node.net}.2.1:{DISCOVERY_PORT}", node.net)
-            told["listen"] = f"{node.address}:{NODE_PORT}"
+            config = run.node_config(node, f"{node.net}.2.1:{DISCOVERY_PORT}", node.net)
+            config["listen"] = f"{node.address}:{NODE_PORT}"
             if post is not None:
-                post.write_text(json.dumps(told, indent=1))
+                post.write_text(json.dumps(config, indent=1))
                 tell(f"a node's file: {post}")
             up = f"{len(run.addresses)} cache servers, the origin and discovery are up"
-            tell(f"{up}; a node: {told['listen']}")
-            run.plan(run.world.now)
+            tell(f"{up}; a node: {config['listen']}")
+            schedule_faults(run, run.network.now)
 
         try:
             run.build()
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -1,9 +1,7 @@
-"""The processes of a run on loopback: nodes, relays and stand-ins, started, stopped, killed and
-ended.
+"""The processes of a run on loopback: nodes, relays and fake servers, from start to end.
 
 Every process dies with the one that started it, however that one ends (prctl(2),
-PR_SET_PDEATHSIG), and is
-ended by its own number alone.
+PR_SET_PDEATHSIG), and is ended by its own process id alone.
 """
 
 from __future__ import annotations
@@ -18,19 +16,19 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from hookpitch.testbed.base_run import BaseRun
 from hookpitch.testbed.child import Line
 
-if TYPE_CHECKING:
-    from hookpitch.testbed.process_run import WallRun
-
 PR_SET_PDEATHSIG = 1
 ENDED_S = 0.7  # past its longest deadline, an old process is killed
 READY_S = 6.0  # by then a new process beside an old one says yes
 LOOK_S = 0.05
-SEEDS = 3  # members that all others are told
-NODE_PORT, DISCOVERY_PORT, DOOR_PORT = 26380, 28500, 25000
+SEEDS = 3  # members that all others know at first
+NODE_PORT = 26380
+DISCOVERY_PORT = 28500
+ADMIN_PORT = 25000
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
@@ -58,35 +56,71 @@
 
     @property
     def running(self) -> bool:
+        """Whether it has not ended."""
         return self.popen.poll() is None
 
     def signal(self, number: int) -> None:
+        """Send a signal, if it runs."""
         if self.running:
             self.popen.send_signal(number)
 
     def stop(self) -> None:
+        """Stop it; stops add up."""
         self.stopped += 1
         self.signal(signal.SIGSTOP)
 
     def go_on(self) -> None:
+        """Take one stop back."""
         self.stopped -= 1
         if self.stopped == 0:
             self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
+        """Kill it and wait for its end."""
         self.asked = True
         if self.running:
             self.popen.kill()
         self.popen.wait()
 
 
+class ProcessHost(BaseRun):
+    """What the processes of a run ask of it; `process_run.py` has the run itself."""
+
+    folder: Path  # of the run's files
+    control: Any  # where the control lines of relays and fake servers connect
+    nets: dict[str, str]  # the loopback network of each node, by name
+
+    def peer(self, a: str, b: str) -> tuple[str, int]:
+        """Where node a reaches node b's peer port."""
+        raise NotImplementedError
+
+    def dials(self, net: str) -> list[str]:
+        """Where the node of a loopback network reaches the origin and each cache server."""
+        raise NotImplementedError
+
+    def refuse(self, name: str, on: bool) -> None:
+        """Whether connections to a node are refused from now on."""
+        raise NotImplementedError
+
+    def ask(self, door: tuple[str, int], line: str, answered: Callable[[bool], None]) -> None:
+        """Send one admin command; `answered` is called with whether the node agreed."""
+        raise NotImplementedError
+
+    def when_serving(self, node: NodeProcess) -> None:
+        """Begin to ask the node whether it serves yet."""
+        raise NotImplementedError
+
+
 class Child:
     """A process of the rig: a relay or stand-ins, with its control line."""
 
     def __init__(
-        self, run: WallRun, name: str, module: str, given: Callable[[], dict[str, Any]]
+        self, run: ProcessHost, name: str, module: str, given: Callable[[], dict[str, Any]]
     ) -> None:
-        self.run, self.name, self.module, self.given = run, name, module, given
+        self.run = run
+        self.name = name
+        self.module = module
+        self.given = given
         self.process: Process | None = None
         self.line: Line | None = None
         self.ready = False
@@ -95,7 +129,9 @@
         self.then: list[Callable[[], None]] = []  # to be done once it is
 
     def start(self) -> None:
-        run, self.starts = self.run, self.starts + 1
+        """Start a process of it."""
+        run = self.run
+        self.starts = self.starts + 1
         top = self.given() | {
             "name": self.name,
             "control": run.control,
@@ -109,22 +145,27 @@
         self.process = Process(words, run.folder / f"{self.name}.log", {})
 
     def is_ready(self, line: Line) -> None:
-        self.line, self.ready = line, True
+        """Its control line is up: send what waited."""
+        self.line = line
+        self.ready = True
         for words in self.orders:
-            line.say(*words)
+            line.send(*words)
         self.orders.clear()
         for call in self.then:
             call()
         self.then.clear()
 
-    def order(self, *words: Any) -> None:  # noqa: ANN401
+    def order(self, *words: Any) -> None:
+        """Send an order, now or once it is ready."""
         if self.ready and self.line is not None:
-            self.line.say(*words)
+            self.line.send(*words)
         else:
             self.orders.append(words)
 
     def kill(self) -> None:
-        self.ready, self.line = False, None
+        """Kill its process."""
+        self.ready = False
+        self.line = None
         if self.process is not None:
             self.process.kill()
 
@@ -132,27 +173,33 @@
 class NodeProcess:
     """A node's place on loopback; `node` is itself while a process of it runs."""
 
-    def __init__(self, run: WallRun, name: str, net: str) -> None:
-        self.run, self.name, self.net, self.address = run, name, net, f"{net}.0.1"
+    def __init__(self, run: ProcessHost, name: str, net: str) -> None:
+        self.run = run
+        self.name = name
+        self.net = net
+        self.address = f"{net}.0.1"
         self.starts = self.reloads = 0
         self.process: Process | None = None
         self.elder: Process | None = None  # the one before it, while it still serves
         self.node: NodeProcess | None = None
         self.log = run.folder / f"{name}.log"
         self.held: socket.socket | None = None  # the clients' socket, where processes inherit it
-        if any(f.what == "node_upgrade" and f.whom == name for f in run.x.fault):
+        if any(f.what == "node_upgrade" and f.whom == name for f in run.experiment.fault):
             self.held = socket.socket()
             self.held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.held.bind((self.address, NODE_PORT))
             self.held.listen(4096)
 
-    def at_door(self) -> tuple[str, int]:
-        return self.address, DOOR_PORT + self.starts
+    def admin_address(self) -> tuple[str, int]:
+        """Where its admin port listens."""
+        return self.address, ADMIN_PORT + self.starts
 
     def start(self) -> None:
-        run, self.starts = self.run, self.starts + 1
+        """Start a process with a configuration of now."""
+        run = self.run
+        self.starts = self.starts + 1
         path = run.folder / f"{self.name}.json"
-        path.write_text(json.dumps(self.told()))
+        path.write_text(json.dumps(self.config()))
         run.history.add(run.now(), "start", self.name)
         shared = run.folder / f"{self.name}.shared"
         shared.mkdir(exist_ok=True)
@@ -165,51 +212,62 @@
         if self.held is not None:
             fds = [self.held.fileno()]
             environment["PROXY_INHERITED_FD"] = str(fds[0])
-        flags = [] if run.x.nodes.debug else ["-O"]
+        flags = [] if run.experiment.nodes.debug else ["-O"]
         words = [sys.executable, *flags, "-m", "hookpitch"]
-        self.process, self.node = Process(words, self.log, environment, *fds), self
+        self.process = Process(words, self.log, environment, *fds)
+        self.node = self
         run.when_serving(self)
 
     def sections(self) -> list[str]:
         """The operator's file, by lines; none where nothing is turned on."""
-        run, x, lines = self.run, self.run.x.nodes, list[str]()
+        run = self.run
+        x = self.run.experiment.nodes
+        lines = list[str]()
         if x.snapshot_s:
             lines += [
                 "[snapshot]",
                 f'path = "{run.folder}/{{name}}.snapshot"',
-                f'fleet = "{run.x.name}"',
+                f'fleet = "{run.experiment.name}"',
                 f"every_s = {x.snapshot_s}",
             ]
         if x.members:  # each finds another at an address of its own, where a relay listens
             at = {other: f"{run.nets[other]}.0.1:{x.peer_port}" for other in run.nets}
             seeds = ", ".join(f'"{address}"' for address in list(at.values())[:SEEDS])
-            lines += ["[members]", f'listen = "{at[self.name]}"', f'fleet = "{run.x.name}"']
+            lines += [
+                "[members]",
+                f'listen = "{at[self.name]}"',
+                f'fleet = "{run.experiment.name}"',
+            ]
             lines += [f"seeds = [{seeds}]", "[members.dial]"]
             for other, address in at.items():
                 if other != self.name:
                     host, port = run.peer(self.name, other)
                     lines.append(f'"{address}" = "{host}:{port}"')
                     # What another tells of a server is true in the other's net.
-                    mine, theirs = run.dials(self.net), run.dials(run.nets[other])
+                    mine = run.dials(self.net)
+                    theirs = run.dials(run.nets[other])
                     lines += [
                         f'"{there}" = "{here}"' for here, there in zip(mine, theirs, strict=True)
                     ]
         return lines
 
-    def told(self) -> dict[str, Any]:
+    def config(self) -> dict[str, Any]:
         """Its file."""
-        host, door = self.at_door()
-        told = self.run.told(self, f"{self.net}.2.1:{DISCOVERY_PORT}", self.net)
-        return told | {"listen": f"{self.address}:{NODE_PORT}", "management": f"{host}:{door}"}
+        host, door = self.admin_address()
+        config = self.run.node_config(self, f"{self.net}.2.1:{DISCOVERY_PORT}", self.net)
+        return config | {"listen": f"{self.address}:{NODE_PORT}", "management": f"{host}:{door}"}
 
     def reload(self, wrong: int) -> None:
         """SIGHUP, with its file written anew."""
-        (self.run.folder / f"{self.name}.json").write_text(self.run.file(self, self.told(), wrong))
+        (self.run.folder / f"{self.name}.json").write_text(
+            self.run.config_text(self, self.config(), wrong)
+        )
         for process in (self.process, self.elder):
             if process is not None:
                 process.signal(signal.SIGHUP)
 
     def kill(self) -> None:
+        """Kill its process."""
         if self.process is not None and self.node is not None:
             self.run.history.add(self.run.now(), "stop", self.name)
             self.run.refuse(self.name, True)
@@ -217,15 +275,17 @@
         self.node = None
 
     def leave(self) -> None:
+        """SIGTERM."""
         if self.process is not None:
             self.process.asked = True
             self.process.signal(signal.SIGTERM)
 
     def stop(self, seconds: float) -> None:
+        """Stop its process for so many seconds."""
         process = self.process
         if process is not None:
             process.stop()
-            self.run.world.at(self.run.world.now + seconds, None, process.go_on)
+            self.run.network.at(self.run.network.now + seconds, None, process.go_on)
 
     def upgrade(self) -> None:
         """A second process beside the first, which gets SIGTERM once the new one says yes."""
@@ -245,14 +305,14 @@
                         run.now(), "call", self.name, what="late: a new process says no for 6 s"
                     )
                     return
-                run.world.at(run.world.now + LOOK_S, None, self._when_yes, old, latest)
+                run.network.at(run.network.now + LOOK_S, None, self._when_yes, old, latest)
                 return
             old.asked = True
             old.signal(signal.SIGTERM)
-            longest = max(m.hard_ms for m in run.x.method) / 1000
-            run.world.at(run.world.now + longest + ENDED_S, None, self._ended, old)
+            longest = max(m.hard_ms for m in run.experiment.method) / 1000
+            run.network.at(run.network.now + longest + ENDED_S, None, self._ended, old)
 
-        run.ask(self.at_door(), "STATUS", answered)
+        run.ask(self.admin_address(), "STATUS", answered)
 
     def _ended(self, old: Process) -> None:
         old.kill()
@@ -263,14 +323,16 @@
         """A second process that dies as soon as it has begun; the first serves on."""
         if self.node is None or self.elder is not None:
             return
-        first, starts = self.process, self.starts
+        first = self.process
+        starts = self.starts
         self.start()
         second = self.process
         self.process = first
-        self.run.world.at(self.run.world.now + LOOK_S, None, second.kill)
+        self.run.network.at(self.run.network.now + LOOK_S, None, second.kill)
         self.starts = starts
 
     def end(self) -> None:
+        """No process of it is left."""
         for process in (self.process, self.elder):
             if process is not None:
                 process.kill()
@@ -278,10 +340,11 @@
             self.held.close()
 
     def lines(self) -> list[dict[str, Any]]:
+        """Its log's lines; what is no JSON is a fault."""
         found = []
         for line in self.log.read_text().splitlines() if self.log.exists() else ():
             with suppress(ValueError):
                 found.append(json.loads(line))
                 continue
-            self.run.world.faults.append(f"{self.name}: {line[:200]}")
+            self.run.network.faults.append(f"{self.name}: {line[:200]}")
         return found
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,8 +10,8 @@
 
 from hookpitch.fakes.history import Event
 from hookpitch.testbed.experiment import load, read
-from hookpitch.testbed.membership import Said, figure, said, up
-from hookpitch.testbed.metrics import expected, summary
+from hookpitch.testbed.membership import StateChange, figure, running, state_changes
+from hookpitch.testbed.metrics import check_expectations, summary
 from hookpitch.testbed.run import Run
 
 ROOT = Path(__file__).parent.parent
@@ -42,7 +42,7 @@
 
 
 def test_figures_show_deaths_their_times_and_wrong_views() -> None:
-    changes = said(LOGS)
+    changes = state_changes(LOGS)
     assert len(changes) == 11
     assert changes[0] == (100.0, "n0", "n1", "alive")
     value = lambda name, a=0.0, b=20000.0: figure(name, changes, EVENTS, a, b)  # noqa: E731
@@ -54,13 +54,13 @@
         *EVENTS,
         event(1005, "stop", "n1"),
     ]  # some ms later, and it was to say of n2 that it is dead
-    mine = [*(c for c in changes if c.who == "n0"), Said(7000.0, "n0", "n1", "dead")]
+    mine = [*(c for c in changes if c.reporter == "n0"), StateChange(7000.0, "n0", "n1", "dead")]
     assert figure("agreed_s", mine, sorted(died), 0.0, 20000.0) == 6.0
     assert value("found_s", 2000.0) == 0.0  # nobody was killed in that span
     assert value("agreed_s", 0.0, 6200.0) == 5.2  # n1 never said so: to the span's end
     assert value("views_wrong") == 1  # n1 holds n2 for dead still
     assert value("views_wrong", 0.0, 8000.0) == 0
-    assert up(EVENTS, 5000.0) == {"n0", "n1"}
+    assert running(EVENTS, 5000.0) == {"n0", "n1"}
     assert value("turns") == 4
     with pytest.raises(ValueError):
         value("served")
@@ -104,5 +104,5 @@
     assert all(e["holds"] for e in figures["expected"])
     assert len(figures["expected"]) >= 3
     virtual = Run(load(LISTS), 1).run()
-    assert all(holds for _, _, holds in expected(virtual))
+    assert all(holds for _, _, holds in check_expectations(virtual))
     assert abs(figures["whole"]["served"] - summary(virtual)["whole"]["served"]) <= 0.05
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,7 +12,8 @@
 from hookpitch.balancer.placement import BUCKETS, Placement
 from hookpitch.fakes.history import History
 from hookpitch.testbed.experiment import load
-from hookpitch.testbed.judge import Judge, Rules
+from hookpitch.testbed.judge import Judge
+from hookpitch.testbed.rules import Rules
 from hookpitch.testbed.run import Run
 
 ON_STD = Method("status", 400.0, 1000.0, 1.0, kinds=("std",))
@@ -151,7 +152,7 @@
 
 
 def test_the_judge_sees_an_attempt_outside_its_constraints_and_allows_the_origin() -> None:
-    rules = Rules(bound={"status": (("std",), ())})
+    rules = Rules(placement={"status": (("std",), ())})
     for server, broken in (("s1", []), ("s0", ["placement"]), ("origin", [])):
         history = History()
         history.add(0.0, "place", "s0", what="fast z0")
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -6,9 +6,10 @@
 import pytest
 
 from hookpitch.fakes.history import History
+from hookpitch.testbed.base_run import RunResult
 from hookpitch.testbed.experiment import load, read
-from hookpitch.testbed.metrics import Seen, expected, figure, seen
-from hookpitch.testbed.run import Ended, Run
+from hookpitch.testbed.metrics import RpcRecord, check_expectations, figure, rpc_records
+from hookpitch.testbed.run import Run
 
 FILES = sorted((Path(__file__).parent.parent / "experiments").glob("start-*.toml"))
 
@@ -18,14 +19,14 @@
     ended = Run(load(path), load(path).seed).run()
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
-    assert not [(e.text, value) for e, value, holds in expected(ended) if not holds]
+    assert not [(e.text, value) for e, value, holds in check_expectations(ended) if not holds]
 
 
 def test_nodes_that_start_during_faults_serve_as_well_as_the_running_ones() -> None:
     x = load(next(f for f in FILES if f.stem == "start-into-trouble"))
     ended = Run(x, 1).run()
     starts = Counter(e.who for e in ended.history.events if e.kind == "start")
-    rpcs = [s for s in seen(x, ended.history.events) if s.at > 7000.0]  # they are up again
+    rpcs = [s for s in rpc_records(x, ended.history.events) if s.at > 7000.0]  # they are up again
     new, old = ([s for s in rpcs if (starts[s.node] > 1) is again] for again in (True, False))
     assert len(new) > 500
     assert len(old) > 500
@@ -43,12 +44,12 @@
     history.add(1500.0, "told", "n0", what="whole")
     history.add(1600.0, "stop", "n1")  # of one that was killed before, nothing is asked
     history.add(4700.0, "told", "n2", what="nothing")
-    ended = Ended(read("name = 'a-b'\nseconds = 20.0"), 1, history, [], [], {}, [], 0, 0.0)
+    ended = RunResult(read("name = 'a-b'\nseconds = 20.0"), 1, history, [], [], {}, [], 0, 0.0)
     assert figure("list_calls", ended, [], 0, 20) == 3
     assert figure("dials_at_one", ended, [], 0, 20) == 2
     assert figure("listed_s", ended, [], 0, 20) == 3.5
     rpcs = [
-        Seen(
+        RpcRecord(
             f"q{n}",
             "read",
             "n0",
