--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -774,7 +774,7 @@
 
 def test_a_node_without_the_section_imports_nothing_of_members() -> None:
     code = (
-        "import sys, hookpitch.__main__, hookpitch.net.node; "
+        "import sys, hookpitch.__main__, hookpitch.service, hookpitch.net.node; "
         "print([m for m in sys.modules if 'members' in m or 'msgspec' in m or m.endswith('net.snapshot_store')])"  # noqa: E501
     )
     done = subprocess.run(
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,6 +1,7 @@
 """A node's configuration: read or refused in one line at the start, and reloaded on SIGHUP."""
 
 import json
+import os
 import random
 import signal
 import socket
@@ -294,3 +295,17 @@
         assert client.take() == b"$1\r\nv\r\n"
     assert sockets.counters.counts["config_changes"] == 3
     assert sockets.counters.counts["config_reload_errors"] == 6
+
+
+def test_sighup_is_ignored_before_the_node_is_imported() -> None:
+    script = (
+        "import signal, sys, hookpitch.__main__\n"
+        "assert 'twisted' not in sys.modules and 'hookpitch.service' not in sys.modules\n"
+        "import hookpitch.service\n"
+        "hookpitch.service.run = lambda: signal.getsignal(signal.SIGHUP) == signal.SIG_IGN\n"
+        "sys.exit(0 if hookpitch.__main__.main() else 1)\n"
+    )
+    root = Path(__file__).parent.parent
+    environment = os.environ | {"PYTHONPATH": str(root)}
+    done = subprocess.run([sys.executable, "-c", script], cwd=root, env=environment)
+    assert done.returncode == 0
