--- a/examples/ask.py
+++ b/examples/ask.py
@@ -15,6 +15,7 @@
 
 
 def main(words: list[str]) -> int:
+    """Send one command and print the reply; return the exit code."""
     rpc = os.urandom(8).hex()  # new for every RPC
     match words:
         case ["get", key]:
