--- a/hookpitch/balancer/backend.py
+++ b/hookpitch/balancer/backend.py
@@ -16,7 +16,7 @@
 
 FOREVER = float("inf")
 NEVER = -FOREVER
-START_CONCURRENCY_LIMIT = 2.0  # attempts in flight at a backend that is new or has recovered
+INITIAL_CONCURRENCY_LIMIT = 2.0  # attempts in flight at a backend that is new or has recovered
 REPORT_WEIGHT = 8  # a load report moves the known load by one part in so many
 
 
@@ -99,7 +99,7 @@
         self.fresh_queue: list[QueueEntry] = []
         self.retry_queue: list[QueueEntry] = []
         # Adaptive concurrency (concurrency.py).
-        self.concurrency_limit = START_CONCURRENCY_LIMIT
+        self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         self.min_concurrency_limit = 1.0
         self.limit_growth = 1.0
         self.latency_ms = 0.0  # mean of answers
@@ -132,7 +132,7 @@
 
     def cap_concurrency(self) -> None:
         """Take the limit down to that of a backend that is new."""
-        self.concurrency_limit = min(self.concurrency_limit, START_CONCURRENCY_LIMIT)
+        self.concurrency_limit = min(self.concurrency_limit, INITIAL_CONCURRENCY_LIMIT)
 
     def record_report(self, report: Report) -> None:
         """Fold in a load report: its use, else what is in flight, else what is queued."""
--- a/hookpitch/balancer/concurrency.py
+++ b/hookpitch/balancer/concurrency.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from hookpitch.balancer.backend import START_CONCURRENCY_LIMIT, Backend, BackendTable
+from hookpitch.balancer.backend import INITIAL_CONCURRENCY_LIMIT, Backend, BackendTable
 from hookpitch.balancer.draws import DrawSequence
 from hookpitch.balancer.interface import Method, Outcome
 from hookpitch.balancer.slow_start import SlowStart
@@ -42,7 +42,8 @@
         """Return whether a backend answers fast and could take more."""
         return (
             backend.available
-            and max(START_CONCURRENCY_LIMIT, 2 * len(backend.in_flight)) < backend.concurrency_limit
+            and max(INITIAL_CONCURRENCY_LIMIT, 2 * len(backend.in_flight))
+            < backend.concurrency_limit
             and backend.latency_ms < SLOW_ORIGIN_FRACTION * method.soft_ms / 2
         )
 
--- a/hookpitch/balancer/health.py
+++ b/hookpitch/balancer/health.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from hookpitch.balancer.backend import NEVER, START_CONCURRENCY_LIMIT, Backend, BackendTable
+from hookpitch.balancer.backend import INITIAL_CONCURRENCY_LIMIT, NEVER, Backend, BackendTable
 from hookpitch.balancer.concurrency import ConcurrencyLimits
 from hookpitch.balancer.idle_connections import IdleConnections
 from hookpitch.balancer.interface import Deployment, Outcome
@@ -157,7 +157,7 @@
         """Send a backend nothing for a while, which doubles each time."""
         backend.ejected = True
         backend.available = False
-        backend.concurrency_limit = START_CONCURRENCY_LIMIT
+        backend.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         backend.ejection_ms = min(
             self.base_ejection_ms * MAX_EJECTIONS,
             max(self.base_ejection_ms, 2 * backend.ejection_ms),
--- a/hookpitch/balancer/key_generations.py
+++ b/hookpitch/balancer/key_generations.py
@@ -1,7 +1,7 @@
 """How many distinct keys each bucket has lately had, as an estimate of its memory.
 
 State: keys asked for, in two generations, each with its bucket. A key counts once in its bucket's
-`keys`, until it is in neither generation. A generation ends by size or by age.
+`key_count`, until it is in neither generation. A generation ends by size or by age.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         if key in self._recent:
             return
         if key not in self._older:
-            bucket.keys += 1
+            bucket.key_count += 1
         self._recent[key] = self._older.get(key, bucket)
 
     def rotate_if_due(self, now: float) -> None:
@@ -36,7 +36,7 @@
             return
         for key, bucket in self._older.items():
             if key not in self._recent:
-                bucket.keys -= 1
+                bucket.key_count -= 1
         self._older = self._recent
         self._recent = {}
         self._rotated_at = now
--- a/hookpitch/balancer/placement.py
+++ b/hookpitch/balancer/placement.py
@@ -37,12 +37,12 @@
     __slots__ = (
         "assigned",
         "chain",
-        "count",
-        "keys",
+        "request_count",
+        "key_count",
         "kinds",
         "point",
         "primary",
-        "rate",
+        "request_rate",
         "recent_requests",
         "spread_size",
         "zones",
@@ -55,9 +55,9 @@
         self.primary: Backend | None = None
         self.assigned: Backend | None = None
         self.chain: list[Backend] | None = None
-        self.count = 0  # RPCs since the latest round
-        self.rate = 0.0  # RPCs a round
-        self.keys = 0  # distinct, lately
+        self.request_count = 0  # RPCs since the latest round
+        self.request_rate = 0.0  # RPCs a round
+        self.key_count = 0  # distinct, lately
         self.recent_requests = 0.0
         self.spread_size = 0.0  # of the caches that a hot bucket is spread over
 
--- a/hookpitch/balancer/rebalancing.py
+++ b/hookpitch/balancer/rebalancing.py
@@ -176,8 +176,8 @@
     def _update_bucket_rates(self, buckets_of: dict[Backend, list[Bucket]]) -> None:
         fade = self._placement.fade_requests()
         for bucket in self._placement.buckets.values():
-            bucket.rate = bucket.rate / 2 + bucket.count / 2
-            bucket.count = 0
+            bucket.request_rate = bucket.request_rate / 2 + bucket.request_count / 2
+            bucket.request_count = 0
             bucket.recent_requests *= fade
             if bucket.assigned in buckets_of:
                 buckets_of[bucket.assigned].append(bucket)
@@ -186,7 +186,7 @@
         """Set the caches' loads, as fractions of the mean."""
         for cache in caches:
             cache.cpu_load = self._cpu_load(cache) / cache.size
-            cache.memory_load = float(sum(bucket.keys for bucket in buckets_of[cache]))
+            cache.memory_load = float(sum(bucket.key_count for bucket in buckets_of[cache]))
         mean_cpu = sum(cache.cpu_load for cache in caches) / len(caches)
         mean_memory = sum(cache.memory_load for cache in caches) / len(caches)
         for cache in caches:
@@ -207,11 +207,13 @@
     @staticmethod
     def _bucket_loads(cache: Backend, buckets: list[Bucket]) -> list[BucketLoad]:
         """Return (v, w) of each bucket, section 3: its part of the cache's rate and keys."""
-        rate = sum(bucket.rate for bucket in buckets) or 1.0
-        keys = sum(bucket.keys for bucket in buckets) or 1
+        rate = sum(bucket.request_rate for bucket in buckets) or 1.0
+        keys = sum(bucket.key_count for bucket in buckets) or 1
         return [
             BucketLoad(
-                cache.cpu_load * bucket.rate / rate, cache.memory_load * bucket.keys / keys, bucket
+                cache.cpu_load * bucket.request_rate / rate,
+                cache.memory_load * bucket.key_count / keys,
+                bucket,
             )
             for bucket in buckets
         ]
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -183,7 +183,7 @@
             self.rebalancer.keys.record(key, bucket)
         self.method_load.record(method, work)
         self.placement.track_hot_bucket(bucket)
-        bucket.count += 1
+        bucket.request_count += 1
         rpc = Rpc(self._draws.next_number(), id, bucket, known, write)
         useful = grace if known.late_gain > 0 else min(grace, known.soft_ms)
         margin_ms = self.retries.margin_ms
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -26,7 +26,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from hookpitch.balancer.backend import START_CONCURRENCY_LIMIT, Backend
+from hookpitch.balancer.backend import INITIAL_CONCURRENCY_LIMIT, Backend
 from hookpitch.balancer.interface import Endpoint, EndpointState
 from hookpitch.balancer.placement import BUCKETS
 from hookpitch.balancer.router import Router
@@ -124,7 +124,7 @@
 def _captured_moves(router: Router) -> tuple[MovedBucket, ...]:
     """Buckets that are away from their primary, the busiest first."""
     moved = [
-        (bucket.rate, MovedBucket(number, kinds, zones, bucket.assigned.id))
+        (bucket.request_rate, MovedBucket(number, kinds, zones, bucket.assigned.id))
         for (number, kinds, zones), bucket in router.placement.buckets.items()
         if bucket.assigned is not None and bucket.assigned is not bucket.primary
     ]
@@ -240,7 +240,7 @@
 ) -> None:
     backend.ejected = True
     backend.available = False
-    backend.concurrency_limit = min(backend.concurrency_limit, START_CONCURRENCY_LIMIT)
+    backend.concurrency_limit = min(backend.concurrency_limit, INITIAL_CONCURRENCY_LIMIT)
     backend.consecutive_failures = learned.consecutive_failures
     longest = MAX_EJECTION_FACTOR * router.outliers.base_ejection_ms
     backend.ejection_ms = min(
