--- a/hookpitch/balancer/attempt_outcomes.py
+++ b/hookpitch/balancer/attempt_outcomes.py
@@ -13,8 +13,8 @@
 from hookpitch.balancer.rpc import Attempt
 from hookpitch.balancer.slow_start import SlowStart
 
-REFUSAL_WEIGHT = 0.1  # a refusal counts as an answer at the soft deadline, by this part
-FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED)
+REJECTION_WEIGHT = 0.1  # a refusal counts as an answer at the soft deadline, by this part
+FAILURE_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED)
 
 
 class AttemptOutcomes:
@@ -45,11 +45,11 @@
             self.record_response(attempt, took_ms, full_work, now)
             self._outliers.confirm_suspect(rpc, backend, now)
         elif outcome == Outcome.OVERLOADED:
-            self._record_refusal(attempt, now)
-        elif self._outliers.needs_second_opinion(backend, outcome, now):
+            self._record_rejection(attempt, now)
+        elif self._outliers.needs_confirmation(backend, outcome, now):
             self._outliers.suspect(rpc, backend)
-        elif outcome in FAILURES:
-            self._outliers.record_broken_attempt(attempt, outcome, now)
+        elif outcome in FAILURE_OUTCOMES:
+            self._outliers.record_failed_attempt(attempt, outcome, now)
         elif outcome == Outcome.TIMEOUT:
             self._outliers.record_timeout(attempt, now, self._local_delay)
 
@@ -60,7 +60,7 @@
         backend = attempt.backend
         soft_ms = attempt.rpc.method.soft_ms
         self._outliers.record_response(backend, now)
-        if self._local_delay.covers(attempt):
+        if self._local_delay.overlaps_stall(attempt):
             took_ms = min(took_ms, backend.latency_ms)
             full_work = False
         if full_work:
@@ -75,11 +75,11 @@
             return False
         if rpc.over_quota or attempt.stream_started or attempt.backend is self._table.origin:
             return False
-        if self._local_delay.covers(attempt):
+        if self._local_delay.overlaps_stall(attempt):
             return False
         return now - self._local_delay.read_delay_ms >= rpc.objective
 
-    def _record_refusal(self, attempt: Attempt, now: float) -> None:
+    def _record_rejection(self, attempt: Attempt, now: float) -> None:
         """Record a refusal by an overloaded backend; its send is not counted.
 
         What warm backends refuse, taken for what they can do, would push those that warm up over.
@@ -89,5 +89,5 @@
         backend.response_count += 1
         backend.send_count -= 1
         soft_ms = attempt.rpc.method.soft_ms
-        backend.latency_ms += (soft_ms - backend.latency_ms) * REFUSAL_WEIGHT
+        backend.latency_ms += (soft_ms - backend.latency_ms) * REJECTION_WEIGHT
         self._slow_start.record_overload(backend)
--- a/hookpitch/balancer/attempt_timers.py
+++ b/hookpitch/balancer/attempt_timers.py
@@ -61,10 +61,14 @@
         if now < silent_at:
             if not attempt.done:
                 self._work.schedule(silent_at, rpc, attempt)
-        elif not attempt.done and not attempt.silence_recorded and not self._excused(attempt):
+        elif (
+            not attempt.done
+            and not attempt.silence_recorded
+            and not self._is_silence_expected(attempt)
+        ):
             self._record_silence(attempt, now)
 
-    def _excused(self, attempt: Attempt) -> bool:
+    def _is_silence_expected(self, attempt: Attempt) -> bool:
         """Return whether the silence is to be ignored: the origin is waited for."""
         backend = attempt.backend
         return backend is self._table.origin and backend.last_response_at < attempt.sent_at
@@ -75,16 +79,16 @@
         attempt.silence_recorded = True
         if backend.last_response_at < attempt.sent_at >= backend.last_failure_at:
             self._outliers.record_failure(backend, now)
-        if self._try_another(attempt, first and self._load_shedder.is_calm()):
+        if self._should_try_another(attempt, first and self._load_shedder.has_low_pressure()):
             self._retries.cancel_or_hedge(attempt, now)
 
-    def _try_another(self, attempt: Attempt, calm: bool) -> bool:
+    def _should_try_another(self, attempt: Attempt, low_pressure: bool) -> bool:
         """Return whether another backend is to be tried; retries must not add to an overload."""
         backend, origin = attempt.backend, self._table.origin
         if self._retries.hedging_allowed:
             if origin is None:
-                return calm
+                return low_pressure
             return origin.latency_ms < attempt.rpc.method.soft_ms / 3
         if backend.last_response_at > attempt.sent_at:
-            return calm  # it answers others: this answer is lost
+            return low_pressure  # it answers others: this answer is lost
         return backend.consecutive_failures > 1
--- a/hookpitch/balancer/backend.py
+++ b/hookpitch/balancer/backend.py
@@ -17,7 +17,7 @@
 FOREVER = float("inf")
 NEVER = -FOREVER
 INITIAL_CONCURRENCY_LIMIT = 2.0  # attempts in flight at a backend that is new or has recovered
-REPORT_WEIGHT = 8  # a load report moves the known load by one part in so many
+REPORT_SMOOTHING_DIVISOR = 8  # a load report moves the known load by one part in so many
 
 
 class QueueEntry(NamedTuple):
@@ -138,7 +138,7 @@
         """Fold in a load report: its use, else what is in flight, else what is queued."""
         load = report.get("utilisation", report.get("inflight", report.get("queue", -2.0) + 1))
         if self.reported_load >= 0:
-            self.reported_load += (load - self.reported_load) / REPORT_WEIGHT
+            self.reported_load += (load - self.reported_load) / REPORT_SMOOTHING_DIVISOR
         else:
             self.reported_load += load + 1
 
--- a/hookpitch/balancer/concurrency.py
+++ b/hookpitch/balancer/concurrency.py
@@ -16,8 +16,8 @@
 SLOW_ORIGIN_FRACTION = 0.5  # of the soft deadline: slower answers shrink the origin's limit
 SLOW_CACHE_FRACTION = 0.2  # of the soft deadline: slower answers shrink a cache's limit
 CONGESTED_LATENCY = 1.5  # times the baseline: from here on the origin is congested
-START_ORIGIN_LIMIT = (64.0, 12.0)  # at the start: over all nodes; at one node
-MIN_ORIGIN_LIMIT = (6.0, 0.25)  # over all nodes; at one node
+INITIAL_ORIGIN_LIMITS = (64.0, 12.0)  # at the start: over all nodes; at one node
+MIN_ORIGIN_LIMITS = (6.0, 0.25)  # over all nodes; at one node
 
 
 class ConcurrencyLimits:
@@ -60,10 +60,10 @@
     def start_origin(self, origin: Backend, nodes: int) -> None:
         """Give the origin its first limits: a sum over all nodes, but no more than one's own."""
         if origin.min_concurrency_limit == 1.0:
-            over_all, at_one = MIN_ORIGIN_LIMIT
-            origin.min_concurrency_limit = min(at_one, over_all / nodes)
-            over_all, at_one = START_ORIGIN_LIMIT
-            origin.concurrency_limit = min(at_one, over_all / nodes)
+            fleet_limit, node_limit = MIN_ORIGIN_LIMITS
+            origin.min_concurrency_limit = min(node_limit, fleet_limit / nodes)
+            fleet_limit, node_limit = INITIAL_ORIGIN_LIMITS
+            origin.concurrency_limit = min(node_limit, fleet_limit / nodes)
 
     def scale_origin(self, factor: float) -> None:
         """Follow a change of this process's share, while the origin has answered nothing yet.
@@ -80,8 +80,8 @@
             0.1 if backend.latency_ms else 1.0
         )
         # The baseline rises slowly, so that it follows a backend that has become slower for good.
-        risen = backend.baseline_latency_ms * 1.001 or backend.latency_ms
-        backend.baseline_latency_ms = min(risen, backend.latency_ms)
+        raised_ms = backend.baseline_latency_ms * 1.001 or backend.latency_ms
+        backend.baseline_latency_ms = min(raised_ms, backend.latency_ms)
         if backend is not self._table.origin:
             weight = 0.02 if self.unit_latency_ms else 1.0
             self.unit_latency_ms += (latency_ms * backend.size - self.unit_latency_ms) * weight
@@ -124,5 +124,5 @@
             backend.latency_ms if outcome <= Outcome.MISS else SLOW_ORIGIN_FRACTION * method.soft_ms
         )
         span_ms = max(took_ms, typical_ms)
-        pauses = 1 / min(backend.concurrency_limit, 1.0) - 1
-        backend.paused_until = now + span_ms * pauses * (0.5 + self._draws.fraction())
+        pause_factor = 1 / min(backend.concurrency_limit, 1.0) - 1
+        backend.paused_until = now + span_ms * pause_factor * (0.5 + self._draws.fraction())
--- a/hookpitch/balancer/deployment.py
+++ b/hookpitch/balancer/deployment.py
@@ -36,7 +36,7 @@
 DEFAULT_CONNECTION_IDLE_MS = 15000.0
 DEFAULT_AVAILABILITY_NINES = 3.0
 
-Table = Mapping[str, Any]  # a JSON object: each value's type is checked where it is read
+JsonObject = Mapping[str, Any]  # a JSON object: each value's type is checked where it is read
 
 
 def parse_load_report(text: str, separator: str) -> Report:
@@ -48,8 +48,8 @@
         return EMPTY_REPORT
     values: dict[str, float] = {}
     for pair in text.split(","):
-        name, found, value = pair.partition(separator)
-        if not found:
+        name, has_separator, value = pair.partition(separator)
+        if not has_separator:
             raise LoadReportError(f"'{pair}' is no name{separator}value pair")
         if name not in REPORT_FIELDS:
             continue
@@ -69,18 +69,18 @@
         raise SettingsError("settings are no JSON object")
     try:
         return _deployment(seed, settings)
-    except (TypeError, AttributeError, OverflowError) as fault:
-        raise SettingsError(f"a setting of a wrong type: {fault}") from None
+    except (TypeError, AttributeError, OverflowError) as error:
+        raise SettingsError(f"a setting of a wrong type: {error}") from None
 
 
-def _deployment(seed: int, settings: Table) -> Deployment:
+def _deployment(seed: int, settings: JsonObject) -> Deployment:
     limits = settings.get("limits") or {}
     rules = settings.get("rules") or {}
     tariffs = settings.get("tariffs") or {}
     goal = settings.get("goal") or {}
     family = settings.get("family_info") or {}
-    methods = tuple(_method(table) for table in _required(settings, "methods", ""))
-    tenants = tuple(_tenant(table) for table in settings.get("customers") or [])
+    methods = tuple(_method(fields) for fields in _required(settings, "methods", ""))
+    tenants = tuple(_tenant(fields) for fields in settings.get("customers") or [])
     return Deployment(
         seed=seed,
         nodes=int(settings.get("balancers") or 1),
@@ -115,61 +115,61 @@
     )
 
 
-def _method(table: Table) -> Method:
-    _required(table, "hard_deadline_s", "methods[].")
-    hard_ms = _milliseconds(table, "hard_deadline_s")
+def _method(fields: JsonObject) -> Method:
+    _required(fields, "hard_deadline_s", "methods[].")
+    hard_ms = _milliseconds(fields, "hard_deadline_s")
     return Method(
-        name=str(_required(table, "name", "methods[].")),
-        soft_ms=_milliseconds(table, "soft_deadline_s", hard_ms) or hard_ms,
+        name=str(_required(fields, "name", "methods[].")),
+        soft_ms=_milliseconds(fields, "soft_deadline_s", hard_ms) or hard_ms,
         hard_ms=hard_ms,
-        gain=_number(table, "gain") if "gain" in table else 1.0,
-        late_gain=_number(table, "overdue_gain"),
-        idempotency=IDEMPOTENCY[_choice(table, "idempotency", IDEMPOTENCY, "fragile")],
-        dedup_scope=_choice(table, "group", DEDUP_SCOPES, "all"),
-        dedup_window_ms=_milliseconds(table, "window_s"),
-        streamed=bool(table.get("streamed", False)),
-        kinds=_names(table, "allowed_on"),
-        zones=_names(table, "runs_in"),
+        gain=_number(fields, "gain") if "gain" in fields else 1.0,
+        late_gain=_number(fields, "overdue_gain"),
+        idempotency=IDEMPOTENCY[_choice(fields, "idempotency", IDEMPOTENCY, "fragile")],
+        dedup_scope=_choice(fields, "group", DEDUP_SCOPES, "all"),
+        dedup_window_ms=_milliseconds(fields, "window_s"),
+        streamed=bool(fields.get("streamed", False)),
+        kinds=_name_list(fields, "allowed_on"),
+        zones=_name_list(fields, "runs_in"),
     )
 
 
-def _tenant(table: Table) -> Tenant:
+def _tenant(fields: JsonObject) -> Tenant:
     return Tenant(
-        name=str(_required(table, "name", "customers[].")),
-        quota_per_s=_number(table, "quota_per_s"),
+        name=str(_required(fields, "name", "customers[].")),
+        quota_per_s=_number(fields, "quota_per_s"),
     )
 
 
 # ---- one field each; `name` is its name outside
 
 
-def _required(table: object, name: str, where: str) -> Any:  # noqa: ANN401  JSON of any type
-    if not isinstance(table, dict) or name not in table:
-        raise SettingsError(f"setting {where}{name} is missing")
-    return table[name]
+def _required(fields: object, name: str, prefix: str) -> Any:  # noqa: ANN401  JSON of any type
+    if not isinstance(fields, dict) or name not in fields:
+        raise SettingsError(f"setting {prefix}{name} is missing")
+    return fields[name]
 
 
-def _number(table: Table, name: str) -> float:
-    value = float(table.get(name) or 0.0)
+def _number(fields: JsonObject, name: str) -> float:
+    value = float(fields.get(name) or 0.0)
     if not (isfinite(value) and value >= 0):
         raise SettingsError(f"setting {name} is no figure from 0 up: {value}")
     return value
 
 
-def _milliseconds(table: Table, name: str, default_ms: float = 0.0) -> float:
-    return default_ms if table.get(name) is None else _number(table, name) * 1000
+def _milliseconds(fields: JsonObject, name: str, default_ms: float = 0.0) -> float:
+    return default_ms if fields.get(name) is None else _number(fields, name) * 1000
 
 
-def _choice(table: Table, name: str, known: Collection[str], default: str) -> str:
-    value = table.get(name, default)
-    if value not in known:
+def _choice(fields: JsonObject, name: str, choices: Collection[str], default: str) -> str:
+    value = fields.get(name, default)
+    if value not in choices:
         raise SettingsError(f"setting {name} has an unknown value '{value}'")
     return str(value)
 
 
-def _names(table: Table, name: str) -> tuple[str, ...]:
+def _name_list(fields: JsonObject, name: str) -> tuple[str, ...]:
     # Strict: a constraint that is read as none at all lets an RPC go anywhere.
-    value = table.get(name) or []
+    value = fields.get(name) or []
     if not isinstance(value, list) or not all(isinstance(item, str) and item for item in value):
         raise SettingsError(f"setting {name} is no list of names: {value!r}")
     return tuple(value)
--- a/hookpitch/balancer/endpoints.py
+++ b/hookpitch/balancer/endpoints.py
@@ -56,8 +56,8 @@
         table.origin_kind = deployment.origin_kind
         self.nominal_sizes = {} if deployment.weights_reflect_load else None
         for backend, name in zip(table.backends.values(), kind_names, strict=True):
-            known = name in deployment.kinds
-            backend.kind = deployment.kinds.index(name) if known else UNKNOWN_KIND
+            is_known = name in deployment.kinds
+            backend.kind = deployment.kinds.index(name) if is_known else UNKNOWN_KIND
             backend.reported_load = -1.0
             if self.nominal_sizes is not None:
                 largest = self.nominal_sizes.get(backend.kind, 0.0)
@@ -71,18 +71,18 @@
             backend = self._table.backends.get(endpoint.id)
             if backend is None:
                 backend = self._table.backends[endpoint.id] = Backend(endpoint.id)
-            self._restart_if_new(backend, endpoint, now)
+            self._reset_if_restarted(backend, endpoint, now)
             changed |= backend.listed_state != endpoint.state
             changed |= (backend.zone, backend.kind) != (endpoint.zone, endpoint.kind)
-            if self._apply(backend, endpoint):
+            if self._apply_listed_values(backend, endpoint):
                 resized.append(backend)
             if endpoint.kind == self._table.origin_kind:
                 self._concurrency.start_origin(backend, self._nodes)
             self.set_state(backend, endpoint.state, now)
         if kind != EndpointUpdate.DELTA:
-            named = {endpoint.id for endpoint in endpoints}
+            listed_ids = {endpoint.id for endpoint in endpoints}
             for backend in self._table.backends.values():
-                if backend.id not in named and backend.listed_state != EndpointState.REMOVED:
+                if backend.id not in listed_ids and backend.listed_state != EndpointState.REMOVED:
                     changed = True
                     self.set_state(backend, EndpointState.REMOVED, now)
         if changed or resized:
@@ -103,8 +103,8 @@
             backend.ejection_ms = 0.0
             self._slow_start.start_warmup(backend, now, now)
         self.set_state(backend, backend.listed_state, now)
-        on_ring = backend.ring_points or backend.state != EndpointState.READY
-        self.rebuild_ring([] if on_ring else [backend])
+        needs_no_points = backend.ring_points or backend.state != EndpointState.READY
+        self.rebuild_ring([] if needs_no_points else [backend])
 
     def set_state(self, backend: Backend, listed: EndpointState, now: float) -> None:
         """Take a listed state, and derive the state by which the backend is used.
@@ -134,9 +134,11 @@
     def rebuild_ring(self, resized: list[Backend]) -> None:
         """Bring the origin, the ring and all assignments in step with the backends' states."""
         table, ring = self._table, self._ring
-        ready = [b for b in table.backends.values() if b.state == EndpointState.READY]
+        ready = [
+            backend for backend in table.backends.values() if backend.state == EndpointState.READY
+        ]
         if table.origin not in ready:
-            origins = (b for b in ready if b.kind == table.origin_kind)
+            origins = (backend for backend in ready if backend.kind == table.origin_kind)
             table.origin = next(origins, table.origin)
         caches = [backend for backend in resized if backend.kind != table.origin_kind]
         ring.set_scale(caches)
@@ -147,7 +149,7 @@
         ring.add(caches)
         self._placement.ring_changed()
 
-    def _restart_if_new(self, backend: Backend, endpoint: Endpoint, now: float) -> None:
+    def _reset_if_restarted(self, backend: Backend, endpoint: Endpoint, now: float) -> None:
         """Forget what is known of a backend's process where the list says that it is a new one."""
         usable = endpoint.state == EndpointState.READY or self._removal_is_advisory
         started_at = endpoint.started_ms if endpoint.started_ms > 0 else NEVER
@@ -159,7 +161,7 @@
         backend.last_response_at = NEVER
         self._slow_start.start_warmup(backend, started_at, now)
 
-    def _apply(self, backend: Backend, endpoint: Endpoint) -> bool:
+    def _apply_listed_values(self, backend: Backend, endpoint: Endpoint) -> bool:
         """Take an endpoint's listed values; return whether the backend needs other ring points."""
         size = max(endpoint.size, MIN_SIZE)
         if self.nominal_sizes is not None:
--- a/hookpitch/balancer/failover.py
+++ b/hookpitch/balancer/failover.py
@@ -35,7 +35,7 @@
 
         Marks the RPC as rejected where it has waited in a queue before and would again.
         """
-        busy: Backend | None = None
+        first_busy: Backend | None = None
         congested = self._concurrency.origin_congested()
         for backend in self._placement.failover_chain(rpc.bucket):
             if not self._is_eligible(rpc, backend, now):
@@ -45,13 +45,15 @@
                     backend.ejected_until = now + backend.ejection_ms
                     return backend
                 continue
-            if self._concurrency.has_capacity(backend, now) or (congested and not rpc.overflowed):
+            if self._concurrency.has_capacity(backend, now) or (
+                congested and not rpc.queue_timed_out
+            ):
                 return backend
-            busy = busy or backend
-        rpc.rejected |= rpc.overflowed
-        return busy
+            first_busy = first_busy or backend
+        rpc.rejected |= rpc.queue_timed_out
+        return first_busy
 
-    def count_spare(self, rpc: Rpc) -> int:
+    def count_with_spare_capacity(self, rpc: Rpc) -> int:
         """Count the backends of an RPC's chain that could take more."""
         return sum(
             self._concurrency.has_spare_capacity(backend, rpc.method)
@@ -59,7 +61,9 @@
         )
 
     def _is_eligible(self, rpc: Rpc, backend: Backend, now: float) -> bool:
-        if any(a.backend is backend and not a.connection_fault for a in rpc.attempts):
+        if any(
+            attempt.backend is backend and not attempt.connection_fault for attempt in rpc.attempts
+        ):
             return False
         if not self._retries.may_attempt(rpc, backend, now):
             return False
--- a/hookpitch/balancer/health.py
+++ b/hookpitch/balancer/health.py
@@ -19,10 +19,12 @@
 from hookpitch.balancer.rpc import Attempt, Rpc
 from hookpitch.balancer.slow_start import SlowStart
 
-EJECT_AFTER = 3  # failures in a row
-MAX_EJECTIONS = 8  # times the base ejection: the longest ejection, and how long one is remembered
-MAX_SECOND_OPINIONS = 10.0  # saved up
-SECOND_OPINION_GAIN = 0.05  # for each good answer
+EJECTION_THRESHOLD = 3  # failures in a row
+MAX_EJECTION_FACTOR = (
+    8  # times the base ejection: the longest ejection, and how long one is remembered
+)
+MAX_CONFIRMATION_TOKENS = 10.0  # saved up
+CONFIRMATION_TOKENS_PER_RESPONSE = 0.05  # for each good answer
 
 
 class LocalDelay:
@@ -34,7 +36,7 @@
         self.read_delay_ms = 0.0  # time that received data waits before it is read
         self.stalled_at = NEVER  # the end of the last event loop stall
 
-    def covers(self, attempt: Attempt) -> bool:
+    def overlaps_stall(self, attempt: Attempt) -> bool:
         """Return whether an attempt was in flight during an event loop stall."""
         return attempt.sent_at < self.stalled_at
 
@@ -52,7 +54,7 @@
         retries: RetryPolicy,
         idle_connections: IdleConnections,
     ) -> None:
-        self.second_opinions = MAX_SECOND_OPINIONS
+        self.confirmation_tokens = MAX_CONFIRMATION_TOKENS
         self.base_ejection_ms = 0.0
         self._table = table
         self._ring = ring
@@ -74,7 +76,9 @@
         backend.last_response_at = now
         backend.consecutive_failures = 0
         backend.response_count += 1
-        self.second_opinions = min(MAX_SECOND_OPINIONS, self.second_opinions + SECOND_OPINION_GAIN)
+        self.confirmation_tokens = min(
+            MAX_CONFIRMATION_TOKENS, self.confirmation_tokens + CONFIRMATION_TOKENS_PER_RESPONSE
+        )
         if backend.ejected:
             backend.ejected = False
             backend.recovered_at = now
@@ -89,11 +93,11 @@
         self.record_failure(rpc.suspect, now)
         rpc.suspect = None
 
-    def needs_second_opinion(self, backend: Backend, outcome: Outcome, now: float) -> bool:
+    def needs_confirmation(self, backend: Backend, outcome: Outcome, now: float) -> bool:
         """Return whether an error may be the RPC's own fault."""
         if outcome != Outcome.ERROR:
             return False
-        return backend is not self._table.origin or not self._silent(backend, now)
+        return backend is not self._table.origin or not self._is_unresponsive(backend, now)
 
     def suspect(self, rpc: Rpc, backend: Backend) -> None:
         """Keep an error for a second opinion; a second error says that the RPC is at fault.
@@ -101,25 +105,25 @@
         RPCs that fail anywhere would otherwise eject every backend, and their retries would take
         the capacity of the rest.
         """
-        rpc.unservable = rpc.suspect is not None or self.second_opinions < 1
+        rpc.unservable = rpc.suspect is not None or self.confirmation_tokens < 1
         rpc.suspect = backend
 
-    def spend_second_opinion(self) -> None:
+    def spend_confirmation_token(self) -> None:
         """Count an attempt that is made for a second opinion."""
-        self.second_opinions -= 1
+        self.confirmation_tokens -= 1
 
-    def record_broken_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
+    def record_failed_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Judge an attempt that ended in an error or without an answer that can be read."""
         backend = attempt.backend
         if (
             outcome == Outcome.CONNECT_FAILED
-            and self._has_died(backend, now)
+            and self._has_restarted(backend, now)
             and backend.started_at < attempt.sent_at
         ):
             self._slow_start.start_warmup(backend, now, now)
         # A limit cut for what befalls any backend, or at each slip of the one origin, starves all.
         tolerated = backend is self._table.origin or outcome == Outcome.MALFORMED
-        if not tolerated or self._silent(backend, now):
+        if not tolerated or self._is_unresponsive(backend, now):
             self.record_failure(backend, now)
 
     def record_timeout(self, attempt: Attempt, now: float, local_delay: LocalDelay) -> None:
@@ -127,7 +131,7 @@
         backend = attempt.backend
         if max(backend.last_response_at, backend.last_failure_at) >= attempt.sent_at:
             return
-        if not attempt.silence_recorded and not local_delay.covers(attempt):
+        if not attempt.silence_recorded and not local_delay.overlaps_stall(attempt):
             self.record_failure(backend, now)
 
     # ---- consequences
@@ -141,15 +145,15 @@
         backend.consecutive_failures += 1
         backend.last_failure_at = now
         # What fails and recovers by turns would otherwise cost several RPCs at every turn.
-        relapsed = self._recovered_lately(backend, now)
-        if backend.consecutive_failures < (1 if relapsed else EJECT_AFTER):
+        recently_recovered = self._recovered_recently(backend, now)
+        if backend.consecutive_failures < (1 if recently_recovered else EJECTION_THRESHOLD):
             return
         if backend.ejected and now < backend.ejected_until:
             return
         if not backend.ejected:
             failures = backend.consecutive_failures
             self._work.health_changes.append(HealthChange(backend.id, True, failures))
-            if not relapsed:
+            if not recently_recovered:
                 backend.ejection_ms = 0.0
         self.eject(backend, now)
 
@@ -159,7 +163,7 @@
         backend.available = False
         backend.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         backend.ejection_ms = min(
-            self.base_ejection_ms * MAX_EJECTIONS,
+            self.base_ejection_ms * MAX_EJECTION_FACTOR,
             max(self.base_ejection_ms, 2 * backend.ejection_ms),
         )
         backend.ejected_until = now + backend.ejection_ms
@@ -171,19 +175,19 @@
         backend.ejected = False
         backend.cap_concurrency()
 
-    def _silent(self, backend: Backend, now: float) -> bool:
+    def _is_unresponsive(self, backend: Backend, now: float) -> bool:
         return now - backend.last_response_at > self.base_ejection_ms
 
-    def _recovered_lately(self, backend: Backend, now: float) -> bool:
-        return now < backend.recovered_at + MAX_EJECTIONS * self.base_ejection_ms
+    def _recovered_recently(self, backend: Backend, now: float) -> bool:
+        return now < backend.recovered_at + MAX_EJECTION_FACTOR * self.base_ejection_ms
 
-    def _has_died(self, backend: Backend, now: float) -> bool:
+    def _has_restarted(self, backend: Backend, now: float) -> bool:
         """Return whether a refused connection says that the backend's process is a new one.
 
         One that refuses connections after failures has restarted and is warming up, even if the
         list does not say so. Where most caches fail, the fault is in this node's own network.
         """
-        if backend.consecutive_failures <= 1 and not self._recovered_lately(backend, now):
+        if backend.consecutive_failures <= 1 and not self._recovered_recently(backend, now):
             return False
         caches = self._ring.caches
         failing = sum(cache.consecutive_failures > 0 for cache in caches)
--- a/hookpitch/balancer/idle_connections.py
+++ b/hookpitch/balancer/idle_connections.py
@@ -10,9 +10,9 @@
 from hookpitch.balancer.backend import Backend
 from hookpitch.balancer.interface import Deployment
 
-START_GROWTH = 1.3  # a window, until the first failure
-CAREFUL_GROWTH = 1.05  # a window, after it
-FAILURE_FACTOR = 0.8
+INITIAL_GROWTH = 1.3  # a window, until the first failure
+GROWTH_AFTER_FAILURE = 1.05  # a window, after it
+SHRINK_FACTOR = 0.8
 
 
 class IdleConnections:
@@ -24,7 +24,7 @@
         self.idle_limit_ms = 0.0
         self.max_idle_ms = 0.0
         self.min_idle_ms = 0.0
-        self._growth = START_GROWTH
+        self._growth = INITIAL_GROWTH
 
     def configure(self, deployment: Deployment, base_ejection_ms: float) -> None:
         """Apply new settings; where holding costs, the limit is where it equals a new handshake."""
@@ -40,8 +40,8 @@
 
     def record_failure(self) -> None:
         """Hold connections for less: tables may be full, or they were dropped unseen."""
-        self.idle_limit_ms = max(self.min_idle_ms, FAILURE_FACTOR * self.idle_limit_ms)
-        self._growth = CAREFUL_GROWTH
+        self.idle_limit_ms = max(self.min_idle_ms, SHRINK_FACTOR * self.idle_limit_ms)
+        self._growth = GROWTH_AFTER_FAILURE
 
     def grow(self) -> None:
         """Hold connections for longer, once a window."""
@@ -55,6 +55,6 @@
             and now - backend.last_send_at > self.idle_limit_ms
         )
 
-    def may_be_dropped(self, backend: Backend, now: float) -> bool:
+    def may_be_stale(self, backend: Backend, now: float) -> bool:
         """Return whether the backend may have dropped its idle connections unseen."""
         return self.is_idle(backend, now) and self.idle_limit_ms < 0.9 * self.max_idle_ms
--- a/hookpitch/balancer/interface.py
+++ b/hookpitch/balancer/interface.py
@@ -83,7 +83,7 @@
     kinds: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
 
-    def under(self, new: Method | None) -> Method:
+    def restricted_by(self, new: Method | None) -> Method:
         """Return the method for an RPC in flight once its settings have changed or are gone.
 
         Its deadlines and gain stay; of what binds a further attempt the stricter holds.
--- a/hookpitch/balancer/load_shedding.py
+++ b/hookpitch/balancer/load_shedding.py
@@ -16,7 +16,7 @@
 from hookpitch.balancer.quotas import Quotas
 from hookpitch.balancer.rpc import Rpc
 
-SHED_FROM = 0.2  # of what is within quota rejected or late: from here on less is admitted
+SHED_THRESHOLD = 0.2  # of what is within quota rejected or late: from here on less is admitted
 MAX_SHED_FRACTION = 0.9
 MAX_QUEUE_FRACTION = 0.3  # of the time that is left: the longest stay in a queue
 NOT_SHED = -1.0
@@ -29,7 +29,7 @@
     width: float
 
 
-WHOLE_BAND = PriorityBand(0.0, 1.0)
+FULL_BAND = PriorityBand(0.0, 1.0)
 
 
 class LoadShedder:
@@ -68,11 +68,11 @@
         """Count an RPC, and mark it as rejected where it is shed."""
         if rpc.over_quota:
             # While little is rejected, what is over quota is served: the fleet is idle.
-            pressure = self.pressure / SHED_FROM
-            kept = self._over_quota_gain_factor + 1 - pressure
-            rpc.rejected = self._draws.fraction() >= kept
+            pressure = self.pressure / SHED_THRESHOLD
+            admitted_fraction = self._over_quota_gain_factor + 1 - pressure
+            rpc.rejected = self._draws.fraction() >= admitted_fraction
         if self.shed_fraction > 0 and not has_quota:
-            band = self._bands.get(rpc.method.name, WHOLE_BAND)
+            band = self._bands.get(rpc.method.name, FULL_BAND)
             if band.start + band.width * self._draws.fraction() < self.shed_fraction:
                 rpc.rejected = True
                 rpc.over_quota = True
@@ -83,9 +83,9 @@
         """Count an RPC within quota that was rejected, or whose answer was late."""
         self.rejected_count += 1
 
-    def is_calm(self) -> bool:
+    def has_low_pressure(self) -> bool:
         """Return whether so little is rejected that a retry of what is only slow does no harm."""
-        return self.pressure < SHED_FROM / 2
+        return self.pressure < SHED_THRESHOLD / 2
 
     def update(self) -> int:
         """End a rate window; return how many RPCs within quota arrived in it.
@@ -98,7 +98,7 @@
         self.arrival_count = 1
         self.rejected_count = 0
         self.pressure = max(rejected_fraction, self.pressure / 2)
-        step = rejected_fraction / 4 if rejected_fraction > SHED_FROM else -SHED_FROM / 4
+        step = rejected_fraction / 4 if rejected_fraction > SHED_THRESHOLD else -SHED_THRESHOLD / 4
         self.shed_fraction = min(MAX_SHED_FRACTION, max(0.0, self.shed_fraction + step))
         return arrivals
 
@@ -125,7 +125,7 @@
         if self.overload <= 0:
             return NOT_SHED
         token_bucket = self._quotas.token_buckets.get(tenant)
-        over_quota = token_bucket is not None and token_bucket.exhausted(now)
+        over_quota = token_bucket is not None and token_bucket.is_exhausted(now)
         too_late = method.late_gain <= 0 and age_ms > (1 - MAX_QUEUE_FRACTION) * method.soft_ms
         if not over_quota and not too_late:
             band = self._arrival_bands[method_name]
@@ -135,16 +135,16 @@
 
     def retry_after_ms(self, method: Method) -> float:
         """Draw when a rejected client may retry; the draw spreads clients out."""
-        longest_ms = min(self._max_retry_after_ms, method.soft_ms)
-        return longest_ms * (0.5 + self._draws.fraction() / 2)
+        max_delay_ms = min(self._max_retry_after_ms, method.soft_ms)
+        return max_delay_ms * (0.5 + self._draws.fraction() / 2)
 
     def _priority_bands(self, mix: dict[str, float]) -> dict[str, PriorityBand]:
         """Return the band of each method in a mix, those of the least gain first."""
         bands: dict[str, PriorityBand] = {}
         start = 0.0
         for gain in sorted({method.gain for method in self._methods.values()}):
-            alike = [name for name in mix if self._methods[name].gain == gain]
-            width = sum(mix[name] for name in alike) / sum(mix.values())
-            bands |= dict.fromkeys(alike, PriorityBand(start, width))
+            method_names = [name for name in mix if self._methods[name].gain == gain]
+            width = sum(mix[name] for name in method_names) / sum(mix.values())
+            bands |= dict.fromkeys(method_names, PriorityBand(start, width))
             start += width
         return bands
--- a/hookpitch/balancer/method_load.py
+++ b/hookpitch/balancer/method_load.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-FADE_PER_ROUND = 0.85
+DECAY_PER_ROUND = 0.85
 WORK_WEIGHT = 0.05  # of one RPC's stated work in the mean
 
 
@@ -36,6 +36,6 @@
         self.typical_work_ms += (work_ms - self.typical_work_ms) * weight
         self.load[method_name] += work_ms / self.typical_work_ms
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Let what was asked for count for less, once a round."""
-        self.load = {name: FADE_PER_ROUND * load for name, load in self.load.items()}
+        self.load = {name: DECAY_PER_ROUND * load for name, load in self.load.items()}
--- a/hookpitch/balancer/placement.py
+++ b/hookpitch/balancer/placement.py
@@ -22,8 +22,8 @@
 BUCKETS = 4096  # the unit moved; a hundred for each cache of a fleet of forty
 CHAIN_LENGTH = 8  # backends looked at along the ring
 # A bucket with more than its primary's part of the fleet over this is spread over several.
-SPREAD = 3.0
-RECALL_RPCS = 512  # by which a router estimates a bucket's part of its traffic
+SPREAD_FACTOR = 3.0
+MAX_RECENT_REQUESTS = 512  # by which a router estimates a bucket's part of its traffic
 PRIOR_RPCS = 40.0  # of each method taken for seen before any is: all routers begin alike
 MIN_UNCONSTRAINED_FRACTION = 0.5
 FRACTION_TOLERANCE = 0.15  # a smaller change is not worth moving buckets for
@@ -100,7 +100,9 @@
     def ring_changed(self) -> None:
         """Bring everything in step with the ring and the backends' states."""
         caches = self._ring.caches
-        self.total_size = sum(c.size for c in caches if c.state != EndpointState.REMOVED)
+        self.total_size = sum(
+            cache.size for cache in caches if cache.state != EndpointState.REMOVED
+        )
         self.allowed_counts = {
             (method.kinds, method.zones): sum(
                 cache.state == EndpointState.READY and self.allows(method, cache)
@@ -118,12 +120,12 @@
 
     def assign_primary(self, bucket: Bucket) -> None:
         """Set a bucket's primary from the ring; a move is kept while its cache is usable."""
-        moved = bucket.assigned is not bucket.primary
+        was_moved = bucket.assigned is not bucket.primary
         bucket.chain = None
         bucket.primary = next(iter(self.replicas(bucket)), None)
         assigned = bucket.assigned
         if (
-            not moved
+            not was_moved
             or assigned is None
             or assigned.state != EndpointState.READY
             or not self.allows(bucket, assigned)
@@ -150,8 +152,8 @@
         self.recent_requests += 1
         # The square root leaves room for chance: a few sightings spread nothing.
         excess = max(0.0, bucket.recent_requests - 1 - bucket.recent_requests**0.5)
-        seen = max(self.recent_requests, RECALL_RPCS / 4)
-        spread_size = SPREAD * self.total_size * excess / seen
+        observed_requests = max(self.recent_requests, MAX_RECENT_REQUESTS / 4)
+        spread_size = SPREAD_FACTOR * self.total_size * excess / observed_requests
         if bucket.primary and (
             spread_size > max(1.5 * bucket.spread_size, bucket.primary.size)
             or spread_size < bucket.spread_size / 4
@@ -159,11 +161,11 @@
             bucket.spread_size = spread_size
             self.assign_primary(bucket)
 
-    def fade_requests(self) -> float:
+    def decay_requests(self) -> float:
         """Let past requests count for less; return the factor for the buckets' own counts."""
-        fade = min(1.0, RECALL_RPCS / max(1.0, self.recent_requests))
-        self.recent_requests *= fade
-        return fade
+        decay = min(1.0, MAX_RECENT_REQUESTS / max(1.0, self.recent_requests))
+        self.recent_requests *= decay
+        return decay
 
     def ready_from(self, bucket: Bucket) -> Iterator[Backend]:
         """Walk the ring from a bucket's point over the ready caches that are open to it."""
@@ -187,10 +189,10 @@
         if bucket.chain is None:
             first = [bucket.assigned] if bucket.assigned else []
             chain = dict.fromkeys(first + self.replicas(bucket)[:CHAIN_LENGTH])
-            allowed = self.allowed_counts.get((bucket.kinds, bucket.zones), CHAIN_LENGTH)
+            allowed_count = self.allowed_counts.get((bucket.kinds, bucket.zones), CHAIN_LENGTH)
             for cache in self.ready_from(bucket):
                 chain[cache] = None
-                if len(chain) >= min(CHAIN_LENGTH, allowed):
+                if len(chain) >= min(CHAIN_LENGTH, allowed_count):
                     break
             bucket.chain = list(chain)
         return bucket.chain
@@ -210,7 +212,7 @@
             (method, sum(cache.size for cache in ready if self.allows(method, cache)))
             for method in constrained
         ]
-        mean = sum(load.values(), PRIOR_RPCS * len(load)) / sum(cache.size for cache in ready)
+        mean_load = sum(load.values(), PRIOR_RPCS * len(load)) / sum(cache.size for cache in ready)
         changed = False
         for cache in ready:
             own_loads = [
@@ -218,7 +220,7 @@
                 for method, size in allowed_sizes
                 if self.allows(method, cache)
             ]
-            fraction = max(MIN_UNCONSTRAINED_FRACTION, 1 - sum(own_loads) / mean)
+            fraction = max(MIN_UNCONSTRAINED_FRACTION, 1 - sum(own_loads) / mean_load)
             if abs(fraction - cache.unconstrained_fraction) > FRACTION_TOLERANCE:
                 cache.unconstrained_fraction = fraction
                 changed = True
--- a/hookpitch/balancer/queueing.py
+++ b/hookpitch/balancer/queueing.py
@@ -19,7 +19,7 @@
 from hookpitch.balancer.rpc import Rpc
 
 
-def drop_finished(backend: Backend) -> None:
+def drop_stale_entries(backend: Backend) -> None:
     """Drop entries of RPCs that wait there no more."""
     for queue in (backend.fresh_queue, backend.retry_queue):
         # A sorted list is a heap.
@@ -43,30 +43,30 @@
 
     def enqueue(self, rpc: Rpc, backend: Backend, now: float) -> None:
         """Have an RPC wait; where the queue is full its last RPC is rejected."""
-        left_ms = min(rpc.deadline, rpc.objective) - now
+        remaining_ms = min(rpc.deadline, rpc.objective) - now
         entry = QueueEntry(rpc.over_quota, -rpc.method.gain, rpc.number, rpc)
         heapq.heappush(backend.retry_queue if rpc.attempts else backend.fresh_queue, entry)
-        longest_ms = min(MAX_QUEUE_FRACTION * left_ms, left_ms - backend.latency_ms)
+        max_wait_ms = min(MAX_QUEUE_FRACTION * remaining_ms, remaining_ms - backend.latency_ms)
         rpc.queued_at = backend
-        rpc.queue_deadline = now + max(0.0, longest_ms)
+        rpc.queue_deadline = now + max(0.0, max_wait_ms)
         self._work.schedule(rpc.queue_deadline, rpc, None)
         self._work.schedule(max(backend.paused_until, now), rpc, None)
         self._trim(backend, rpc.method.soft_ms)
 
     def _trim(self, backend: Backend, soft_ms: float) -> None:
-        answered_in_time = (
+        max_length = (
             backend.concurrency_limit * MAX_QUEUE_FRACTION * soft_ms / max(backend.latency_ms, 1.0)
         )
-        if len(backend.fresh_queue) + len(backend.retry_queue) <= max(1.0, answered_in_time):
+        if len(backend.fresh_queue) + len(backend.retry_queue) <= max(1.0, max_length):
             return
         queue = backend.retry_queue or backend.fresh_queue
-        last = max(queue)
-        queue.remove(last)
+        lowest_entry = max(queue)
+        queue.remove(lowest_entry)
         heapq.heapify(queue)
-        if last.rpc.queue_deadline:
-            last.rpc.queue_deadline = 0.0
-            last.rpc.rejected = True
-            self._work.rpcs.append(last.rpc)
+        if lowest_entry.rpc.queue_deadline:
+            lowest_entry.rpc.queue_deadline = 0.0
+            lowest_entry.rpc.rejected = True
+            self._work.rpcs.append(lowest_entry.rpc)
 
     def pop(self, backend: Backend, now: float) -> Rpc | None:
         """Return the next RPC that may still be sent to a backend; the others are routed again."""
@@ -89,13 +89,13 @@
         """
         if rpc.queue_deadline and rpc.queue_deadline <= now and not rpc.closed:
             rpc.rejected = (
-                rpc.overflowed
+                rpc.queue_timed_out
                 or rpc.over_quota
                 or rpc.queued_at is self._table.origin
                 or self._concurrency.origin_congested()
             )
             rpc.queue_deadline = 0.0
-            rpc.overflowed = True
+            rpc.queue_timed_out = True
             self._work.rpcs.append(rpc)
         elif rpc.queued_at:
             self._work.freed_backends.append(rpc.queued_at)
--- a/hookpitch/balancer/quotas.py
+++ b/hookpitch/balancer/quotas.py
@@ -19,18 +19,18 @@
 class TokenBucket:
     """What a tenant may still send through this router."""
 
-    __slots__ = ("capacity", "filled_at", "rate", "tokens")
+    __slots__ = ("capacity", "refilled_at", "rate", "tokens")
 
     def __init__(self, rate: float, now: float) -> None:
         self.rate = rate
         self.capacity = rate * REFILL_WINDOW_MS / 5 + MIN_BURST_RPCS
         self.tokens = MIN_BURST_RPCS / 4
-        self.filled_at = now
+        self.refilled_at = now
 
-    def exhausted(self, now: float) -> bool:
+    def is_exhausted(self, now: float) -> bool:
         """Refill it and return whether there is less than one token."""
-        self.tokens = min(self.capacity, self.tokens + (now - self.filled_at) * self.rate)
-        self.filled_at = now
+        self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
         return self.tokens < 1
 
 
@@ -53,7 +53,7 @@
     def set_process_share(self, now: float, process_share: float) -> None:
         """Rebuild the token buckets; tenants that remain keep their tokens."""
         self.process_share = process_share
-        before = self.token_buckets
+        previous = self.token_buckets
         rate = process_share / 1000 / self._nodes  # of a quota a second over all nodes
         self.token_buckets = {
             tenant.name: TokenBucket(tenant.quota_per_s * rate, now)
@@ -61,9 +61,9 @@
             if tenant.quota_per_s > 0
         }
         for name, token_bucket in self.token_buckets.items():
-            if name in before:
-                before[name].exhausted(now)
-                token_bucket.tokens = min(token_bucket.capacity, before[name].tokens)
+            if name in previous:
+                previous[name].is_exhausted(now)
+                token_bucket.tokens = min(token_bucket.capacity, previous[name].tokens)
 
     def charge(self, rpc: Rpc, tenant: str, now: float) -> bool:
         """Take a token for an RPC, or mark it as over quota.
@@ -73,7 +73,7 @@
         token_bucket = self.token_buckets.get(tenant)
         if token_bucket is None:
             return False
-        if token_bucket.exhausted(now):
+        if token_bucket.is_exhausted(now):
             rpc.over_quota = True
         else:
             token_bucket.tokens -= 1
--- a/hookpitch/balancer/rebalancing.py
+++ b/hookpitch/balancer/rebalancing.py
@@ -16,14 +16,14 @@
 from hookpitch.balancer.method_load import MethodLoad
 from hookpitch.balancer.placement import Bucket, Placement
 
-ROUND_MS = 2500.0
+ROUND_INTERVAL_MS = 2500.0
 DEAD_BAND = 1.5  # a round acts only when the heaviest is this many times the mean
 MOVES_PER_CACHE = 4 / 3  # a round, at most
 IMPROVEMENT_THRESHOLD = 0.5  # the paper's IT: a round stops once sigma has fallen by this part
 # Answers from a cache before it takes part in a round. On fewer, hundreds of nodes would each move
 # keys for noise, and every cache would miss them.
 MIN_RESPONSES = 8
-MAX_KEY_AGE_MS = 12 * ROUND_MS
+MAX_KEY_AGE_MS = 12 * ROUND_INTERVAL_MS
 
 
 class BucketLoad(NamedTuple):
@@ -47,21 +47,21 @@
 def weights(caches: Sequence[Backend]) -> tuple[float, float]:
     """Return lambda and mu of section 3: how scarce CPU is against memory."""
     cpu = sum(cache.cpu_load for cache in caches)
-    both = sum(cache.cpu_load + cache.memory_load for cache in caches)
-    lam = cpu / both if both else 0.5
+    total = sum(cache.cpu_load + cache.memory_load for cache in caches)
+    lam = cpu / total if total else 0.5
     return lam, lam * lam / (lam * lam + (1 - lam) ** 2)
 
 
 def imbalance(caches: Sequence[Backend], mu: float) -> float:
     """Return sigma of the cluster, section 3."""
-    k = len(caches)
-    mean_c = sum(cache.cpu_load for cache in caches) / k
-    mean_m = sum(cache.memory_load for cache in caches) / k
+    cache_count = len(caches)
+    mean_cpu = sum(cache.cpu_load for cache in caches) / cache_count
+    mean_memory = sum(cache.memory_load for cache in caches) / cache_count
     variance = sum(
-        mu * (cache.cpu_load - mean_c) ** 2 + (1 - mu) * (cache.memory_load - mean_m) ** 2
+        mu * (cache.cpu_load - mean_cpu) ** 2 + (1 - mu) * (cache.memory_load - mean_memory) ** 2
         for cache in caches
     )
-    return (variance / k) ** 0.5
+    return (variance / cache_count) ** 0.5
 
 
 def target_point(heaviest: Backend, lightest: Backend, lam: float) -> tuple[float, float]:
@@ -72,22 +72,24 @@
     )
 
 
-def nearest(loads: list[BucketLoad], h: tuple[float, float], lam: float) -> BucketLoad:
+def nearest(loads: list[BucketLoad], target: tuple[float, float], lam: float) -> BucketLoad:
     """Return the bucket nearest to h, section 4; a scan, for one cache has few enough."""
     return min(
         loads,
-        key=lambda load: (lam * load.cpu - h[0]) ** 2 + ((1 - lam) * load.memory - h[1]) ** 2,
+        key=lambda load: (
+            (lam * load.cpu - target[0]) ** 2 + ((1 - lam) * load.memory - target[1]) ** 2
+        ),
     )
 
 
-def _allowed_anywhere(bucket: Bucket, cache: Backend) -> bool:
+def _is_allowed_anywhere(bucket: Bucket, cache: Backend) -> bool:
     return True
 
 
 def migrate(
     caches: list[Backend],
     loads: dict[Backend, list[BucketLoad]],
-    allowed: Callable[[Bucket, Backend], bool] = _allowed_anywhere,
+    allowed: Callable[[Bucket, Backend], bool] = _is_allowed_anywhere,
 ) -> list[Move]:
     """Return one round's moves, section 4, figure 3; the loads are changed along with them.
 
@@ -147,17 +149,17 @@
 
     def rebalance(self, now: float) -> None:
         """Run one round over the caches that are available and have answered enough."""
-        self._method_load.fade()
+        self._method_load.decay()
         if self._placement.reserve_capacity():
             self._placement.assign_all()
-        buckets_of = self._measured_caches()
+        buckets_by_cache = self._measured_caches()
         self.keys.rotate_if_due(now)
-        self._update_bucket_rates(buckets_of)
-        caches = list(buckets_of)
+        self._update_bucket_rates(buckets_by_cache)
+        caches = list(buckets_by_cache)
         if len(caches) < 2:
             return
-        self._measure(caches, buckets_of)
-        loads = {cache: self._bucket_loads(cache, buckets_of[cache]) for cache in caches}
+        self._measure_loads(caches, buckets_by_cache)
+        loads = {cache: self._bucket_loads(cache, buckets_by_cache[cache]) for cache in caches}
         for bucket, target in migrate(caches, loads, self._placement.allows):
             bucket.assigned.response_count = 0
             target.response_count = 0
@@ -173,20 +175,22 @@
             and backend is not self._table.origin
         }
 
-    def _update_bucket_rates(self, buckets_of: dict[Backend, list[Bucket]]) -> None:
-        fade = self._placement.fade_requests()
+    def _update_bucket_rates(self, buckets_by_cache: dict[Backend, list[Bucket]]) -> None:
+        decay = self._placement.decay_requests()
         for bucket in self._placement.buckets.values():
             bucket.request_rate = bucket.request_rate / 2 + bucket.request_count / 2
             bucket.request_count = 0
-            bucket.recent_requests *= fade
-            if bucket.assigned in buckets_of:
-                buckets_of[bucket.assigned].append(bucket)
+            bucket.recent_requests *= decay
+            if bucket.assigned in buckets_by_cache:
+                buckets_by_cache[bucket.assigned].append(bucket)
 
-    def _measure(self, caches: list[Backend], buckets_of: dict[Backend, list[Bucket]]) -> None:
+    def _measure_loads(
+        self, caches: list[Backend], buckets_by_cache: dict[Backend, list[Bucket]]
+    ) -> None:
         """Set the caches' loads, as fractions of the mean."""
         for cache in caches:
             cache.cpu_load = self._cpu_load(cache) / cache.size
-            cache.memory_load = float(sum(bucket.key_count for bucket in buckets_of[cache]))
+            cache.memory_load = float(sum(bucket.key_count for bucket in buckets_by_cache[cache]))
         mean_cpu = sum(cache.cpu_load for cache in caches) / len(caches)
         mean_memory = sum(cache.memory_load for cache in caches) / len(caches)
         for cache in caches:
@@ -199,10 +203,10 @@
         The rate alone calls an overloaded cache light, for it is sent little; and a report may be
         untrue.
         """
-        own = cache.send_rate * max(1.0, cache.latency_ms) / 1000
+        own_load = cache.send_rate * max(1.0, cache.latency_ms) / 1000
         if cache.reported_load < 0:
-            return own
-        return max(cache.reported_load + len(cache.fresh_queue), own * self._nodes)
+            return own_load
+        return max(cache.reported_load + len(cache.fresh_queue), own_load * self._nodes)
 
     @staticmethod
     def _bucket_loads(cache: Backend, buckets: list[Bucket]) -> list[BucketLoad]:
--- a/hookpitch/balancer/retries.py
+++ b/hookpitch/balancer/retries.py
@@ -38,7 +38,7 @@
 
         Backends may remember repeats for less long than they did.
         """
-        rpc.method = rpc.method.under(method)
+        rpc.method = rpc.method.restricted_by(method)
 
     def cancel_hedged(self, rpc: Rpc) -> None:
         """Cancel attempts that have been hedged, once hedging is no longer allowed."""
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -35,9 +35,9 @@
 from hookpitch.balancer.method_load import MethodLoad
 from hookpitch.balancer.pending import PendingWork
 from hookpitch.balancer.placement import BUCKETS, Bucket, Placement
-from hookpitch.balancer.queueing import BackendQueues, drop_finished
+from hookpitch.balancer.queueing import BackendQueues, drop_stale_entries
 from hookpitch.balancer.quotas import Quotas
-from hookpitch.balancer.rebalancing import ROUND_MS, Rebalancer
+from hookpitch.balancer.rebalancing import ROUND_INTERVAL_MS, Rebalancer
 from hookpitch.balancer.retries import RetryPolicy
 from hookpitch.balancer.ring import HashRing
 from hookpitch.balancer.rpc import Attempt, Rpc
@@ -59,16 +59,16 @@
         self.work = work = PendingWork(draws)
         self.table = table = BackendTable()
         self.backends = table.backends
-        self._compose(now, draws, work, table)
+        self._create_components(now, draws, work, table)
         self._wakeup_at = FOREVER
         self._rates_updated_at = now
         self._rate_window_ms = DEFAULT_RATE_WINDOW_MS
         self._tick_ms = DEFAULT_TICK_MS
         self.reconfigured(now, deployment)
         self.next_rate_update = now + self._rate_window_ms
-        self.next_rebalance = now + ROUND_MS * (1 + draws.fraction())
+        self.next_rebalance = now + ROUND_INTERVAL_MS * (1 + draws.fraction())
 
-    def _compose(
+    def _create_components(
         self, now: float, draws: DrawSequence, work: PendingWork, table: BackendTable
     ) -> None:
         """Make the objects that hold one concern each; each knows only those made before it."""
@@ -149,9 +149,9 @@
     def set_process_count(self, now: float, processes: float) -> None:
         """Divide the node's quotas and budgets by the number of its processes."""
         self.now = now
-        share_before = self.quotas.process_share
+        previous_share = self.quotas.process_share
         share = 1 / processes
-        self.concurrency.scale_origin(share / share_before)
+        self.concurrency.scale_origin(share / previous_share)
         self.slow_start.process_share = share
         self.quotas.set_process_share(now, share)
 
@@ -160,46 +160,57 @@
         now: float,
         id: str,
         key: str,
-        method: str,
+        method_name: str,
         tenant: str,
         write: bool,
-        grace: float,
-        age: float = 0.0,
-        work: float = 0.0,
+        client_wait_ms: float,
+        age_ms: float = 0.0,
+        work_ms: float = 0.0,
     ) -> None:
         """Accept an RPC.
 
-        `grace` is the time its client waits, `age` the time it waited to be read, `work` the work
-        it states (0: none), all in ms.
+        `client_wait_ms` is how long the client waits for the answer, `age_ms` how long the RPC
+        waited before this node read it, and `work_ms` the work that the RPC states (0: none).
         """
         self.now = now
         if id in self.rpcs:
             return
-        known = self.methods.get(method) or Method(
-            method, grace, grace, 0.0, 0.0, Idempotency.NON_IDEMPOTENT
+        method_settings = self.methods.get(method_name) or Method(
+            method_name, client_wait_ms, client_wait_ms, 0.0, 0.0, Idempotency.NON_IDEMPOTENT
         )
-        bucket = self._bucket_of(key, known)
+        bucket = self._bucket_of(key, method_settings)
         if key:
             self.rebalancer.keys.record(key, bucket)
-        self.method_load.record(method, work)
+        self.method_load.record(method_name, work_ms)
         self.placement.track_hot_bucket(bucket)
         bucket.request_count += 1
-        rpc = Rpc(self._draws.next_number(), id, bucket, known, write)
-        useful = grace if known.late_gain > 0 else min(grace, known.soft_ms)
+        rpc = Rpc(self._draws.next_number(), id, bucket, method_settings, write)
+        useful_ms = (
+            client_wait_ms
+            if method_settings.late_gain > 0
+            else min(client_wait_ms, method_settings.soft_ms)
+        )
         margin_ms = self.retries.margin_ms
-        rpc.deadline = now + useful - age - margin_ms
-        rpc.objective = now + known.soft_ms - age - margin_ms
+        rpc.deadline = now + useful_ms - age_ms - margin_ms
+        rpc.objective = now + method_settings.soft_ms - age_ms - margin_ms
         has_quota = self.quotas.charge(rpc, tenant, now)
         self.load_shedder.admit(rpc, has_quota)
         self.rpcs[id] = rpc
         self.work.rpcs.append(rpc)
 
     def attempt_ended(
-        self, now: float, id: str, n: int, outcome: Outcome, last: bool, took: float, report: Report
+        self,
+        now: float,
+        id: str,
+        attempt_number: int,
+        outcome: Outcome,
+        is_last: bool,
+        took_ms: float,
+        report: Report,
     ) -> None:
-        """Record the end of attempt `n` of an RPC after `took` ms; `last`: the RPC ends with it."""
+        """Record how an attempt of an RPC ended; `is_last`: the RPC ends with this attempt."""
         self.now = now
-        attempt = self._open_attempt(id, n)
+        attempt = self._open_attempt(id, attempt_number)
         if attempt is None:
             return
         rpc = attempt.rpc
@@ -209,21 +220,21 @@
             self.load_shedder.record_rejected()
         if report and self.endpoints.nominal_sizes is None:
             backend.record_report(report)
-        self.outcomes.record(attempt, outcome, took, now)
-        self.concurrency.pause(backend, rpc.method, outcome, took, now)
+        self.outcomes.record(attempt, outcome, took_ms, now)
+        self.concurrency.pause(backend, rpc.method, outcome, took_ms, now)
         if backend.fresh_queue or backend.retry_queue:
             self.work.freed_backends.append(backend)
         if outcome == Outcome.MISS:
             rpc.missed = True
-        if last or rpc.closed:
+        if is_last or rpc.closed:
             self._close(rpc)
         else:
             self.work.rpcs.append(rpc)
 
-    def stream_started(self, now: float, id: str, n: int) -> None:
+    def stream_started(self, now: float, id: str, attempt_number: int) -> None:
         """Record the first bytes of an answer; other attempts of its RPC are cancelled."""
         self.now = now
-        attempt = self._open_attempt(id, n)
+        attempt = self._open_attempt(id, attempt_number)
         if attempt is None:
             return
         attempt.start_stream()
@@ -254,10 +265,10 @@
         self.now = now
         self.local_delay.stalled_at = now
 
-    def shed_delay(self, now: float, method: str, tenant: str, age: float) -> float:
+    def shed_delay(self, now: float, method_name: str, tenant: str, age_ms: float) -> float:
         """Return the ms after which a client may retry; under 0 where its RPC is admitted."""
         self.now = now
-        return self.load_shedder.shed_delay(now, method, tenant, age)
+        return self.load_shedder.shed_delay(now, method_name, tenant, age_ms)
 
     # ---- decisions, one per call
 
@@ -308,15 +319,15 @@
         return False
 
     def _dequeue_one(self, host: RouterHost) -> bool:
-        freed = self.work.freed_backends
-        while freed:
-            backend = freed[0]
+        freed_backends = self.work.freed_backends
+        while freed_backends:
+            backend = freed_backends[0]
             if self.concurrency.has_capacity(backend, self.now):
                 rpc = self.queues.pop(backend, self.now)
                 if rpc is not None:
                     self._send(rpc, backend, host)
                     return True
-            freed.popleft()
+            freed_backends.popleft()
         return False
 
     def _schedule_wakeup(self, host: RouterHost) -> bool:
@@ -347,7 +358,7 @@
         if now >= self.next_rate_update:
             self._update_rates()
         if now >= self.next_rebalance:
-            self.next_rebalance = now + ROUND_MS
+            self.next_rebalance = now + ROUND_INTERVAL_MS
             self.rebalancer.rebalance(now)
 
     def _update_rates(self) -> None:
@@ -359,7 +370,7 @@
         self.idle_connections.grow()
         for backend in self.backends.values():
             backend.update_send_rate(span_ms)
-            drop_finished(backend)
+            drop_stale_entries(backend)
             if self.idle_connections.is_idle(backend, now):
                 backend.connected = False
                 self.work.idle_to_close.append(backend)
@@ -369,14 +380,14 @@
     # ---- one RPC; each returns True where the host was handed a decision
 
     def _route(self, rpc: Rpc, host: RouterHost) -> bool:
-        if self._is_hopeless(rpc):
+        if self._must_be_rejected(rpc):
             return self.reject(rpc, host)
         if self.table.origin_kind >= 0 and self._needs_origin(rpc):
             return self._send_or_enqueue(rpc, self.table.origin, host)
         backend = rpc.bucket.assigned
         if (
             rpc.attempts
-            or rpc.overflowed
+            or rpc.queue_timed_out
             or backend is None
             or not backend.available
             or not self.concurrency.has_capacity(backend, self.now)
@@ -386,7 +397,7 @@
                 return self.reject(rpc, host)
         return self._send_or_enqueue(rpc, backend, host)
 
-    def _is_hopeless(self, rpc: Rpc) -> bool:
+    def _must_be_rejected(self, rpc: Rpc) -> bool:
         """Return whether no further attempt is to be made."""
         return (
             rpc.rejected
@@ -427,12 +438,12 @@
 
     def _send(self, rpc: Rpc, backend: Backend, host: RouterHost) -> None:
         now = self.now
-        start_by = self.retries.retry_deadline(rpc)  # before this attempt counts as one
+        start_deadline = self.retries.retry_deadline(rpc)  # before this attempt counts as one
         attempt = Attempt(rpc, backend, len(rpc.attempts), now)
-        if self.idle_connections.may_be_dropped(backend, now):
+        if self.idle_connections.may_be_stale(backend, now):
             host.close_idle(backend.id)
         if rpc.suspect is not None:
-            self.outliers.spend_second_opinion()
+            self.outliers.spend_confirmation_token()
         rpc.in_flight += 1
         rpc.attempts.append(attempt)
         backend.in_flight[attempt] = None
@@ -442,14 +453,14 @@
         if now < backend.warmup_until:
             backend.warmup_tokens -= 1
         self.attempt_timers.start(attempt, now)
-        host.send(rpc.id, backend.id, rpc.deadline - now, start_by - now)
+        host.send(rpc.id, backend.id, rpc.deadline - now, start_deadline - now)
 
     def reject(self, rpc: Rpc, host: RouterHost) -> bool:
         """Give an RPC its final answer, unless an attempt in flight may still do so."""
         if rpc.in_flight:
             rpc.rejected = False
             return False
-        if self._counts_as_rejected(rpc):
+        if self._indicates_overload(rpc):
             self.load_shedder.record_rejected()
         if rpc.unservable and rpc.token_bucket:
             rpc.token_bucket.tokens += 1  # a tenant does not pay for what no backend can serve
@@ -460,13 +471,13 @@
         self._close(rpc)
         return True
 
-    def _counts_as_rejected(self, rpc: Rpc) -> bool:
+    def _indicates_overload(self, rpc: Rpc) -> bool:
         """Return whether a rejection is a sign of an overloaded fleet.
 
         One from a slow cache's queue, while others have spare capacity, is not.
         """
-        elsewhere = rpc.rejected and self.failover.count_spare(rpc) > 1
-        if elsewhere or rpc.over_quota or rpc.missed or rpc.unservable:
+        others_have_capacity = rpc.rejected and self.failover.count_with_spare_capacity(rpc) > 1
+        if others_have_capacity or rpc.over_quota or rpc.missed or rpc.unservable:
             return False
         return rpc.rejected or (bool(rpc.attempts) and not rpc.attempts[-1].may_have_run)
 
@@ -481,8 +492,8 @@
 
     def _bucket_of(self, key: str, method: Method) -> Bucket:
         """Return the bucket of a key; one without a key goes to any."""
-        hashed = key.encode() or b"%d/%d" % (self._seed, self._draws.next_number())
-        return self.placement.bucket(crc32(hashed) % BUCKETS, method.kinds, method.zones)
+        hash_input = key.encode() or b"%d/%d" % (self._seed, self._draws.next_number())
+        return self.placement.bucket(crc32(hash_input) % BUCKETS, method.kinds, method.zones)
 
     def _open_attempt(self, id: str, number: int) -> Attempt | None:
         rpc = self.rpcs.get(id)
--- a/hookpitch/balancer/rpc.py
+++ b/hookpitch/balancer/rpc.py
@@ -87,7 +87,7 @@
         "number",
         "objective",
         "over_quota",
-        "overflowed",
+        "queue_timed_out",
         "queue_deadline",
         "queued_at",
         "rejected",
@@ -111,7 +111,7 @@
         self.missed = False  # a cache said that it has no value
         self.closed = False
         self.rejected = False  # no further attempt is made
-        self.overflowed = False  # its time in one queue has run out
+        self.queue_timed_out = False  # its time in one queue has run out
         self.unservable = False  # fails at any backend, as far as is known
         self.suspect: Backend | None = None  # answered with an error; a second opinion decides
         self.token_bucket: TokenBucket | None = None  # that its token was taken from
--- a/hookpitch/balancer/slow_start.py
+++ b/hookpitch/balancer/slow_start.py
@@ -87,9 +87,15 @@
         warming caches alone would otherwise send them nothing.
         """
         origin = self._table.origin
-        warm = [b for b in self._table.backends.values() if b.available and b is not origin]
+        warm = [
+            backend
+            for backend in self._table.backends.values()
+            if backend.available and backend is not origin
+        ]
         if warm:
-            self.warm_rate = sum(b.send_rate for b in warm) / sum(b.size for b in warm)
+            self.warm_rate = sum(backend.send_rate for backend in warm) / sum(
+                backend.size for backend in warm
+            )
         elif not self.warm_rate:
             total_size = max(1.0, sum(cache.size for cache in self._ring.caches))
             self.warm_rate = 1000 * arrivals / span_ms / total_size
