--- a/hookpitch/balancer/deployment.py
+++ b/hookpitch/balancer/deployment.py
@@ -1,7 +1,7 @@
-"""Reads settings and load reports, by the names they have outside, into the types of the interface.
+"""Parses settings and load reports, by their external names, into the types of the interface.
 
-The names here and the texts of errors are part of the contract with operators and backends. Spans
-are in seconds outside and in milliseconds inside.
+The external names and the texts of the errors are part of the contract with operators and backends.
+Durations are in seconds outside and in milliseconds inside.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
     "x0": "x0",
     "x1": "x1",
 }
-WEIGHTS = ("silent", "nominal", "rough", "live")  # what sizes in an endpoint list mean
+WEIGHTS = ("silent", "nominal", "rough", "live")  # what the sizes in an endpoint list mean
 DEDUP_SCOPES = ("all", "zone", "cell")
 EMPTY_REPORT: Report = {}
-MAX_REPORTED = 1e7  # no backend reports more: an hour has fewer milliseconds
+MAX_REPORTED_VALUE = 1e7  # no valid report exceeds this: an hour has fewer milliseconds
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_CONNECTION_IDLE_MS = 15000.0
 DEFAULT_AVAILABILITY_NINES = 3.0
 
-JsonObject = Mapping[str, Any]  # a JSON object: each value's type is checked where it is read
+JsonObject = Mapping[str, Any]  # the type of each value is checked where the value is read
 
 
 def parse_load_report(text: str, separator: str) -> Report:
-    """Read a load report: pairs set apart by commas, a name from its value by the separator.
+    """Parse a load report of comma-separated pairs, each a name, the separator and a value.
 
-    Raises LoadReportError, or ValueError for a value that is no number.
+    Raises LoadReportError, or ValueError for a value that is not a number.
     """
     if text == "-" or not text:
         return EMPTY_REPORT
@@ -54,16 +54,16 @@
         if name not in REPORT_FIELDS:
             continue
         number = float(value)
-        if not 0 <= number <= MAX_REPORTED:  # a NaN is not in the range either
+        if not 0 <= number <= MAX_REPORTED_VALUE:  # a NaN fails this check too
             raise LoadReportError(f"'{pair}' is no figure that a server can have")
         values[REPORT_FIELDS[name]] = number
     return values
 
 
 def parse_deployment(seed: int, settings: object) -> Deployment:
-    """Read a node's settings, parsed from their JSON.
+    """Convert a node's settings, decoded from JSON.
 
-    Raises SettingsError, or ValueError for a value that is no number; either names what is wrong.
+    Raises SettingsError, or ValueError for a value that is not a number; either names the fault.
     """
     if not isinstance(settings, dict):
         raise SettingsError("settings are no JSON object")
@@ -140,7 +140,7 @@
     )
 
 
-# ---- one field each; `name` is its name outside
+# ---- readers of a single field; `name` is the external name
 
 
 def _required(fields: object, name: str, prefix: str) -> Any:  # noqa: ANN401  JSON of any type
@@ -168,7 +168,7 @@
 
 
 def _name_list(fields: JsonObject, name: str) -> tuple[str, ...]:
-    # Strict: a constraint that is read as none at all lets an RPC go anywhere.
+    # Strict, because a malformed constraint read as empty would allow an RPC on every backend.
     value = fields.get(name) or []
     if not isinstance(value, list) or not all(isinstance(item, str) and item for item in value):
         raise SettingsError(f"setting {name} is no list of names: {value!r}")
--- a/hookpitch/balancer/interface.py
+++ b/hookpitch/balancer/interface.py
@@ -1,9 +1,10 @@
-"""The types between a host and the decisions.
+"""The types that the router and its host exchange.
 
-A host (the node on sockets, or the bench's adapter) makes one `router.Router` for an instance from
-a `Deployment`, calls its inputs as things happen, then calls `decide(now, host)` until that returns
-False; a call hands at most one decision to the host. Times are float milliseconds of the host's
-clock. Ids of RPCs and backends are strings of the host's choice.
+A host (the node on sockets, or the adapter of the bench) creates one `router.Router` for each
+instance from a `Deployment` and calls its input methods as events occur. It then calls
+`decide(now, host)` until that returns False; each call hands at most one decision to the host.
+Times are milliseconds (float) of the host's clock. The host chooses the ids of RPCs and backends,
+which are strings.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from enum import IntEnum
 from typing import Protocol
 
-# By field: utilisation, inflight, queue, recent_ms, rate, errors_per_s, x0, x1.
+# A load report by field: utilisation, inflight, queue, recent_ms, rate, errors_per_s, x0, x1.
 Report = Mapping[str, float]
 
 
@@ -22,22 +23,22 @@
 
     COMPLETED = 0
     MISS = 1
-    OBSOLETE = 2
+    OBSOLETE = 2  # not sent, for a reason within this node
     CANCELLED = 3
     RESET = 4
     CONNECT_FAILED = 5
     TIMEOUT = 6
     OVERLOADED = 7
     ERROR = 8
-    MALFORMED = 9  # an answer came that cannot be read; the RPC may have run
+    MALFORMED = 9  # the answer cannot be parsed; the RPC may have run
 
 
-# A tuple: an enum's hash is a call of Python code, its identity is not.
+# A tuple, because hashing an enum member calls Python code and comparing identities does not.
 NOT_EXECUTED = (Outcome.MISS, Outcome.OBSOLETE, Outcome.CONNECT_FAILED, Outcome.OVERLOADED)
 
 
 class EndpointState(IntEnum):
-    """What the endpoint list says of a backend."""
+    """The state of a backend in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -45,7 +46,7 @@
 
 
 class EndpointUpdate(IntEnum):
-    """What a message from discovery holds."""
+    """The kind of a message from discovery."""
 
     CACHED = 0
     DELTA = 2
@@ -54,20 +55,20 @@
 
 
 class Idempotency(IntEnum):
-    """Whether an RPC may run again."""
+    """Whether an RPC may run more than once."""
 
     IDEMPOTENT = 0
     IDEMPOTENT_WITH_KEY = 1
     NON_IDEMPOTENT = 2
 
 
-# Of backends that drop each other's repeats, the smallest first.
+# The groups of backends that drop repeats of each other's RPCs, the smallest group first.
 DEDUP_SCOPES = ("cell", "zone", "all")
 
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """A class of RPCs."""
+    """The settings of one class of RPCs."""
 
     name: str
     soft_ms: float
@@ -75,18 +76,19 @@
     gain: float
     late_gain: float = 0.0
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_scope: str = "all"  # of the backends that drop its repeats: one of DEDUP_SCOPES
+    dedup_scope: str = "all"  # the backends that drop repeats: one of DEDUP_SCOPES
     dedup_window_ms: float = 0.0
     streamed: bool = False
-    # The only kinds of machine and the only zones it may be sent to; empty: any. The origin is
+    # The machine kinds and the zones that its RPCs may be sent to; empty: any. The origin is
     # always allowed.
     kinds: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
 
     def restricted_by(self, new: Method | None) -> Method:
-        """Return the method for an RPC in flight once its settings have changed or are gone.
+        """Return the method for an RPC in flight after its settings have changed or been removed.
 
-        Its deadlines and gain stay; of what binds a further attempt the stricter holds.
+        The deadlines and the gain stay. Of the settings that restrict further attempts, the
+        stricter ones apply.
         """
         if new is None or new == self:
             return self
@@ -110,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One backend as the endpoint list has it."""
+    """One entry of the endpoint list."""
 
     id: str
     zone: str
@@ -123,54 +125,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The settings of a node, as it starts or reloads."""
+    """The settings of a node, at its start or after a reload."""
 
     seed: int
     nodes: int
     methods: tuple[Method, ...]
     tenants: tuple[Tenant, ...]
-    polling_required: bool  # discovery sends nothing by itself
-    origin_kind: int  # the kind of the origin's endpoint, -1 where caches fetch for themselves
+    polling_required: bool  # discovery sends updates only when polled
+    origin_kind: int  # kind of the origin's endpoint; -1 where caches fetch from it themselves
     tick_ms: float
     max_attempts: int
     hedging_allowed: bool
     cancellation_enabled: bool
-    max_retry_after_ms: float  # 0 where clients are given no time
+    max_retry_after_ms: float  # 0: clients are given no Retry-After time
     poll_interval_ms: float
     slow_start_fraction: float
     slow_start_ms: float
     overload_factor: float
     overload_window_ms: float
-    connection_hold_cost: float  # points for a hundred connections held at each server, and
-    connection_open_cost: float  # for a new connection with each RPC
-    over_quota_gain_factor: float  # the part of its gain that an RPC over quota keeps
-    # Listed sizes are cut by the load: nominal / (1 + RPCs in flight for each core).
+    connection_hold_cost: float  # points for a hundred connections held at each server
+    connection_open_cost: float  # points for a new connection with each RPC
+    over_quota_gain_factor: float  # fraction of its gain that an RPC over quota keeps
+    # If set, listed sizes are reduced by load: nominal / (1 + RPCs in flight per core).
     weights_reflect_load: bool = False
-    kinds: tuple[str, ...] = ()  # names of the machine kinds, in the order of their numbers
+    kinds: tuple[str, ...] = ()  # names of the machine kinds, by kind number
     connect_timeout_ms: float = 250.0
-    connection_idle_timeout_ms: float = 15000.0  # a backend closes connections idle for so long
-    # Only a backend seen draining is sent nothing new; removal alone binds nothing.
+    connection_idle_timeout_ms: float = 15000.0  # backends close connections idle for longer
+    # If set, removal from the list alone is not binding: only a backend seen draining is sent
+    # nothing new.
     removal_is_advisory: bool = False
-    # What the goal gives for each tenfold fall of the loss, and how many falls earn it in full.
+    # Bonus in the goal for each tenfold fall of the loss, and how many falls earn it in full.
     availability_bonus_per_nine: float = 0.0
     availability_bonus_nines: float = 3.0
 
 
 class RouterHost(Protocol):
-    """Carries the decisions out."""
+    """Carries out the decisions of a router."""
 
     def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
-        """Send an RPC's next attempt.
+        """Send the next attempt of an RPC.
 
-        It is waited for until `timeout_ms`, and has to be started within `start_within_ms` or not
-        at all.
+        The attempt times out after `timeout_ms`. If it cannot start within `start_within_ms`, it
+        must not start at all.
         """
 
     def cancel(self, rpc_id: str, attempt: int) -> None:
-        """Cancel an attempt; its end is an input as any other."""
+        """Cancel an attempt; its end is reported like that of any other attempt."""
 
     def reject(self, rpc_id: str, retry_after_ms: float) -> None:
-        """Answer an RPC as rejected; its client may retry."""
+        """Answer an RPC as rejected; the client may retry."""
 
     def fail(self, rpc_id: str) -> None:
         """Answer an RPC as failed; it may have run."""
@@ -179,10 +182,10 @@
         """Close a backend's idle connections."""
 
     def schedule_wakeup(self, at_ms: float) -> None:
-        """Call `timer_fired` and `decide` at a time; the latest call counts."""
+        """Call `timer_fired` and `decide` at `at_ms`; each call replaces the one before."""
 
     def backend_ejected(self, backend_id: str, failures: int) -> None:
-        """Log that a backend was ejected after so many failures in a row."""
+        """Log that a backend was ejected after so many consecutive failures."""
 
     def backend_recovered(self, backend_id: str) -> None:
         """Log that an ejected backend has answered again."""
--- a/hookpitch/balancer/pending.py
+++ b/hookpitch/balancer/pending.py
@@ -1,8 +1,8 @@
-"""What is waiting to be decided, and the timers that bring more of it.
+"""The work that waits for a decision, and the timers that add to it.
 
-State: queues that other modules append to and `Router.decide` takes from, in the order of
-`decide`; `timers` is a heap of `Timer`. Nothing here is a decision: an entry may be void by the
-time it is taken.
+State: queues that other modules append to and `Router.decide` empties, in the order set there; and
+`timers`, a heap of `Timer`. An entry is not a decision yet: it may no longer apply when it is
+taken.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from hookpitch.balancer.draws import DrawSequence
 from hookpitch.balancer.rpc import Attempt, Rpc
 
-MAX_HEALTH_CHANGES = 8  # waiting to be logged; the oldest are dropped
+MAX_HEALTH_CHANGES = 8  # that wait to be logged; the oldest are dropped
 
 
 class Timer(NamedTuple):
-    """A time at which an RPC is looked at: for its attempt, or for its stay in a queue."""
+    """A time at which to check an attempt or, without an attempt, an RPC's wait in a queue."""
 
     at_ms: float
-    number: int  # no two are alike, so RPCs are never compared
+    number: int  # unique, so that RPCs are never compared
     rpc: Rpc
     attempt: Attempt | None
 
 
 class HealthChange(NamedTuple):
-    """A backend was ejected, after so many failures in a row, or has recovered."""
+    """An ejection, with the number of consecutive failures before it, or a recovery."""
 
     backend_id: str
     ejected: bool
@@ -36,7 +36,7 @@
 
 
 class PendingWork:
-    """All that is to be decided."""
+    """Everything that waits for a decision."""
 
     __slots__ = (
         "_next_number",
@@ -52,11 +52,11 @@
         self._next_number = draws.next_number
         self.rpcs: deque[Rpc] = deque()
         self.cancellations: deque[Attempt] = deque()
-        self.freed_backends: deque[Backend] = deque()  # where a queued RPC may have its turn
+        self.freed_backends: deque[Backend] = deque()  # may have capacity for a queued RPC
         self.idle_to_close: deque[Backend] = deque()
         self.health_changes: deque[HealthChange] = deque(maxlen=MAX_HEALTH_CHANGES)
         self.timers: list[Timer] = []
 
     def schedule(self, at_ms: float, rpc: Rpc, attempt: Attempt | None) -> None:
-        """Have an RPC looked at again."""
+        """Schedule a check of an attempt or, without an attempt, of an RPC's wait in a queue."""
         heapq.heappush(self.timers, Timer(at_ms, self._next_number(), rpc, attempt))
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -1,9 +1,9 @@
 """The router: accepts inputs, and hands one decision per call to its host.
 
-State: RPCs that are open, and the times of the next rate update, round and wake-up; everything
-else belongs to the module that maintains it. Inputs update what is known and append to
-`PendingWork`; `decide` is called until it returns False. Times are float milliseconds of the
-host's clock. One router is one instance: it shares nothing with any other.
+State: the open RPCs, and the times of the next rate update, rebalancing round and wake-up; all
+other state belongs to the module that maintains it. Inputs update state and append to
+`PendingWork`; the host calls `decide` until it returns False. Times are milliseconds (float) of the
+host's clock. Each router is one instance, which shares nothing with any other.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class Router:
-    """Decides which backend each RPC is sent to, and what becomes of it otherwise."""
+    """Decides which backend each RPC is sent to, or how the RPC is answered without one."""
 
     def __init__(self, now: float, deployment: Deployment) -> None:
         self.now = now
@@ -71,7 +71,7 @@
     def _create_components(
         self, now: float, draws: DrawSequence, work: PendingWork, table: BackendTable
     ) -> None:
-        """Make the objects that hold one concern each; each knows only those made before it."""
+        """Create the objects that hold one concern each; each knows only those created before."""
         self.ring = ring = HashRing()
         self.method_load = method_load = MethodLoad()
         self.placement = placement = Placement(self._seed, table, ring, method_load)
@@ -98,23 +98,23 @@
 
     @property
     def origin(self) -> Backend | None:
-        """The origin, where caches are beside it and it is listed."""
+        """The origin, or None if it is not listed or caches fetch from it themselves."""
         return self.table.origin
 
     @property
     def caches(self) -> list[Backend]:
-        """The caches on the ring, ready or not."""
+        """The caches on the ring, whether they are ready or not."""
         return self.ring.caches
 
     @property
     def bans(self) -> dict[str, None]:
-        """The ids an operator has banned, in the order of the bans."""
+        """The ids that an operator has banned, in the order of the bans."""
         return self.endpoints.banned
 
-    # ---- inputs: they update what is known, nothing else
+    # ---- inputs: they update state and decide nothing
 
     def reconfigured(self, now: float, deployment: Deployment) -> None:
-        """Apply new settings. RPCs in flight keep their deadlines; what was learned stays."""
+        """Apply new settings; RPCs in flight keep their deadlines, and learned values stay."""
         self.now = now
         self.methods = {method.name: method for method in deployment.methods}
         self._tick_ms = deployment.tick_ms or DEFAULT_TICK_MS
@@ -142,7 +142,7 @@
         self.endpoints.update(kind, endpoints, now)
 
     def set_banned(self, now: float, id: str, banned: bool) -> None:
-        """Ban a backend for an operator, or lift the ban; it outlives endpoint updates."""
+        """Ban a backend for an operator, or lift the ban; a ban outlives endpoint updates."""
         self.now = now
         self.endpoints.set_banned(id, banned, now)
 
@@ -232,7 +232,7 @@
             self.work.rpcs.append(rpc)
 
     def stream_started(self, now: float, id: str, attempt_number: int) -> None:
-        """Record the first bytes of an answer; other attempts of its RPC are cancelled."""
+        """Record the first bytes of an answer, and cancel the other attempts of the RPC."""
         self.now = now
         attempt = self._open_attempt(id, attempt_number)
         if attempt is None:
@@ -251,29 +251,29 @@
             self._close(rpc)
 
     def timer_fired(self, now: float) -> None:
-        """Record that a wake-up asked for by `schedule_wakeup` is due."""
+        """Record that the wake-up requested by `schedule_wakeup` is due."""
         self.now = now
 
     def overload_measured(self, now: float, overload: float, read_delay_ms: float = 0.0) -> None:
-        """Record the fraction of arrivals above this node's capacity, and their read delay."""
+        """Record the fraction of arrivals above this node's capacity, and the read delay."""
         self.now = now
         self.local_delay.read_delay_ms = read_delay_ms
         self.load_shedder.overload_measured(overload)
 
     def event_loop_stalled(self, now: float) -> None:
-        """Record a stall of this process: attempts in flight then count against no backend."""
+        """Record a stall of this process; attempts in flight then count against no backend."""
         self.now = now
         self.local_delay.stalled_at = now
 
     def shed_delay(self, now: float, method_name: str, tenant: str, age_ms: float) -> float:
-        """Return the ms after which a client may retry; under 0 where its RPC is admitted."""
+        """Return the ms after which a client may retry an RPC; below 0 if the RPC is admitted."""
         self.now = now
         return self.load_shedder.shed_delay(now, method_name, tenant, age_ms)
 
     # ---- decisions, one per call
 
     def decide(self, now: float, host: RouterHost) -> bool:
-        """Hand at most one decision to the host; return False when there is none left."""
+        """Hand at most one decision to the host; return False if none is left."""
         self.now = now
         work = self.work
         self._run_due()
@@ -332,19 +332,20 @@
 
     def _schedule_wakeup(self, host: RouterHost) -> bool:
         timers = self.work.timers
-        due = min(
+        due_at = min(
             timers[0].at_ms if timers else FOREVER, self.next_rate_update, self.next_rebalance
         )
-        due = max(due, self.now + self._tick_ms / 2)
-        # A wake-up that is late, or rounded to just before its time, must cost no RPC its answer.
-        earlier = due < self._wakeup_at - self._tick_ms / 4
-        if not earlier and self._wakeup_at > self.now + self._tick_ms / 4:
+        due_at = max(due_at, self.now + self._tick_ms / 2)
+        # A new wake-up is requested when the pending one is due: a wake-up that came late, or was
+        # rounded to just before its time, must not leave an RPC without an answer.
+        is_earlier = due_at < self._wakeup_at - self._tick_ms / 4
+        if not is_earlier and self._wakeup_at > self.now + self._tick_ms / 4:
             return False
-        self._wakeup_at = due
-        host.schedule_wakeup(due)
+        self._wakeup_at = due_at
+        host.schedule_wakeup(due_at)
         return True
 
-    # ---- what is due
+    # ---- timers and periodic updates
 
     def _run_due(self) -> None:
         now = self.now
@@ -377,7 +378,8 @@
             backend.update_availability(now)
         self.slow_start.update_warm_rate(arrivals, span_ms)
 
-    # ---- one RPC; each returns True where the host was handed a decision
+    # ---- routing: `_route`, `_send_or_enqueue` and `reject` return True if they handed the host a
+    # decision
 
     def _route(self, rpc: Rpc, host: RouterHost) -> bool:
         if self._must_be_rejected(rpc):
@@ -398,7 +400,7 @@
         return self._send_or_enqueue(rpc, backend, host)
 
     def _must_be_rejected(self, rpc: Rpc) -> bool:
-        """Return whether no further attempt is to be made."""
+        """Return whether no further attempt may be made."""
         return (
             rpc.rejected
             or rpc.unservable
@@ -407,7 +409,7 @@
         )
 
     def _needs_origin(self, rpc: Rpc) -> bool:
-        """Return whether only the origin will do: a write, a miss, a hedge, a last attempt."""
+        """Return whether the RPC goes to the origin: a write, miss, hedge or last attempt."""
         if rpc.write or rpc.missed or rpc.hedgeable_count:
             return True
         return 0 < len(rpc.attempts) == self.retries.max_attempts - 1
@@ -438,7 +440,7 @@
 
     def _send(self, rpc: Rpc, backend: Backend, host: RouterHost) -> None:
         now = self.now
-        start_deadline = self.retries.retry_deadline(rpc)  # before this attempt counts as one
+        start_deadline = self.retries.retry_deadline(rpc)  # computed before this attempt is added
         attempt = Attempt(rpc, backend, len(rpc.attempts), now)
         if self.idle_connections.may_be_stale(backend, now):
             host.close_idle(backend.id)
@@ -456,14 +458,15 @@
         host.send(rpc.id, backend.id, rpc.deadline - now, start_deadline - now)
 
     def reject(self, rpc: Rpc, host: RouterHost) -> bool:
-        """Give an RPC its final answer, unless an attempt in flight may still do so."""
+        """Give an RPC its final answer, unless an attempt in flight may still answer it."""
         if rpc.in_flight:
             rpc.rejected = False
             return False
         if self._indicates_overload(rpc):
             self.load_shedder.record_rejected()
         if rpc.unservable and rpc.token_bucket:
-            rpc.token_bucket.tokens += 1  # a tenant does not pay for what no backend can serve
+            # Tenants are not charged for RPCs that no backend can serve.
+            rpc.token_bucket.tokens += 1
         if self.retries.may_be_repeated_by_client(rpc):
             host.reject(rpc.id, self.load_shedder.retry_after_ms(rpc.method))
         else:
@@ -472,9 +475,9 @@
         return True
 
     def _indicates_overload(self, rpc: Rpc) -> bool:
-        """Return whether a rejection is a sign of an overloaded fleet.
+        """Return whether rejecting an RPC indicates that the fleet is overloaded.
 
-        One from a slow cache's queue, while others have spare capacity, is not.
+        A rejection from the queue of a slow cache does not, while other caches have spare capacity.
         """
         others_have_capacity = rpc.rejected and self.failover.count_with_spare_capacity(rpc) > 1
         if others_have_capacity or rpc.over_quota or rpc.missed or rpc.unservable:
@@ -488,10 +491,10 @@
             self.rpcs.pop(rpc.id, None)
         self.work.cancellations.extend(attempt for attempt in rpc.attempts if not attempt.done)
 
-    # ---- what inputs have in common
+    # ---- helpers of the inputs
 
     def _bucket_of(self, key: str, method: Method) -> Bucket:
-        """Return the bucket of a key; one without a key goes to any."""
+        """Return the bucket of a key, or a random bucket for an RPC without a key."""
         hash_input = key.encode() or b"%d/%d" % (self._seed, self._draws.next_number())
         return self.placement.bucket(crc32(hash_input) % BUCKETS, method.kinds, method.zones)
 
--- a/hookpitch/balancer/rpc.py
+++ b/hookpitch/balancer/rpc.py
@@ -1,6 +1,6 @@
-"""The records of one RPC and of its attempts.
+"""The state of one RPC and of its attempts.
 
-State: an `Rpc` lives from its arrival until it is closed and its last attempt has ended. Times are
+State: an `Rpc` exists from its arrival until it is closed and its last attempt has ended. Times are
 milliseconds of the host's clock. Invariants: `in_flight` counts the attempts that have not ended;
 `queue_deadline` is above 0 exactly while the RPC waits in the queue of `queued_at`.
 """
@@ -16,7 +16,7 @@
     from hookpitch.balancer.placement import Bucket
     from hookpitch.balancer.quotas import TokenBucket
 
-# Faults of one connection: the same backend may be tried again.
+# Faults of a single connection, after which the same backend may be tried again.
 CONNECTION_FAULTS = (Outcome.MALFORMED, Outcome.RESET)
 
 
@@ -39,17 +39,17 @@
     def __init__(self, rpc: Rpc, backend: Backend, number: int, sent_at: float) -> None:
         self.rpc = rpc
         self.backend = backend
-        self.number = number  # from 0, among the RPC's attempts
+        self.number = number  # index among the RPC's attempts
         self.sent_at = sent_at
         self.done = False
-        self.silence_recorded = False  # its silence was judged, or it has begun to answer
+        self.silence_recorded = False  # the silence was handled, or the answer has begun
         self.stream_started = False
-        self.hedgeable = False  # silent for so long that a hedged request may be sent
+        self.hedgeable = False  # silent for long enough that a hedged request may be sent
         self.connection_fault = False
-        self.may_have_run = True  # until proven otherwise
+        self.may_have_run = True  # unless the outcome rules it out
 
     def finish(self, outcome: Outcome) -> None:
-        """Record how it ended, here and on its RPC and backend."""
+        """Record how the attempt ended, here and on its RPC and its backend."""
         backend, rpc = self.backend, self.rpc
         self.done = True
         self.may_have_run = outcome not in NOT_EXECUTED
@@ -62,7 +62,7 @@
         backend.in_flight.pop(self, None)
 
     def start_stream(self) -> None:
-        """Record that its answer has begun: it is neither silent nor hedged from here on."""
+        """Record that the answer has begun: from now on the attempt is not silent or hedgeable."""
         self.silence_recorded = True
         self.stream_started = True
         if self.hedgeable:
@@ -72,7 +72,7 @@
 
 
 class Rpc:
-    """One RPC of a client."""
+    """The state of one RPC of a client."""
 
     __slots__ = (
         "attempts",
@@ -98,23 +98,23 @@
     )
 
     def __init__(self, number: int, id: str, bucket: Bucket, method: Method, write: bool) -> None:
-        self.number = number  # of arrival
+        self.number = number  # arrival number
         self.id = id
         self.bucket = bucket
         self.method = method
         self.write = write
-        self.deadline = 0.0  # nothing is worth answering after it
-        self.objective = 0.0  # an answer after it counts as late
+        self.deadline = 0.0  # an answer after this time is useless
+        self.objective = 0.0  # an answer after this time counts as late
         self.queue_deadline = 0.0
         self.queued_at: Backend | None = None
         self.over_quota = False
-        self.missed = False  # a cache said that it has no value
+        self.missed = False  # a cache has answered with a miss
         self.closed = False
         self.rejected = False  # no further attempt is made
-        self.queue_timed_out = False  # its time in one queue has run out
-        self.unservable = False  # fails at any backend, as far as is known
-        self.suspect: Backend | None = None  # answered with an error; a second opinion decides
-        self.token_bucket: TokenBucket | None = None  # that its token was taken from
+        self.queue_timed_out = False  # the RPC has waited in a queue for as long as allowed
+        self.unservable = False  # presumed to fail on every backend
+        self.suspect: Backend | None = None  # its error answer is not confirmed yet
+        self.token_bucket: TokenBucket | None = None  # the bucket that its token was taken from
         self.attempts: list[Attempt] = []
         self.in_flight = 0
-        self.hedgeable_count = 0  # of the attempts in flight
+        self.hedgeable_count = 0  # hedgeable attempts in flight
