--- a/hookpitch/balancer/attempt_outcomes.py
+++ b/hookpitch/balancer/attempt_outcomes.py
@@ -1,7 +1,7 @@
-"""What is learned from how attempts end. Look here when a limit or a failure count is wrong.
+"""Records how attempts end. Look here when a concurrency limit or a failure count is wrong.
 
-No state of its own: each outcome is passed to the modules that keep the backend's values. What
-this process delayed itself counts against no backend. Times are milliseconds.
+This module has no state: it passes each outcome to the modules that maintain the backend's values.
+A delay in this process counts against no backend. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from hookpitch.balancer.rpc import Attempt
 from hookpitch.balancer.slow_start import SlowStart
 
-REJECTION_WEIGHT = 0.1  # a refusal counts as an answer at the soft deadline, by this part
+REJECTION_WEIGHT = 0.1  # of a rejection, which counts as an answer at the soft deadline
 FAILURE_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED)
 
 
 class AttemptOutcomes:
-    """Judges backends by the ends of attempts."""
+    """Evaluates the outcomes of attempts and updates their backends."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self._local_delay = local_delay
 
     def record(self, attempt: Attempt, outcome: Outcome, took_ms: float, now: float) -> None:
-        """Learn from an attempt's end."""
+        """Record how an attempt ended."""
         rpc = attempt.rpc
         backend = attempt.backend
         if outcome <= Outcome.MISS:
-            # A miss is not a cache's full work, nor is a write the origin's usual work.
+            # A miss is less than a cache's full work; a write is not the origin's usual work.
             write_at_origin = rpc.write and backend is self._table.origin
             full_work = outcome == Outcome.COMPLETED and not write_at_origin
             self.record_response(attempt, took_ms, full_work, now)
@@ -56,7 +56,7 @@
     def record_response(
         self, attempt: Attempt, took_ms: float, full_work: bool, now: float
     ) -> None:
-        """Learn from an answer; `full_work`: it took as long as the backend's work does."""
+        """Record an answer; `full_work`: the answer took the backend's usual amount of work."""
         backend = attempt.backend
         soft_ms = attempt.rpc.method.soft_ms
         self._outliers.record_response(backend, now)
@@ -69,7 +69,11 @@
         self._concurrency.adapt(backend, took_ms, soft_ms, full_work)
 
     def is_late(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
-        """Return whether a cache's answer came after the objective, by the fleet's fault."""
+        """Return whether a cache's answer or timeout came too late for the latency objective.
+
+        Only lateness caused by the fleet counts. Left out are RPCs over quota, streams that have
+        begun, the origin, and attempts in flight during a stall of this process.
+        """
         rpc = attempt.rpc
         if outcome > Outcome.MISS and outcome != Outcome.TIMEOUT:
             return False
@@ -80,9 +84,10 @@
         return now - self._local_delay.read_delay_ms >= rpc.objective
 
     def _record_rejection(self, attempt: Attempt, now: float) -> None:
-        """Record a refusal by an overloaded backend; its send is not counted.
+        """Record that an overloaded backend rejected an attempt, and discount the send.
 
-        What warm backends refuse, taken for what they can do, would push those that warm up over.
+        The send rate of warm backends sets what warming backends are sent. With the rejected sends
+        in that rate, the warming backends would be overloaded.
         """
         backend = attempt.backend
         backend.last_response_at = now
--- a/hookpitch/balancer/attempt_timers.py
+++ b/hookpitch/balancer/attempt_timers.py
@@ -1,8 +1,9 @@
-"""Attempts that stay silent. Look here when a lost answer holds its RPC until the deadline.
+"""Timers of unanswered attempts. Look here when a lost answer holds its RPC until the deadline.
 
-State: one timer for each attempt, in `PendingWork`. An attempt is silent from a part of its
-method's soft deadline on, counted from when this process could have read an answer; then its
-backend is judged, and the RPC may be hedged or sent elsewhere. Times are milliseconds.
+State: one timer for each attempt, in `PendingWork`. An attempt is silent if it has no answer after
+a fraction of its method's soft deadline, counted from when this process could have read an answer.
+The silence may then count as a failure of the backend, and the RPC may be hedged or retried at
+another backend. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from hookpitch.balancer.retries import RetryPolicy
 from hookpitch.balancer.rpc import Attempt
 
-SILENT_FRACTION = 0.4  # of the soft deadline: no answer for this long counts against a backend
-HEDGE_FRACTION = 0.65  # of the soft deadline: a hedged request is sent by then
+SILENT_FRACTION = 0.4  # of the soft deadline: a longer silence counts against the backend
+HEDGE_FRACTION = 0.65  # of the soft deadline: a hedged request is sent no later
 
 
 class AttemptTimers:
-    """Starts attempts' timers and acts when they fire."""
+    """Starts the timers of attempts and handles their expiry."""
 
     def __init__(
         self,
@@ -41,12 +42,12 @@
         self._local_delay = local_delay
 
     def start(self, attempt: Attempt, now: float) -> None:
-        """Have an attempt looked at once its answer is overdue."""
+        """Schedule a check of an attempt for the time at which its answer is overdue."""
         backend, soft_ms = attempt.backend, attempt.rpc.method.soft_ms
         if not self._retries.hedging_allowed:
             expected_ms = 4 * backend.latency_ms
         elif backend.consecutive_failures:
-            expected_ms = 0.0  # one that fails is not waited for any longer than it has to be
+            expected_ms = 0.0  # a failing backend gets the minimum wait
         else:
             usual_ms = 2 * self._concurrency.unit_latency_ms / backend.size
             expected_ms = min(usual_ms, HEDGE_FRACTION * soft_ms)
@@ -54,7 +55,10 @@
         self._work.schedule(overdue_at, attempt.rpc, attempt)
 
     def timer_fired(self, attempt: Attempt, now: float) -> None:
-        """Judge a silent attempt, or wait for as long as this process read nothing itself."""
+        """Handle an attempt that is silent.
+
+        If this process could not read answers for a part of the wait, extend the wait by that part.
+        """
         rpc, delay = attempt.rpc, self._local_delay
         readable_from = max(attempt.sent_at + delay.read_delay_ms, delay.stalled_at)
         silent_at = readable_from + SILENT_FRACTION * rpc.method.soft_ms
@@ -64,31 +68,33 @@
         elif (
             not attempt.done
             and not attempt.silence_recorded
-            and not self._is_silence_expected(attempt)
+            and not self._is_silence_ignored(attempt)
         ):
             self._record_silence(attempt, now)
 
-    def _is_silence_expected(self, attempt: Attempt) -> bool:
-        """Return whether the silence is to be ignored: the origin is waited for."""
+    def _is_silence_ignored(self, attempt: Attempt) -> bool:
+        """Return whether to keep waiting: the origin has answered nothing since this attempt."""
         backend = attempt.backend
         return backend is self._table.origin and backend.last_response_at < attempt.sent_at
 
     def _record_silence(self, attempt: Attempt, now: float) -> None:
         backend = attempt.backend
-        first = not any(other.silence_recorded for other in attempt.rpc.attempts)
+        is_first_silence = not any(other.silence_recorded for other in attempt.rpc.attempts)
         attempt.silence_recorded = True
         if backend.last_response_at < attempt.sent_at >= backend.last_failure_at:
             self._outliers.record_failure(backend, now)
-        if self._should_try_another(attempt, first and self._load_shedder.has_low_pressure()):
+        if self._should_try_another(
+            attempt, is_first_silence and self._load_shedder.has_low_pressure()
+        ):
             self._retries.cancel_or_hedge(attempt, now)
 
     def _should_try_another(self, attempt: Attempt, low_pressure: bool) -> bool:
-        """Return whether another backend is to be tried; retries must not add to an overload."""
+        """Return whether to try another backend; retries must not add to an overload."""
         backend, origin = attempt.backend, self._table.origin
         if self._retries.hedging_allowed:
             if origin is None:
                 return low_pressure
             return origin.latency_ms < attempt.rpc.method.soft_ms / 3
         if backend.last_response_at > attempt.sent_at:
-            return low_pressure  # it answers others: this answer is lost
+            return low_pressure  # the backend answers other RPCs, so this answer is lost
         return backend.consecutive_failures > 1
--- a/hookpitch/balancer/failover.py
+++ b/hookpitch/balancer/failover.py
@@ -1,7 +1,8 @@
-"""Where an RPC goes when its assigned cache cannot take it. Look here for misses after a failover.
+"""Selects a backend when the assigned cache cannot take an RPC. Look here for misses on failover.
 
-No state of its own. Going on along the ring means a miss at the next cache, and misses load the
-origin; so while the origin is congested an RPC waits at its own cache first.
+This module has no state. The next cache along the ring does not hold the key, so an RPC that fails
+over misses there, and misses load the origin. While the origin is congested, an RPC therefore first
+waits for its assigned cache.
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
         self._retries = retries
 
     def select(self, rpc: Rpc, now: float) -> Backend | None:
-        """Return the first backend that can take an RPC, else the first it may wait for.
+        """Return the first backend that has capacity, else the first that the RPC may wait for.
 
-        Marks the RPC as rejected where it has waited in a queue before and would again.
+        Marks the RPC as rejected if it would wait in a queue for a second time.
         """
         first_busy: Backend | None = None
         congested = self._concurrency.origin_congested()
@@ -54,7 +55,7 @@
         return first_busy
 
     def count_with_spare_capacity(self, rpc: Rpc) -> int:
-        """Count the backends of an RPC's chain that could take more."""
+        """Count the backends in an RPC's failover chain that have spare capacity."""
         return sum(
             self._concurrency.has_spare_capacity(backend, rpc.method)
             for backend in self._placement.failover_chain(rpc.bucket)
@@ -72,5 +73,5 @@
         return now >= backend.warmup_until or self._slow_start.has_token(backend, now)
 
     def _may_probe(self, rpc: Rpc, backend: Backend, now: float) -> bool:
-        """Return whether an ejected backend is tried: with one RPC, once its ejection is over."""
+        """Return whether to probe an ejected backend: with one RPC, once its ejection is over."""
         return now >= backend.ejected_until and not backend.in_flight and not rpc.over_quota
--- a/hookpitch/balancer/retries.py
+++ b/hookpitch/balancer/retries.py
@@ -1,9 +1,9 @@
-"""Whether an RPC may be attempted once more. Look here when an effect is carried out twice.
+"""Decides whether an RPC may be attempted again. Look here when an effect is carried out twice.
 
 State: the deployment's limits on attempts, hedging and cancellation. Invariants: a non-idempotent
-RPC that may have run is never sent again; one with an idempotency key only to backends that drop
-repeats, and only while they remember. Times are milliseconds; `margin_ms` is kept clear of every
-deadline.
+RPC that may have run is never sent again; an RPC with an idempotency key is sent again only to
+backends that drop its repeats, and only within their deduplication window. Times are in
+milliseconds; attempts keep a distance of `margin_ms` from every deadline.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RetryPolicy:
-    """Limits on attempts, retries and hedged requests."""
+    """Limits attempts, retries and hedged requests."""
 
     def __init__(self, work: PendingWork, placement: Placement) -> None:
         self.max_attempts = 1
@@ -34,20 +34,20 @@
         self.margin_ms = 2 * deployment.tick_ms + 1
 
     def update_in_flight(self, rpc: Rpc, method: Method | None) -> None:
-        """Bind an RPC in flight by the stricter of the old and the new settings.
+        """Apply the stricter of the old and the new settings to an RPC in flight.
 
-        Backends may remember repeats for less long than they did.
+        The deduplication window of the backends, for example, may now be shorter.
         """
         rpc.method = rpc.method.restricted_by(method)
 
     def cancel_hedged(self, rpc: Rpc) -> None:
-        """Cancel attempts that have been hedged, once hedging is no longer allowed."""
+        """Cancel the hedged attempts of an RPC that are not done, after hedging was disabled."""
         self._work.cancellations.extend(
             attempt for attempt in rpc.attempts if attempt.hedgeable and not attempt.done
         )
 
     def retry_deadline(self, rpc: Rpc) -> float:
-        """Return the time by which a further attempt has to be started at its backend."""
+        """Return the time by which a further attempt has to start at its backend."""
         idempotency = rpc.method.idempotency
         if idempotency == Idempotency.IDEMPOTENT:
             return FOREVER
@@ -59,7 +59,7 @@
         return FOREVER
 
     def may_attempt(self, rpc: Rpc, backend: Backend, now: float) -> bool:
-        """Return whether constraints and idempotency allow to send an RPC to a backend."""
+        """Return whether constraints and idempotency allow sending an RPC to a backend."""
         method = rpc.method
         return (
             self._drops_repeats(rpc, backend)
@@ -71,15 +71,17 @@
         method = rpc.method
         if method.idempotency == Idempotency.IDEMPOTENT or method.dedup_scope == "all":
             return True
-        first = next((attempt.backend for attempt in rpc.attempts if attempt.may_have_run), backend)
-        if first is backend:
+        first_backend = next(
+            (attempt.backend for attempt in rpc.attempts if attempt.may_have_run), backend
+        )
+        if first_backend is backend:
             return True
         if method.dedup_scope == "zone":
-            return backend.zone == first.zone
-        return backend.cell == first.cell
+            return backend.zone == first_backend.zone
+        return backend.cell == first_backend.cell
 
     def may_be_repeated_by_client(self, rpc: Rpc) -> bool:
-        """Return whether a client that is asked to retry can do no harm."""
+        """Return whether the client may retry the RPC without harm."""
         method = rpc.method
         if method.idempotency == Idempotency.IDEMPOTENT:
             return True
@@ -88,10 +90,10 @@
         return not any(attempt.may_have_run for attempt in rpc.attempts)
 
     def cancel_or_hedge(self, attempt: Attempt, now: float) -> None:
-        """Give up on an attempt where another backend may still answer in time.
+        """Cancel or hedge an attempt if another backend may still answer in time.
 
-        Where hedging is allowed it goes on beside the other: one that is only slow, once it is
-        cancelled, has run for nothing.
+        Where hedging is allowed, the attempt continues beside the hedged request: if the attempt is
+        only slow, cancelling it would waste the work already done.
         """
         rpc = attempt.rpc
         if (
@@ -107,9 +109,9 @@
         else:
             self._work.cancellations.append(attempt)
 
-    def reroute_pending(self, backend: Backend, now: float, dead: bool) -> None:
-        """Route again what is queued for a backend and, if it is dead, what is in flight there."""
-        if dead:
+    def reroute_pending(self, backend: Backend, now: float, include_in_flight: bool) -> None:
+        """Reroute the RPCs queued for a backend and, with `include_in_flight`, those sent to it."""
+        if include_in_flight:
             for attempt in backend.in_flight:
                 self.cancel_or_hedge(attempt, now)
         for entry in backend.fresh_queue + backend.retry_queue:
