--- a/hookpitch/balancer/backend.py
+++ b/hookpitch/balancer/backend.py
@@ -1,8 +1,9 @@
-"""What is known of one cache server or of the origin, and the table of all of them.
+"""The state of every backend (cache server or origin), and the table of all backends.
 
-State: `Backend` holds plain values; the module that maintains a value is named beside it. Times
-are milliseconds of the host's clock, `NEVER` where nothing has happened yet. `available` is kept
-in step by `update_availability`: the ordinary path looks at nothing else.
+State: `Backend` holds plain values; a comment above each group of values names the module that
+maintains them. Times are milliseconds of the host's clock; `NEVER` stands for an event that has not
+happened yet. `update_availability` keeps `available` current, so that the hot path has to check
+this field alone.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 
 FOREVER = float("inf")
 NEVER = -FOREVER
-INITIAL_CONCURRENCY_LIMIT = 2.0  # attempts in flight at a backend that is new or has recovered
-REPORT_SMOOTHING_DIVISOR = 8  # a load report moves the known load by one part in so many
+INITIAL_CONCURRENCY_LIMIT = 2.0  # attempts in flight at a new or recovered backend
+REPORT_SMOOTHING_DIVISOR = 8  # a load report moves the smoothed load by 1/8 of the difference
 
 
 class QueueEntry(NamedTuple):
-    """An RPC in a backend's queue; the smallest goes first."""
+    """An RPC in a backend's queue; the smallest entry is sent first."""
 
     over_quota: bool
     negated_gain: float
-    number: int  # of arrival; no two are alike, so RPCs are never compared
+    number: int  # arrival number; unique, so that RPCs are never compared
     rpc: Rpc
 
 
 class Backend:
-    """One cache server, or the origin."""
+    """The state of one cache server or of the origin."""
 
     __slots__ = (
         "available",
@@ -76,7 +77,7 @@
     )
 
     def __init__(self, id: str) -> None:
-        # As listed (endpoints.py). `state` also follows bans and advisory removals.
+        # Listed values (endpoints.py). Bans and advisory removals also affect `state`.
         self.id = id
         self.zone = ""
         self.cell = 0
@@ -84,17 +85,17 @@
         self.kind = 0
         self.started_at = NEVER
         self.listed_state = EndpointState.REMOVED
-        self.removal_advised = False  # listed as removed, which binds nothing: it is still tried
+        self.removal_advised = False  # listed as removed, but removal is advisory: still tried
         self.state = EndpointState.REMOVED
-        self.available = False  # ready, not ejected and warm
+        self.available = False  # ready, not ejected and not warming up
         # Traffic (router.py).
         self.in_flight: dict[Attempt, None] = {}  # oldest first
-        self.connected = False  # at least one connection is taken to be open
+        self.connected = False  # at least one connection is assumed to be open
         self.last_send_at = NEVER
-        self.send_count = 0  # since the rates were updated
-        self.send_rate = 0.0  # sends a second
-        self.reported_load = -1.0  # by the backend itself; -1 where it reports none
-        self.response_count = 0  # since a bucket moved from or to it
+        self.send_count = 0  # since the last rate update
+        self.send_rate = 0.0  # sends per second
+        self.reported_load = -1.0  # by the backend itself, smoothed; -1 if it reports none
+        self.response_count = 0  # since a bucket was last moved from or to this backend
         # Queues (queueing.py).
         self.fresh_queue: list[QueueEntry] = []
         self.retry_queue: list[QueueEntry] = []
@@ -102,9 +103,9 @@
         self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         self.min_concurrency_limit = 1.0
         self.limit_growth = 1.0
-        self.latency_ms = 0.0  # mean of answers
-        self.baseline_latency_ms = 0.0  # the least that the mean has been
-        self.paused_until = NEVER  # keeps a limit under one
+        self.latency_ms = 0.0  # moving average over answers
+        self.baseline_latency_ms = 0.0  # lowest value of the moving average, rising slowly
+        self.paused_until = NEVER  # implements a limit below one
         # Outlier detection (health.py).
         self.consecutive_failures = 0
         self.last_failure_at = NEVER
@@ -117,25 +118,28 @@
         self.warmup_until = NEVER
         self.warmup_tokens = 0.0
         self.warmup_refilled_at = 0.0
-        self.warmup_gain = 1.0  # times the router's own gain
+        self.warmup_gain = 1.0  # multiplied by the gain of the router
         # Rebalancing and the ring (rebalancing.py, ring.py, placement.py).
         self.cpu_load = 0.0
         self.memory_load = 0.0
         self.ring_points = 0
-        self.unconstrained_fraction = 1.0  # of its points, open to buckets without constraints
+        self.unconstrained_fraction = 1.0  # of its ring points open to unconstrained buckets
 
     def update_availability(self, now: float) -> None:
-        """Bring `available` in step with the state, ejection and warm-up."""
+        """Recompute `available` from the state, the ejection and the warm-up."""
         self.available = (
             self.state == EndpointState.READY and not self.ejected and now >= self.warmup_until
         )
 
     def cap_concurrency(self) -> None:
-        """Take the limit down to that of a backend that is new."""
+        """Lower the limit to at most that of a new backend."""
         self.concurrency_limit = min(self.concurrency_limit, INITIAL_CONCURRENCY_LIMIT)
 
     def record_report(self, report: Report) -> None:
-        """Fold in a load report: its use, else what is in flight, else what is queued."""
+        """Update the smoothed load from a load report.
+
+        The load is the reported utilisation, else the RPCs in flight, else the queue length.
+        """
         load = report.get("utilisation", report.get("inflight", report.get("queue", -2.0) + 1))
         if self.reported_load >= 0:
             self.reported_load += (load - self.reported_load) / REPORT_SMOOTHING_DIVISOR
@@ -143,7 +147,7 @@
             self.reported_load += load + 1
 
     def update_send_rate(self, span_ms: float) -> None:
-        """Fold the sends of the last span into the rate."""
+        """Update the send rate from the sends of the last span."""
         self.send_rate = self.send_rate / 2 + self.send_count * 500 / span_ms
         self.send_count = 0
 
@@ -151,8 +155,8 @@
 class BackendTable:
     """All backends by id, in the order in which they were first listed.
 
-    `backends` is one dict for the router's life; it is changed in place. `origin` is one of them,
-    or None before it is listed and where caches fetch for themselves.
+    `backends` is the same dict for the router's lifetime, changed in place. `origin` is one of the
+    backends, or None before the origin is listed and where caches fetch from the origin themselves.
     """
 
     __slots__ = ("backends", "kind_names", "origin", "origin_kind")
@@ -164,5 +168,5 @@
         self.kind_names: tuple[str, ...] = ()
 
     def kind_name(self, kind: int) -> str:
-        """Return the name of a kind number, empty where it is unknown."""
+        """Return the name of a machine kind, or an empty string if the number is unknown."""
         return self.kind_names[kind] if 0 <= kind < len(self.kind_names) else ""
--- a/hookpitch/balancer/concurrency.py
+++ b/hookpitch/balancer/concurrency.py
@@ -1,9 +1,9 @@
 """Adaptive concurrency limits. Look here when a backend is sent too much or too little at once.
 
-State: on each backend, its limit on attempts in flight, its mean latency and the least that mean
-has been; here, the usual latency of a cache of size one. A limit grows by one for each limit of
-answers while it is in use, and shrinks with slow answers. Invariant: a limit under one is kept by
-pauses: one attempt is in flight for that part of the time.
+State: for each backend, the limit on attempts in flight, the mean latency and the baseline of that
+mean; here, the usual latency of a cache of size one. While a limit is in use, it grows by one for
+every `limit` answers; slow answers shrink it. Invariant: a limit below one is implemented by
+pauses, so that one attempt is in flight for that fraction of the time.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 SLOW_ORIGIN_FRACTION = 0.5  # of the soft deadline: slower answers shrink the origin's limit
 SLOW_CACHE_FRACTION = 0.2  # of the soft deadline: slower answers shrink a cache's limit
-CONGESTED_LATENCY = 1.5  # times the baseline: from here on the origin is congested
-INITIAL_ORIGIN_LIMITS = (64.0, 12.0)  # at the start: over all nodes; at one node
-MIN_ORIGIN_LIMITS = (6.0, 0.25)  # over all nodes; at one node
+CONGESTED_LATENCY_FACTOR = 1.5  # times the baseline: above it the origin is congested
+INITIAL_ORIGIN_LIMITS = (64.0, 12.0)  # the sum over all nodes; the maximum at one node
+MIN_ORIGIN_LIMITS = (6.0, 0.25)  # the sum over all nodes; the maximum at one node
 
 
 class ConcurrencyLimits:
-    """Limits on attempts in flight, learned from latency."""
+    """Adapts the limits on attempts in flight to the measured latency."""
 
     def __init__(self, draws: DrawSequence, table: BackendTable, slow_start: SlowStart) -> None:
         self.unit_latency_ms = 0.0
@@ -39,7 +39,7 @@
         return now >= backend.warmup_until or self._slow_start.has_token(backend, now)
 
     def has_spare_capacity(self, backend: Backend, method: Method) -> bool:
-        """Return whether a backend answers fast and could take more."""
+        """Return whether a backend answers fast and is well below its limit."""
         return (
             backend.available
             and max(INITIAL_CONCURRENCY_LIMIT, 2 * len(backend.in_flight))
@@ -55,10 +55,12 @@
         if origin.retry_queue:
             return True
         half_used = 2 * len(origin.in_flight) >= origin.concurrency_limit
-        return half_used and origin.latency_ms > CONGESTED_LATENCY * origin.baseline_latency_ms
+        return (
+            half_used and origin.latency_ms > CONGESTED_LATENCY_FACTOR * origin.baseline_latency_ms
+        )
 
     def start_origin(self, origin: Backend, nodes: int) -> None:
-        """Give the origin its first limits: a sum over all nodes, but no more than one's own."""
+        """Set the origin's first limits: this node's part of the sum, up to the node's maximum."""
         if origin.min_concurrency_limit == 1.0:
             fleet_limit, node_limit = MIN_ORIGIN_LIMITS
             origin.min_concurrency_limit = min(node_limit, fleet_limit / nodes)
@@ -66,20 +68,20 @@
             origin.concurrency_limit = min(node_limit, fleet_limit / nodes)
 
     def scale_origin(self, factor: float) -> None:
-        """Follow a change of this process's share, while the origin has answered nothing yet.
+        """Scale the origin's limit with this process's share, until the origin first answers.
 
-        A process that starts beside an older one would otherwise ask for as much again.
+        Otherwise a process that starts beside an older one would double the load on the origin.
         """
         origin = self._table.origin
         if origin and not origin.response_count:
             origin.concurrency_limit *= factor
 
     def record_latency(self, backend: Backend, latency_ms: float) -> None:
-        """Fold an answer that took a backend's full work into the means."""
+        """Update the mean latencies from an answer that took the backend's full work."""
         backend.latency_ms += (latency_ms - backend.latency_ms) * (
             0.1 if backend.latency_ms else 1.0
         )
-        # The baseline rises slowly, so that it follows a backend that has become slower for good.
+        # The baseline rises slowly, to follow a backend that has become slower permanently.
         raised_ms = backend.baseline_latency_ms * 1.001 or backend.latency_ms
         backend.baseline_latency_ms = min(raised_ms, backend.latency_ms)
         if backend is not self._table.origin:
@@ -87,7 +89,7 @@
             self.unit_latency_ms += (latency_ms * backend.size - self.unit_latency_ms) * weight
 
     def adapt(self, backend: Backend, latency_ms: float, soft_ms: float, full_work: bool) -> None:
-        """Move a backend's limit after an answer."""
+        """Raise or lower a backend's limit after an answer."""
         if self._is_slow(backend, latency_ms, soft_ms, full_work):
             backend.concurrency_limit = max(
                 backend.min_concurrency_limit, backend.concurrency_limit * 0.9
@@ -104,11 +106,11 @@
         slow_ms = SLOW_ORIGIN_FRACTION * soft_ms
         if backend is not self._table.origin:
             return latency_ms > slow_ms * SLOW_CACHE_FRACTION / SLOW_ORIGIN_FRACTION
-        # Work at the origin varies: one slow answer is no congestion unless the mean is slow too.
+        # Work at the origin varies: a slow answer means congestion only if the mean is slow too.
         return full_work and latency_ms > slow_ms and slow_ms < backend.latency_ms / 0.7
 
     def record_origin_failure(self, origin: Backend) -> None:
-        """Ask the origin for less: there is no other to ask."""
+        """Lower the origin's limit after a failure; there is no other origin to use instead."""
         in_flight = len(origin.in_flight)
         reduced = min(origin.concurrency_limit, in_flight + 1) * (0.8 if in_flight else 0.5)
         origin.concurrency_limit = max(origin.min_concurrency_limit, reduced)
@@ -116,9 +118,9 @@
     def pause(
         self, backend: Backend, method: Method, outcome: Outcome, took_ms: float, now: float
     ) -> None:
-        """Keep a limit under one by a pause after an attempt has ended.
+        """Pause a backend whose limit is below one after an attempt has ended.
 
-        One attempt in flight from each of hundreds of nodes overloads a single backend.
+        Without pauses, one attempt in flight from each of hundreds of nodes overloads a backend.
         """
         typical_ms = (
             backend.latency_ms if outcome <= Outcome.MISS else SLOW_ORIGIN_FRACTION * method.soft_ms
--- a/hookpitch/balancer/load_shedding.py
+++ b/hookpitch/balancer/load_shedding.py
@@ -1,10 +1,10 @@
 """Load shedding. Look here when RPCs are rejected that could be served, or the wrong ones are.
 
-Two loads are measured. The fleet's: `pressure` and `shed_fraction` follow the part of RPCs within
-quota that were rejected or late in a rate window. The node's own: `overload` is the part of what
-arrives that the node cannot do, measured by its host. Either sheds by priority: methods of the
-least gain first, in bands as wide as their fraction of arrivals; RPCs over quota are shed before
-all others. Fractions are from 0 to 1, times are milliseconds.
+Two loads are measured. The load of the fleet: `pressure` and `shed_fraction` follow the fraction of
+RPCs within quota that were rejected or late in a rate window. The load of this node: `overload` is
+the fraction of arrivals above the node's capacity, measured by its host. Either load sheds RPCs by
+priority: methods of the lowest gain first, in bands as wide as their fraction of arrivals; RPCs
+over quota are shed before all others. Fractions are from 0 to 1, times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from hookpitch.balancer.quotas import Quotas
 from hookpitch.balancer.rpc import Rpc
 
-SHED_THRESHOLD = 0.2  # of what is within quota rejected or late: from here on less is admitted
+SHED_THRESHOLD = 0.2  # fraction of RPCs within quota, rejected or late, above which RPCs are shed
 MAX_SHED_FRACTION = 0.9
-MAX_QUEUE_FRACTION = 0.3  # of the time that is left: the longest stay in a queue
+MAX_QUEUE_FRACTION = 0.3  # of the remaining time: the longest wait in a queue
 NOT_SHED = -1.0
 
 
 class PriorityBand(NamedTuple):
-    """The range that the methods of one gain take up, by their fraction of arrivals."""
+    """The part of the range from 0 to 1 that the methods of one gain take by their arrivals."""
 
     start: float
     width: float
@@ -33,12 +33,12 @@
 
 
 class LoadShedder:
-    """Measures overload, and decides which RPCs are rejected at once."""
+    """Measures overload, and decides which RPCs are rejected on arrival."""
 
     def __init__(self, draws: DrawSequence, quotas: Quotas) -> None:
         # The fleet's load.
-        self.arrival_count = 1  # within quota, in this rate window
-        self.rejected_count = 0  # or late, of these
+        self.arrival_count = 1  # RPCs within quota, in this rate window
+        self.rejected_count = 0  # of these arrivals, rejected or answered late
         self.pressure = 0.0
         self.shed_fraction = 0.0
         # The node's own load.
@@ -47,14 +47,14 @@
         self._arrival_bands: dict[str, PriorityBand] = {}
         # Settings.
         self._methods: dict[str, Method] = {}
-        self._bands: dict[str, PriorityBand] = {}  # methods in equal parts
+        self._bands: dict[str, PriorityBand] = {}  # of equal width for each method
         self._max_retry_after_ms = 0.0
         self._over_quota_gain_factor = 0.0
         self._draws = draws
         self._quotas = quotas
 
     def configure(self, deployment: Deployment, methods: dict[str, Method]) -> None:
-        """Apply new settings; what was measured stays."""
+        """Apply new settings; measured values stay."""
         self._methods = methods
         self._max_retry_after_ms = deployment.max_retry_after_ms
         self._over_quota_gain_factor = deployment.over_quota_gain_factor
@@ -65,9 +65,9 @@
     # ---- the fleet's load
 
     def admit(self, rpc: Rpc, has_quota: bool) -> None:
-        """Count an RPC, and mark it as rejected where it is shed."""
+        """Count an RPC, and mark it as rejected if it is shed."""
         if rpc.over_quota:
-            # While little is rejected, what is over quota is served: the fleet is idle.
+            # While few RPCs are rejected, the fleet has capacity for RPCs over quota.
             pressure = self.pressure / SHED_THRESHOLD
             admitted_fraction = self._over_quota_gain_factor + 1 - pressure
             rpc.rejected = self._draws.fraction() >= admitted_fraction
@@ -80,18 +80,18 @@
             self.arrival_count += 1
 
     def record_rejected(self) -> None:
-        """Count an RPC within quota that was rejected, or whose answer was late."""
+        """Count an RPC within quota that was rejected or answered late."""
         self.rejected_count += 1
 
     def has_low_pressure(self) -> bool:
-        """Return whether so little is rejected that a retry of what is only slow does no harm."""
+        """Return whether so few RPCs are rejected that retrying a slow attempt does no harm."""
         return self.pressure < SHED_THRESHOLD / 2
 
     def update(self) -> int:
-        """End a rate window; return how many RPCs within quota arrived in it.
+        """End a rate window, and return how many RPCs within quota arrived in it.
 
-        What is more than the fleet can do, from routers that never fill a backend, shows only in
-        the fraction that is late.
+        If no router sends enough to fill a backend, an overload of the fleet shows only in the
+        fraction of late answers.
         """
         arrivals = self.arrival_count
         rejected_fraction = self.rejected_count / arrivals
@@ -105,7 +105,7 @@
     # ---- the node's own load
 
     def overload_measured(self, overload: float) -> None:
-        """Take the part of what arrived in a window that the node cannot do."""
+        """Store the fraction of the arrivals in a window that is above the node's capacity."""
         self.overload = overload
         if overload > 0 and any(self._arrival_mix.values()):
             self._arrival_bands = self._priority_bands(self._arrival_mix)
@@ -113,10 +113,10 @@
             self._arrival_mix[name] *= 0.9
 
     def shed_delay(self, now: float, method_name: str, tenant: str, age_ms: float) -> float:
-        """Return the ms after which a client may retry an RPC; under 0 where it is admitted.
+        """Return the ms after which a client may retry an RPC; below 0 if the RPC is admitted.
 
-        Called before an RPC costs anything. What is over quota, of the least gain or too late
-        already goes first.
+        The host calls this before it spends any work on the RPC. RPCs over quota, RPCs that are
+        already too late and those of the lowest gain are shed first.
         """
         method = self._methods.get(method_name)
         if method is None:
@@ -134,12 +134,12 @@
         return self.retry_after_ms(method) if self._max_retry_after_ms > 0 else 0.0
 
     def retry_after_ms(self, method: Method) -> float:
-        """Draw when a rejected client may retry; the draw spreads clients out."""
+        """Draw the ms after which a client may retry; the random part spreads the retries."""
         max_delay_ms = min(self._max_retry_after_ms, method.soft_ms)
         return max_delay_ms * (0.5 + self._draws.fraction() / 2)
 
     def _priority_bands(self, mix: dict[str, float]) -> dict[str, PriorityBand]:
-        """Return the band of each method in a mix, those of the least gain first."""
+        """Return the band of each method in `mix`, in the order of rising gain."""
         bands: dict[str, PriorityBand] = {}
         start = 0.0
         for gain in sorted({method.gain for method in self._methods.values()}):
--- a/hookpitch/balancer/queueing.py
+++ b/hookpitch/balancer/queueing.py
@@ -1,9 +1,10 @@
 """Queues of RPCs that wait for a backend. Look here when RPCs wait too long, or in the wrong order.
 
-State: each backend has a heap of fresh RPCs and one of retries; within quota goes first, then the
-most gain, then the oldest. Invariants: an RPC is in one queue at most, until its `queue_deadline`;
-entries of RPCs that have left stay until they are met. A queue is no longer than what the backend
-can answer in a part of the soft deadline: in a long queue every RPC is late.
+State: each backend has a heap of fresh RPCs and one of retries. In each heap RPCs within quota go
+first, then those of the highest gain, then the oldest. Invariants: an RPC is in one queue at most,
+until its `queue_deadline`; entries of RPCs that no longer wait stay until they are reached. A queue
+is no longer than what the backend can answer in a fraction of the soft deadline, because in a
+longer queue every RPC is late.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 
 def drop_stale_entries(backend: Backend) -> None:
-    """Drop entries of RPCs that wait there no more."""
+    """Drop the entries of RPCs that no longer wait in a backend's queues."""
     for queue in (backend.fresh_queue, backend.retry_queue):
         # A sorted list is a heap.
         queue[:] = sorted(entry for entry in queue if entry.rpc.queue_deadline)
 
 
 class BackendQueues:
-    """Enters RPCs into the backends' queues and takes them out."""
+    """Adds RPCs to the queues of backends and takes them out."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         self._retries = retries
 
     def enqueue(self, rpc: Rpc, backend: Backend, now: float) -> None:
-        """Have an RPC wait; where the queue is full its last RPC is rejected."""
+        """Add an RPC to a backend's queue; if the queue is full, its last RPC is rejected."""
         remaining_ms = min(rpc.deadline, rpc.objective) - now
         entry = QueueEntry(rpc.over_quota, -rpc.method.gain, rpc.number, rpc)
         heapq.heappush(backend.retry_queue if rpc.attempts else backend.fresh_queue, entry)
@@ -69,7 +70,7 @@
             self._work.rpcs.append(lowest_entry.rpc)
 
     def pop(self, backend: Backend, now: float) -> Rpc | None:
-        """Return the next RPC that may still be sent to a backend; the others are routed again."""
+        """Return the next RPC that may still be sent to a backend; reroute those that may not."""
         while backend.fresh_queue or backend.retry_queue:
             rpc = heapq.heappop(backend.fresh_queue or backend.retry_queue).rpc
             if not rpc.queue_deadline or rpc.closed:
@@ -83,9 +84,10 @@
         return None
 
     def timer_fired(self, rpc: Rpc, now: float) -> None:
-        """End a stay that has lasted too long, or look whether a backend's pause is over.
+        """End a wait that has lasted too long, or recheck a backend whose pause may be over.
 
-        An RPC that waited at its own cache goes on along the ring once: the next may be idle.
+        An RPC that waited for its assigned cache fails over along the ring once, because the next
+        cache may be idle.
         """
         if rpc.queue_deadline and rpc.queue_deadline <= now and not rpc.closed:
             rpc.rejected = (
--- a/hookpitch/balancer/slow_start.py
+++ b/hookpitch/balancer/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: how much a backend gets while it warms up. Look here when a new one is pushed over.
+"""Slow start: how much a backend is sent while it warms up. Look here when a new one is overloaded.
 
-State: on each backend, tokens that refill at a warm backend's send rate, cut by how far its
-warm-up has come; on the router, that rate and a gain above 1 while warming backends answer fast.
-The budgets hold over all nodes together, so a router takes its `process_share` of them. Rates are
-RPCs a second for each unit of size.
+State: for each backend, tokens that refill at the send rate of a warm backend, reduced according to
+the progress of the warm-up; for the router, that rate and a gain, which is above 1 while warming
+backends answer fast. The budgets hold for all nodes together, so a router uses only its
+`process_share` of them. Rates are RPCs per second for each unit of size.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from hookpitch.balancer.interface import Deployment
 from hookpitch.balancer.ring import HashRing
 
-FAST_FRACTION = 0.25  # of the soft deadline: an answer faster than this raises the gain
+FAST_FRACTION = 0.25  # of the soft deadline: a faster answer raises the gain
 
 
 class SlowStart:
-    """Token budgets of backends that warm up."""
+    """The token budgets of backends that are warming up."""
 
     def __init__(self, draws: DrawSequence, table: BackendTable, ring: HashRing) -> None:
         self.warm_rate = 0.0
@@ -31,26 +31,27 @@
         self._ring = ring
 
     def configure(self, deployment: Deployment) -> None:
-        """Apply new settings; warm-ups that have begun go on."""
+        """Apply new settings; warm-ups in progress continue."""
         self.max_warmup_gain = max(1.0, deployment.overload_factor / 1.5)
         self._start_fraction = deployment.slow_start_fraction
         self.duration_ms = deployment.slow_start_ms
 
     def start_warmup(self, backend: Backend, since: float, now: float) -> None:
-        """Have a backend warm up from `since`."""
+        """Start a backend's warm-up, which counts from `since`."""
         already_warming = now < backend.warmup_until
         backend.warmup_gain = 1.0
         if not already_warming:
             backend.warmup_tokens = self._draws.fraction()
             backend.warmup_refilled_at = now
-        # One that starts again while warming may have fallen by what it was sent.
+        # The router's gain is reset if a backend restarts during its warm-up, because it may have
+        # failed under the load that it was sent, or if no other backend is warming up.
         others_warm_up = any(now < cache.warmup_until for cache in self._ring.caches)
         if already_warming or not others_warm_up:
             self.warmup_gain = 1.0
         backend.warmup_until = since + self.duration_ms
 
     def has_token(self, backend: Backend, now: float) -> bool:
-        """Refill a warming backend's tokens and return whether it may be sent one RPC."""
+        """Refill a warming backend's tokens, and return whether it may be sent one RPC."""
         progress = 1.0
         if self.duration_ms:
             progress = max(0.0, 1 - (backend.warmup_until - now) / self.duration_ms)
@@ -66,7 +67,10 @@
     def record_response(
         self, backend: Backend, latency_ms: float, soft_ms: float, now: float
     ) -> None:
-        """Raise or lower the gains; one backend that answers fast speaks for all that warm up."""
+        """Raise the gains after a fast answer, and lower them after a slow one.
+
+        An answer from one warming backend is taken as evidence for all that are warming up.
+        """
         fast = latency_ms < FAST_FRACTION * soft_ms
         if fast:
             backend.warmup_gain = min(1.0, backend.warmup_gain * 1.1)
@@ -77,14 +81,14 @@
             self.warmup_gain = min(self.max_warmup_gain, max(1.0, gain))
 
     def record_overload(self, backend: Backend) -> None:
-        """Take one backend's gain back, whatever the others' is."""
+        """Lower one backend's gain to cancel the gain of the router, however high that is."""
         backend.warmup_gain = 1 / self.max_warmup_gain
 
     def update_warm_rate(self, arrivals: int, span_ms: float) -> None:
-        """Measure what warm caches are sent.
+        """Update the rate at which warm caches are sent RPCs, per unit of size.
 
-        Where none is warm yet, take an even part of what arrives: a router that starts among
-        warming caches alone would otherwise send them nothing.
+        Before any cache has been warm, the arrivals divided by the total size stand in for that
+        rate: otherwise a router that starts when all caches are warming up would send them nothing.
         """
         origin = self._table.origin
         warm = [
