--- a/hookpitch/balancer/endpoints.py
+++ b/hookpitch/balancer/endpoints.py
@@ -1,9 +1,10 @@
-"""What discovery and operators say of the backends. Look here when one is used that should not be.
+"""Applies endpoint updates and bans. Look here when a backend is used that should not be.
 
-State: the backends' listed values, the ids that an operator has banned, and, where listed sizes
-are cut by load, the nominal size of each kind. Invariants: a backend that is not ready is sent
-nothing new; a ban holds whatever a list says; a backend that has started since is treated as a new
-one, and warms up. The ring changes only with the backends that are ready and their sizes.
+State: the listed values of the backends, the ids that an operator has banned, and, where listed
+sizes are reduced by load, the nominal size of each machine kind. Invariants: a backend that is not
+ready is sent nothing new; a ban holds whatever a list says; a backend whose process has restarted
+is treated as new and warms up. The ring changes only with the set of ready backends and their
+sizes.
 """
 
 from __future__ import annotations
@@ -35,7 +36,8 @@
         retries: RetryPolicy,
     ) -> None:
         self.banned: dict[str, None] = {}  # in the order of the bans
-        self.nominal_sizes: dict[int, float] | None = None  # by kind; None: sizes ignore load
+        # By kind; None where listed sizes do not depend on load.
+        self.nominal_sizes: dict[int, float] | None = None
         self._nodes = 1
         self._removal_is_advisory = False
         self._table = table
@@ -47,7 +49,7 @@
         self._retries = retries
 
     def configure(self, deployment: Deployment, nodes: int) -> None:
-        """Apply new settings; kinds get new numbers, which backends take over by name."""
+        """Apply new settings; backends get the new numbers of their kinds, matched by name."""
         table = self._table
         self._nodes = nodes
         self._removal_is_advisory = deployment.removal_is_advisory
@@ -64,7 +66,7 @@
                 self.nominal_sizes[backend.kind] = max(backend.size, largest)
 
     def update(self, kind: EndpointUpdate, endpoints: list[Endpoint], now: float) -> None:
-        """Apply an update. One that is no delta removes what it does not name."""
+        """Apply an update; any update but a delta removes the backends that it does not list."""
         changed = False
         resized: list[Backend] = []
         for endpoint in endpoints:
@@ -89,7 +91,7 @@
             self.rebuild_ring(resized)
 
     def set_banned(self, id: str, banned: bool, now: float) -> None:
-        """Keep a backend out, or take it back; a ban may come before its backend is listed."""
+        """Ban a backend or lift its ban; a backend may be banned before it is listed."""
         was_banned = id in self.banned
         self.banned.pop(id, None)
         if banned:
@@ -98,7 +100,7 @@
         if backend is None or banned == was_banned:
             return
         if not banned:
-            # It may have restarted while banned; old failures would delay its use.
+            # The backend may have restarted while banned, and old failures would delay its use.
             self._outliers.reset(backend)
             backend.ejection_ms = 0.0
             self._slow_start.start_warmup(backend, now, now)
@@ -107,10 +109,11 @@
         self.rebuild_ring([] if needs_no_points else [backend])
 
     def set_state(self, backend: Backend, listed: EndpointState, now: float) -> None:
-        """Take a listed state, and derive the state by which the backend is used.
+        """Store a listed state, and derive the state that decides how the backend is used.
 
-        Where removal is advisory, a list that lags would take a backend out and in by turns: one
-        that was ready is still tried, unless it has not answered for a while.
+        Where removal is advisory, following an outdated list would remove and restore a backend
+        again and again. A backend that was ready is therefore still tried, but it is ejected if it
+        has not answered for a while.
         """
         backend.removal_advised = (
             listed == EndpointState.REMOVED
@@ -132,7 +135,7 @@
         backend.update_availability(now)
 
     def rebuild_ring(self, resized: list[Backend]) -> None:
-        """Bring the origin, the ring and all assignments in step with the backends' states."""
+        """Update the origin, the ring and all assignments after the backends have changed."""
         table, ring = self._table, self._ring
         ready = [
             backend for backend in table.backends.values() if backend.state == EndpointState.READY
@@ -150,7 +153,7 @@
         self._placement.ring_changed()
 
     def _reset_if_restarted(self, backend: Backend, endpoint: Endpoint, now: float) -> None:
-        """Forget what is known of a backend's process where the list says that it is a new one."""
+        """Reset a backend if the list shows that its process has restarted."""
         usable = endpoint.state == EndpointState.READY or self._removal_is_advisory
         started_at = endpoint.started_ms if endpoint.started_ms > 0 else NEVER
         if not usable or started_at <= backend.started_at:
@@ -162,10 +165,10 @@
         self._slow_start.start_warmup(backend, started_at, now)
 
     def _apply_listed_values(self, backend: Backend, endpoint: Endpoint) -> bool:
-        """Take an endpoint's listed values; return whether the backend needs other ring points."""
+        """Store the listed values; return whether the backend needs new ring points."""
         size = max(endpoint.size, MIN_SIZE)
         if self.nominal_sizes is not None:
-            # Sizes that follow load would move the ring with every list.
+            # Sizes that vary with load would change the ring with every list.
             nominal = max(size, self.nominal_sizes.get(endpoint.kind, 0.0))
             self.nominal_sizes[endpoint.kind] = nominal
             backend.reported_load = (nominal / size - 1) * nominal
@@ -180,7 +183,7 @@
         return resized
 
     def _forget_removed(self) -> None:
-        """Drop the records of removed backends that have nothing in flight."""
+        """Delete the records of removed backends that have nothing in flight."""
         backends = self._table.backends
         for backend in list(backends.values()):
             if backend.state == EndpointState.REMOVED and not backend.in_flight:
--- a/hookpitch/balancer/key_generations.py
+++ b/hookpitch/balancer/key_generations.py
@@ -1,18 +1,19 @@
-"""How many distinct keys each bucket has lately had, as an estimate of its memory.
+"""Counts the distinct keys recently requested in each bucket, to estimate its memory use.
 
-State: keys asked for, in two generations, each with its bucket. A key counts once in its bucket's
-`key_count`, until it is in neither generation. A generation ends by size or by age.
+State: two generations of requested keys, each key with its bucket. A key counts once in the
+`key_count` of its bucket, until it is in neither generation. A generation ends when it is full or
+too old.
 """
 
 from __future__ import annotations
 
 from hookpitch.balancer.placement import BUCKETS, Bucket
 
-MAX_KEYS = 16 * BUCKETS  # in a generation
+MAX_KEYS = 16 * BUCKETS  # per generation
 
 
 class KeyGenerations:
-    """Keys lately asked for."""
+    """The recently requested keys."""
 
     __slots__ = ("_max_age_ms", "_older", "_recent", "_rotated_at")
 
@@ -23,7 +24,7 @@
         self._max_age_ms = max_age_ms
 
     def record(self, key: str, bucket: Bucket) -> None:
-        """Count a key that was asked for."""
+        """Count a requested key."""
         if key in self._recent:
             return
         if key not in self._older:
@@ -31,7 +32,7 @@
         self._recent[key] = self._older.get(key, bucket)
 
     def rotate_if_due(self, now: float) -> None:
-        """End the generation where it is full or old; drop keys not asked for since."""
+        """End a generation that is full or too old, and drop the keys not requested during it."""
         if len(self._recent) < MAX_KEYS and now < self._rotated_at + self._max_age_ms:
             return
         for key, bucket in self._older.items():
--- a/hookpitch/balancer/method_load.py
+++ b/hookpitch/balancer/method_load.py
@@ -1,7 +1,7 @@
-"""How much work each method has lately asked for, which capacity is reserved by.
+"""Measures the recent load of each method, by which capacity is reserved.
 
-State: `load` by method name, in RPCs of typical work, fading with each rebalancing round;
-`typical_work_ms` is the mean of the work that clients state, 0 before any is stated.
+State: `load` by method name, in RPCs of typical work, which decays in each rebalancing round;
+`typical_work_ms`, the mean of the work that clients state, 0 before any client states it.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from collections.abc import Iterable
 
 DECAY_PER_ROUND = 0.85
-WORK_WEIGHT = 0.05  # of one RPC's stated work in the mean
+WORK_WEIGHT = 0.05  # of the newest RPC in the mean of the stated work
 
 
 class MethodLoad:
-    """Work lately asked for, by method."""
+    """The recent load by method."""
 
     __slots__ = ("load", "typical_work_ms")
 
@@ -22,11 +22,11 @@
         self.typical_work_ms = 0.0
 
     def configure(self, method_names: Iterable[str]) -> None:
-        """Keep what is known of the methods that remain."""
+        """Keep the loads of the methods that remain."""
         self.load = {name: self.load.get(name, 0.0) for name in method_names}
 
     def record(self, method_name: str, work_ms: float) -> None:
-        """Count an RPC; `work_ms` is 0 where it states none."""
+        """Count an RPC; `work_ms` is the work that it states, or 0."""
         if method_name not in self.load:
             return
         if work_ms <= 0:
@@ -37,5 +37,5 @@
         self.load[method_name] += work_ms / self.typical_work_ms
 
     def decay(self) -> None:
-        """Let what was asked for count for less, once a round."""
+        """Reduce the weight of past load, once per round."""
         self.load = {name: DECAY_PER_ROUND * load for name, load in self.load.items()}
--- a/hookpitch/balancer/placement.py
+++ b/hookpitch/balancer/placement.py
@@ -1,11 +1,12 @@
-"""Which cache each bucket of keys is on. Look here when one cache gets too much or the wrong keys.
-
-State: `buckets`, made when first asked for, one for each number and set of constraints. A bucket's
-`primary` is where the ring puts it, `assigned` where it is sent now (a rebalancing round moves it),
-`chain` the failover order, made when first needed. Invariants: `assigned` differs from `primary`
-only by a move, and only while its cache is ready and allowed; a method's constraints hold
-everywhere, and the origin is always allowed. A hot bucket is spread over replicas by a draw of
-each router's own. Sizes are in units of a cache of size one, `recent_requests` in RPCs.
+"""Assigns buckets of keys to caches. Look here when a cache gets too much load or the wrong keys.
+
+State: `buckets`, created on first use, one for each number and set of constraints. A bucket's
+`primary` is its cache by the ring, `assigned` the cache that it is sent to now (a rebalancing round
+may move it), `chain` its failover order, computed on first use. Invariants: `assigned` differs from
+`primary` only after a move, and only while the assigned cache is ready and allowed; the constraints
+of a method always hold, and the origin is always allowed. A hot bucket is spread over replicas,
+among which each router draws a preference of its own. Sizes are in units of a cache of size one,
+`recent_requests` is in RPCs.
 """
 
 from __future__ import annotations
@@ -19,20 +20,23 @@
 from hookpitch.balancer.method_load import MethodLoad
 from hookpitch.balancer.ring import INDEX_BITS, INDEX_MASK, HashRing
 
-BUCKETS = 4096  # the unit moved; a hundred for each cache of a fleet of forty
-CHAIN_LENGTH = 8  # backends looked at along the ring
-# A bucket with more than its primary's part of the fleet over this is spread over several.
+BUCKETS = 4096  # about a hundred for each cache in a fleet of forty
+CHAIN_LENGTH = 8  # backends considered along the ring for a failover chain
+# A bucket is spread over several caches if its part of the traffic, times this factor, exceeds its
+# primary's part of the total size.
 SPREAD_FACTOR = 3.0
-MAX_RECENT_REQUESTS = 512  # by which a router estimates a bucket's part of its traffic
-PRIOR_RPCS = 40.0  # of each method taken for seen before any is: all routers begin alike
+# A router estimates a bucket's part of its traffic from recent requests. Each round reduces the
+# total of all buckets to at most this many RPCs.
+MAX_RECENT_REQUESTS = 512
+PRIOR_RPCS = 40.0  # assumed for each method in advance, so that all routers start alike
 MIN_UNCONSTRAINED_FRACTION = 0.5
-FRACTION_TOLERANCE = 0.15  # a smaller change is not worth moving buckets for
+FRACTION_TOLERANCE = 0.15  # a smaller change does not justify moving buckets
 
-Constraints = tuple[str, ...]  # kinds or zones that a method is bound to; empty: any
+Constraints = tuple[str, ...]  # kinds or zones that a method is restricted to; empty: any
 
 
 class Bucket:
-    """A part of the key space, which is moved between caches as a whole."""
+    """A part of the key space, which moves between caches as a whole."""
 
     __slots__ = (
         "assigned",
@@ -55,15 +59,15 @@
         self.primary: Backend | None = None
         self.assigned: Backend | None = None
         self.chain: list[Backend] | None = None
-        self.request_count = 0  # RPCs since the latest round
-        self.request_rate = 0.0  # RPCs a round
-        self.key_count = 0  # distinct, lately
+        self.request_count = 0  # RPCs since the last round
+        self.request_rate = 0.0  # RPCs per round, smoothed
+        self.key_count = 0  # distinct keys requested recently
         self.recent_requests = 0.0
-        self.spread_size = 0.0  # of the caches that a hot bucket is spread over
+        self.spread_size = 0.0  # total size of the caches that a hot bucket is spread over
 
 
 class Placement:
-    """Buckets and their caches."""
+    """The buckets, and the caches that they are assigned to."""
 
     def __init__(
         self, seed: int, table: BackendTable, ring: HashRing, method_load: MethodLoad
@@ -71,7 +75,7 @@
         self.buckets: dict[tuple[int, Constraints, Constraints], Bucket] = {}
         self.recent_requests = 0.0  # of all buckets
         self.total_size = 1.0  # of the caches that are not removed
-        # Ready caches that each set of constraints allows: where there are none, no walk is made.
+        # Ready caches allowed by each set of constraints; with none, the ring is not walked.
         self.allowed_counts: dict[tuple[Constraints, Constraints], int] = {}
         self._seed = seed
         self._table = table
@@ -80,17 +84,20 @@
         self._methods: tuple[Method, ...] = ()
 
     def configure(self, methods: tuple[Method, ...]) -> None:
-        """Apply new methods; buckets stay where they are until the ring changes."""
+        """Apply new methods; buckets stay assigned as they are until the ring changes."""
         self._methods = methods
 
     def allows(self, target: Bucket | Method, backend: Backend) -> bool:
-        """Return whether constraints allow a backend; one of unknown kind or zone meets none."""
+        """Return whether the constraints of a bucket or method allow a backend.
+
+        A backend of unknown kind or zone meets no constraint; the origin is always allowed.
+        """
         if target.kinds and self._table.kind_name(backend.kind) not in target.kinds:
             return backend is self._table.origin
         return not target.zones or backend.zone in target.zones or backend is self._table.origin
 
     def bucket(self, number: int, kinds: Constraints = (), zones: Constraints = ()) -> Bucket:
-        """Return a bucket, made and assigned when first asked for."""
+        """Return a bucket, which is created and assigned on first use."""
         bucket = self.buckets.get((number, kinds, zones))
         if bucket is None:
             bucket = self.buckets[number, kinds, zones] = Bucket(number, kinds, zones)
@@ -98,7 +105,7 @@
         return bucket
 
     def ring_changed(self) -> None:
-        """Bring everything in step with the ring and the backends' states."""
+        """Recompute sizes, counts and assignments after the ring or a backend's state changed."""
         caches = self._ring.caches
         self.total_size = sum(
             cache.size for cache in caches if cache.state != EndpointState.REMOVED
@@ -114,12 +121,12 @@
         self.assign_all()
 
     def assign_all(self) -> None:
-        """Assign the primary of every bucket again."""
+        """Recompute the primary of every bucket."""
         for bucket in self.buckets.values():
             self.assign_primary(bucket)
 
     def assign_primary(self, bucket: Bucket) -> None:
-        """Set a bucket's primary from the ring; a move is kept while its cache is usable."""
+        """Set a bucket's primary from the ring; keep a move while its cache is usable."""
         was_moved = bucket.assigned is not bucket.primary
         bucket.chain = None
         bucket.primary = next(iter(self.replicas(bucket)), None)
@@ -133,7 +140,7 @@
             bucket.assigned = bucket.primary
 
     def replicas(self, bucket: Bucket) -> list[Backend]:
-        """Return the caches a bucket is spread over, in this router's order of preference."""
+        """Return the caches that a bucket is spread over, in this router's order of preference."""
         preference: dict[Backend, float] = {}
         remaining_size = bucket.spread_size
         for cache in self.ready_from(bucket):
@@ -147,10 +154,10 @@
         return sorted(preference, key=preference.__getitem__, reverse=True)
 
     def track_hot_bucket(self, bucket: Bucket) -> None:
-        """Count an RPC of a bucket, and spread the bucket once it is more than a cache can do."""
+        """Count an RPC of a bucket, and spread the bucket if it is too hot for one cache."""
         bucket.recent_requests += 1
         self.recent_requests += 1
-        # The square root leaves room for chance: a few sightings spread nothing.
+        # The square root allows for chance, so that a few requests do not spread a bucket.
         excess = max(0.0, bucket.recent_requests - 1 - bucket.recent_requests**0.5)
         observed_requests = max(self.recent_requests, MAX_RECENT_REQUESTS / 4)
         spread_size = SPREAD_FACTOR * self.total_size * excess / observed_requests
@@ -162,13 +169,13 @@
             self.assign_primary(bucket)
 
     def decay_requests(self) -> float:
-        """Let past requests count for less; return the factor for the buckets' own counts."""
+        """Decay the total of past requests; return the factor for the counts of the buckets."""
         decay = min(1.0, MAX_RECENT_REQUESTS / max(1.0, self.recent_requests))
         self.recent_requests *= decay
         return decay
 
     def ready_from(self, bucket: Bucket) -> Iterator[Backend]:
-        """Walk the ring from a bucket's point over the ready caches that are open to it."""
+        """Yield the ready caches open to a bucket, along the ring from the bucket's point."""
         points, caches = self._ring.points, self._ring.caches
         constrained = bucket.kinds or bucket.zones
         if self.allowed_counts.get((bucket.kinds, bucket.zones), 1) <= 0:
@@ -185,7 +192,7 @@
                 yield cache
 
     def failover_chain(self, bucket: Bucket) -> list[Backend]:
-        """Return where a bucket's RPCs may go, its assigned cache first, then along the ring."""
+        """Return a bucket's failover order: its assigned cache, its replicas, then the ring."""
         if bucket.chain is None:
             first = [bucket.assigned] if bucket.assigned else []
             chain = dict.fromkeys(first + self.replicas(bucket)[:CHAIN_LENGTH])
@@ -198,10 +205,10 @@
         return bucket.chain
 
     def reserve_capacity(self) -> bool:
-        """Keep room on caches that constrained methods need for what is bound to few of them.
+        """Reserve capacity for constrained methods on the few caches that they may use.
 
-        Returns True where a cache's `unconstrained_fraction` changed, so that buckets have to be
-        assigned again.
+        Returns True if the `unconstrained_fraction` of a cache changed, so that the buckets have to
+        be assigned again.
         """
         constrained = [method for method in self._methods if method.kinds or method.zones]
         ready = [cache for cache in self._ring.caches if cache.state == EndpointState.READY]
--- a/hookpitch/balancer/rebalancing.py
+++ b/hookpitch/balancer/rebalancing.py
@@ -1,9 +1,10 @@
 """Moves buckets from the heaviest to the lightest cache. Look here when load stays uneven.
 
-The mechanism is the nearest-neighbour policy of "A multi-resource load balancing algorithm for
-cloud cache systems", sections 3 and 4; symbols in the functions are the paper's. `Rebalancer`
-measures the loads and applies one round at a time. State: on backends and buckets; here, only the
-keys lately asked for. Loads are fractions of the mean cache's; rates are RPCs a round.
+The algorithm is the nearest-neighbour policy of "A multi-resource load balancing algorithm for
+cloud cache systems", sections 3 and 4; the symbols named in the functions are the paper's.
+`Rebalancer` measures the loads and applies one round at a time. State: the values on backends and
+buckets; here, only the recently requested keys. Loads are fractions of the mean load of a cache;
+rates are RPCs per round.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from hookpitch.balancer.placement import Bucket, Placement
 
 ROUND_INTERVAL_MS = 2500.0
-DEAD_BAND = 1.5  # a round acts only when the heaviest is this many times the mean
-MOVES_PER_CACHE = 4 / 3  # a round, at most
-IMPROVEMENT_THRESHOLD = 0.5  # the paper's IT: a round stops once sigma has fallen by this part
-# Answers from a cache before it takes part in a round. On fewer, hundreds of nodes would each move
-# keys for noise, and every cache would miss them.
+DEAD_BAND = 1.5  # a round moves buckets only while the heaviest load is this many times the mean
+MOVES_PER_CACHE = 4 / 3  # per round, at most
+IMPROVEMENT_THRESHOLD = 0.5  # the paper's IT: a round ends once sigma has fallen by this fraction
+# Answers needed from a cache before it takes part in a round. With fewer, hundreds of nodes would
+# each move keys because of noise, and the caches would miss the moved keys.
 MIN_RESPONSES = 8
 MAX_KEY_AGE_MS = 12 * ROUND_INTERVAL_MS
 
 
 class BucketLoad(NamedTuple):
-    """The load of one bucket on its cache, the paper's (v, w)."""
+    """The load of one bucket on its cache: the paper's (v, w)."""
 
     cpu: float
     memory: float
@@ -35,17 +36,17 @@
 
 
 class Move(NamedTuple):
-    """A bucket and the cache it goes to."""
+    """A bucket and the cache that it moves to."""
 
     bucket: Bucket
     target: Backend
 
 
-# ---- the paper's mechanism
+# ---- the algorithm of the paper
 
 
 def weights(caches: Sequence[Backend]) -> tuple[float, float]:
-    """Return lambda and mu of section 3: how scarce CPU is against memory."""
+    """Return lambda and mu (section 3): how scarce CPU is compared with memory."""
     cpu = sum(cache.cpu_load for cache in caches)
     total = sum(cache.cpu_load + cache.memory_load for cache in caches)
     lam = cpu / total if total else 0.5
@@ -53,7 +54,7 @@
 
 
 def imbalance(caches: Sequence[Backend], mu: float) -> float:
-    """Return sigma of the cluster, section 3."""
+    """Return sigma (section 3): the imbalance of the cluster."""
     cache_count = len(caches)
     mean_cpu = sum(cache.cpu_load for cache in caches) / cache_count
     mean_memory = sum(cache.memory_load for cache in caches) / cache_count
@@ -65,7 +66,7 @@
 
 
 def target_point(heaviest: Backend, lightest: Backend, lam: float) -> tuple[float, float]:
-    """Return the point h of section 4: the load whose move would even the two out."""
+    """Return the point h (section 4): the load whose move would balance the two caches."""
     return (
         lam * (heaviest.cpu_load - lightest.cpu_load) / 2,
         (1 - lam) * (heaviest.memory_load - lightest.memory_load) / 2,
@@ -73,7 +74,7 @@
 
 
 def nearest(loads: list[BucketLoad], target: tuple[float, float], lam: float) -> BucketLoad:
-    """Return the bucket nearest to h, section 4; a scan, for one cache has few enough."""
+    """Return the load nearest to the point h (section 4); a cache has few enough to scan."""
     return min(
         loads,
         key=lambda load: (
@@ -91,10 +92,10 @@
     loads: dict[Backend, list[BucketLoad]],
     allowed: Callable[[Bucket, Backend], bool] = _is_allowed_anywhere,
 ) -> list[Move]:
-    """Return one round's moves, section 4, figure 3; the loads are changed along with them.
+    """Return the moves of one round (section 4, figure 3), and apply them to the loads.
 
-    Each step takes the nearest bucket from the heaviest cache to the lightest, while sigma falls
-    and until IT is reached.
+    Each step moves the nearest bucket from the heaviest cache to the lightest. The round ends when
+    sigma no longer falls or has fallen by IT.
     """
     lam, mu = weights(caches)
     moves: list[Move] = []
@@ -112,7 +113,7 @@
         if max(utility) < DEAD_BAND * sum(utility) / len(caches):
             break
         load = nearest(candidates, target_point(heaviest, lightest, lam), lam)
-        # The paper's nodes are all equal; here the same traffic weighs more on a smaller cache.
+        # The paper assumes equal caches; here the same traffic is a higher load for a smaller one.
         moved_cpu = load.cpu * (heaviest.size / lightest.size)
         heaviest.cpu_load -= load.cpu
         heaviest.memory_load -= load.memory
@@ -132,7 +133,7 @@
 
 
 class Rebalancer:
-    """Measures loads and moves buckets, once a round."""
+    """Measures loads and moves buckets, once per round."""
 
     def __init__(
         self, now: float, table: BackendTable, placement: Placement, method_load: MethodLoad
@@ -148,7 +149,7 @@
         self._nodes = nodes
 
     def rebalance(self, now: float) -> None:
-        """Run one round over the caches that are available and have answered enough."""
+        """Run one round over the available caches that have answered enough RPCs."""
         self._method_load.decay()
         if self._placement.reserve_capacity():
             self._placement.assign_all()
@@ -187,7 +188,7 @@
     def _measure_loads(
         self, caches: list[Backend], buckets_by_cache: dict[Backend, list[Bucket]]
     ) -> None:
-        """Set the caches' loads, as fractions of the mean."""
+        """Set the loads of the caches, as fractions of the mean."""
         for cache in caches:
             cache.cpu_load = self._cpu_load(cache) / cache.size
             cache.memory_load = float(sum(bucket.key_count for bucket in buckets_by_cache[cache]))
@@ -198,10 +199,10 @@
             cache.memory_load = cache.memory_load / mean_memory if mean_memory else 1.0
 
     def _cpu_load(self, cache: Backend) -> float:
-        """Return RPCs at work at a cache: as it reports, but no less than this router's own.
+        """Return the RPCs in service at a cache: its report, or this router's estimate if higher.
 
-        The rate alone calls an overloaded cache light, for it is sent little; and a report may be
-        untrue.
+        The send rate alone makes an overloaded cache look lightly loaded, because the cache is sent
+        little; and a report may be wrong.
         """
         own_load = cache.send_rate * max(1.0, cache.latency_ms) / 1000
         if cache.reported_load < 0:
@@ -210,7 +211,7 @@
 
     @staticmethod
     def _bucket_loads(cache: Backend, buckets: list[Bucket]) -> list[BucketLoad]:
-        """Return (v, w) of each bucket, section 3: its part of the cache's rate and keys."""
+        """Return (v, w) of each bucket (section 3), by its part of the cache's rate and keys."""
         rate = sum(bucket.request_rate for bucket in buckets) or 1.0
         keys = sum(bucket.key_count for bucket in buckets) or 1
         return [
--- a/hookpitch/balancer/ring.py
+++ b/hookpitch/balancer/ring.py
@@ -1,9 +1,9 @@
 """The consistent-hash ring of the caches. Look here when keys move after a change of the list.
 
-State: `points`, sorted; each is 32 bits of a hash above 16 bits that are its cache's index in
-`caches`. Invariants: points go by listed size alone, so a list that repeats itself moves nothing;
-a cache that is no longer ready keeps its points until most of the caches are gone, so one change
-of the list never rebuilds a large ring. The origin is not on the ring.
+State: `points`, sorted; each point is a 32-bit hash above the 16-bit index of its cache in
+`caches`. Invariants: the points depend on the listed sizes alone, so a list that repeats itself
+moves nothing; a cache that is no longer ready keeps its points until most caches are removed, so
+one change of the list never rebuilds a large ring. The origin is not on the ring.
 """
 
 from __future__ import annotations
@@ -15,42 +15,42 @@
 from hookpitch.balancer.backend import Backend
 from hookpitch.balancer.interface import EndpointState
 
-RING_POINTS = 150  # of a cache of mean size
+RING_POINTS = 150  # for a cache of mean size
 MIN_RING_POINTS = 8
 INDEX_BITS = 16
 INDEX_MASK = 0xFFFF
 
 
 class HashRing:
-    """Points on a ring, and the caches they belong to."""
+    """The points on the ring, and the caches that they belong to."""
 
     __slots__ = ("caches", "points", "points_per_size")
 
     def __init__(self) -> None:
-        self.caches: list[Backend] = []  # one list for the router's life, changed in place
+        self.caches: list[Backend] = []  # the same list for the router's lifetime, changed in place
         self.points: Sequence[int] = array("Q")
-        self.points_per_size = 0.0  # set by the first caches that are listed
+        self.points_per_size = 0.0  # set when the first caches are listed
 
     def needs_rebuild(self, resized: list[Backend]) -> bool:
-        """Return whether most caches are gone, or one that has points changed its size."""
+        """Return whether most caches are removed, or a cache that has points changed its size."""
         removed = sum(cache.state == EndpointState.REMOVED for cache in self.caches)
         return 2 * removed > len(self.caches) or any(cache.ring_points for cache in resized)
 
     def clear(self) -> None:
-        """Take every cache off the ring."""
+        """Remove every cache from the ring."""
         for cache in self.caches:
             cache.ring_points = 0
         self.caches.clear()
         self.points = array("Q")
 
     def set_scale(self, caches: list[Backend]) -> None:
-        """Fix how many points a unit of size has, once, by the first caches."""
+        """Set the number of points per unit of size, once, from the first caches."""
         if caches and not self.points_per_size:
             total_size = sum(cache.size for cache in caches)
             self.points_per_size = RING_POINTS * len(caches) / total_size
 
     def add(self, caches: list[Backend]) -> None:
-        """Put caches on the ring that have no points on it."""
+        """Add caches that have no points on the ring yet."""
         if not caches:
             return
         points = list(self.points)
