--- a/hookpitch/core/decision_runner.py
+++ b/hookpitch/core/decision_runner.py
@@ -84,7 +84,7 @@
         rpc.attempts.append(attempt)
         rpc.in_flight += 1
         # The client may have gone while the RPC was queued, with that still unread in the kernel.
-        if rpc.pending and now > rpc.accepted_at and rpc.client.disconnected():
+        if rpc.pending and now > rpc.accepted_at and rpc.client.is_disconnected():
             rpc.client_half_closed = True
             host.counters.add("tx.for_nobody")
             self._unsent.append(attempt)
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -151,14 +151,14 @@
         retry_after_ms = min(retry_after_ms, self.deployment.max_retry_after_ms)
         return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms >= 1 else b"-BUSY\r\n"
 
-    def client_disconnected(self, now: float, rpcs: Sequence[Rpc], reads: bool) -> None:
-        """Take in that a client closed its connection, or half-closed it if it still `reads`."""
+    def client_disconnected(self, now: float, rpcs: Sequence[Rpc], still_reads: bool) -> None:
+        """Take in that a client closed its connection, or half-closed it if `still_reads`."""
         # The router has to know of all RPCs before it decides anything: otherwise the capacity that
         # the first one frees would go to the next in the queue, and be sent for a client that left.
         with self._decisions.deferred():
             for rpc in rpcs:
-                if rpc.pending and not (rpc.client_half_closed and reads):
-                    self.client_left(now, rpc, half_closed=reads)
+                if rpc.pending and not (rpc.client_half_closed and still_reads):
+                    self.client_left(now, rpc, half_closed=still_reads)
         self.decide(now)
 
     def client_left(self, now: float, rpc: Rpc, half_closed: bool) -> None:
@@ -241,7 +241,11 @@
         self._streams.pass_on(now, attempt, data)
 
     def update_endpoints(
-        self, now: float, kind: EndpointUpdate, entries: list[Endpoint], dials: Mapping[str, str]
+        self,
+        now: float,
+        kind: EndpointUpdate,
+        entries: list[Endpoint],
+        addresses: Mapping[str, str],
     ) -> None:
         """Take in an endpoint list, or that none could be had: then the last one stays."""
         self.counters.add(UPDATE_COUNTERS[kind])
@@ -249,7 +253,7 @@
             return
         # The transport ends attempts; the router must not decide on them by the list before.
         with self._decisions.deferred():
-            self.transport.update_endpoints(kind, entries, dials)
+            self.transport.update_endpoints(kind, entries, addresses)
             self.router.update_endpoints(now, kind, entries)
         self.decide(now)
 
@@ -268,14 +272,14 @@
         self.router.reconfigured(now, deployment)
         self.decide(now)
 
-    def ban(self, now: float, backend_id: str, banned: bool) -> None:
+    def set_banned(self, now: float, backend_id: str, banned: bool) -> None:
         """Send nothing to a backend any more, or lift that."""
         self.router.set_banned(now, backend_id, banned)
         if banned:
             self.transport.stop_sending(backend_id)
         self.decide(now)
 
-    def bannable(self, backend_id: str) -> bool:
+    def can_ban(self, backend_id: str) -> bool:
         """Whether an operator may name a backend."""
         return is_bannable(self.router, backend_id, self.deployment.origin_kind)
 
--- a/hookpitch/core/interfaces.py
+++ b/hookpitch/core/interfaces.py
@@ -29,11 +29,11 @@
         """Start nothing new at a backend: fail what is queued for it and end its dials."""
 
     def update_endpoints(
-        self, kind: EndpointUpdate, entries: Sequence[Endpoint], dials: Mapping[str, str]
+        self, kind: EndpointUpdate, entries: Sequence[Endpoint], addresses: Mapping[str, str]
     ) -> None:
-        """Take an endpoint list; `dials`: each endpoint's address by its id."""
+        """Take an endpoint list; `addresses`: each endpoint's address by its id."""
 
-    def has_unread_response(self, attempt: Attempt) -> bool:
+    def read_pending_response(self, attempt: Attempt) -> bool:
         """Read what has arrived for an attempt; whether that was its reply."""
 
 
@@ -59,5 +59,5 @@
     def stream_aborted(self, slot: ReplySlot) -> None:
         """A streamed reply cannot be completed."""
 
-    def disconnected(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the peer closed or half-closed the connection, as far as the kernel knows."""
--- a/hookpitch/core/rpc_timers.py
+++ b/hookpitch/core/rpc_timers.py
@@ -61,7 +61,7 @@
     def _attempt_timed_out(self, now: float, attempt: Attempt) -> None:
         host = self._host
         # After a pause of this process, replies that came in time are still unread.
-        if now < attempt.rpc.hard_deadline and host.transport.has_unread_response(attempt):
+        if now < attempt.rpc.hard_deadline and host.transport.read_pending_response(attempt):
             return
         host.transport.cancel(now, attempt)
         if attempt.written:
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -62,7 +62,7 @@
         elif isinstance(carrier, BackendPool) and attempt in carrier.waiting:
             carrier.waiting.remove(attempt)
 
-    def has_unread_response(self, attempt: Attempt) -> bool:
+    def read_pending_response(self, attempt: Attempt) -> bool:
         """Reads what stands unread for an attempt; whether that has ended it."""
         carrier = attempt.carrier
         is_sent = isinstance(carrier, BackendConnection) and carrier.attempt is attempt
--- a/hookpitch/net/client_connection.py
+++ b/hookpitch/net/client_connection.py
@@ -380,7 +380,7 @@
 
     # ---- ending
 
-    def disconnected(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the client has closed its connection or ended its sending, read or not."""
         return self.lost or self.peer_ended()
 
@@ -425,7 +425,7 @@
 
     def readConnectionLost(self) -> None:
         """The client has ended its sending and may still read."""
-        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=True)
+        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), still_reads=True)
         self.peer_finished = True
         with suppress(ProtocolError):
             # Commands not begun yet fail: nothing is sent to servers any more.
@@ -447,7 +447,7 @@
         self.current_stream = None
         self.registry.active_streams -= len(self.streams)
         self.streams.clear()
-        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=False)
+        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), still_reads=False)
         self.rpcs.clear()
         self.registry.check_all_closed()
 
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -79,7 +79,7 @@
             self._next_poll = self.clock.deadlines.add(self.poll_schedule.due_at, self._poll)
 
     def _poll(self, now: float) -> None:
-        if self.poll_schedule.due(now):
+        if self.poll_schedule.is_due(now):
             self.start_watch(now)
         else:
             self.schedule_poll()
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -105,7 +105,7 @@
         return self._change_drain(Verb.RESUME)
 
     def _change_ban(self, verb: Verb, server_id: str) -> str:
-        if not self._node.host.bannable(server_id):
+        if not self._node.host.can_ban(server_id):
             return NO_SUCH_SERVER
         self._node.hot_restart.publish(Command(verb, server_id))
         return ""
@@ -138,7 +138,7 @@
         if banned == (command.target in node.host.router.bans):
             return
         self._log(command)
-        node.host.ban(node.clock.now(), command.target, banned)
+        node.host.set_banned(node.clock.now(), command.target, banned)
 
     def _apply_drain(self, command: Command) -> None:
         node = self._node
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -100,9 +100,9 @@
 
 def load_snapshot(path: str) -> Snapshot:
     """Read and check a file. Raises ValueError with one line where it holds no snapshot."""
-    from hookpitch.startup.snapshot_format import HEAD, MAX_BYTES, decode
+    from hookpitch.startup.snapshot_format import HEADER, MAX_BYTES, decode
 
-    max_bytes = MAX_BYTES + HEAD.size
+    max_bytes = MAX_BYTES + HEADER.size
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
     except OSError as error:
@@ -233,10 +233,10 @@
             raise SnapshotError(f"{age_ms / 1000:.0f} s old")
 
     def _apply(self, snapshot: Snapshot, now: float) -> None:
-        from hookpitch.startup.snapshot_state import endpoints, restore
+        from hookpitch.startup.snapshot_state import restore, stored_endpoints
 
         node = self._node
-        listed, addresses = endpoints(snapshot)
+        listed, addresses = stored_endpoints(snapshot)
         if snapshot.version > node.discovery.version and listed:
             node.apply_cached_endpoints(snapshot.version, listed, addresses)
         restored = restore(node.host.router, now, snapshot)
--- a/hookpitch/startup/poll_schedule.py
+++ b/hookpitch/startup/poll_schedule.py
@@ -81,7 +81,7 @@
         "_node_count",
         "_poll_interval_ms",
         "_polled_at",
-        "_pushed",
+        "_has_local_agent",
         "_random",
         "_served",
     )
@@ -92,31 +92,33 @@
         node_count: int,
         poll_interval_ms: float,
         random: Callable[[], float],
-        pushed: bool = False,
+        has_local_agent: bool = False,
     ) -> None:
         """`poll_interval_ms`: a node has to poll so often. `random`: draws from 0 to under 1.
-        `pushed`: a local agent pushes the lists."""
+        `has_local_agent`: a local agent pushes the lists."""
         self._random = random
-        self.reconfigure(node_count, poll_interval_ms, pushed)
+        self.reconfigure(node_count, poll_interval_ms, has_local_agent)
         self.failures = 0
         self._served = False  # the present watch has delivered a list
         self._expedited = False
         self._polled_at = now
         spread_ms = 0.0
-        if not pushed:
+        if not has_local_agent:
             spread_ms = min(poll_interval_ms / 2, MAX_POLL_GAP_MS) * (1 - 1 / self._node_count)
         self.due_at = now + spread_ms * random()
 
-    def reconfigure(self, node_count: int, poll_interval_ms: float, pushed: bool = False) -> None:
+    def reconfigure(
+        self, node_count: int, poll_interval_ms: float, has_local_agent: bool = False
+    ) -> None:
         """Take new settings; a poll that is scheduled stays scheduled."""
         self._node_count = max(1, node_count)
         self._poll_interval_ms = poll_interval_ms
-        self._pushed = pushed
+        self._has_local_agent = has_local_agent
 
     @property
     def spread_ms(self) -> float:
         """The span over which the whole fleet may poll once."""
-        if self._pushed:
+        if self._has_local_agent:
             return 0.0
         return min(
             self._poll_interval_ms / 2, self._node_count * SPACING_PER_NODE_MS, MAX_POLL_GAP_MS
@@ -127,7 +129,7 @@
         """How long to wait for the response to a poll."""
         return min(self._poll_interval_ms / 2, RESPONSE_TIMEOUT_MS)
 
-    def due(self, now: float) -> bool:
+    def is_due(self, now: float) -> bool:
         """Whether to poll now.
 
         Nodes that were all suspended find their times past and would poll together as they resume:
@@ -179,7 +181,7 @@
         ceiling = max(self._poll_interval_ms / 4, 2 * self.spread_ms)
         latest = 1.5 * min(ceiling, first * 2 ** min(self.failures, MAX_BACKOFF_DOUBLINGS))
         self.failures += 1
-        if self._pushed and retry_after_ms <= 0:
+        if self._has_local_agent and retry_after_ms <= 0:
             return MIN_AGENT_DELAY_MS, MAX_AGENT_DELAY_MS
         if retry_after_ms > 0:
             latest = max(latest, 2 * min(retry_after_ms, self._poll_interval_ms))
@@ -192,7 +194,7 @@
 
     def _reopen_range(self, loss: WatchLoss) -> tuple[float, float]:
         """The least and the longest wait after a watch that had served, in ms."""
-        if self._pushed:
+        if self._has_local_agent:
             return MIN_AGENT_DELAY_MS, MAX_AGENT_DELAY_MS
         # Watches often end together; the first node to poll gains nothing over the last.
         earliest = self._poll_interval_ms / 40
--- a/hookpitch/startup/snapshot_format.py
+++ b/hookpitch/startup/snapshot_format.py
@@ -24,7 +24,7 @@
 
 MAGIC = b"HKPS"
 FORMAT = 1
-HEAD = struct.Struct(">4sHI16s")
+HEADER = struct.Struct(">4sHI16s")
 CHECKSUM_BYTES = 16
 MAX_BYTES = 1 << 18
 MAX_BACKENDS = 1000
@@ -118,10 +118,10 @@
         hot_buckets=snapshot.hot_buckets[:MAX_HOT_BUCKETS],
     )
     body = msgspec.msgpack.encode(snapshot)
-    while HEAD.size + len(body) > MAX_BYTES:
+    while HEADER.size + len(body) > MAX_BYTES:
         snapshot = _reduced(snapshot)
         body = msgspec.msgpack.encode(snapshot)
-    return HEAD.pack(MAGIC, FORMAT, len(body), _checksum(body)) + body
+    return HEADER.pack(MAGIC, FORMAT, len(body), _checksum(body)) + body
 
 
 def _reduced(snapshot: Snapshot) -> Snapshot:
@@ -147,14 +147,14 @@
 
 def _verified_body(data: bytes) -> bytes:
     """The body, once the header and the checksum have been verified."""
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise SnapshotFormatError(f"torn: {len(data)} bytes")
-    magic, format_number, length, checksum = HEAD.unpack_from(data)
+    magic, format_number, length, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise SnapshotFormatError("no snapshot of this program")
     if format_number > FORMAT:
         raise SnapshotFormatError(f"of a newer version: format {format_number}, {FORMAT} is known")
-    body = data[HEAD.size :]
+    body = data[HEADER.size :]
     if len(body) != length or length > MAX_BYTES:
         raise SnapshotFormatError(f"torn: {len(body)} of {length} bytes")
     if _checksum(body) != checksum:
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -146,7 +146,7 @@
 # ---- restore
 
 
-def endpoints(snapshot: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
+def stored_endpoints(snapshot: Snapshot) -> tuple[list[Endpoint], dict[str, str]]:
     """The endpoint list of a snapshot, and the address of each endpoint."""
     listed = [
         Endpoint(e.id, e.zone, e.cell, e.started_at_ms, EndpointState(e.state), e.kind, e.size)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -98,10 +98,10 @@
     late = [schedule for schedule in nodes if schedule.due_at < 2000.0]
     at = []
     for schedule in late:
-        assert not schedule.due(3000.0)
+        assert not schedule.is_due(3000.0)
         assert 3000.0 <= schedule.due_at <= 4500.0
-        assert schedule.due(schedule.due_at)
-        assert not schedule.due(schedule.due_at - 1)
+        assert schedule.is_due(schedule.due_at)
+        assert not schedule.is_due(schedule.due_at - 1)
         at.append(schedule.due_at)
     assert len(late) > 60
     assert max(at) - min(at) > 1000.0
@@ -179,7 +179,7 @@
     # Danger: what the agent has counts as told; a drain that it had at the start was heeded seconds
     # later.
     for n in range(40):
-        schedule = PollSchedule(700.0, 300, WITHIN, seeded_random(n, "ask"), pushed=True)
+        schedule = PollSchedule(700.0, 300, WITHIN, seeded_random(n, "ask"), has_local_agent=True)
         assert schedule.due_at == 700.0
         for how in (WatchLoss.REFUSED, WatchLoss.REFUSED, WatchLoss.ENDED, WatchLoss.SILENT):
             schedule.poll_started(schedule.due_at)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -17,7 +17,7 @@
 from hookpitch.net.operator_settings import load_operator_settings as load_operator
 from hookpitch.startup.snapshot_format import (
     FORMAT,
-    HEAD,
+    HEADER,
     MAX_BYTES,
     BackendSnapshot,
     HotBucket,
@@ -26,7 +26,7 @@
     decode,
     encode,
 )
-from hookpitch.startup.snapshot_state import capture, endpoints, restore
+from hookpitch.startup.snapshot_state import capture, restore, stored_endpoints
 from hookpitch.testbed.experiment import read as read_experiment
 from hookpitch.testbed.run import Run
 
@@ -180,17 +180,18 @@
     from hashlib import blake2b
 
     data = encode(learned(fleet()))
-    newer = HEAD.pack(b"HKPS", FORMAT + 1, *HEAD.unpack_from(data)[2:]) + data[HEAD.size :]
+    newer = HEADER.pack(b"HKPS", FORMAT + 1, *HEADER.unpack_from(data)[2:]) + data[HEADER.size :]
     with pytest.raises(ValueError, match="newer version"):
         decode(newer)
-    body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {"later": [1, 2]})
+    body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEADER.size :]) | {"later": [1, 2]})
     check = blake2b(body, digest_size=16).digest()
-    assert decode(HEAD.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
+    assert decode(HEADER.pack(b"HKPS", FORMAT, len(body), check) + body).node == "n1"
     for field, value in (("written", float("nan")), ("sighted", -1.0), ("seq", "x")):
-        body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEAD.size :]) | {field: value})
+        body = msgspec.msgpack.encode(msgspec.msgpack.decode(data[HEADER.size :]) | {field: value})
         with pytest.raises(ValueError):
             decode(
-                HEAD.pack(b"HKPS", FORMAT, len(body), blake2b(body, digest_size=16).digest()) + body
+                HEADER.pack(b"HKPS", FORMAT, len(body), blake2b(body, digest_size=16).digest())
+                + body
             )
 
 
@@ -381,6 +382,6 @@
 
 
 def test_the_endpoints_of_a_snapshot_keep_their_addresses() -> None:
-    some, dials = endpoints(learned(fleet()))
+    some, dials = stored_endpoints(learned(fleet()))
     assert {e.id for e in some} == set(DIALS)
     assert dials == DIALS
