--- a/hookpitch/members/membership.py
+++ b/hookpitch/members/membership.py
@@ -127,7 +127,7 @@
         known = self.members.get(name)
         return known.record.state if known is not None else None
 
-    def alive(self) -> list[str]:
+    def active_members(self) -> list[str]:
         """All that are part of the fleet as far as is known, suspects among them."""
         return sorted(name for name, known in self.members.items() if known.is_active)
 
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -200,4 +200,4 @@
     def agreed(self) -> bool:
         """Whether all running members see all running members, and nobody else."""
         running = sorted(self.running())
-        return all(self.members[name].alive() == running for name in running)
+        return all(self.members[name].active_members() == running for name in running)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -120,7 +120,7 @@
     for n in (20, 21, 22):
         net.start(f"m{n}")
     assert net.advance_until(net.agreed, 60) < 30
-    assert {"m20", "m21", "m22"} <= set(net.members["m5"].alive())
+    assert {"m20", "m21", "m22"} <= set(net.members["m5"].active_members())
 
 
 def test_a_third_killed_at_once_is_at_most_three_versions_of_the_view() -> None:
@@ -364,7 +364,7 @@
     net = MembershipSimulation(4, seeds=1)
     net.kill(["m0"])
     net.advance(8)
-    assert all(net.members[n].alive() == [n] for n in ("m1", "m2", "m3"))
+    assert all(net.members[n].active_members() == [n] for n in ("m1", "m2", "m3"))
     net.start("m0")
     assert net.advance_until(net.agreed, 30) < 20
 
