--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -311,7 +311,7 @@
             broken + self.invariants(),
             self.logs,
             self.counters,
-            self.network.faults,
+            self.network.program_errors,
             events,
             real_s,
             kept,
--- a/hookpitch/testbed/child.py
+++ b/hookpitch/testbed/child.py
@@ -83,7 +83,7 @@
         self._reactor.callLater(MONITOR_INTERVAL_S, self._check)
 
 
-class Line(LineOnlyReceiver):
+class ControlConnection(LineOnlyReceiver):
     """A control line, at either end."""
 
     delimiter = b"\n"
@@ -111,12 +111,14 @@
 
     noisy = False
 
-    def __init__(self, line: Line, made: Callable[[], None], lost: Callable[[], None]) -> None:
+    def __init__(
+        self, line: ControlConnection, made: Callable[[], None], lost: Callable[[], None]
+    ) -> None:
         self._line = line
         self._made = made
         self._lost = lost
 
-    def buildProtocol(self, addr: object) -> Line:
+    def buildProtocol(self, addr: object) -> ControlConnection:
         self._line.connectionMade = self._made  # type: ignore[method-assign]
         return self._line
 
@@ -124,7 +126,7 @@
         self._lost()
 
 
-MakeOrders = Callable[[Any, dict[str, Any], EventRecorder, Line], Callable[..., None]]
+MakeOrders = Callable[[Any, dict[str, Any], EventRecorder, ControlConnection], Callable[..., None]]
 
 
 def run_child(make: MakeOrders) -> int:
@@ -139,7 +141,7 @@
     reactor.seconds = time.monotonic
     history = EventRecorder(given["history"])
     orders: list[Callable[..., None]] = []
-    line = Line(lambda *message: orders[0](*message), reactor.stop)
+    line = ControlConnection(lambda *message: orders[0](*message), reactor.stop)
 
     def made() -> None:
         line.send("hello", given["name"])
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -41,16 +41,16 @@
             whom = run.experiment.group(self.n, run.seed)
             for n, name in enumerate(whom):
                 at = offset + fault.at + fault.spread * n / len(whom)
-                run.network.at(
+                run.network.call_at(
                     at, None, self._record_and_call, "begins", getattr(self, fault.what), name
                 )
             return
         link = fault.what in LINK_FAULTS and fault.what != "sever"
         begin = self._link if link else getattr(self, fault.what)
         end = self._link_ends if link else getattr(self, f"{fault.what}_ends", None)
-        run.network.at(offset + fault.at, None, self._record_and_call, "begins", begin)
+        run.network.call_at(offset + fault.at, None, self._record_and_call, "begins", begin)
         if fault.lasting and end is not None:
-            run.network.at(offset + fault.end, None, self._record_and_call, "ends", end)
+            run.network.call_at(offset + fault.end, None, self._record_and_call, "ends", end)
 
     def _record_and_call(self, what: str, call: Any, *args: str) -> None:
         whom = args[0] if args else self.fault.whom or "-"
@@ -58,7 +58,7 @@
         call(*args)
 
     def _later(self, seconds: float, call: Any, *args: Any) -> None:
-        self.run.network.at(self.run.network.now + seconds, None, call, *args)
+        self.run.network.call_at(self.run.network.now + seconds, None, call, *args)
 
     @property
     def servers(self) -> list[str]:
@@ -424,11 +424,11 @@
 
     def node_slow(self) -> None:
         """Each of its events takes `by` microseconds of CPU (500)."""
-        self.node.machine.event_cost = (self.fault.by or 500.0) / 1e6
+        self.node.machine.event_cpu_s = (self.fault.by or 500.0) / 1e6
 
     def node_slow_ends(self) -> None:
         """Its events take what the experiment says."""
-        self.node.machine.event_cost = self.run.experiment.nodes.event_us / 1e6
+        self.node.machine.event_cpu_s = self.run.experiment.nodes.event_us / 1e6
 
     # ---- traffic's, the network's
 
--- a/hookpitch/testbed/interfaces.py
+++ b/hookpitch/testbed/interfaces.py
@@ -25,12 +25,12 @@
     """The simulated network and its clock. Times in seconds."""
 
     now: float
-    chance: random.Random
+    rng: random.Random
     machines: dict[str, Any]
-    closed: Callable[[Any], None] | None
-    unheard: Callable[[Any], None] | None
+    on_endpoint_closed: Callable[[Any], None] | None
+    on_data_after_close: Callable[[Any], None] | None
 
-    def at(
+    def call_at(
         self,
         time: float,
         machine: Any,
@@ -64,20 +64,20 @@
     network: Network
     address: str
     descriptors: int
-    present: bool
+    attached: bool
     running: bool
     listeners: dict[int, Any]
-    handed: dict[int, Any]
-    ports: dict[Any, None]
-    sockets: dict[int, Any]
+    inherited_listeners: dict[int, Any]
+    listening_ports: dict[Any, None]
+    datagram_ports: dict[int, Any]
     endpoints: dict[Any, None]
-    dials: dict[Any, None]
+    connectors: dict[Any, None]
 
     @property
-    def held(self) -> int:
+    def open_descriptors(self) -> int:
         """Descriptors in use."""
 
-    def port(self) -> int:
+    def next_port(self) -> int:
         """The next local port."""
 
 
--- a/hookpitch/testbed/links.py
+++ b/hookpitch/testbed/links.py
@@ -39,7 +39,7 @@
 CLEAN = Impairment()
 
 
-def combined(impairments: Iterable[Impairment]) -> Impairment:
+def combine(impairments: Iterable[Impairment]) -> Impairment:
     """What several impairments make of one direction."""
     delay_ms = 0.0
     jitter_ms = 0.0
@@ -86,10 +86,10 @@
         """Set the owner's impairment of a direction; what the direction is like now."""
         here = self._by_direction.setdefault(direction, {})
         here[owner] = impairment
-        return combined(here.values())
+        return combine(here.values())
 
     def remove(self, direction: tuple[str, str], owner: object) -> Impairment:
         """Take off the owner's impairment of a direction; what the direction is like now."""
         here = self._by_direction.get(direction, {})
         here.pop(owner, None)
-        return combined(here.values())
+        return combine(here.values())
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -59,7 +59,7 @@
         self.name = name
         self.address = address
         self.machine = run.network.machine(address, descriptors=run.experiment.nodes.sockets)
-        self.machine.event_cost = run.experiment.nodes.event_us / 1e6
+        self.machine.event_cpu_s = run.experiment.nodes.event_us / 1e6
         self.starts = self.reloads = 0
         self.node: SocketNode | None = None
         self.elder: SocketNode | None = None  # the process before it, while it still serves
@@ -69,7 +69,7 @@
             f.what == "node_upgrade" and f.whom == name for f in run.experiment.fault
         )
         if self.upgraded:
-            self.machine.hand_down(run.descriptor, NODE_PORT, LISTEN_BACKLOG)
+            self.machine.add_inherited_listener(run.descriptor, NODE_PORT, LISTEN_BACKLOG)
         self.admin_port = ADMIN_PORT
 
     def start(self) -> None:
@@ -94,7 +94,9 @@
         self.counters = Counters()
         clock = Clock(reactor, reactor.seconds, lambda: network.epoch + network.now)
         log = _Log(run, self.name)
-        self.node = SocketNode(reactor, clock, config, self.counters, log, lambda: machine.used)
+        self.node = SocketNode(
+            reactor, clock, config, self.counters, log, lambda: machine.cpu_used_s
+        )
         if run.experiment.nodes.snapshot_s:
             kept = SnapshotSettings(
                 f"{run.folder.name}/{{name}}.snapshot",
@@ -121,7 +123,7 @@
         machine = self.machine
         counters = self.counters
         self.elder = old
-        self.machine = machine.beside()
+        self.machine = machine.add_process()
         self.start()
         self._when_ready(old, machine, counters, self.run.now() + READY_S * 1000)
 
@@ -133,7 +135,7 @@
         machine = self.machine
         counters = self.counters
         door = self.admin_port
-        self.machine = machine.beside()
+        self.machine = machine.add_process()
         self.start()
         self.run.counted(self, self.counters)
         self.machine.kill()
@@ -157,7 +159,7 @@
                 run.history.add(
                     run.now(), "call", self.name, what="late: a new process says no for 6 s"
                 )
-            run.network.at(
+            run.network.call_at(
                 run.network.now + LOOK_S, None, self._when_ready, old, machine, counters, latest
             )
             return
@@ -168,9 +170,11 @@
                 run.counted(self, counters)
                 machine.kill()
 
-        machine.reactor.stopped = lambda: run.network.at(run.network.now, None, ended)
+        machine.reactor.stopped = lambda: run.network.call_at(run.network.now, None, ended)
         old.shut_down()
-        run.network.at(run.network.now + old.host.stream_timeout_ms / 1000 + ENDED_S, None, ended)
+        run.network.call_at(
+            run.network.now + old.host.stream_timeout_ms / 1000 + ENDED_S, None, ended
+        )
 
     def kill(self) -> None:
         """Its process dies."""
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -26,7 +26,7 @@
 from hookpitch.fakes.discovery import FakeEndpoint
 from hookpitch.fakes.load_clients import LoadClients
 from hookpitch.testbed.base_run import RunResult
-from hookpitch.testbed.child import Line, LoopMonitor, recorded_events
+from hookpitch.testbed.child import ControlConnection, LoopMonitor, recorded_events
 from hookpitch.testbed.experiment_schema import PROCESS_FAULTS, VIRTUAL_ONLY, Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Judge
@@ -61,13 +61,15 @@
         self.reactor = reactor
         self.begun = reactor.seconds()
         self.epoch = time.time()
-        self.faults = list[str]()
+        self.program_errors = list[str]()
 
     @property
     def now(self) -> float:
         return self.reactor.seconds() - self.begun
 
-    def at(self, when: float, machine: object, func: Callable[..., object], *args: object) -> None:
+    def call_at(
+        self, when: float, machine: object, func: Callable[..., object], *args: object
+    ) -> None:
         self.reactor.callLater(max(0.0, when - self.now), func, *args)
 
 
@@ -109,10 +111,10 @@
 
     noisy = False
 
-    def __init__(self, run: WallRun) -> None:
+    def __init__(self, run: ProcessRun) -> None:
         self.run = run
 
-    def buildProtocol(self, addr: object) -> Line:
+    def buildProtocol(self, addr: object) -> ControlConnection:
         whose: list[Child] = []
 
         def received(what: str, *args: Any) -> None:
@@ -123,11 +125,11 @@
             else:
                 self.run.told_by(whose[0], what, *args)
 
-        line = Line(received, lambda: self.run.lost(whose[0], line) if whose else None)
+        line = ControlConnection(received, lambda: self.run.lost(whose[0], line) if whose else None)
         return line
 
 
-class WallRun(ProcessHost):
+class ProcessRun(ProcessHost):
     """The same run on loopback."""
 
     def __init__(
@@ -448,7 +450,7 @@
             return
         self._excused.append((child.name, self.now(), self.now() + seconds * 1000 + VOID_MS))
         process.stop()
-        self.network.at(self.network.now + seconds, None, process.go_on)
+        self.network.call_at(self.network.now + seconds, None, process.go_on)
 
     def vanish(self, name: str, gone: bool) -> None:
         """Silence all links of a server."""
@@ -510,7 +512,7 @@
         elif what == "cannot":
             self._stop(f"{child.name}: {args[0]}")
 
-    def lost(self, child: Child, line: Line) -> None:
+    def lost(self, child: Child, line: ControlConnection) -> None:
         """A control line has ended; the run is void where nobody asked for that."""
         asked = self.closing or child.process is None or child.process.asked
         if child.line is line and child.ready and not asked:
@@ -609,10 +611,10 @@
         x = self.experiment
         at = self.network.now
         self.offset = at
-        self.network.at(at + BEFORE_S, None, self.crowd.start)
+        self.network.call_at(at + BEFORE_S, None, self.crowd.start)
         schedule_faults(self, at)
-        self.network.at(at + x.seconds, None, self.crowd.stop)
-        self.network.at(at + x.seconds + self.span(), None, self._leave)
+        self.network.call_at(at + x.seconds, None, self.crowd.stop)
+        self.network.call_at(at + x.seconds + self.span(), None, self._leave)
         if self.tell is not None:
             self._progress()
 
@@ -631,7 +633,7 @@
                     process.go_on()
             if node.node is not None:
                 if not node.process.running and not node.process.asked:
-                    self.network.faults.append(f"{node.name} ended by itself")
+                    self.network.program_errors.append(f"{node.name} ended by itself")
                 node.leave()
         self._gone(self.network.now + self.span() + LEFT_S)
 
@@ -686,7 +688,7 @@
                     if name not in plain:
                         mine[name] = mine.get(name, 0) + count
             elif event == "fault":
-                self.network.faults.append(f"{node.name}: {line.get('text', '')[-300:]}")
+                self.network.program_errors.append(f"{node.name}: {line.get('text', '')[-300:]}")
 
 
 def _with_deaths(events: list[Any]) -> list[Any]:
@@ -716,7 +718,7 @@
 
     reactor.seconds = time.monotonic
     with tempfile.TemporaryDirectory(prefix="hookpitch-lab-") as folder:
-        run = WallRun(x, seed, reactor, Path(folder), tell)
+        run = ProcessRun(x, seed, reactor, Path(folder), tell)
         try:
             return run.run()
         finally:
@@ -735,7 +737,7 @@
 
     reactor.seconds = time.monotonic
     with tempfile.TemporaryDirectory(prefix="hookpitch-lab-") as folder:
-        run = WallRun(x, x.seed, reactor, Path(folder))
+        run = ProcessRun(x, x.seed, reactor, Path(folder))
 
         def look() -> None:
             if not all(child.ready for child in run.children.values()):
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from hookpitch.testbed.base_run import BaseRun
-from hookpitch.testbed.child import Line
+from hookpitch.testbed.child import ControlConnection
 
 PR_SET_PDEATHSIG = 1
 ENDED_S = 0.7  # past its longest deadline, an old process is killed
@@ -122,7 +122,7 @@
         self.module = module
         self.given = given
         self.process: Process | None = None
-        self.line: Line | None = None
+        self.line: ControlConnection | None = None
         self.ready = False
         self.starts = 0
         self.orders: list[tuple[Any, ...]] = []  # given before it was ready
@@ -144,7 +144,7 @@
         words = [sys.executable, "-m", self.module, str(path)]
         self.process = Process(words, run.folder / f"{self.name}.log", {})
 
-    def is_ready(self, line: Line) -> None:
+    def is_ready(self, line: ControlConnection) -> None:
         """Its control line is up: send what waited."""
         self.line = line
         self.ready = True
@@ -285,7 +285,7 @@
         process = self.process
         if process is not None:
             process.stop()
-            self.run.network.at(self.run.network.now + seconds, None, process.go_on)
+            self.run.network.call_at(self.run.network.now + seconds, None, process.go_on)
 
     def upgrade(self) -> None:
         """A second process beside the first, which gets SIGTERM once the new one says yes."""
@@ -305,12 +305,12 @@
                         run.now(), "call", self.name, what="late: a new process says no for 6 s"
                     )
                     return
-                run.network.at(run.network.now + LOOK_S, None, self._when_yes, old, latest)
+                run.network.call_at(run.network.now + LOOK_S, None, self._when_yes, old, latest)
                 return
             old.asked = True
             old.signal(signal.SIGTERM)
             longest = max(m.hard_ms for m in run.experiment.method) / 1000
-            run.network.at(run.network.now + longest + ENDED_S, None, self._ended, old)
+            run.network.call_at(run.network.now + longest + ENDED_S, None, self._ended, old)
 
         run.ask(self.admin_address(), "STATUS", answered)
 
@@ -328,7 +328,7 @@
         self.start()
         second = self.process
         self.process = first
-        self.run.network.at(self.run.network.now + LOOK_S, None, second.kill)
+        self.run.network.call_at(self.run.network.now + LOOK_S, None, second.kill)
         self.starts = starts
 
     def end(self) -> None:
@@ -346,5 +346,5 @@
             with suppress(ValueError):
                 found.append(json.loads(line))
                 continue
-            self.run.network.faults.append(f"{self.name}: {line[:200]}")
+            self.run.network.program_errors.append(f"{self.name}: {line[:200]}")
         return found
--- a/hookpitch/testbed/reactor.py
+++ b/hookpitch/testbed/reactor.py
@@ -29,7 +29,9 @@
 from hookpitch.testbed.interfaces import DelayedCall, Machine, Network
 from hookpitch.testbed.simulated_tcp import Endpoint, pair
 
-DATAGRAMS = 1 << 18  # bytes of them that wait at a socket; what comes beyond is lost
+MAX_UNREAD_DATAGRAM_BYTES = (
+    1 << 18
+)  # bytes of them that wait at a socket; what comes beyond is lost
 DATAGRAM_MOST = 65507  # bytes
 
 
@@ -49,7 +51,9 @@
         self, delay: float, func: Callable[..., object], *args: Any, **kw: Any
     ) -> DelayedCall:
         """Schedule a call for this machine's process."""
-        return self.network.at(self.network.now + max(0.0, delay), self.machine, func, *args, **kw)
+        return self.network.call_at(
+            self.network.now + max(0.0, delay), self.machine, func, *args, **kw
+        )
 
     def callFromThread(self, func: Callable[..., object], *args: Any, **kw: Any) -> None:
         """Schedule a call for now."""
@@ -58,7 +62,7 @@
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:
         """Listen; CannotListenError where the port is taken."""
         if port == 0:
-            port = self.machine.port()
+            port = self.machine.next_port()
         if port in self.machine.listeners:
             raise CannotListenError(interface, port, OSError(errno.EADDRINUSE, "address in use"))
         listening = self.machine.listeners[port] = Listening(self.network, port, backlog)
@@ -73,10 +77,10 @@
     ) -> DatagramPort:
         """Bind a datagram socket; CannotListenError where the port is taken."""
         if port == 0:
-            port = self.machine.port()
-        if port in self.machine.sockets:
+            port = self.machine.next_port()
+        if port in self.machine.datagram_ports:
             raise CannotListenError(interface, port, OSError(errno.EADDRINUSE, "address in use"))
-        made = self.machine.sockets[port] = DatagramPort(
+        made = self.machine.datagram_ports[port] = DatagramPort(
             self.machine, port, protocol, maxPacketSize
         )
         protocol.makeConnection(made)
@@ -84,7 +88,7 @@
 
     def adoptStreamPort(self, fileno: int, family: int, factory: Any) -> Port:
         """Accept at a listening socket that was handed down."""
-        return Port(self.machine, self.machine.handed[fileno], factory)
+        return Port(self.machine, self.machine.inherited_listeners[fileno], factory)
 
     def connectTCP(
         self,
@@ -131,7 +135,7 @@
         end.machine.endpoints.pop(end)  # no process's descriptor yet
         self.line.append(end)
         for port in self.ports:  # all wake, the first takes it
-            self.network.at(self.network.now, port.machine, port.doRead)
+            self.network.call_at(self.network.now, port.machine, port.doRead)
 
 
 class Port:
@@ -142,10 +146,10 @@
         self.listening = listening
         self.factory = factory
         self.sessionno = 0
-        machine.ports[self] = None
+        machine.listening_ports[self] = None
         listening.ports.append(self)
         for _ in listening.line:  # accepted while nobody read
-            machine.network.at(machine.network.now, machine, self.doRead)
+            machine.network.call_at(machine.network.now, machine, self.doRead)
         factory.doStart()
 
     def getHost(self) -> IPv4Address:
@@ -156,7 +160,7 @@
         """Take one connection that the kernel has accepted."""
         line = self.listening.line
         machine = self.machine
-        if not line or self not in machine.ports:
+        if not line or self not in machine.listening_ports:
             return
         end = line.popleft()
         if end.over:
@@ -164,7 +168,7 @@
         end.machine = machine
         machine.endpoints[end] = None
         self.sessionno += 1
-        if machine.held > machine.descriptors:
+        if machine.open_descriptors > machine.descriptors:
             end.drop(reset=False)  # Twisted's way out of EMFILE: accept and close
             return
         protocol = self.factory.buildProtocol(end.getPeer())
@@ -176,7 +180,7 @@
     def close(self) -> None:
         """Where nobody else holds the socket, what the kernel had accepted is reset with it."""
         listening = self.listening
-        self.machine.ports.pop(self, None)
+        self.machine.listening_ports.pop(self, None)
         listening.ports.remove(self)
         if not listening.ports and not listening.kept:
             self.machine.listeners.pop(listening.port, None)
@@ -185,7 +189,7 @@
 
     def stopListening(self) -> None:
         """Close it."""
-        if self in self.machine.ports:
+        if self in self.machine.listening_ports:
             self.close()
             self.factory.doStop()
 
@@ -199,7 +203,7 @@
         self.protocol = protocol
         self.most = most
         self.kernel: deque[tuple[bytes, tuple[str, int]]] = deque()
-        self.unread = self.overrun = 0
+        self.unread = self.dropped = 0
 
     def getHost(self) -> IPv4Address:
         """The address it is bound to."""
@@ -212,7 +216,7 @@
         network, here, (host, port) = self.machine.network, (self.machine.address, self.port), addr
 
         def arrive() -> None:
-            there = network.machines[host].sockets.get(port)
+            there = network.machines[host].datagram_ports.get(port)
             if there is not None:
                 there.arrived(bytes(data), here)
 
@@ -220,12 +224,12 @@
 
     def arrived(self, data: bytes, whence: tuple[str, int]) -> None:
         """It has come to this machine's kernel."""
-        if self.unread + len(data) > DATAGRAMS:
-            self.overrun += 1
+        if self.unread + len(data) > MAX_UNREAD_DATAGRAM_BYTES:
+            self.dropped += 1
             return
         self.kernel.append((data[: self.most], whence))
         self.unread += len(data)
-        self.machine.network.at(self.machine.network.now, self.machine, self._read)
+        self.machine.network.call_at(self.machine.network.now, self.machine, self._read)
 
     def _read(self) -> None:
         if self.kernel and self.protocol is not None:
@@ -235,7 +239,7 @@
 
     def close(self) -> None:
         """Close it; what it held is lost."""
-        self.machine.sockets.pop(self.port, None)
+        self.machine.datagram_ports.pop(self.port, None)
         self.protocol = None
 
     def stopListening(self) -> Deferred[None]:
@@ -272,13 +276,13 @@
         network = self.machine.network
         self.factory.doStart()
         self.factory.startedConnecting(self)
-        if machine.held >= machine.descriptors:
+        if machine.open_descriptors >= machine.descriptors:
             fault = ConnectBindError(errno.EMFILE, "too many open files")
-            network.at(network.now, machine, self.failed, fault)
+            network.call_at(network.now, machine, self.failed, fault)
             return
-        machine.dials[self] = None
+        machine.connectors[self] = None
         if self.timeout is not None:
-            self._timer = network.at(
+            self._timer = network.call_at(
                 network.now + self.timeout, machine, self.failed, TimeoutError()
             )
         network.send(machine.address, self.host, 60, self._knock)
@@ -289,7 +293,7 @@
             return
         network = self.machine.network
         there = self.machine.network.machines.get(self.host)
-        if there is None or not there.present:
+        if there is None or not there.attached:
             return  # nobody answers
         port = there.listeners.get(self.port)
         impairment = network.link(self.machine.address, self.host).impairment
@@ -305,16 +309,16 @@
         network.send(self.host, self.machine.address, 60, lambda: self._up(near))
 
     def _refused(self) -> None:
-        self.machine.network.at(
+        self.machine.network.call_at(
             self.machine.network.now, self.machine, self.failed, ConnectionRefusedError()
         )
 
     def _up(self, near: Endpoint) -> None:
-        if self.over or not self.machine.present:
+        if self.over or not self.machine.attached:
             near.drop(reset=True)
             return
         self.end = near
-        self.machine.network.at(self.machine.network.now, self.machine, self._made, near)
+        self.machine.network.call_at(self.machine.network.now, self.machine, self._made, near)
 
     def _made(self, near: Endpoint) -> None:
         if self.over:
@@ -333,7 +337,7 @@
 
     def _finish(self) -> None:
         self.over = True
-        self.machine.dials.pop(self, None)
+        self.machine.connectors.pop(self, None)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -35,7 +35,7 @@
 from zope.interface import implementer
 
 from hookpitch.fakes.history import History
-from hookpitch.testbed.child import EventRecorder, Line, run_child
+from hookpitch.testbed.child import ControlConnection, EventRecorder, run_child
 from hookpitch.testbed.links import CLEAN, MOST_RETRANSMITS, RETRANSMIT_MS, UNLIMITED, Impairment
 
 HELD = 1 << 18  # bytes of a flow that are under way; what is more waits in the kernels
@@ -527,7 +527,9 @@
         return [*self.links.get((a, b), ()), *self.links.get((b, a), ())]
 
 
-def made(reactor: Any, given: dict[str, Any], history: EventRecorder, line: Line) -> Any:
+def made(
+    reactor: Any, given: dict[str, Any], history: EventRecorder, line: ControlConnection
+) -> Any:
     """What carries out orders."""
     relay = Relay(reactor, history, given["begun"], given["nodes"], given["seed"])
     for a, b, at, to, whence in given["tcp"]:
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -47,7 +47,7 @@
             return
         if end.port != NODE_PORT:
             self.history.add(self.now(), "closed", name, port=end.port)
-        elif end.kernel:
+        elif end.receive_buffer:
             self.history.add(self.now(), "unread", name, port=end.peer_port)
 
     def _unheard(self, end: Endpoint) -> None:
@@ -64,10 +64,10 @@
         # folder.
         self.descriptor = os.open(os.devnull, os.O_RDONLY)
         self.folder = tempfile.TemporaryDirectory(prefix="hookpitch-lab-")
-        network.closed = self._closed
-        network.unheard = self._unheard
-        network.plain.delay = x.net.delay_ms / 1000
-        network.plain.jitter = x.net.jitter_ms / 1000
+        network.on_endpoint_closed = self._closed
+        network.on_data_after_close = self._unheard
+        network.default_link.delay = x.net.delay_ms / 1000
+        network.default_link.jitter = x.net.jitter_ms / 1000
         web = network.machine("10.2.0.2").reactor
         self.origin_server = OriginServer(
             self.origin, web, self.history, self.chance, self._whose, 0.0
@@ -166,17 +166,17 @@
     def stall(self, name: str, seconds: float) -> None:
         """Stop the machine's process for so long."""
         if name in self.nodes:
-            self.nodes[name].machine.stop(seconds)
+            self.nodes[name].machine.pause(seconds)
         else:
-            self.network.machine(self.address(name)).stop(seconds)
+            self.network.machine(self.address(name)).pause(seconds)
 
     def vanish(self, name: str, gone: bool) -> None:
         """Take the machine off the network, or bring it back."""
         machine = self.network.machine(self.address(name))
         if gone:
-            machine.vanish()
+            machine.detach()
         else:
-            machine.come_back()
+            machine.reattach()
 
     def impair(
         self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
@@ -209,10 +209,10 @@
         x = self.experiment
         network = self.network
         for node in self.nodes.values():
-            network.at(0.0, None, node.start)
-        network.at(BEFORE_S, None, self.crowd.start)
+            network.call_at(0.0, None, node.start)
+        network.call_at(BEFORE_S, None, self.crowd.start)
         schedule_faults(self)
-        network.at(x.seconds, None, self.crowd.stop)
+        network.call_at(x.seconds, None, self.crowd.stop)
         network.run(x.seconds + self.span())
         for node in self.nodes.values():
             if node.node is not None:  # of one that was killed, the figures were taken then
--- a/hookpitch/testbed/simulated_tcp.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -3,8 +3,8 @@
 What one writes goes through a bounded send buffer, over a link, into the bounded receive buffer of
 the other's kernel, and is read in an event of the other's process.
 
-Invariants: bytes in flight and bytes unread together never exceed `KERNEL`; every `Endpoint` ends
-with exactly one `connectionLost` unless its machine vanished.
+Invariants: bytes in flight and bytes unread together never exceed `MAX_BUFFERED_BYTES`; every
+`Endpoint` ends with exactly one `connectionLost` unless its machine vanished.
 
 Sources: Twisted's interfaces; RFC 9293 for resets, half-closes and zero windows; socket(7) and
 tcp(7) of Linux for what a close with unread bytes does.
@@ -24,14 +24,14 @@
 
 from hookpitch.testbed.interfaces import Dialler, Machine
 
-KERNEL = 1 << 18  # bytes of a direction that are in flight or unread at the most
+MAX_BUFFERED_BYTES = 1 << 18  # bytes of a direction that are in flight or unread at the most
 SEGMENT = 1 << 14  # bytes that travel together
 READ = 1 << 16  # bytes read in one turn
 
 
 def pair(a: Machine, b: Machine, port: int) -> tuple[Endpoint, Endpoint]:
     """The two ends of a new connection."""
-    near = Endpoint(a, a.port(), b.address, port)
+    near = Endpoint(a, a.next_port(), b.address, port)
     far = Endpoint(b, port, a.address, 0)
     near.peer = far
     far.peer = near
@@ -48,8 +48,8 @@
         self.end = end
 
     def recv(self, count: int, flags: int = 0) -> bytes:
-        if self.end.kernel:
-            return bytes(self.end.kernel[0][:count])
+        if self.end.receive_buffer:
+            return bytes(self.end.receive_buffer[0][:count])
         if self.end.ended or self.end.was_reset:
             return b""
         raise BlockingIOError
@@ -74,10 +74,10 @@
         self.protocol: Any = None
         self.connector: Dialler | None = None
         self.socket = _Socket(self)
-        self.out: deque[bytes] = deque()  # handed over by the program, not yet sent
-        self.kernel: deque[bytes] = deque()  # arrived, unread
+        self.send_buffer: deque[bytes] = deque()  # handed over by the program, not yet sent
+        self.receive_buffer: deque[bytes] = deque()  # arrived, unread
         # bytes: arrived here; sent from here and not yet read there
-        self.unread = 0
+        self.unread_bytes = 0
         self.travelling = 0
         self.came_at = machine.network.now
         self.last_arrival = 0.0
@@ -116,7 +116,7 @@
         """Send bytes, through the send buffer."""
         if self.over or self.disconnecting or self.sent_end or not data:
             return
-        self.out.append(bytes(data))
+        self.send_buffer.append(bytes(data))
         self.pump()
 
     def writeSequence(self, data: list[bytes]) -> None:
@@ -173,7 +173,7 @@
         if not self.over:
             self.disconnecting = True
             self.reading = False
-            self.machine.network.at(self.machine.network.now, self.machine, self._aborted)
+            self.machine.network.call_at(self.machine.network.now, self.machine, self._aborted)
 
     _half = False
 
@@ -195,19 +195,23 @@
     def pump(self) -> None:
         """Send as much as the other end's buffer takes."""
         network = self.machine.network
-        while self.out and self.travelling + self.peer.unread < KERNEL and not self.over:
-            data = self.out.popleft()
+        while (
+            self.send_buffer
+            and self.travelling + self.peer.unread_bytes < MAX_BUFFERED_BYTES
+            and not self.over
+        ):
+            data = self.send_buffer.popleft()
             if len(data) > SEGMENT:
-                self.out.appendleft(data[SEGMENT:])
+                self.send_buffer.appendleft(data[SEGMENT:])
                 data = data[:SEGMENT]
             self.travelling += len(data)
             network.send(
                 self.machine.address, self.peer_address, len(data) + 40, self._carry(data), self
             )
-        if not self.out:
+        if not self.send_buffer:
             if self.producer is not None and not self._feeding:
                 self._feeding = True
-                network.at(network.now, self.machine, self._feed)
+                network.call_at(network.now, self.machine, self._feed)
             if self.disconnecting:
                 self._close_if_sent()
             elif self._half and not self.sent_end:
@@ -218,28 +222,28 @@
 
     def _feed(self) -> None:
         self._feeding = False
-        if self.producer is not None and not self.out and not self.over:
+        if self.producer is not None and not self.send_buffer and not self.over:
             self.producer.resumeProducing()
 
     def arrive(self, data: bytes) -> None:
         """Bytes have come to this machine's kernel."""
         peer = self.peer
         network = self.machine.network
-        if not self.machine.present:
+        if not self.machine.attached:
             return
         peer.travelling -= len(data)
         if self.over:
-            if network.unheard is not None:
-                network.unheard(self)
+            if network.on_data_after_close is not None:
+                network.on_data_after_close(self)
             peer.reset_by_peer(self.machine)
             return
-        self.kernel.append(data)
-        self.unread += len(data)
+        self.receive_buffer.append(data)
+        self.unread_bytes += len(data)
         self.came_at = self.machine.network.now
         self._read_soon()
 
     def _read_soon(self) -> None:
-        ready = self.kernel or (self.ended and not self._told_end) or self.was_reset
+        ready = self.receive_buffer or (self.ended and not self._told_end) or self.was_reset
         if (
             ready
             and self.reading
@@ -248,7 +252,7 @@
             and not self.over
         ):
             self._reading_due = True
-            self.machine.network.at(self.machine.network.now, self.machine, self._turn)
+            self.machine.network.call_at(self.machine.network.now, self.machine, self._turn)
 
     def _turn(self) -> None:
         self._reading_due = False
@@ -260,14 +264,14 @@
         """One turn of reading, as the reactor does it."""
         if self.over or self.protocol is None:
             return
-        if self.kernel:
-            data = self.kernel.popleft()
-            while self.kernel and len(data) + len(self.kernel[0]) <= READ:
-                data += self.kernel.popleft()
-            self.unread -= len(data)
+        if self.receive_buffer:
+            data = self.receive_buffer.popleft()
+            while self.receive_buffer and len(data) + len(self.receive_buffer[0]) <= READ:
+                data += self.receive_buffer.popleft()
+            self.unread_bytes -= len(data)
             peer = self.peer
             network = self.machine.network
-            if peer.out:
+            if peer.send_buffer:
                 network.send(self.machine.address, self.peer_address, 40, peer.pump)
             self.protocol.dataReceived(data)
         elif self.was_reset:
@@ -281,7 +285,7 @@
                 self._lost(ConnectionDone())
 
     def _end_sending(self) -> None:
-        if not self.out and not self.sent_end:
+        if not self.send_buffer and not self.sent_end:
             self.sent_end = True
             self.machine.network.send(
                 self.machine.address, self.peer_address, 40, self.peer.end_arrives, self
@@ -289,16 +293,16 @@
 
     def end_arrives(self) -> None:
         """The peer's end of sending has arrived."""
-        if self.machine.present and not self.over:
+        if self.machine.attached and not self.over:
             self.ended = True
             self._read_soon()
 
     def _close_if_sent(self) -> None:
-        if not self.out and self.producer is None and not self.over:
-            self.machine.network.at(self.machine.network.now, self.machine, self._closed)
+        if not self.send_buffer and self.producer is None and not self.over:
+            self.machine.network.call_at(self.machine.network.now, self.machine, self._closed)
 
     def _closed(self) -> None:
-        if not self.over and not self.out:
+        if not self.over and not self.send_buffer:
             self._lost(ConnectionDone())
 
     def reset_by_peer(self, there: Machine) -> None:
@@ -307,15 +311,15 @@
 
     def reset_arrives(self) -> None:
         """The peer's reset has arrived."""
-        if self.machine.present and not self.over:
+        if self.machine.attached and not self.over:
             self.was_reset = True
-            self.out.clear()
+            self.send_buffer.clear()
             if self.protocol is None:
                 self._gone()
             elif self.reading:
                 self._read_soon()
             else:  # a connection that is not read still learns of a reset
-                self.machine.network.at(
+                self.machine.network.call_at(
                     self.machine.network.now,
                     self.machine,
                     self._lost,
@@ -329,7 +333,7 @@
         if self.over:
             return
         # As Linux does: a close with bytes unread resets.
-        self._tell(reset or bool(self.kernel), told)
+        self._tell(reset or bool(self.receive_buffer), told)
         self._gone()
         if self.producer is not None:
             producer = self.producer
@@ -344,7 +348,7 @@
                 self.connector.factory.clientConnectionLost(self.connector, failure)
 
     def _tell(self, reset: bool, told: bool) -> None:
-        if told or not self.machine.present:
+        if told or not self.machine.attached:
             return
         network = self.machine.network
         peer = self.peer
@@ -358,26 +362,26 @@
             network.send(self.machine.address, self.peer_address, 40, peer.end_arrives, self)
 
     def _gone(self) -> None:
-        if self.machine.network.closed is not None:
-            self.machine.network.closed(self)
+        if self.machine.network.on_endpoint_closed is not None:
+            self.machine.network.on_endpoint_closed(self)
         self.over = True
         self.connected = False
         self.reading = False
-        self.out.clear()
-        self.kernel.clear()
-        self.unread = 0
+        self.send_buffer.clear()
+        self.receive_buffer.clear()
+        self.unread_bytes = 0
         self.machine.endpoints.pop(self, None)
 
     def drop(self, reset: bool, told: bool = False) -> None:
         """The kernel closes this end without the program: it is dead, or never took it."""
         if not self.over:
-            if self.machine.present:
-                self._tell(reset or bool(self.kernel), False)
+            if self.machine.attached:
+                self._tell(reset or bool(self.receive_buffer), False)
             program = self.protocol if told else None
             self._gone()
             if program is not None:
                 self.protocol = None
                 failure = Failure(ConnectionLost())
-                self.machine.network.at(
+                self.machine.network.call_at(
                     self.machine.network.now, self.machine, program.connectionLost, failure
                 )
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -102,18 +102,20 @@
         self.seed = seed
         self.epoch = epoch
         self.now = 0.0
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self._heap: list[list[Any]] = []
         self.places: dict[int, list[Any]] = {}
         self._count = 0
         self.events = 0  # carried out so far
         self.machines: dict[str, Machine] = {}
         self.links: dict[tuple[str, str], Link] = {}
-        self.plain = Link(0.0002)
+        self.default_link = Link(0.0002)
         self._impairments = Impairments()
-        self.faults: list[str] = []  # what programs raised
-        self.closed: Callable[[Endpoint], None] | None = None  # told of each end that is closed
-        self.unheard: Callable[[Endpoint], None] | None = (
+        self.program_errors: list[str] = []  # what programs raised
+        self.on_endpoint_closed: Callable[[Endpoint], None] | None = (
+            None  # told of each end that is closed
+        )
+        self.on_data_after_close: Callable[[Endpoint], None] | None = (
             None  # and of bytes that came to one that was
         )
 
@@ -128,7 +130,7 @@
         self.places[call.n] = place
         heapq.heappush(self._heap, place)
 
-    def at(
+    def call_at(
         self,
         time: float,
         machine: Machine | None,
@@ -169,10 +171,10 @@
         self.events += 1
         try:
             func(*call.args, **call.kw)
-            if machine is not None and machine.event_cost:
-                machine.spend(machine.event_cost)
+            if machine is not None and machine.event_cpu_s:
+                machine.spend(machine.event_cpu_s)
         except Exception as fault:  # noqa: BLE001 - as a reactor does: recorded, and the next event
-            self.faults.append(f"{self.now:.6f} {fault!r}")
+            self.program_errors.append(f"{self.now:.6f} {fault!r}")
             if self.raising:
                 raise
 
@@ -189,7 +191,7 @@
     def link(self, a: str, b: str) -> Link:
         """The way from machine a to machine b."""
         found = self.links.get((a, b))
-        return found if found is not None else self.plain
+        return found if found is not None else self.default_link
 
     def connect(
         self, a: str, b: str, delay: float, jitter: float = 0.0, bandwidth: float = UNLIMITED
@@ -201,7 +203,7 @@
     def own(self, a: str, b: str) -> Link:
         """The way from a to b as one that can be impaired without touching others."""
         if (a, b) not in self.links:
-            plain = self.plain
+            plain = self.default_link
             self.links[a, b] = Link(plain.delay, plain.jitter, plain.bandwidth)
         return self.links[a, b]
 
@@ -222,7 +224,7 @@
         (a reset)."""
         link = self.link(a, b)
         here = self.machines.get(a)
-        if (here is not None and not here.present) or b not in self.machines:
+        if (here is not None and not here.attached) or b not in self.machines:
             return
         if link.impairment.silent:
             self._hold(link, (a, b, size, arrive, end), once)
@@ -232,13 +234,13 @@
         if link.impairment.loss:
             again = RETRANSMIT_MS / 1000 * (1 if end is not None else DIAL_RETRANSMIT_FACTOR)
             for n in range(MOST_RETRANSMITS):
-                if self.chance.random() >= link.impairment.loss:
+                if self.rng.random() >= link.impairment.loss:
                     break
                 when = when + again * 2**n
                 lost = True
         if end is not None:  # TCP keeps the order of a direction
             when = end.last_arrival = max(when, end.last_arrival)
-        self.at(when, None, self._arrived, a, b, size, arrive, end, once, lost)
+        self.call_at(when, None, self._arrived, a, b, size, arrive, end, once, lost)
 
     def _arrived(
         self,
@@ -256,7 +258,7 @@
             return
         if link.impairment.silent:  # cut while it was on its way
             self._hold(link, (a, b, size, arrive, end), once)
-        elif self.machines[b].present:
+        elif self.machines[b].attached:
             arrive()
 
     def _arrival(self, link: Link, size: int) -> float:
@@ -271,7 +273,7 @@
             start
             + link.delay
             + impairment.delay_ms / 1000
-            + (self.chance.random() * jitter if jitter else 0.0)
+            + (self.rng.random() * jitter if jitter else 0.0)
         )
 
     def _hold(self, link: Link, packet: tuple[Any, ...], once: bool) -> None:
@@ -287,21 +289,21 @@
         """Like `send`, for what nobody sends again: it comes once, twice, late or never."""
         link = self.link(a, b)
         here = self.machines.get(a)
-        if (here is not None and not here.present) or b not in self.machines:
+        if (here is not None and not here.attached) or b not in self.machines:
             return
         impairment = link.impairment
-        if impairment.silent or (impairment.loss and self.chance.random() < impairment.loss):
+        if impairment.silent or (impairment.loss and self.rng.random() < impairment.loss):
             return
-        for _ in range(2 if impairment.repeat and self.chance.random() < impairment.repeat else 1):
+        for _ in range(2 if impairment.repeat and self.rng.random() < impairment.repeat else 1):
             when = self._arrival(link, size)
-            if impairment.reorder and self.chance.random() < impairment.reorder:
+            if impairment.reorder and self.rng.random() < impairment.reorder:
                 when += 2 * (
                     link.delay + impairment.delay_ms / 1000
                 )  # what is sent meanwhile overtakes it
-            self.at(when, None, self._datagram_arrived, a, b, arrive)
+            self.call_at(when, None, self._datagram_arrived, a, b, arrive)
 
     def _datagram_arrived(self, a: str, b: str, arrive: Callable[[], None]) -> None:
-        if not self.link(a, b).impairment.silent and self.machines[b].present:
+        if not self.link(a, b).impairment.silent and self.machines[b].attached:
             arrive()
 
     def impair(self, a: str, b: str, by: object, impairment: Impairment | None) -> None:
@@ -334,7 +336,7 @@
         """Nothing gets through from a to b until it is healed."""
         self.impair(a, b, "silence", Impairment(silent=True))
 
-    def heal(self, a: str, b: str) -> None:
+    def restore(self, a: str, b: str) -> None:
         """Take a silence off."""
         self.impair(a, b, "silence", None)
 
@@ -369,27 +371,29 @@
 class Machine:
     """One address and one process there: its descriptors and its part of a core. A second process
     at the same
-    address is a `Machine` of its own, made by `beside`: the kernel's listening sockets are common
-    to both."""
+    address is a `Machine` of its own, made by `add_process`: the kernel's listening sockets
+    are common to both."""
 
     def __init__(self, network: SimulatedNetwork, address: str, descriptors: int = 1 << 20) -> None:
         self.network = network
         self.address = address
         self.descriptors = descriptors
         self.listeners: dict[int, Listening] = {}  # the kernel's, of all processes here
-        self.handed: dict[int, Listening] = {}  # by descriptor: handed down to every process here
-        self.ports: dict[Port, None] = {}  # this process's
-        self.sockets: dict[int, DatagramPort] = {}  # for datagrams, of all processes here
+        self.inherited_listeners: dict[
+            int, Listening
+        ] = {}  # by descriptor: handed down to every process here
+        self.listening_ports: dict[Port, None] = {}  # this process's
+        self.datagram_ports: dict[int, DatagramPort] = {}  # for datagrams, of all processes here
         self.others: list[Machine] = []  # processes beside this one
         self.endpoints: dict[Endpoint, None] = {}
-        self.dials: dict[Connector, None] = {}
-        self.present = True
+        self.connectors: dict[Connector, None] = {}
+        self.attached = True
         self.running = True
         self.life = 0  # of its process; what an earlier one asked for is not done
         # until when it is at work or stopped; seconds of CPU used
         self.free_at = 0.0
-        self.used = 0.0
-        self.event_cost = 0.0  # seconds of CPU that each of its events takes
+        self.cpu_used_s = 0.0
+        self.event_cpu_s = 0.0  # seconds of CPU that each of its events takes
         self.waiting: deque[tuple[Call, int]] = (
             deque()
         )  # events that were due while it was not free
@@ -398,39 +402,39 @@
         self.reactor = Reactor(self)
 
     @property
-    def held(self) -> int:
+    def open_descriptors(self) -> int:
         """Descriptors in use."""
-        return len(self.endpoints) + len(self.dials) + len(self.ports)
+        return len(self.endpoints) + len(self.connectors) + len(self.listening_ports)
 
-    def beside(self) -> Machine:
+    def add_process(self) -> Machine:
         """Another process at this address, with descriptors and a part of a core of its own."""
         other = Machine(self.network, self.address, self.descriptors)
         other.listeners = self.listeners
-        other.handed = self.handed
+        other.inherited_listeners = self.inherited_listeners
         other._ports = self._ports
-        other.sockets = self.sockets
+        other.datagram_ports = self.datagram_ports
         other.others = self.others
         self.others.append(other)
-        other.event_cost = self.event_cost
+        other.event_cpu_s = self.event_cpu_s
         return other
 
-    def hand_down(self, descriptor: int, port: int, backlog: int) -> None:
+    def add_inherited_listener(self, descriptor: int, port: int, backlog: int) -> None:
         """A socket listens that no process here owns; each can adopt it, and it outlasts them
         all."""
-        self.handed[descriptor] = self.listeners[port] = Listening(
+        self.inherited_listeners[descriptor] = self.listeners[port] = Listening(
             self.network, port, backlog, kept=True
         )
 
     def spend(self, seconds: float) -> None:
         """The event that is on takes so much of the CPU: what comes next waits."""
-        self.used += seconds
+        self.cpu_used_s += seconds
         self.free_at = max(self.free_at, self.network.now) + seconds
 
     def wake(self) -> None:
         """See to it that what waits is gone on with once the machine is free."""
         if not self._waking and self.waiting:
             self._waking = True
-            self.network.at(max(self.free_at, self.network.now), None, self._woken)
+            self.network.call_at(max(self.free_at, self.network.now), None, self._woken)
 
     def _woken(self) -> None:
         self._waking = False
@@ -442,7 +446,7 @@
                 self.network._do(call, self)
         self.wake()
 
-    def stop(self, seconds: float) -> None:
+    def pause(self, seconds: float) -> None:
         """The process is stopped for so long; no CPU is used."""
         self.free_at = max(self.free_at, self.network.now + seconds)
 
@@ -453,11 +457,11 @@
         self.free_at = self.network.now
         for end in list(self.endpoints):
             end.drop(reset=True)
-        for dial in list(self.dials):
+        for dial in list(self.connectors):
             dial.forget()
-        for port in list(self.ports):
+        for port in list(self.listening_ports):
             port.close()
-        for socket in [s for s in self.sockets.values() if s.machine is self]:
+        for socket in [s for s in self.datagram_ports.values() if s.machine is self]:
             socket.close()
         self.reactor = Reactor(self)
 
@@ -466,18 +470,18 @@
         self.running = True
         return self.reactor
 
-    def vanish(self) -> None:
+    def detach(self) -> None:
         """The machine is off the network and says nothing."""
-        self.present = False
+        self.attached = False
 
-    def come_back(self) -> None:
+    def reattach(self) -> None:
         """It is back as it was; what was sent to it meanwhile is lost, and open connections are
         reset."""
-        self.present = True
+        self.attached = True
         for end in list(self.endpoints):
             end.drop(reset=True, told=True)
 
-    def port(self) -> int:
+    def next_port(self) -> int:
         """The next local port."""
         self._ports[0] += 1
         return self._ports[0]
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -21,13 +21,13 @@
 from hookpitch.fakes.discovery_server import DiscoveryServer
 from hookpitch.fakes.origin import Origin, OriginSpec
 from hookpitch.fakes.origin_server import OriginServer
-from hookpitch.testbed.child import EventRecorder, Line, run_child
+from hookpitch.testbed.child import ControlConnection, EventRecorder, run_child
 
 
 class FarOrigin:
     """The origin as a cache server's process knows it."""
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, line: ControlConnection) -> None:
         self.line = line
         self.caches = dict[str, Cache]()
 
@@ -39,7 +39,7 @@
 class FarCache:
     """A cache server as the origin's process knows it."""
 
-    def __init__(self, line: Line, name: str) -> None:
+    def __init__(self, line: ControlConnection, name: str) -> None:
         self.line = line
         self.name = name
 
@@ -56,7 +56,7 @@
     """Those of one process."""
 
     def __init__(
-        self, reactor: Any, given: dict[str, Any], history: EventRecorder, line: Line
+        self, reactor: Any, given: dict[str, Any], history: EventRecorder, line: ControlConnection
     ) -> None:
         self.reactor = reactor
         self.history = history
@@ -130,7 +130,9 @@
             execute_command(server, what, *args)
 
 
-def made(reactor: Any, given: dict[str, Any], history: EventRecorder, line: Line) -> Any:
+def made(
+    reactor: Any, given: dict[str, Any], history: EventRecorder, line: ControlConnection
+) -> Any:
     """What carries out orders; ValueError where an address is taken."""
     try:
         return Standins(reactor, given, history, line).order
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,7 +18,7 @@
 from hookpitch.testbed.metrics import summary
 from hookpitch.testbed.rules import Rules
 from hookpitch.testbed.run import Run
-from hookpitch.testbed.simulated_tcp import KERNEL
+from hookpitch.testbed.simulated_tcp import MAX_BUFFERED_BYTES
 from hookpitch.testbed.simulation import SimulatedNetwork
 
 ROOT = Path(__file__).parent.parent
@@ -408,13 +408,15 @@
     p = Pair()
     p.network.run(0.25)
     p.server.transport.pauseProducing()
-    p.client.transport.write(b"x" * (3 * KERNEL))
+    p.client.transport.write(b"x" * (3 * MAX_BUFFERED_BYTES))
     p.network.run(5.0)
-    assert not p.there and p.server.transport.unread == KERNEL
-    assert sum(map(len, p.client.transport.out)) == 2 * KERNEL
+    assert not p.there and p.server.transport.unread_bytes == MAX_BUFFERED_BYTES
+    assert sum(map(len, p.client.transport.send_buffer)) == 2 * MAX_BUFFERED_BYTES
     p.server.transport.resumeProducing()
     p.network.run(20.0)
-    assert sum(n for _, n in p.there) == 3 * KERNEL and not p.client.transport.out
+    assert (
+        sum(n for _, n in p.there) == 3 * MAX_BUFFERED_BYTES and not p.client.transport.send_buffer
+    )
 
 
 def test_silence_holds_back_what_stands_and_a_reset_end_sends_nothing_more() -> None:
@@ -424,14 +426,14 @@
     p.client.transport.write(b"late")
     p.network.run(3.0)
     assert not p.there
-    p.network.heal("1.1.1.1", "2.2.2.2")
+    p.network.restore("1.1.1.1", "2.2.2.2")
     p.network.run(4.0)
     assert p.there == [(3.1, 4)]
     p.network.silence("1.1.1.1", "2.2.2.2")
     p.client.transport.write(b"never")
     p.client.transport.abortConnection()
     p.network.run(5.0)
-    p.network.heal("1.1.1.1", "2.2.2.2")
+    p.network.restore("1.1.1.1", "2.2.2.2")
     p.network.run(6.0)
     assert p.there == [(3.1, 4)] and p.here == [(4.0, "ConnectionAborted")]
 
@@ -439,11 +441,11 @@
 def test_death_resets_vanishing_says_nothing_and_nobody_listens_after() -> None:
     p = Pair()
     p.network.run(0.25)
-    p.b.vanish()
+    p.b.detach()
     p.client.transport.write(b"x")
     p.network.run(1.0)
     assert not p.here
-    p.b.come_back()
+    p.b.reattach()
     p.network.run(2.0)
     assert p.here == [(1.1, "ConnectionLost")]
     p.b.kill()
@@ -455,16 +457,16 @@
 def test_a_busy_machine_does_its_events_in_order_when_it_is_free() -> None:
     network, seen = SimulatedNetwork(1), []
     machine = network.machine("1.1.1.1")
-    machine.event_cost = 0.01
+    machine.event_cpu_s = 0.01
     for n in range(5):
         machine.reactor.callLater(0.001 * n, lambda n=n: seen.append((round(network.now, 3), n)))
     cancelled = machine.reactor.callLater(0.002, seen.append, "cancelled")
     moved = machine.reactor.callLater(0.0025, lambda: seen.append((round(network.now, 3), "moved")))
-    network.at(0.004, None, cancelled.cancel)
-    network.at(0.005, None, moved.reset, 0.2)
+    network.call_at(0.004, None, cancelled.cancel)
+    network.call_at(0.005, None, moved.reset, 0.2)
     network.run(1.0)
     assert seen == [(0.0, 0), (0.01, 1), (0.02, 2), (0.03, 3), (0.04, 4), (0.205, "moved")]
-    assert round(machine.used, 3) == 0.06
+    assert round(machine.cpu_used_s, 3) == 0.06
 
 
 def test_figures_are_plain_data() -> None:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,8 +7,8 @@
 
 from hookpitch.testbed.experiment import read
 from hookpitch.testbed.groups import directions, members
-from hookpitch.testbed.links import Impairment, combined
-from hookpitch.testbed.reactor import DATAGRAMS
+from hookpitch.testbed.links import Impairment, combine
+from hookpitch.testbed.reactor import MAX_UNREAD_DATAGRAM_BYTES
 from hookpitch.testbed.simulation import SimulatedNetwork
 
 A, B = "1.1.1.1", "2.2.2.2"
@@ -134,7 +134,7 @@
     network.impair(A, B, 1, Impairment(reorder=0.3))
     before = len(there.seen)
     for n in range(100):
-        network.at(network.now + n * 0.005, None, here.transport.write, b"%d" % n, (B, 7))
+        network.call_at(network.now + n * 0.005, None, here.transport.write, b"%d" % n, (B, 7))
     network.run(network.now + 2.0)
     came = [int(data) for _, data, _ in there.seen[before:]]
     assert sorted(came) == list(range(100)) != came
@@ -142,17 +142,19 @@
 
 def test_a_stopped_process_reads_what_its_socket_held_and_loses_the_rest() -> None:
     network, here, there = datagrams()
-    network.machine(B).stop(5.0)
+    network.machine(B).pause(5.0)
     for _ in range(300):
         here.transport.write(b"x" * 1024, (B, 7))
     network.run(4.0)
     assert not there.seen
     network.run(6.0)
-    assert len(there.seen) == DATAGRAMS // 1024 and there.transport.overrun == 300 - len(there.seen)
+    assert len(
+        there.seen
+    ) == MAX_UNREAD_DATAGRAM_BYTES // 1024 and there.transport.dropped == 300 - len(there.seen)
     network.machine(B).kill()
     here.transport.write(b"dead", (B, 7))
     network.run(7.0)
-    assert len(there.seen) == DATAGRAMS // 1024
+    assert len(there.seen) == MAX_UNREAD_DATAGRAM_BYTES // 1024
 
 
 def test_groups_are_drawn_by_the_seed_and_links_have_a_node_at_one_end() -> None:
@@ -182,7 +184,7 @@
         Impairment(delay_ms=5, loss=0.5, bandwidth=10),
         Impairment(delay_ms=3, loss=0.5, silent=True, kept=False),
     )
-    both = combined(two)
+    both = combine(two)
     assert (both.delay_ms, both.loss, both.bandwidth, both.silent, both.kept) == (
         8,
         0.75,
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,7 +20,7 @@
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.testbed.experiment import load, read
 from hookpitch.testbed.metrics import summary
-from hookpitch.testbed.process_run import WallRun
+from hookpitch.testbed.process_run import ProcessRun
 from hookpitch.testbed.run import Run
 
 ROOT = Path(__file__).parent.parent
@@ -221,6 +221,6 @@
         with pytest.raises(
             ValueError, match="virtual time alone: a process's events cannot be charged"
         ):
-            WallRun(x, 1, Clock(), tmp_path)
+            ProcessRun(x, 1, Clock(), tmp_path)
     else:
-        WallRun(x, 1, Clock(), tmp_path)
+        ProcessRun(x, 1, Clock(), tmp_path)
