--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -69,7 +69,7 @@
 def attempt(experiment: Experiment) -> RunResult:
     """Run it once in virtual time; what a program raises is recorded and does not end the run."""
     run = Run(experiment, experiment.seed)
-    run.network.raising = False
+    run.network.raises_program_errors = False
     return run.run()
 
 
--- a/hookpitch/testbed/interfaces.py
+++ b/hookpitch/testbed/interfaces.py
@@ -1,7 +1,7 @@
-"""What a simulated process's reactor and TCP ask of their machine and of the simulated network.
+"""What the simulated reactor and TCP need of their machine and of the simulated network.
 
 `simulation.py` implements these; `reactor.py` and `simulated_tcp.py` depend on this module alone,
-so that imports go one way.
+so that there is no import cycle.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
     """A scheduled call: the part of Twisted's `IDelayedCall` that is used."""
 
     def active(self) -> bool:
-        """Whether it is still due."""
+        """Return whether the call is still pending."""
 
     def cancel(self) -> None:
-        """Give it up; raises `AlreadyCalled` where it is not due any more."""
+        """Cancel the call; raise `AlreadyCalled` if it is no longer pending."""
 
 
 class Network(Protocol):
-    """The simulated network and its clock. Times in seconds."""
+    """The simulated network and its clock. Times are in seconds."""
 
     now: float
     rng: random.Random
@@ -36,25 +36,27 @@
         machine: Any,
         func: Callable[..., object],
         *args: Any,
-        **kw: Any,
+        **kwargs: Any,
     ) -> DelayedCall:
-        """Schedule `func(*args, **kw)` as an event of `machine`, or of the network for `None`."""
+        """Schedule `func(*args, **kwargs)` as an event of `machine`, or of the network for None."""
 
-    def link(self, a: str, b: str) -> Any:
-        """The direction from address `a` to address `b`."""
+    def link(self, source: str, destination: str) -> Any:
+        """Return the link from one address to another."""
 
     def send(
         self,
-        a: str,
-        b: str,
+        source: str,
+        destination: str,
         size: int,
-        arrive: Callable[[], None],
-        end: Any = None,
-        once: bool = False,
+        deliver: Callable[[], None],
+        endpoint: Any = None,
+        no_retransmit: bool = False,
     ) -> None:
-        """Send a packet of `size` bytes; `once`: it is not sent again when it is lost."""
+        """Send a packet of `size` bytes, which is retransmitted if lost, unless `no_retransmit`."""
 
-    def datagram(self, a: str, b: str, size: int, arrive: Callable[[], None]) -> None:
+    def datagram(
+        self, source: str, destination: str, size: int, deliver: Callable[[], None]
+    ) -> None:
         """Send a datagram of `size` bytes, which may be lost or arrive twice."""
 
 
@@ -75,13 +77,13 @@
 
     @property
     def open_descriptors(self) -> int:
-        """Descriptors in use."""
+        """The number of descriptors in use."""
 
     def next_port(self) -> int:
-        """The next local port."""
+        """Return the next unused local port."""
 
 
-class Dialler(Protocol):
-    """The connector that a connection came of."""
+class Connector(Protocol):
+    """The connector that has opened a connection."""
 
     factory: Any
--- a/hookpitch/testbed/links.py
+++ b/hookpitch/testbed/links.py
@@ -1,10 +1,10 @@
-"""Impairments of one direction of a link, the same in both clocks, and how several add up.
+"""Impairments of one direction of a link, for both clocks, and how overlapping ones combine.
 
-A direction is a pair of names: from whom, to whom. Each fault puts its own `Impairment` on a
-direction and takes it off, so that two that overlap neither undo nor outlast one another.
+A direction is a pair of names: source and destination. Each fault sets and removes its own
+`Impairment` of a direction, so that the end of one fault does not undo another that overlaps it.
 
-Sources: RFC 9293 (what is lost is sent again, late), RFC 768 (a datagram is not), RFC 6298 (how
-late).
+Sources: RFC 9293 (lost segments are retransmitted), RFC 768 (lost datagrams are not), RFC 6298 (the
+retransmission timeout).
 """
 
 from __future__ import annotations
@@ -14,33 +14,37 @@
 import msgspec
 
 UNLIMITED = float("inf")
-# TCP sends again what was lost after so long (the least that Linux waits), each time after twice
-# as long as the time before.
+# A lost segment is retransmitted after this timeout (the minimum of Linux), which doubles with each
+# retransmission.
 RETRANSMIT_MS = 200.0
-MOST_RETRANSMITS = 9
+MAX_RETRANSMITS = 9
 
 
 class Impairment(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One direction's state. Times in ms, shares from 0 to 1."""
-
-    delay_ms: float = 0.0  # on top of the link's own
-    jitter_ms: float = 0.0  # at the most, on top
-    loss: float = 0.0  # datagrams are lost; of a stream, the share that is sent again
-    repeat: float = 0.0  # datagrams that come twice
-    reorder: float = 0.0  # datagrams that later ones overtake
-    bandwidth: float = UNLIMITED  # bytes a second
-    silent: bool = False  # nothing gets through, and connections stay open
-    # What a silence holds back comes when it ends; False: never, and its connection breaks.
+    """The state of one direction. Times are in ms, probabilities from 0 to 1.
+
+    Relays receive it as JSON under these field names.
+    """
+
+    delay_ms: float = 0.0  # in addition to the link's own delay
+    jitter_ms: float = 0.0  # maximum, in addition to the delay
+    loss: float = 0.0  # probability that a packet is lost; TCP retransmits it
+    repeat: float = 0.0  # probability that a datagram is duplicated
+    reorder: float = 0.0  # probability that a datagram is overtaken by later ones
+    bandwidth: float = UNLIMITED  # bytes per second
+    silent: bool = False  # nothing is delivered, and connections stay open
+    # Whether data that a silent direction blocks is delivered afterwards; if not, it is lost for
+    # good, and its connection is broken when the silence ends.
     kept: bool = True
-    refusing: bool = False  # dials are refused
-    deaf: bool = False  # a dial gets no answer
+    refusing: bool = False  # connection attempts are refused
+    deaf: bool = False  # connection attempts get no answer
 
 
 CLEAN = Impairment()
 
 
 def combine(impairments: Iterable[Impairment]) -> Impairment:
-    """What several impairments make of one direction."""
+    """Combine several impairments of one direction into one with the same effect."""
     delay_ms = 0.0
     jitter_ms = 0.0
     not_lost = 1.0
@@ -51,17 +55,17 @@
     kept = True
     refusing = False
     deaf = False
-    for one in impairments:
-        delay_ms += one.delay_ms
-        jitter_ms += one.jitter_ms
-        not_lost *= 1 - one.loss
-        not_repeated *= 1 - one.repeat
-        in_order *= 1 - one.reorder
-        bandwidth = min(bandwidth, one.bandwidth)
-        silent = silent or one.silent
-        kept = kept and (one.kept or not one.silent)
-        refusing = refusing or one.refusing
-        deaf = deaf or one.deaf
+    for impairment in impairments:
+        delay_ms += impairment.delay_ms
+        jitter_ms += impairment.jitter_ms
+        not_lost *= 1 - impairment.loss
+        not_repeated *= 1 - impairment.repeat
+        in_order *= 1 - impairment.reorder
+        bandwidth = min(bandwidth, impairment.bandwidth)
+        silent = silent or impairment.silent
+        kept = kept and (impairment.kept or not impairment.silent)
+        refusing = refusing or impairment.refusing
+        deaf = deaf or impairment.deaf
     return Impairment(
         delay_ms=delay_ms,
         jitter_ms=jitter_ms,
@@ -76,20 +80,20 @@
     )
 
 
-class Impairments:
-    """What each fault has put on each direction."""
+class ImpairmentRegistry:
+    """The impairments of all directions, by the owner that has set each of them."""
 
     def __init__(self) -> None:
         self._by_direction: dict[tuple[str, str], dict[object, Impairment]] = {}
 
     def put(self, direction: tuple[str, str], owner: object, impairment: Impairment) -> Impairment:
-        """Set the owner's impairment of a direction; what the direction is like now."""
-        here = self._by_direction.setdefault(direction, {})
-        here[owner] = impairment
-        return combine(here.values())
+        """Set the owner's impairment of a direction and return the direction's combined state."""
+        by_owner = self._by_direction.setdefault(direction, {})
+        by_owner[owner] = impairment
+        return combine(by_owner.values())
 
     def remove(self, direction: tuple[str, str], owner: object) -> Impairment:
-        """Take off the owner's impairment of a direction; what the direction is like now."""
-        here = self._by_direction.get(direction, {})
-        here.pop(owner, None)
-        return combine(here.values())
+        """Remove the owner's impairment of a direction and return the combined state."""
+        by_owner = self._by_direction.get(direction, {})
+        by_owner.pop(owner, None)
+        return combine(by_owner.values())
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -170,7 +170,7 @@
                 run.counted(self, counters)
                 machine.kill()
 
-        machine.reactor.stopped = lambda: run.network.call_at(run.network.now, None, ended)
+        machine.reactor.on_stopped = lambda: run.network.call_at(run.network.now, None, ended)
         old.shut_down()
         run.network.call_at(
             run.network.now + old.host.stream_timeout_ms / 1000 + ENDED_S, None, ended
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -30,7 +30,7 @@
 from hookpitch.testbed.experiment_schema import PROCESS_FAULTS, VIRTUAL_ONLY, Experiment
 from hookpitch.testbed.faults import BEFORE_S, schedule_faults
 from hookpitch.testbed.judge import Judge
-from hookpitch.testbed.links import Impairment, Impairments
+from hookpitch.testbed.links import Impairment, ImpairmentRegistry
 from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess, ProcessHost
 from hookpitch.testbed.rules import Rules, Violation
 
@@ -165,7 +165,7 @@
         self.over = False
         self.closing = False
         self._locks: list[Any] = []
-        self._impairments = Impairments()
+        self._impairments = ImpairmentRegistry()
         self._alone = self._on_their_own()
         self._excused: list[
             tuple[str, float, float]
--- a/hookpitch/testbed/reactor.py
+++ b/hookpitch/testbed/reactor.py
@@ -1,8 +1,8 @@
-"""What the programs of a machine in virtual time are given in place of Twisted's reactor.
+"""What the programs of a machine in virtual time get in place of Twisted's reactor.
 
-`Reactor` is `IReactorTime` and the parts of `IReactorTCP` and `IReactorUDP` that they use; a `Port`
-is a process's hold on a listening socket, a `Connector` one dial, a `DatagramPort` a socket for
-datagrams. Times in seconds.
+`SimulatedReactor` implements `IReactorTime` and the parts of `IReactorTCP` and `IReactorUDP` that
+the programs use. A `ListeningPort` is one process's reference to a listening socket, a `Connector`
+is one outgoing connection attempt, and a `DatagramPort` is a UDP socket. Times are in seconds.
 
 Sources: Twisted's interfaces; listen(2), socket(7) and udp(7) of Linux.
 """
@@ -27,16 +27,14 @@
 from twisted.python.failure import Failure
 
 from hookpitch.testbed.interfaces import DelayedCall, Machine, Network
-from hookpitch.testbed.simulated_tcp import Endpoint, pair
+from hookpitch.testbed.simulated_tcp import Endpoint, create_connection
 
-MAX_UNREAD_DATAGRAM_BYTES = (
-    1 << 18
-)  # bytes of them that wait at a socket; what comes beyond is lost
-DATAGRAM_MOST = 65507  # bytes
+MAX_UNREAD_DATAGRAM_BYTES = 1 << 18  # per socket; datagrams beyond it are dropped
+MAX_DATAGRAM_BYTES = 65507
 
 
-class Reactor:
-    """`IReactorTime` and the used part of `IReactorTCP` for the programs of one machine."""
+class SimulatedReactor:
+    """The reactor of one simulated process."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -44,29 +42,31 @@
         self.running = True
 
     def seconds(self) -> float:
-        """The time, in seconds."""
+        """Return the virtual time, in seconds."""
         return self.network.now
 
     def callLater(
-        self, delay: float, func: Callable[..., object], *args: Any, **kw: Any
+        self, delay: float, func: Callable[..., object], *args: Any, **kwargs: Any
     ) -> DelayedCall:
-        """Schedule a call for this machine's process."""
+        """Schedule a call as an event of this machine's process."""
         return self.network.call_at(
-            self.network.now + max(0.0, delay), self.machine, func, *args, **kw
+            self.network.now + max(0.0, delay), self.machine, func, *args, **kwargs
         )
 
-    def callFromThread(self, func: Callable[..., object], *args: Any, **kw: Any) -> None:
-        """Schedule a call for now."""
-        self.callLater(0, func, *args, **kw)
+    def callFromThread(self, func: Callable[..., object], *args: Any, **kwargs: Any) -> None:
+        """Schedule a call for the current time."""
+        self.callLater(0, func, *args, **kwargs)
 
-    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:
-        """Listen; CannotListenError where the port is taken."""
+    def listenTCP(
+        self, port: int, factory: Any, backlog: int = 50, interface: str = ""
+    ) -> ListeningPort:
+        """Listen on a TCP port; raise CannotListenError if it is in use."""
         if port == 0:
             port = self.machine.next_port()
         if port in self.machine.listeners:
             raise CannotListenError(interface, port, OSError(errno.EADDRINUSE, "address in use"))
-        listening = self.machine.listeners[port] = Listening(self.network, port, backlog)
-        return Port(self.machine, listening, factory)
+        listener = self.machine.listeners[port] = ListeningSocket(self.network, port, backlog)
+        return ListeningPort(self.machine, listener, factory)
 
     def listenUDP(
         self,
@@ -75,20 +75,20 @@
         interface: str = "",
         maxPacketSize: int = 8192,  # noqa: N803 - Twisted's name
     ) -> DatagramPort:
-        """Bind a datagram socket; CannotListenError where the port is taken."""
+        """Bind a UDP socket; raise CannotListenError if the port is in use."""
         if port == 0:
             port = self.machine.next_port()
         if port in self.machine.datagram_ports:
             raise CannotListenError(interface, port, OSError(errno.EADDRINUSE, "address in use"))
-        made = self.machine.datagram_ports[port] = DatagramPort(
+        datagram_port = self.machine.datagram_ports[port] = DatagramPort(
             self.machine, port, protocol, maxPacketSize
         )
-        protocol.makeConnection(made)
-        return made
+        protocol.makeConnection(datagram_port)
+        return datagram_port
 
-    def adoptStreamPort(self, fileno: int, family: int, factory: Any) -> Port:
-        """Accept at a listening socket that was handed down."""
-        return Port(self.machine, self.machine.inherited_listeners[fileno], factory)
+    def adoptStreamPort(self, fileno: int, family: int, factory: Any) -> ListeningPort:
+        """Accept connections on an inherited listening socket."""
+        return ListeningPort(self.machine, self.machine.inherited_listeners[fileno], factory)
 
     def connectTCP(
         self,
@@ -98,152 +98,175 @@
         timeout: float | None = 30,
         bindAddress: object = None,  # noqa: N803 - Twisted's name
     ) -> Connector:
-        """Dial."""
+        """Start a connection attempt."""
         connector = Connector(self.machine, host, port, factory, timeout)
         connector.connect()
         return connector
 
     def stop(self) -> None:
-        """The process ends by itself."""
+        """End the process, at its own request."""
         self.running = False
         self.machine.running = False
-        if self.stopped is not None:
-            self.stopped()
+        if self.on_stopped is not None:
+            self.on_stopped()
 
-    stopped: Callable[[], None] | None = None  # told when the process ends by itself
+    on_stopped: Callable[[], None] | None = None  # called when the process ends by itself
 
     def addSystemEventTrigger(self, *args: object) -> None:
-        """Nothing: a simulated process has no shutdown of its own."""
+        """Do nothing: a simulated process has no shutdown events."""
         pass
 
 
-class Listening:
-    """A listening socket in the kernel: what it has accepted waits for one of the processes that
-    hold it."""
+class ListeningSocket:
+    """A listening socket of the kernel.
 
-    def __init__(self, network: Network, port: int, backlog: int, kept: bool = False) -> None:
-        """`kept`: somebody holds it beside the processes that read it, so it outlasts them."""
+    Connections that the kernel has accepted wait in a queue until one of the processes that share
+    the socket takes them.
+    """
+
+    def __init__(
+        self, network: Network, port: int, backlog: int, outlives_processes: bool = False
+    ) -> None:
+        """Create the socket.
+
+        `outlives_processes`: something other than the processes that read from it holds the socket
+        open.
+        """
         self.network = network
         self.port = port
         self.backlog = backlog
-        self.kept = kept
-        self.line: deque[Endpoint] = deque()
-        self.ports: list[Port] = []
-
-    def arrived(self, end: Endpoint) -> None:
-        """A connection was accepted by the kernel."""
-        end.machine.endpoints.pop(end)  # no process's descriptor yet
-        self.line.append(end)
-        for port in self.ports:  # all wake, the first takes it
+        self.outlives_processes = outlives_processes
+        self.accept_queue: deque[Endpoint] = deque()
+        self.ports: list[ListeningPort] = []
+
+    def enqueue(self, endpoint: Endpoint) -> None:
+        """Queue a connection that the kernel has accepted."""
+        endpoint.machine.endpoints.pop(endpoint)  # No process has a descriptor for it yet.
+        self.accept_queue.append(endpoint)
+        for port in self.ports:  # All processes wake up; the first one takes the connection.
             self.network.call_at(self.network.now, port.machine, port.doRead)
 
 
-class Port:
-    """A process's hold on a listening socket."""
+class ListeningPort:
+    """One process's reference to a listening socket."""
 
-    def __init__(self, machine: Machine, listening: Listening, factory: Any) -> None:
+    def __init__(self, machine: Machine, listener: ListeningSocket, factory: Any) -> None:
         self.machine = machine
-        self.listening = listening
+        self.listener = listener
         self.factory = factory
         self.sessionno = 0
         machine.listening_ports[self] = None
-        listening.ports.append(self)
-        for _ in listening.line:  # accepted while nobody read
+        listener.ports.append(self)
+        for _ in listener.accept_queue:  # Accepted while no process read from the socket.
             machine.network.call_at(machine.network.now, machine, self.doRead)
         factory.doStart()
 
     def getHost(self) -> IPv4Address:
-        """The address it is bound to."""
-        return IPv4Address("TCP", self.machine.address, self.listening.port)
+        """Return the address that the socket is bound to."""
+        return IPv4Address("TCP", self.machine.address, self.listener.port)
 
     def doRead(self) -> None:
-        """Take one connection that the kernel has accepted."""
-        line = self.listening.line
+        """Take one connection from the accept queue."""
+        accept_queue = self.listener.accept_queue
         machine = self.machine
-        if not line or self not in machine.listening_ports:
+        if not accept_queue or self not in machine.listening_ports:
             return
-        end = line.popleft()
-        if end.over:
+        endpoint = accept_queue.popleft()
+        if endpoint.is_closed:
             return
-        end.machine = machine
-        machine.endpoints[end] = None
+        endpoint.machine = machine
+        machine.endpoints[endpoint] = None
         self.sessionno += 1
         if machine.open_descriptors > machine.descriptors:
-            end.drop(reset=False)  # Twisted's way out of EMFILE: accept and close
+            endpoint.drop(reset=False)  # On EMFILE, Twisted accepts the connection and closes it.
             return
-        protocol = self.factory.buildProtocol(end.getPeer())
+        protocol = self.factory.buildProtocol(endpoint.getPeer())
         if protocol is None:
-            end.drop(reset=False)
+            endpoint.drop(reset=False)
             return
-        end.open(protocol)
+        endpoint.open(protocol)
 
     def close(self) -> None:
-        """Where nobody else holds the socket, what the kernel had accepted is reset with it."""
-        listening = self.listening
+        """Close the reference.
+
+        With the last reference the socket is closed, too, and the connections in its accept queue
+        are reset, unless the socket outlives its processes.
+        """
+        listener = self.listener
         self.machine.listening_ports.pop(self, None)
-        listening.ports.remove(self)
-        if not listening.ports and not listening.kept:
-            self.machine.listeners.pop(listening.port, None)
-            while listening.line:
-                listening.line.popleft().drop(reset=True)
+        listener.ports.remove(self)
+        if not listener.ports and not listener.outlives_processes:
+            self.machine.listeners.pop(listener.port, None)
+            while listener.accept_queue:
+                listener.accept_queue.popleft().drop(reset=True)
 
     def stopListening(self) -> None:
-        """Close it."""
+        """Close the port and notify its factory."""
         if self in self.machine.listening_ports:
             self.close()
             self.factory.doStop()
 
 
 class DatagramPort:
-    """A socket for datagrams: Twisted's `IUDPTransport`. What comes unread waits, up to a bound."""
+    """A UDP socket: Twisted's `IUDPTransport`.
 
-    def __init__(self, machine: Machine, port: int, protocol: Any, most: int) -> None:
+    Unread datagrams are buffered, up to `MAX_UNREAD_DATAGRAM_BYTES`.
+    """
+
+    def __init__(self, machine: Machine, port: int, protocol: Any, max_packet_bytes: int) -> None:
         self.machine = machine
         self.port = port
         self.protocol = protocol
-        self.most = most
-        self.kernel: deque[tuple[bytes, tuple[str, int]]] = deque()
-        self.unread = self.dropped = 0
+        self.max_packet_bytes = max_packet_bytes
+        self.receive_buffer: deque[tuple[bytes, tuple[str, int]]] = deque()
+        self.unread_bytes = self.dropped = 0
 
     def getHost(self) -> IPv4Address:
-        """The address it is bound to."""
+        """Return the address that the socket is bound to."""
         return IPv4Address("UDP", self.machine.address, self.port)
 
     def write(self, data: bytes, addr: tuple[str, int] | None = None) -> None:
-        """Send one datagram; OSError where it cannot be sent."""
-        if addr is None or len(data) > DATAGRAM_MOST:
-            raise OSError(errno.EMSGSIZE if addr else errno.EDESTADDRREQ, "cannot be sent")
-        network, here, (host, port) = self.machine.network, (self.machine.address, self.port), addr
+        """Send one datagram; raise OSError if it has no destination or is too long."""
+        if addr is None or len(data) > MAX_DATAGRAM_BYTES:
+            raise OSError(
+                errno.EMSGSIZE if addr else errno.EDESTADDRREQ,
+                f"datagram of {len(data)} bytes cannot be sent to {addr}",
+            )
+        network, source, (host, port) = (
+            self.machine.network,
+            (self.machine.address, self.port),
+            addr,
+        )
 
-        def arrive() -> None:
-            there = network.machines[host].datagram_ports.get(port)
-            if there is not None:
-                there.arrived(bytes(data), here)
+        def deliver() -> None:
+            destination = network.machines[host].datagram_ports.get(port)
+            if destination is not None:
+                destination.datagram_arrives(bytes(data), source)
 
-        network.datagram(self.machine.address, host, len(data) + 28, arrive)
+        network.datagram(self.machine.address, host, len(data) + 28, deliver)
 
-    def arrived(self, data: bytes, whence: tuple[str, int]) -> None:
-        """It has come to this machine's kernel."""
-        if self.unread + len(data) > MAX_UNREAD_DATAGRAM_BYTES:
+    def datagram_arrives(self, data: bytes, source: tuple[str, int]) -> None:
+        """Buffer a datagram that has arrived at this machine's kernel."""
+        if self.unread_bytes + len(data) > MAX_UNREAD_DATAGRAM_BYTES:
             self.dropped += 1
             return
-        self.kernel.append((data[: self.most], whence))
-        self.unread += len(data)
+        self.receive_buffer.append((data[: self.max_packet_bytes], source))
+        self.unread_bytes += len(data)
         self.machine.network.call_at(self.machine.network.now, self.machine, self._read)
 
     def _read(self) -> None:
-        if self.kernel and self.protocol is not None:
-            data, whence = self.kernel.popleft()
-            self.unread -= len(data)
-            self.protocol.datagramReceived(data, whence)
+        if self.receive_buffer and self.protocol is not None:
+            data, source = self.receive_buffer.popleft()
+            self.unread_bytes -= len(data)
+            self.protocol.datagramReceived(data, source)
 
     def close(self) -> None:
-        """Close it; what it held is lost."""
+        """Close the socket; buffered datagrams are lost."""
         self.machine.datagram_ports.pop(self.port, None)
         self.protocol = None
 
     def stopListening(self) -> Deferred[None]:
-        """Close it."""
+        """Close the socket and notify its protocol."""
         protocol = self.protocol
         if protocol is not None:
             self.close()
@@ -252,7 +275,7 @@
 
 
 class Connector:
-    """One dial."""
+    """One outgoing connection attempt."""
 
     def __init__(
         self, machine: Machine, host: str, port: int, factory: Any, timeout: float | None
@@ -262,103 +285,105 @@
         self.port = port
         self.factory = factory
         self.timeout = timeout
-        self.end: Endpoint | None = None
-        self.over = False
+        self.endpoint: Endpoint | None = None
+        self.is_finished = False  # the attempt has succeeded or failed
         self._timer: DelayedCall | None = None
 
     def getDestination(self) -> IPv4Address:
-        """The address it dials."""
+        """Return the address to which the connector connects."""
         return IPv4Address("TCP", self.host, self.port)
 
     def connect(self) -> None:
-        """Begin the dial."""
+        """Start the attempt."""
         machine = self.machine
         network = self.machine.network
         self.factory.doStart()
         self.factory.startedConnecting(self)
         if machine.open_descriptors >= machine.descriptors:
-            fault = ConnectBindError(errno.EMFILE, "too many open files")
-            network.call_at(network.now, machine, self.failed, fault)
+            error = ConnectBindError(errno.EMFILE, "too many open files")
+            network.call_at(network.now, machine, self.fail, error)
             return
         machine.connectors[self] = None
         if self.timeout is not None:
             self._timer = network.call_at(
-                network.now + self.timeout, machine, self.failed, TimeoutError()
+                network.now + self.timeout, machine, self.fail, TimeoutError()
             )
-        network.send(machine.address, self.host, 60, self._knock)
+        network.send(machine.address, self.host, 60, self._syn_arrives)
 
-    def _knock(self) -> None:
-        """The first packet has come to the other machine, seen by its kernel alone."""
-        if self.over:
+    def _syn_arrives(self) -> None:
+        """Handle the SYN in the kernel of the other machine; none of its processes runs."""
+        if self.is_finished:
             return
         network = self.machine.network
-        there = self.machine.network.machines.get(self.host)
-        if there is None or not there.attached:
-            return  # nobody answers
-        port = there.listeners.get(self.port)
+        destination = self.machine.network.machines.get(self.host)
+        if destination is None or not destination.attached:
+            return  # Nobody answers.
+        listener = destination.listeners.get(self.port)
         impairment = network.link(self.machine.address, self.host).impairment
         if impairment.deaf:
             return
-        if port is None or impairment.refusing:
-            network.send(self.host, self.machine.address, 60, self._refused)
+        if listener is None or impairment.refusing:
+            network.send(self.host, self.machine.address, 60, self._refusal_arrives)
             return
-        if len(port.line) >= port.backlog:
-            return  # the kernel drops it
-        near, far = pair(self.machine, there, self.port)
-        port.arrived(far)
-        network.send(self.host, self.machine.address, 60, lambda: self._up(near))
+        if len(listener.accept_queue) >= listener.backlog:
+            return  # The kernel drops the SYN.
+        client_end, server_end = create_connection(self.machine, destination, self.port)
+        listener.enqueue(server_end)
+        network.send(self.host, self.machine.address, 60, lambda: self._syn_ack_arrives(client_end))
 
-    def _refused(self) -> None:
+    def _refusal_arrives(self) -> None:
         self.machine.network.call_at(
-            self.machine.network.now, self.machine, self.failed, ConnectionRefusedError()
+            self.machine.network.now, self.machine, self.fail, ConnectionRefusedError()
         )
 
-    def _up(self, near: Endpoint) -> None:
-        if self.over or not self.machine.attached:
-            near.drop(reset=True)
+    def _syn_ack_arrives(self, client_end: Endpoint) -> None:
+        if self.is_finished or not self.machine.attached:
+            client_end.drop(reset=True)
             return
-        self.end = near
-        self.machine.network.call_at(self.machine.network.now, self.machine, self._made, near)
+        self.endpoint = client_end
+        self.machine.network.call_at(
+            self.machine.network.now, self.machine, self._connected, client_end
+        )
 
-    def _made(self, near: Endpoint) -> None:
-        if self.over:
-            near.drop(reset=True)
+    def _connected(self, client_end: Endpoint) -> None:
+        if self.is_finished:
+            client_end.drop(reset=True)
             return
         self._finish()
-        if near.over:
+        if client_end.is_closed:
             self.factory.clientConnectionFailed(self, Failure(ConnectionLost()))
             return
-        protocol = self.factory.buildProtocol(near.getPeer())
+        protocol = self.factory.buildProtocol(client_end.getPeer())
         if protocol is None:
-            near.drop(reset=False)
+            client_end.drop(reset=False)
             return
-        near.connector = self
-        near.open(protocol)
+        client_end.connector = self
+        client_end.open(protocol)
 
     def _finish(self) -> None:
-        self.over = True
+        self.is_finished = True
         self.machine.connectors.pop(self, None)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def failed(self, fault: Exception) -> None:
-        """The dial has failed, unless it is over."""
-        if not self.over:
+    def fail(self, error: Exception) -> None:
+        """Report the failure of the attempt, unless it is finished."""
+        if not self.is_finished:
             self._finish()
-            self.factory.clientConnectionFailed(self, Failure(fault))
+            self.factory.clientConnectionFailed(self, Failure(error))
 
     def disconnect(self) -> None:
-        """Give up the dial, or close its connection."""
-        if self.end is not None and self.over:
-            self.end.loseConnection()
+        """Cancel the attempt, or close its connection."""
+        if self.endpoint is not None and self.is_finished:
+            self.endpoint.loseConnection()
         else:
-            self.failed(UserError())
+            self.fail(UserError())
 
     stopConnecting = disconnect  # noqa: N815 - Twisted's name
 
-    def forget(self) -> None:
-        """Its process is no more."""
-        if not self.over:
+    def abandon(self) -> None:
+        """End the attempt because its process died."""
+        if not self.is_finished:
             self._finish()
-        if self.end is not None and not self.end.over:
-            self.end.drop(reset=True)
+        if self.endpoint is not None and not self.endpoint.is_closed:
+            self.endpoint.drop(reset=True)
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -36,7 +36,7 @@
 
 from hookpitch.fakes.history import History
 from hookpitch.testbed.child import ControlConnection, EventRecorder, run_child
-from hookpitch.testbed.links import CLEAN, MOST_RETRANSMITS, RETRANSMIT_MS, UNLIMITED, Impairment
+from hookpitch.testbed.links import CLEAN, MAX_RETRANSMITS, RETRANSMIT_MS, UNLIMITED, Impairment
 
 HELD = 1 << 18  # bytes of a flow that are under way; what is more waits in the kernels
 BACKLOG = 4096
@@ -115,7 +115,7 @@
         if impairment.bandwidth < UNLIMITED:
             way.free_at = max(now, way.free_at) + (size + 40) / impairment.bandwidth
             takes += way.free_at - now
-        for n in range(MOST_RETRANSMITS if impairment.loss else 0):
+        for n in range(MAX_RETRANSMITS if impairment.loss else 0):
             if chance.random() >= impairment.loss:
                 break
             takes += RETRANSMIT_MS / 1000 * 2**n
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -191,7 +191,7 @@
             if "clients" in (a, b):
                 node = a if b == "clients" else b
                 for end in [
-                    e for m in self.network.at_address(self.address(node)) for e in m.endpoints
+                    e for m in self.network.machines_at(self.address(node)) for e in m.endpoints
                 ]:
                     if end.peer_address == self.address("clients"):
                         self.history.add(self.now(), "unread", node, port=end.peer_port)
@@ -223,4 +223,4 @@
         broken = judge.judge(self.history, self.now()) + judge.check_counters(
             self.history, self.counters
         )
-        return self.ended(broken, network.events, time.perf_counter() - begun)
+        return self.ended(broken, network.events_executed, time.perf_counter() - begun)
--- a/hookpitch/testbed/simulated_tcp.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -1,13 +1,14 @@
-"""TCP in virtual time: a connection is two `Endpoint`s.
+"""TCP in virtual time: a connection is a pair of `Endpoint` objects.
 
-What one writes goes through a bounded send buffer, over a link, into the bounded receive buffer of
-the other's kernel, and is read in an event of the other's process.
+Bytes that a program writes go through a bounded send buffer and over a link into the bounded
+receive buffer of the peer's kernel, and are read in an event of the peer's process.
 
-Invariants: bytes in flight and bytes unread together never exceed `MAX_BUFFERED_BYTES`; every
-`Endpoint` ends with exactly one `connectionLost` unless its machine vanished.
+Invariants: the bytes in flight and the unread bytes of a direction together never exceed
+`MAX_BUFFERED_BYTES` by a whole segment; every `Endpoint` that a program has opened ends with
+exactly one `connectionLost`, unless its process dies or its machine stays off the network.
 
 Sources: Twisted's interfaces; RFC 9293 for resets, half-closes and zero windows; socket(7) and
-tcp(7) of Linux for what a close with unread bytes does.
+tcp(7) of Linux for the effect of closing a socket with unread bytes.
 """
 
 from __future__ import annotations
@@ -22,41 +23,43 @@
 from twisted.internet.interfaces import IHalfCloseableProtocol
 from twisted.python.failure import Failure
 
-from hookpitch.testbed.interfaces import Dialler, Machine
+from hookpitch.testbed.interfaces import Connector, Machine
 
-MAX_BUFFERED_BYTES = 1 << 18  # bytes of a direction that are in flight or unread at the most
-SEGMENT = 1 << 14  # bytes that travel together
-READ = 1 << 16  # bytes read in one turn
+MAX_BUFFERED_BYTES = 1 << 18  # of one direction: in flight and unread
+MAX_SEGMENT_BYTES = 1 << 14
+MAX_READ_BYTES = 1 << 16  # per read event
 
 
-def pair(a: Machine, b: Machine, port: int) -> tuple[Endpoint, Endpoint]:
-    """The two ends of a new connection."""
-    near = Endpoint(a, a.next_port(), b.address, port)
-    far = Endpoint(b, port, a.address, 0)
-    near.peer = far
-    far.peer = near
-    far.peer_port = near.port
-    return near, far
+def create_connection(
+    client: Machine, server: Machine, server_port: int
+) -> tuple[Endpoint, Endpoint]:
+    """Create a connection and return its two endpoints: of the client and of the server."""
+    client_end = Endpoint(client, client.next_port(), server.address, server_port)
+    server_end = Endpoint(server, server_port, client.address, 0)
+    client_end.peer = server_end
+    server_end.peer = client_end
+    server_end.peer_port = client_end.port
+    return client_end, server_end
 
 
-class _Socket:
-    """What programs ask a connection's socket: whether bytes stand unread, and since when."""
+class _SocketView:
+    """The socket of an endpoint: whether it has unread bytes, and since when."""
 
-    __slots__ = ("end",)
+    __slots__ = ("endpoint",)
 
-    def __init__(self, end: Endpoint) -> None:
-        self.end = end
+    def __init__(self, endpoint: Endpoint) -> None:
+        self.endpoint = endpoint
 
     def recv(self, count: int, flags: int = 0) -> bytes:
-        if self.end.receive_buffer:
-            return bytes(self.end.receive_buffer[0][:count])
-        if self.end.ended or self.end.was_reset:
+        if self.endpoint.receive_buffer:
+            return bytes(self.endpoint.receive_buffer[0][:count])
+        if self.endpoint.received_fin or self.endpoint.received_reset:
             return b""
         raise BlockingIOError
 
     def getsockopt(self, level: int, option: int, size: int = 0) -> bytes:
-        """TCP_INFO: of Linux' struct tcp_info only tcpi_last_data_recv, in milliseconds."""
-        age = max(0.0, self.end.machine.network.now - self.end.came_at) * 1000
+        """Return TCP_INFO with only tcpi_last_data_recv of Linux' struct tcp_info set, in ms."""
+        age = max(0.0, self.endpoint.machine.network.now - self.endpoint.last_received_at) * 1000
         return struct.pack("14I", *[0] * 13, int(age))
 
 
@@ -72,62 +75,61 @@
         self.peer_port = peer_port
         self.peer: Endpoint = self
         self.protocol: Any = None
-        self.connector: Dialler | None = None
-        self.socket = _Socket(self)
-        self.send_buffer: deque[bytes] = deque()  # handed over by the program, not yet sent
+        self.connector: Connector | None = None
+        self.socket = _SocketView(self)
+        self.send_buffer: deque[bytes] = deque()  # written by the program, not yet sent
         self.receive_buffer: deque[bytes] = deque()  # arrived, unread
-        # bytes: arrived here; sent from here and not yet read there
-        self.unread_bytes = 0
-        self.travelling = 0
-        self.came_at = machine.network.now
-        self.last_arrival = 0.0
-        self.ended = False  # the peer's end of sending has arrived
-        self.was_reset = False
-        self.over = self.aborted = False  # this end's socket is closed; with a reset
+        self.unread_bytes = 0  # in the receive buffer
+        self.bytes_in_flight = 0  # sent, not yet arrived at the peer
+        self.last_received_at = machine.network.now
+        self.last_arrival_at = 0.0  # when the last packet sent from here arrives at the peer
+        self.received_fin = False  # the peer will send no more
+        self.received_reset = False
+        self.is_closed = self.sent_reset = False
         self.connected = True
         self.disconnecting = False
-        self.reading = True
-        self.sent_end = False
+        self.is_reading = True
+        self.sent_fin = False
         self.producer: Any = None
         self.streaming = False
-        self._reading_due = self._feeding = False
-        self._told_end = False
+        self._read_scheduled = self._producer_scheduled = False
+        self._fin_reported = False  # to the program
         machine.endpoints[self] = None
 
-    # ---- what programs call
+    # ---- called by programs
 
     def getHost(self) -> IPv4Address:
-        """This end's address."""
+        """Return the address of this end."""
         return IPv4Address("TCP", self.machine.address, self.port)
 
     def getPeer(self) -> IPv4Address:
-        """The other end's address."""
+        """Return the address of the other end."""
         return IPv4Address("TCP", self.peer_address, self.peer_port)
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Nothing: bytes are sent at once."""
+        """Do nothing: bytes are always sent at once."""
         pass
 
     def setTcpKeepAlive(self, enabled: bool) -> None:
-        """Nothing: no keep-alive is simulated."""
+        """Do nothing: keep-alive is not simulated."""
         pass
 
     def write(self, data: bytes) -> None:
         """Send bytes, through the send buffer."""
-        if self.over or self.disconnecting or self.sent_end or not data:
+        if self.is_closed or self.disconnecting or self.sent_fin or not data:
             return
         self.send_buffer.append(bytes(data))
         self.pump()
 
     def writeSequence(self, data: list[bytes]) -> None:
-        """Send several pieces."""
+        """Send several byte strings."""
         self.write(b"".join(data))
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
         """Ask a producer for data whenever the send buffer is empty."""
         if self.producer is not None:
-            raise RuntimeError("a producer is registered already")
-        if self.over:
+            raise RuntimeError(f"producer {self.producer!r} is registered already")
+        if self.is_closed:
             producer.stopProducing()
             return
         self.producer = producer
@@ -136,137 +138,145 @@
             producer.resumeProducing()
 
     def unregisterProducer(self) -> None:
-        """The producer has written all."""
+        """Remove the producer, which has written everything."""
         self.producer = None
         if self.disconnecting:
             self._close_if_sent()
 
     def pauseProducing(self) -> None:
         """Stop reading."""
-        self.reading = False
+        self.is_reading = False
 
     stopReading = pauseProducing  # noqa: N815 - Twisted's name
 
     def resumeProducing(self) -> None:
-        """Read again."""
-        if not self.over and not self.disconnecting:
-            self.reading = True
-            self._read_soon()
+        """Start reading again."""
+        if not self.is_closed and not self.disconnecting:
+            self.is_reading = True
+            self._schedule_read()
 
     startReading = resumeProducing  # noqa: N815 - Twisted's name
 
     def loseConnection(self) -> None:
-        """Close once all is sent."""
-        if not self.over and not self.disconnecting:
+        """Close the connection once everything is sent."""
+        if not self.is_closed and not self.disconnecting:
             self.disconnecting = True
-            self.reading = False
+            self.is_reading = False
             self._close_if_sent()
 
     def loseWriteConnection(self) -> None:
-        """Half-close once all is sent."""
-        if not self.over and not self.sent_end:
-            self._half = True
-            self._end_sending()
+        """Half-close the connection once everything is sent."""
+        if not self.is_closed and not self.sent_fin:
+            self._is_half_closing = True
+            self._send_fin_if_sent()
 
     def abortConnection(self) -> None:
-        """Close with a reset."""
-        if not self.over:
+        """Close the connection with a reset."""
+        if not self.is_closed:
             self.disconnecting = True
-            self.reading = False
-            self.machine.network.call_at(self.machine.network.now, self.machine, self._aborted)
+            self.is_reading = False
+            self.machine.network.call_at(self.machine.network.now, self.machine, self._abort)
 
-    _half = False
+    _is_half_closing = False
 
     def connectionLost(self, reason: Failure) -> None:
-        """As Twisted's transports: closed at once, for the reason given."""
-        self._lost(reason.value, reset=reason.check(ConnectionAborted) is not None)
+        """Close the connection at once, for the given reason, as Twisted's transports do."""
+        self._close(reason.value, reset=reason.check(ConnectionAborted) is not None)
 
-    # ---- within
+    # ---- internal
 
     def open(self, protocol: Any) -> None:
         """Hand the connection to its program."""
         self.protocol = protocol
         protocol.makeConnection(self)
-        self._read_soon()
+        self._schedule_read()
 
-    def _aborted(self) -> None:
-        self._lost(ConnectionAborted(), reset=True)
+    def _abort(self) -> None:
+        self._close(ConnectionAborted(), reset=True)
 
     def pump(self) -> None:
-        """Send as much as the other end's buffer takes."""
+        """Send as much as fits into the peer's receive buffer."""
         network = self.machine.network
         while (
             self.send_buffer
-            and self.travelling + self.peer.unread_bytes < MAX_BUFFERED_BYTES
-            and not self.over
+            and self.bytes_in_flight + self.peer.unread_bytes < MAX_BUFFERED_BYTES
+            and not self.is_closed
         ):
             data = self.send_buffer.popleft()
-            if len(data) > SEGMENT:
-                self.send_buffer.appendleft(data[SEGMENT:])
-                data = data[:SEGMENT]
-            self.travelling += len(data)
+            if len(data) > MAX_SEGMENT_BYTES:
+                self.send_buffer.appendleft(data[MAX_SEGMENT_BYTES:])
+                data = data[:MAX_SEGMENT_BYTES]
+            self.bytes_in_flight += len(data)
             network.send(
-                self.machine.address, self.peer_address, len(data) + 40, self._carry(data), self
+                self.machine.address,
+                self.peer_address,
+                len(data) + 40,
+                self._delivery_of(data),
+                self,
             )
         if not self.send_buffer:
-            if self.producer is not None and not self._feeding:
-                self._feeding = True
-                network.call_at(network.now, self.machine, self._feed)
+            if self.producer is not None and not self._producer_scheduled:
+                self._producer_scheduled = True
+                network.call_at(network.now, self.machine, self._resume_producer)
             if self.disconnecting:
                 self._close_if_sent()
-            elif self._half and not self.sent_end:
-                self._end_sending()
+            elif self._is_half_closing and not self.sent_fin:
+                self._send_fin_if_sent()
 
-    def _carry(self, data: bytes) -> Callable[[], None]:
-        return lambda: self.peer.arrive(data)
+    def _delivery_of(self, data: bytes) -> Callable[[], None]:
+        return lambda: self.peer.data_arrives(data)
 
-    def _feed(self) -> None:
-        self._feeding = False
-        if self.producer is not None and not self.send_buffer and not self.over:
+    def _resume_producer(self) -> None:
+        self._producer_scheduled = False
+        if self.producer is not None and not self.send_buffer and not self.is_closed:
             self.producer.resumeProducing()
 
-    def arrive(self, data: bytes) -> None:
-        """Bytes have come to this machine's kernel."""
+    def data_arrives(self, data: bytes) -> None:
+        """Handle bytes that have arrived at this machine's kernel."""
         peer = self.peer
         network = self.machine.network
         if not self.machine.attached:
             return
-        peer.travelling -= len(data)
-        if self.over:
+        peer.bytes_in_flight -= len(data)
+        if self.is_closed:
             if network.on_data_after_close is not None:
                 network.on_data_after_close(self)
-            peer.reset_by_peer(self.machine)
+            peer.reset_by(self.machine)
             return
         self.receive_buffer.append(data)
         self.unread_bytes += len(data)
-        self.came_at = self.machine.network.now
-        self._read_soon()
-
-    def _read_soon(self) -> None:
-        ready = self.receive_buffer or (self.ended and not self._told_end) or self.was_reset
+        self.last_received_at = self.machine.network.now
+        self._schedule_read()
+
+    def _schedule_read(self) -> None:
+        ready = (
+            self.receive_buffer
+            or (self.received_fin and not self._fin_reported)
+            or self.received_reset
+        )
         if (
             ready
-            and self.reading
+            and self.is_reading
             and self.protocol is not None
-            and not self._reading_due
-            and not self.over
+            and not self._read_scheduled
+            and not self.is_closed
         ):
-            self._reading_due = True
-            self.machine.network.call_at(self.machine.network.now, self.machine, self._turn)
+            self._read_scheduled = True
+            self.machine.network.call_at(self.machine.network.now, self.machine, self._read_event)
 
-    def _turn(self) -> None:
-        self._reading_due = False
-        if self.reading and not self.over:
+    def _read_event(self) -> None:
+        self._read_scheduled = False
+        if self.is_reading and not self.is_closed:
             self.doRead()
-            self._read_soon()
+            self._schedule_read()
 
     def doRead(self) -> None:
-        """One turn of reading, as the reactor does it."""
-        if self.over or self.protocol is None:
+        """Read once, as the reactor does when the socket is readable."""
+        if self.is_closed or self.protocol is None:
             return
         if self.receive_buffer:
             data = self.receive_buffer.popleft()
-            while self.receive_buffer and len(data) + len(self.receive_buffer[0]) <= READ:
+            while self.receive_buffer and len(data) + len(self.receive_buffer[0]) <= MAX_READ_BYTES:
                 data += self.receive_buffer.popleft()
             self.unread_bytes -= len(data)
             peer = self.peer
@@ -274,67 +284,68 @@
             if peer.send_buffer:
                 network.send(self.machine.address, self.peer_address, 40, peer.pump)
             self.protocol.dataReceived(data)
-        elif self.was_reset:
-            self._lost(ConnectionLost(), told=True)
-        elif self.ended and not self._told_end:
-            self._told_end = True
-            half = IHalfCloseableProtocol(self.protocol, None)
-            if half is not None:
-                half.readConnectionLost()
+        elif self.received_reset:
+            self._close(ConnectionLost(), peer_knows=True)
+        elif self.received_fin and not self._fin_reported:
+            self._fin_reported = True
+            half_closeable = IHalfCloseableProtocol(self.protocol, None)
+            if half_closeable is not None:
+                half_closeable.readConnectionLost()
             else:
-                self._lost(ConnectionDone())
+                self._close(ConnectionDone())
 
-    def _end_sending(self) -> None:
-        if not self.send_buffer and not self.sent_end:
-            self.sent_end = True
+    def _send_fin_if_sent(self) -> None:
+        """Send a FIN if the send buffer is empty."""
+        if not self.send_buffer and not self.sent_fin:
+            self.sent_fin = True
             self.machine.network.send(
-                self.machine.address, self.peer_address, 40, self.peer.end_arrives, self
+                self.machine.address, self.peer_address, 40, self.peer.fin_arrives, self
             )
 
-    def end_arrives(self) -> None:
-        """The peer's end of sending has arrived."""
-        if self.machine.attached and not self.over:
-            self.ended = True
-            self._read_soon()
+    def fin_arrives(self) -> None:
+        """Handle the peer's FIN."""
+        if self.machine.attached and not self.is_closed:
+            self.received_fin = True
+            self._schedule_read()
 
     def _close_if_sent(self) -> None:
-        if not self.send_buffer and self.producer is None and not self.over:
-            self.machine.network.call_at(self.machine.network.now, self.machine, self._closed)
+        if not self.send_buffer and self.producer is None and not self.is_closed:
+            self.machine.network.call_at(self.machine.network.now, self.machine, self._finish_close)
 
-    def _closed(self) -> None:
-        if not self.over and not self.send_buffer:
-            self._lost(ConnectionDone())
+    def _finish_close(self) -> None:
+        if not self.is_closed and not self.send_buffer:
+            self._close(ConnectionDone())
 
-    def reset_by_peer(self, there: Machine) -> None:
-        """The other machine knows nothing of this connection: its answer takes the way back."""
-        there.network.send(there.address, self.machine.address, 40, self.reset_arrives)
+    def reset_by(self, machine: Machine) -> None:
+        """Have the other machine, which no longer knows the connection, answer with a reset."""
+        machine.network.send(machine.address, self.machine.address, 40, self.reset_arrives)
 
     def reset_arrives(self) -> None:
-        """The peer's reset has arrived."""
-        if self.machine.attached and not self.over:
-            self.was_reset = True
+        """Handle the peer's reset."""
+        if self.machine.attached and not self.is_closed:
+            self.received_reset = True
             self.send_buffer.clear()
             if self.protocol is None:
-                self._gone()
-            elif self.reading:
-                self._read_soon()
-            else:  # a connection that is not read still learns of a reset
+                self._release()
+            elif self.is_reading:
+                self._schedule_read()
+            else:  # A connection that is not being read is notified of a reset all the same.
                 self.machine.network.call_at(
                     self.machine.network.now,
                     self.machine,
-                    self._lost,
+                    self._close,
                     ConnectionLost(),
                     False,
                     True,
                 )
 
-    def _lost(self, fault: Exception, reset: bool = False, told: bool = False) -> None:
-        """This end is closed: told to the peer, unless it knows, and to the program."""
-        if self.over:
+    def _close(self, error: Exception, reset: bool = False, peer_knows: bool = False) -> None:
+        """Close this end; notify the peer, unless it knows, and the program."""
+        if self.is_closed:
             return
-        # As Linux does: a close with bytes unread resets.
-        self._tell(reset or bool(self.receive_buffer), told)
-        self._gone()
+        # Linux sends a reset when a socket with unread bytes is closed.
+        self._notify_peer(reset or bool(self.receive_buffer), peer_knows)
+        self._release()
         if self.producer is not None:
             producer = self.producer
             self.producer = None
@@ -342,43 +353,52 @@
         protocol = self.protocol
         self.protocol = None
         if protocol is not None:
-            failure = Failure(fault)
+            failure = Failure(error)
             protocol.connectionLost(failure)
             if self.connector is not None:
                 self.connector.factory.clientConnectionLost(self.connector, failure)
 
-    def _tell(self, reset: bool, told: bool) -> None:
-        if told or not self.machine.attached:
+    def _notify_peer(self, reset: bool, peer_knows: bool) -> None:
+        if peer_knows or not self.machine.attached:
             return
         network = self.machine.network
         peer = self.peer
         if reset:
-            self.aborted = True
+            self.sent_reset = True
             network.send(
-                self.machine.address, self.peer_address, 40, peer.reset_arrives, self, once=True
+                self.machine.address,
+                self.peer_address,
+                40,
+                peer.reset_arrives,
+                self,
+                no_retransmit=True,
             )
-        elif not self.sent_end:
-            self.sent_end = True
-            network.send(self.machine.address, self.peer_address, 40, peer.end_arrives, self)
+        elif not self.sent_fin:
+            self.sent_fin = True
+            network.send(self.machine.address, self.peer_address, 40, peer.fin_arrives, self)
 
-    def _gone(self) -> None:
+    def _release(self) -> None:
+        """Mark this end as closed and free its buffers and its descriptor."""
         if self.machine.network.on_endpoint_closed is not None:
             self.machine.network.on_endpoint_closed(self)
-        self.over = True
+        self.is_closed = True
         self.connected = False
-        self.reading = False
+        self.is_reading = False
         self.send_buffer.clear()
         self.receive_buffer.clear()
         self.unread_bytes = 0
         self.machine.endpoints.pop(self, None)
 
-    def drop(self, reset: bool, told: bool = False) -> None:
-        """The kernel closes this end without the program: it is dead, or never took it."""
-        if not self.over:
+    def drop(self, reset: bool, notify_program: bool = False) -> None:
+        """Close this end in the kernel, without the program: it died or never had the connection.
+
+        With `notify_program` the program is alive and gets `connectionLost` in an event of its own.
+        """
+        if not self.is_closed:
             if self.machine.attached:
-                self._tell(reset or bool(self.receive_buffer), False)
-            program = self.protocol if told else None
-            self._gone()
+                self._notify_peer(reset or bool(self.receive_buffer), False)
+            program = self.protocol if notify_program else None
+            self._release()
             if program is not None:
                 self.protocol = None
                 failure = Failure(ConnectionLost())
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -1,14 +1,16 @@
-"""Machines and links in virtual time: one order of events for all.
+"""Machines and links in virtual time: a single event queue drives all of them.
 
-A `SimulatedNetwork` holds one heap of events, ordered by time and by the number in which they were
-scheduled; nothing else moves time. A `Machine` has an address, listeners, descriptors and, where
-one is given, a CPU that its events use up; its programs' reactor is in `reactor.py`, connections
-are in `simulated_tcp.py`. A `Link` is one direction between two machines. Times in seconds.
+A `SimulatedNetwork` holds one heap of events, ordered by time and then by the order in which they
+were scheduled; only the execution of events advances time. A `Machine` has an address, listeners,
+descriptors and, optionally, a CPU whose time its events consume. The reactor for the programs of a
+machine is in `reactor.py`, connections are in `simulated_tcp.py`. A `Link` is one direction between
+two machines. Times are in seconds.
 
-Invariants: bytes of a direction arrive in order, once, whole, or not at all. One seed is one
-history: random numbers come from one generator, and nothing reads the wall clock.
+Invariants: the bytes of one direction of a connection arrive in order, once and complete, or not at
+all. The same seed always produces the same history: all random numbers come from one generator, and
+nothing reads the wall clock.
 
-Sources: RFC 9293 for what is sent again, RFC 768 for what is not.
+Sources: RFC 9293 for what is retransmitted, RFC 768 for what is not.
 """
 
 from __future__ import annotations
@@ -24,22 +26,29 @@
 
 from hookpitch.testbed.links import (
     CLEAN,
-    MOST_RETRANSMITS,
+    MAX_RETRANSMITS,
     RETRANSMIT_MS,
     UNLIMITED,
     Impairment,
-    Impairments,
+    ImpairmentRegistry,
+)
+from hookpitch.testbed.reactor import (
+    Connector,
+    DatagramPort,
+    ListeningPort,
+    ListeningSocket,
+    SimulatedReactor,
 )
-from hookpitch.testbed.reactor import Connector, DatagramPort, Listening, Port, Reactor
 from hookpitch.testbed.simulated_tcp import Endpoint
 
-DIAL_RETRANSMIT_FACTOR = 5  # a dial's first packet is sent again after so many times the usual time
+# A lost SYN is retransmitted after this multiple of the usual retransmission timeout.
+SYN_RETRANSMIT_FACTOR = 5
 
 
-class Call:
-    """One event: Twisted's `IDelayedCall`."""
+class ScheduledCall:
+    """One scheduled event: Twisted's `IDelayedCall`."""
 
-    __slots__ = ("network", "machine", "time", "n", "func", "args", "kw", "life")
+    __slots__ = ("network", "machine", "time", "number", "func", "args", "kwargs", "incarnation")
 
     def __init__(
         self,
@@ -48,87 +57,88 @@
         time: float,
         func: Callable[..., object],
         args: tuple[Any, ...],
-        kw: dict[str, Any],
+        kwargs: dict[str, Any],
     ) -> None:
         self.network = network
         self.machine = machine
         self.time = time
         self.func = func
         self.args = args
-        self.kw = kw
-        self.n = network.number()
-        self.life = machine.life if machine is not None else 0
+        self.kwargs = kwargs
+        self.number = network.next_number()
+        self.incarnation = machine.incarnation if machine is not None else 0
 
     def getTime(self) -> float:
-        """When it is due, in seconds."""
+        """Return the time at which the call is due, in seconds."""
         return self.time
 
     def active(self) -> bool:
-        """Whether it is still due."""
+        """Return whether the call is still pending."""
         return self.func is not None
 
     def cancel(self) -> None:
-        """Give it up; AlreadyCalled where it is not due."""
+        """Cancel the call; raise AlreadyCalled if it is no longer pending."""
         if self.func is None:
             raise AlreadyCalled
         self.func = None  # type: ignore[assignment]
 
     def reset(self, seconds: float) -> None:
-        """Have it due so many seconds from now."""
-        self._move(self.network.now + seconds)
+        """Reschedule the call to `seconds` from now."""
+        self._reschedule(self.network.now + seconds)
 
     def delay(self, seconds: float) -> None:
-        """Have it due so many seconds later."""
-        self._move(self.time + seconds)
+        """Postpone the call by `seconds`."""
+        self._reschedule(self.time + seconds)
 
-    def _move(self, time: float) -> None:
+    def _reschedule(self, time: float) -> None:
         if self.func is None:
             raise AlreadyCalled
-        again = Call(self.network, self.machine, time, self.func, self.args, self.kw)
-        # The place in the heap cannot move: this object takes the new one, a husk keeps the old.
-        husk = self.network.places.pop(self.n, None)
-        if husk is not None:
-            husk[2] = None
+        replacement = ScheduledCall(
+            self.network, self.machine, time, self.func, self.args, self.kwargs
+        )
+        # An entry cannot move within the heap: the old entry is emptied and this call is pushed
+        # again, under a new number.
+        old_entry = self.network.entries.pop(self.number, None)
+        if old_entry is not None:
+            old_entry[2] = None
         self.time = time
-        self.n = again.n
+        self.number = replacement.number
         self.network.push(self)
 
 
 class SimulatedNetwork:
-    """All machines and links, and the one order of events. Times in seconds."""
+    """All machines and links, and the event queue that drives them. Times are in seconds."""
 
     def __init__(self, seed: int, epoch: float = 1.7e9) -> None:
-        """`epoch`: Unix time at the start, in seconds."""
+        """Create an empty network; `epoch` is the Unix time at its start, in seconds."""
         self.seed = seed
         self.epoch = epoch
         self.now = 0.0
         self.rng = random.Random(seed)
         self._heap: list[list[Any]] = []
-        self.places: dict[int, list[Any]] = {}
-        self._count = 0
-        self.events = 0  # carried out so far
+        self.entries: dict[int, list[Any]] = {}  # of the heap, by the number of their call
+        self._last_number = 0
+        self.events_executed = 0
         self.machines: dict[str, Machine] = {}
         self.links: dict[tuple[str, str], Link] = {}
         self.default_link = Link(0.0002)
-        self._impairments = Impairments()
-        self.program_errors: list[str] = []  # what programs raised
-        self.on_endpoint_closed: Callable[[Endpoint], None] | None = (
-            None  # told of each end that is closed
-        )
-        self.on_data_after_close: Callable[[Endpoint], None] | None = (
-            None  # and of bytes that came to one that was
-        )
-
-    def number(self) -> int:
-        """The number of a new event."""
-        self._count += 1
-        return self._count
-
-    def push(self, call: Call) -> None:
-        """Put a call into the order of events."""
-        place = [call.time, call.n, call]
-        self.places[call.n] = place
-        heapq.heappush(self._heap, place)
+        self._impairments = ImpairmentRegistry()
+        self.program_errors: list[str] = []  # exceptions that programs did not catch
+        # Called with each endpoint that is closed.
+        self.on_endpoint_closed: Callable[[Endpoint], None] | None = None
+        # Called with a closed endpoint for which more bytes have arrived.
+        self.on_data_after_close: Callable[[Endpoint], None] | None = None
+
+    def next_number(self) -> int:
+        """Return the number of a new call."""
+        self._last_number += 1
+        return self._last_number
+
+    def push(self, call: ScheduledCall) -> None:
+        """Add a call to the event queue."""
+        entry = [call.time, call.number, call]
+        self.entries[call.number] = entry
+        heapq.heappush(self._heap, entry)
 
     def call_at(
         self,
@@ -136,138 +146,155 @@
         machine: Machine | None,
         func: Callable[..., object],
         *args: Any,
-        **kw: Any,
-    ) -> Call:
-        """`func(*args)` is due at `time`, as an event of `machine` (None: of the network)."""
-        call = Call(self, machine, max(time, self.now), func, args, kw)
+        **kwargs: Any,
+    ) -> ScheduledCall:
+        """Schedule `func(*args, **kwargs)` as an event of `machine`, or of the network for None."""
+        call = ScheduledCall(self, machine, max(time, self.now), func, args, kwargs)
         self.push(call)
         return call
 
     def run(self, until: float) -> None:
-        """Carry out all events up to `until`."""
+        """Execute all events up to the time `until`."""
         heap = self._heap
         while heap and heap[0][0] <= until:
-            time, n, call = heapq.heappop(heap)
-            self.places.pop(n, None)
+            time, number, call = heapq.heappop(heap)
+            self.entries.pop(number, None)
             if call is None or call.func is None:
                 continue
             machine = call.machine
             if machine is not None:
-                if call.life != machine.life:  # of a process that is no more
+                if call.incarnation != machine.incarnation:  # The process that scheduled it died.
                     continue
-                if machine.free_at > time or machine.waiting:
-                    # The machine is at work or stopped: its events wait, in their order.
-                    machine.waiting.append((call, n))
-                    machine.wake()
+                if machine.busy_until > time or machine.deferred:
+                    # The machine is busy or paused: its events are deferred, in their order.
+                    machine.deferred.append((call, number))
+                    machine.schedule_deferred()
                     continue
             self.now = max(self.now, time)
-            self._do(call, machine)
+            self._execute(call, machine)
         self.now = max(self.now, until)
 
-    def _do(self, call: Call, machine: Machine | None) -> None:
-        # type: ignore[assignment]
+    def _execute(self, call: ScheduledCall, machine: Machine | None) -> None:
         func = call.func
-        call.func = None
-        self.events += 1
+        call.func = None  # type: ignore[assignment]
+        self.events_executed += 1
         try:
-            func(*call.args, **call.kw)
+            func(*call.args, **call.kwargs)
             if machine is not None and machine.event_cpu_s:
-                machine.spend(machine.event_cpu_s)
-        except Exception as fault:  # noqa: BLE001 - as a reactor does: recorded, and the next event
-            self.program_errors.append(f"{self.now:.6f} {fault!r}")
-            if self.raising:
+                machine.use_cpu(machine.event_cpu_s)
+        except Exception as error:  # noqa: BLE001 - recorded as a reactor logs it; the loop goes on
+            self.program_errors.append(f"{self.now:.6f} {error!r}")
+            if self.raises_program_errors:
                 raise
 
-    raising = True  # a program's fault ends the run
+    raises_program_errors = True  # an exception that a program does not catch ends the run
 
     # ---- machines and links
 
-    def machine(self, address: str, **given: Any) -> Machine:
-        """The machine at an address, made where there is none."""
+    def machine(self, address: str, **options: Any) -> Machine:
+        """Return the machine at an address; create it, with the options, if there is none."""
         if address not in self.machines:
-            self.machines[address] = Machine(self, address, **given)
+            self.machines[address] = Machine(self, address, **options)
         return self.machines[address]
 
-    def link(self, a: str, b: str) -> Link:
-        """The way from machine a to machine b."""
-        found = self.links.get((a, b))
+    def link(self, source: str, destination: str) -> Link:
+        """Return the link from one machine to another."""
+        found = self.links.get((source, destination))
         return found if found is not None else self.default_link
 
     def connect(
         self, a: str, b: str, delay: float, jitter: float = 0.0, bandwidth: float = UNLIMITED
     ) -> None:
-        """Both ways between two machines: seconds, seconds at the most, bytes a second."""
-        for pair in ((a, b), (b, a)):
-            self.links[pair] = Link(delay, jitter, bandwidth)
+        """Set the links between two machines, in both directions.
+
+        `delay` and `jitter` (the maximum) are in seconds, `bandwidth` is in bytes per second.
+        """
+        for direction in ((a, b), (b, a)):
+            self.links[direction] = Link(delay, jitter, bandwidth)
+
+    def dedicated_link(self, source: str, destination: str) -> Link:
+        """Return the link of this direction; create it if the direction has only the default link.
 
-    def own(self, a: str, b: str) -> Link:
-        """The way from a to b as one that can be impaired without touching others."""
-        if (a, b) not in self.links:
-            plain = self.default_link
-            self.links[a, b] = Link(plain.delay, plain.jitter, plain.bandwidth)
-        return self.links[a, b]
+        Impairing it affects no other direction.
+        """
+        if (source, destination) not in self.links:
+            default = self.default_link
+            self.links[source, destination] = Link(default.delay, default.jitter, default.bandwidth)
+        return self.links[source, destination]
 
     # ---- packets
 
     def send(
         self,
-        a: str,
-        b: str,
+        source: str,
+        destination: str,
         size: int,
-        arrive: Callable[[], None],
-        end: Endpoint | None = None,
-        once: bool = False,
+        deliver: Callable[[], None],
+        endpoint: Endpoint | None = None,
+        no_retransmit: bool = False,
     ) -> None:
-        """A packet of so many bytes goes from a to b; `arrive` is called where and when it comes.
-        What
-        is lost on the way is sent again, as TCP does, as long as its end stands; `once`: it is not
-        (a reset)."""
-        link = self.link(a, b)
-        here = self.machines.get(a)
-        if (here is not None and not here.attached) or b not in self.machines:
+        """Send a packet of `size` bytes; `deliver` is called when it arrives.
+
+        A lost packet is retransmitted, as by TCP, for as long as its `endpoint` has not sent a
+        reset; with `no_retransmit` (for a reset) it is not.
+        """
+        link = self.link(source, destination)
+        sender = self.machines.get(source)
+        if (sender is not None and not sender.attached) or destination not in self.machines:
             return
         if link.impairment.silent:
-            self._hold(link, (a, b, size, arrive, end), once)
+            self._block(link, (source, destination, size, deliver, endpoint), no_retransmit)
             return
-        when = self._arrival(link, size)
-        lost = False
+        arrives_at = self._arrival_time(link, size)
+        was_lost = False
         if link.impairment.loss:
-            again = RETRANSMIT_MS / 1000 * (1 if end is not None else DIAL_RETRANSMIT_FACTOR)
-            for n in range(MOST_RETRANSMITS):
+            timeout = RETRANSMIT_MS / 1000 * (1 if endpoint is not None else SYN_RETRANSMIT_FACTOR)
+            for attempt in range(MAX_RETRANSMITS):
                 if self.rng.random() >= link.impairment.loss:
                     break
-                when = when + again * 2**n
-                lost = True
-        if end is not None:  # TCP keeps the order of a direction
-            when = end.last_arrival = max(when, end.last_arrival)
-        self.call_at(when, None, self._arrived, a, b, size, arrive, end, once, lost)
+                arrives_at = arrives_at + timeout * 2**attempt
+                was_lost = True
+        if endpoint is not None:  # TCP delivers a direction in order.
+            arrives_at = endpoint.last_arrival_at = max(arrives_at, endpoint.last_arrival_at)
+        self.call_at(
+            arrives_at,
+            None,
+            self._packet_arrives,
+            source,
+            destination,
+            size,
+            deliver,
+            endpoint,
+            no_retransmit,
+            was_lost,
+        )
 
-    def _arrived(
+    def _packet_arrives(
         self,
-        a: str,
-        b: str,
+        source: str,
+        destination: str,
         size: int,
-        arrive: Callable[[], None],
-        end: Endpoint | None,
-        once: bool,
-        lost: bool,
+        deliver: Callable[[], None],
+        endpoint: Endpoint | None,
+        no_retransmit: bool,
+        was_lost: bool,
     ) -> None:
-        link = self.link(a, b)
-        # A kernel that has reset a connection sends nothing of it again.
-        if lost and end is not None and end.aborted and not once:
+        link = self.link(source, destination)
+        # A kernel that has reset a connection retransmits nothing of it.
+        if was_lost and endpoint is not None and endpoint.sent_reset and not no_retransmit:
             return
-        if link.impairment.silent:  # cut while it was on its way
-            self._hold(link, (a, b, size, arrive, end), once)
-        elif self.machines[b].attached:
-            arrive()
+        if link.impairment.silent:  # The link was cut while the packet was in flight.
+            self._block(link, (source, destination, size, deliver, endpoint), no_retransmit)
+        elif self.machines[destination].attached:
+            deliver()
 
-    def _arrival(self, link: Link, size: int) -> float:
-        """When a packet that is sent now comes, if it is not lost."""
+    def _arrival_time(self, link: Link, size: int) -> float:
+        """Return when a packet that is sent now arrives if it is not lost."""
         impairment = link.impairment
-        start = max(self.now, link.free_at)
-        width = min(link.bandwidth, impairment.bandwidth)
-        if width < UNLIMITED:
-            link.free_at = start = start + size / width
+        start = max(self.now, link.busy_until)
+        bandwidth = min(link.bandwidth, impairment.bandwidth)
+        if bandwidth < UNLIMITED:
+            link.busy_until = start = start + size / bandwidth
         jitter = link.jitter + impairment.jitter_ms / 1000
         return (
             start
@@ -276,81 +303,89 @@
             + (self.rng.random() * jitter if jitter else 0.0)
         )
 
-    def _hold(self, link: Link, packet: tuple[Any, ...], once: bool) -> None:
-        end = packet[4]
-        if once:
+    def _block(self, link: Link, packet: tuple[Any, ...], no_retransmit: bool) -> None:
+        """Handle a packet that meets a silent link: queue it, or lose it for good."""
+        endpoint = packet[4]
+        if no_retransmit:
             return
-        if end is not None and not link.impairment.kept:
-            link.torn[end] = None
+        if endpoint is not None and not link.impairment.kept:
+            link.broken_endpoints[endpoint] = None
         else:
-            link.held.append(packet)
+            link.blocked_packets.append(packet)
 
-    def datagram(self, a: str, b: str, size: int, arrive: Callable[[], None]) -> None:
-        """Like `send`, for what nobody sends again: it comes once, twice, late or never."""
-        link = self.link(a, b)
-        here = self.machines.get(a)
-        if (here is not None and not here.attached) or b not in self.machines:
+    def datagram(
+        self, source: str, destination: str, size: int, deliver: Callable[[], None]
+    ) -> None:
+        """Send a datagram, which is never retransmitted: it arrives once, twice, late or never."""
+        link = self.link(source, destination)
+        sender = self.machines.get(source)
+        if (sender is not None and not sender.attached) or destination not in self.machines:
             return
         impairment = link.impairment
         if impairment.silent or (impairment.loss and self.rng.random() < impairment.loss):
             return
         for _ in range(2 if impairment.repeat and self.rng.random() < impairment.repeat else 1):
-            when = self._arrival(link, size)
+            arrives_at = self._arrival_time(link, size)
             if impairment.reorder and self.rng.random() < impairment.reorder:
-                when += 2 * (
-                    link.delay + impairment.delay_ms / 1000
-                )  # what is sent meanwhile overtakes it
-            self.call_at(when, None, self._datagram_arrived, a, b, arrive)
-
-    def _datagram_arrived(self, a: str, b: str, arrive: Callable[[], None]) -> None:
-        if not self.link(a, b).impairment.silent and self.machines[b].attached:
-            arrive()
-
-    def impair(self, a: str, b: str, by: object, impairment: Impairment | None) -> None:
-        """What `by` does to the way from a to b from now on; None: nothing any more. At the end of
-        a silence,
-        what it held back is sent, in its order, or its connections break."""
-        link = self.own(a, b)
-        silent = link.impairment.silent
+                # Datagrams that are sent in the meantime overtake it.
+                arrives_at += 2 * (link.delay + impairment.delay_ms / 1000)
+            self.call_at(arrives_at, None, self._datagram_arrives, source, destination, deliver)
+
+    def _datagram_arrives(self, source: str, destination: str, deliver: Callable[[], None]) -> None:
+        if not self.link(source, destination).impairment.silent and (
+            self.machines[destination].attached
+        ):
+            deliver()
+
+    def impair(
+        self, source: str, destination: str, owner: object, impairment: Impairment | None
+    ) -> None:
+        """Set the owner's impairment of a direction; None removes it.
+
+        When the direction stops being silent, the packets that were blocked are sent in their
+        order, and connections whose bytes were lost for good are broken.
+        """
+        link = self.dedicated_link(source, destination)
+        was_silent = link.impairment.silent
         link.impairment = (
-            self._impairments.remove((a, b), by)
+            self._impairments.remove((source, destination), owner)
             if impairment is None
-            else self._impairments.put((a, b), by, impairment)
+            else self._impairments.put((source, destination), owner, impairment)
         )
-        if not silent or link.impairment.silent:
+        if not was_silent or link.impairment.silent:
             return
-        held = link.held
-        torn = link.torn
-        link.held = []
-        link.torn = {}
-        for end in torn:
-            for one in (end, end.peer):
-                one.drop(reset=False, told=True)
-        for packet in held:
-            end = packet[4]
-            # A kernel that has reset a connection sends nothing of it again.
-            if end is None or not (end.aborted or end in torn):
+        blocked_packets = link.blocked_packets
+        broken_endpoints = link.broken_endpoints
+        link.blocked_packets = []
+        link.broken_endpoints = {}
+        for endpoint in broken_endpoints:
+            for end in (endpoint, endpoint.peer):
+                end.drop(reset=False, notify_program=True)
+        for packet in blocked_packets:
+            endpoint = packet[4]
+            # A kernel that has reset a connection retransmits nothing of it.
+            if endpoint is None or not (endpoint.sent_reset or endpoint in broken_endpoints):
                 self.send(*packet)
 
-    def silence(self, a: str, b: str) -> None:
-        """Nothing gets through from a to b until it is healed."""
-        self.impair(a, b, "silence", Impairment(silent=True))
+    def silence(self, source: str, destination: str) -> None:
+        """Let nothing through in a direction until `restore` is called for it."""
+        self.impair(source, destination, "silence", Impairment(silent=True))
 
-    def restore(self, a: str, b: str) -> None:
-        """Take a silence off."""
-        self.impair(a, b, "silence", None)
+    def restore(self, source: str, destination: str) -> None:
+        """Undo `silence`."""
+        self.impair(source, destination, "silence", None)
 
     def sever(self, a: str, b: str) -> None:
-        """All connections between two machines are reset, at both ends."""
-        for end in [end for m in self.at_address(a) for end in m.endpoints]:
-            if end.peer_address == b:
-                for one in (end, end.peer):
-                    one.drop(reset=False, told=True)
-
-    def at_address(self, address: str) -> list[Machine]:
-        """The processes there: a machine, and those beside it."""
+        """Reset all connections between two machines, at both ends."""
+        for endpoint in [one for machine in self.machines_at(a) for one in machine.endpoints]:
+            if endpoint.peer_address == b:
+                for end in (endpoint, endpoint.peer):
+                    end.drop(reset=False, notify_program=True)
+
+    def machines_at(self, address: str) -> list[Machine]:
+        """Return the machine at an address and the further processes there."""
         first = self.machines.get(address)
-        return [] if first is None else [first, *first.others]
+        return [] if first is None else [first, *first.siblings]
 
 
 @dataclass(slots=True)
@@ -358,130 +393,133 @@
     """One direction between two machines."""
 
     delay: float  # seconds
-    jitter: float = 0.0  # seconds at the most, on top
-    bandwidth: float = UNLIMITED  # bytes a second
-    impairment: Impairment = CLEAN  # what faults make of it
-    free_at: float = 0.0
-    held: list[tuple[Any, ...]] = field(
-        default_factory=list
-    )  # what a silence holds back: arguments of `send`
-    torn: dict[Endpoint, None] = field(default_factory=dict)  # whose bytes it swallowed
+    jitter: float = 0.0  # maximum in seconds, in addition to the delay
+    bandwidth: float = UNLIMITED  # bytes per second
+    impairment: Impairment = CLEAN  # the combined effect of the faults
+    busy_until: float = 0.0  # when the last packet will have left, at a limited bandwidth
+    # Arguments of `send` for the packets that a silent link retransmits once it is restored.
+    blocked_packets: list[tuple[Any, ...]] = field(default_factory=list)
+    # Endpoints of which a silent link has lost bytes for good.
+    broken_endpoints: dict[Endpoint, None] = field(default_factory=dict)
 
 
 class Machine:
-    """One address and one process there: its descriptors and its part of a core. A second process
-    at the same
-    address is a `Machine` of its own, made by `add_process`: the kernel's listening sockets
-    are common to both."""
+    """One address and one process there, with its descriptors and its CPU.
+
+    A second process at the same address is a `Machine` of its own, created by `add_process`; both
+    share the listening sockets of the kernel.
+    """
 
     def __init__(self, network: SimulatedNetwork, address: str, descriptors: int = 1 << 20) -> None:
         self.network = network
         self.address = address
-        self.descriptors = descriptors
-        self.listeners: dict[int, Listening] = {}  # the kernel's, of all processes here
-        self.inherited_listeners: dict[
-            int, Listening
-        ] = {}  # by descriptor: handed down to every process here
-        self.listening_ports: dict[Port, None] = {}  # this process's
-        self.datagram_ports: dict[int, DatagramPort] = {}  # for datagrams, of all processes here
-        self.others: list[Machine] = []  # processes beside this one
+        self.descriptors = descriptors  # the limit
+        self.listeners: dict[int, ListeningSocket] = {}  # by port, of all processes here
+        # By descriptor: sockets that every process here inherits.
+        self.inherited_listeners: dict[int, ListeningSocket] = {}
+        self.listening_ports: dict[ListeningPort, None] = {}  # of this process
+        self.datagram_ports: dict[int, DatagramPort] = {}  # by port, of all processes here
+        self.siblings: list[Machine] = []  # further processes at this address
         self.endpoints: dict[Endpoint, None] = {}
-        self.connectors: dict[Connector, None] = {}
-        self.attached = True
+        self.connectors: dict[Connector, None] = {}  # connection attempts in progress
+        self.attached = True  # to the network
         self.running = True
-        self.life = 0  # of its process; what an earlier one asked for is not done
-        # until when it is at work or stopped; seconds of CPU used
-        self.free_at = 0.0
+        self.incarnation = 0  # of the process; calls that an earlier one scheduled are dropped
+        self.busy_until = 0.0  # until then the process executes an event or is paused
         self.cpu_used_s = 0.0
-        self.event_cpu_s = 0.0  # seconds of CPU that each of its events takes
-        self.waiting: deque[tuple[Call, int]] = (
-            deque()
-        )  # events that were due while it was not free
-        self._waking = False
-        self._ports = [40000]
-        self.reactor = Reactor(self)
+        self.event_cpu_s = 0.0  # CPU time of each of its events
+        # Events that were due while the machine was busy, with the numbers of their heap entries.
+        self.deferred: deque[tuple[ScheduledCall, int]] = deque()
+        self._deferred_scheduled = False
+        self._last_port = [40000]  # shared by all processes here
+        self.reactor = SimulatedReactor(self)
 
     @property
     def open_descriptors(self) -> int:
-        """Descriptors in use."""
+        """The number of descriptors in use."""
         return len(self.endpoints) + len(self.connectors) + len(self.listening_ports)
 
     def add_process(self) -> Machine:
-        """Another process at this address, with descriptors and a part of a core of its own."""
+        """Create another process at this address, with its own descriptors and CPU."""
         other = Machine(self.network, self.address, self.descriptors)
         other.listeners = self.listeners
         other.inherited_listeners = self.inherited_listeners
-        other._ports = self._ports
+        other._last_port = self._last_port
         other.datagram_ports = self.datagram_ports
-        other.others = self.others
-        self.others.append(other)
+        other.siblings = self.siblings
+        self.siblings.append(other)
         other.event_cpu_s = self.event_cpu_s
         return other
 
     def add_inherited_listener(self, descriptor: int, port: int, backlog: int) -> None:
-        """A socket listens that no process here owns; each can adopt it, and it outlasts them
-        all."""
-        self.inherited_listeners[descriptor] = self.listeners[port] = Listening(
-            self.network, port, backlog, kept=True
+        """Open a listening socket that each process here can adopt and that outlives them all."""
+        self.inherited_listeners[descriptor] = self.listeners[port] = ListeningSocket(
+            self.network, port, backlog, outlives_processes=True
         )
 
-    def spend(self, seconds: float) -> None:
-        """The event that is on takes so much of the CPU: what comes next waits."""
+    def use_cpu(self, seconds: float) -> None:
+        """Charge CPU time to the current event, which delays the next one."""
         self.cpu_used_s += seconds
-        self.free_at = max(self.free_at, self.network.now) + seconds
-
-    def wake(self) -> None:
-        """See to it that what waits is gone on with once the machine is free."""
-        if not self._waking and self.waiting:
-            self._waking = True
-            self.network.call_at(max(self.free_at, self.network.now), None, self._woken)
-
-    def _woken(self) -> None:
-        self._waking = False
-        while self.waiting and self.free_at <= self.network.now:
-            call, n = self.waiting.popleft()
+        self.busy_until = max(self.busy_until, self.network.now) + seconds
+
+    def schedule_deferred(self) -> None:
+        """Schedule the execution of the deferred events for when the machine is free."""
+        if not self._deferred_scheduled and self.deferred:
+            self._deferred_scheduled = True
+            self.network.call_at(
+                max(self.busy_until, self.network.now), None, self._execute_deferred
+            )
+
+    def _execute_deferred(self) -> None:
+        self._deferred_scheduled = False
+        while self.deferred and self.busy_until <= self.network.now:
+            call, number = self.deferred.popleft()
             if (
-                call.func is not None and call.n == n and call.life == self.life
-            ):  # neither cancelled nor moved
-                self.network._do(call, self)
-        self.wake()
+                call.func is not None
+                and call.number == number
+                and call.incarnation == self.incarnation
+            ):  # The call was neither cancelled nor rescheduled, and its process is alive.
+                self.network._execute(call, self)
+        self.schedule_deferred()
 
     def pause(self, seconds: float) -> None:
-        """The process is stopped for so long; no CPU is used."""
-        self.free_at = max(self.free_at, self.network.now + seconds)
+        """Stop the process for a while; it uses no CPU time meanwhile."""
+        self.busy_until = max(self.busy_until, self.network.now + seconds)
 
     def kill(self) -> None:
-        """The process dies: its connections are reset, new ones refused."""
-        self.life += 1
+        """Kill the process: its connections are reset and new ones are refused."""
+        self.incarnation += 1
         self.running = False
-        self.free_at = self.network.now
-        for end in list(self.endpoints):
-            end.drop(reset=True)
-        for dial in list(self.connectors):
-            dial.forget()
+        self.busy_until = self.network.now
+        for endpoint in list(self.endpoints):
+            endpoint.drop(reset=True)
+        for connector in list(self.connectors):
+            connector.abandon()
         for port in list(self.listening_ports):
             port.close()
         for socket in [s for s in self.datagram_ports.values() if s.machine is self]:
             socket.close()
-        self.reactor = Reactor(self)
+        self.reactor = SimulatedReactor(self)
 
-    def start(self) -> Reactor:
-        """A new process: its reactor."""
+    def start(self) -> SimulatedReactor:
+        """Start a new process and return its reactor."""
         self.running = True
         return self.reactor
 
     def detach(self) -> None:
-        """The machine is off the network and says nothing."""
+        """Disconnect the machine from the network without closing its connections."""
         self.attached = False
 
     def reattach(self) -> None:
-        """It is back as it was; what was sent to it meanwhile is lost, and open connections are
-        reset."""
+        """Connect the machine to the network again.
+
+        Packets that were sent to it in the meantime are lost, and its open connections are reset.
+        """
         self.attached = True
-        for end in list(self.endpoints):
-            end.drop(reset=True, told=True)
+        for endpoint in list(self.endpoints):
+            endpoint.drop(reset=True, notify_program=True)
 
     def next_port(self) -> int:
-        """The next local port."""
-        self._ports[0] += 1
-        return self._ports[0]
+        """Return the next unused local port."""
+        self._last_port[0] += 1
+        return self._last_port[0]
