--- a/hookpitch/testbed/child.py
+++ b/hookpitch/testbed/child.py
@@ -1,8 +1,9 @@
-"""What every process of the testbed has: a control line to the run, a history on disk, a monitor.
+"""What every child process of the testbed has: a control connection, a history file, a monitor.
 
-The control line is JSON, a list a line, over a Unix socket; where it ends, the process ends.
-Events are written one by one, so that a process that is killed has recorded all it saw. The
-monitor records how late the process itself was: a run whose testbed fell behind is void.
+The control connection carries JSON over a Unix socket, one list per line; when it is closed, the
+child process exits. Events are written to disk one by one, so that a process that is killed has
+recorded everything it saw. The monitor records how late the process's own event loop was: a run
+whose testbed fell behind is void.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from hookpitch.fakes.history import Event, History
 
 MONITOR_INTERVAL_S = 0.02
-LEAST_LATENESS_MS = 5.0  # what is less is not recorded
+MIN_RECORDED_LATENESS_MS = 5.0
 MAX_LINE_BYTES = 1 << 22
 
 
 class EventRecorder(History):
-    """A history that is on disk as soon as an event is added."""
+    """A history that writes each event to disk as soon as it is added."""
 
     def __init__(self, path: str) -> None:
         super().__init__()
@@ -49,7 +50,7 @@
 
 
 def recorded_events(path: Path) -> list[Event]:
-    """What a process recorded; a line that it was killed in is left out."""
+    """Return the events that a process recorded, without a line that was cut off by its death."""
     if not path.exists():
         return []
     events = []
@@ -62,97 +63,105 @@
 
 
 class LoopMonitor:
-    """Records how late a reactor's loop is, as `rig` events in ms."""
+    """Records how late a reactor's event loop is, as `rig` events in ms."""
 
-    def __init__(self, reactor: Any, history: History, name: str, begun: float) -> None:
-        """`begun`: the run's start on the reactor's clock, in seconds."""
+    def __init__(self, reactor: Any, history: History, name: str, started_at: float) -> None:
+        """Start the monitor; `started_at` is the run's start on the reactor's clock, in seconds."""
         self._reactor = reactor
         self._history = history
         self._name = name
-        self._begun = begun
+        self._started_at = started_at
         self._due = reactor.seconds() + MONITOR_INTERVAL_S
         reactor.callLater(MONITOR_INTERVAL_S, self._check)
 
     def _check(self) -> None:
         now = self._reactor.seconds()
         late_ms = (now - self._due) * 1000
-        if late_ms > LEAST_LATENESS_MS:
-            at = (now - self._begun) * 1000
+        if late_ms > MIN_RECORDED_LATENESS_MS:
+            at = (now - self._started_at) * 1000
             self._history.add(at, "rig", self._name, value=round(late_ms, 1))
         self._due = now + MONITOR_INTERVAL_S
         self._reactor.callLater(MONITOR_INTERVAL_S, self._check)
 
 
 class ControlConnection(LineOnlyReceiver):
-    """A control line, at either end."""
+    """Either end of a control connection."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
 
-    def __init__(self, received: Callable[..., None], lost: Callable[[], None]) -> None:
-        self._received = received
-        self._lost = lost
+    def __init__(self, on_message: Callable[..., None], on_lost: Callable[[], None]) -> None:
+        self._on_message = on_message
+        self._on_lost = on_lost
 
     def lineReceived(self, line: bytes) -> None:
-        """Hand over one message."""
-        self._received(*json.loads(line))
+        """Pass one message to its handler."""
+        self._on_message(*json.loads(line))
 
     def send(self, *message: Any) -> None:
         """Send one message."""
         self.sendLine(json.dumps(message, separators=(",", ":")).encode())
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The other end is closed."""
-        self._lost()
+        """Report that the connection is closed."""
+        self._on_lost()
 
 
-class _LineFactory(ClientFactory):
-    """Dials the run with one line."""
+class _ControlClientFactory(ClientFactory):
+    """Connects a child process to the run that has started it."""
 
     noisy = False
 
     def __init__(
-        self, line: ControlConnection, made: Callable[[], None], lost: Callable[[], None]
+        self,
+        control: ControlConnection,
+        on_connected: Callable[[], None],
+        on_lost: Callable[[], None],
     ) -> None:
-        self._line = line
-        self._made = made
-        self._lost = lost
+        self._control = control
+        self._on_connected = on_connected
+        self._on_lost = on_lost
 
     def buildProtocol(self, addr: object) -> ControlConnection:
-        self._line.connectionMade = self._made  # type: ignore[method-assign]
-        return self._line
+        self._control.connectionMade = self._on_connected  # type: ignore[method-assign]
+        return self._control
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self._lost()
+        self._on_lost()
 
 
-MakeOrders = Callable[[Any, dict[str, Any], EventRecorder, ControlConnection], Callable[..., None]]
+# Creates, in a child process, the function that executes the commands of the run.
+CommandHandlerFactory = Callable[
+    [Any, dict[str, Any], EventRecorder, ControlConnection], Callable[..., None]
+]
 
 
-def run_child(make: MakeOrders) -> int:
-    """The main function of a process of the testbed; returns its exit status.
+def run_child(create_handler: CommandHandlerFactory) -> int:
+    """Run a child process of the testbed and return its exit status.
 
-    Reads the file that it is given, makes what it is for and carries out orders until its line
-    ends. `make` returns what carries out orders.
+    Reads the JSON file that the command line names, creates the command handler and executes
+    commands until the control connection is closed.
     """
     from twisted.internet import reactor
 
-    given = json.loads(Path(sys.argv[1]).read_text())
+    options = json.loads(Path(sys.argv[1]).read_text())
     reactor.seconds = time.monotonic
-    history = EventRecorder(given["history"])
-    orders: list[Callable[..., None]] = []
-    line = ControlConnection(lambda *message: orders[0](*message), reactor.stop)
+    history = EventRecorder(options["history"])
+    handlers: list[Callable[..., None]] = []  # one, once it is created
+    control = ControlConnection(lambda *message: handlers[0](*message), reactor.stop)
 
-    def made() -> None:
-        line.send("hello", given["name"])
+    def on_connected() -> None:
+        control.send("hello", options["name"])
         try:
-            orders.append(make(reactor, given, history, line))
-        except Exception as error:  # noqa: BLE001 - reported whole to the run that started it
-            line.send("cannot", str(error))
+            handlers.append(create_handler(reactor, options, history, control))
+        except Exception as error:  # noqa: BLE001 - the run that started this process reports it
+            control.send("failed", str(error))
             return
-        LoopMonitor(reactor, history, given["name"], given["begun"])
-        line.send("ready")
+        LoopMonitor(reactor, history, options["name"], options["begun"])
+        control.send("ready")
 
-    reactor.connectUNIX(given["control"], _LineFactory(line, made, reactor.stop))
+    reactor.connectUNIX(
+        options["control"], _ControlClientFactory(control, on_connected, reactor.stop)
+    )
     reactor.run(installSignalHandlers=False)
     return 0
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -509,7 +509,7 @@
             name, *rest = args
             if name in self.home:
                 self.home[name].order(name, *rest)
-        elif what == "cannot":
+        elif what == "failed":
             self._stop(f"{child.name}: {args[0]}")
 
     def lost(self, child: Child, line: ControlConnection) -> None:
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -1,14 +1,14 @@
-"""A relay process carries every link of a run on loopback and impairs it: delay, loss, cuts.
+"""A relay process carries the links of a run on loopback and impairs them: delay, loss, cuts.
 
-A TCP link has an address at which it is dialled and one to which it is carried; each connection is
-two sides and two flows, and each flow obeys its direction's `Impairment` (`links.py`). What a cut
-holds back stays in a bounded buffer and then in the kernels, as on a network. A dial that is never
-answered is one that the kernel drops: the listening socket's backlog is kept full. Datagrams go
-between pairs of sockets.
+A TCP link has an address on which the relay listens and one to which it forwards. Each connection
+through it has two endpoints and two forwarding buffers, and each buffer obeys the `Impairment` of
+its direction (`links.py`). Bytes that a cut blocks stay in the bounded buffer and then in the
+kernels, as on a network. A connection attempt that is to get no answer is dropped by the kernel:
+the backlog of the listening socket is kept full. Datagrams are forwarded between pairs of sockets.
 
-Invariants: bytes of a direction come in order, whole or not at all; a reset discards what is in
-flight; `closed` is recorded when a node's end of a connection ends, under the port at which the
-server sees it.
+Invariants: the bytes of one direction arrive in order, complete or not at all; a reset discards
+what is in flight; `closed` is recorded when a node's end of a connection ends, under the port that
+the server sees.
 
 Sources: tcp(7), listen(2) of Linux (a full backlog drops SYNs); RFC 9293.
 """
@@ -38,322 +38,357 @@
 from hookpitch.testbed.child import ControlConnection, EventRecorder, run_child
 from hookpitch.testbed.links import CLEAN, MAX_RETRANSMITS, RETRANSMIT_MS, UNLIMITED, Impairment
 
-HELD = 1 << 18  # bytes of a flow that are under way; what is more waits in the kernels
+MAX_BUFFERED_BYTES = 1 << 18  # of one forwarding buffer; bytes beyond it wait in the kernels
 BACKLOG = 4096
-# of what the relay dials from: under those that the kernel deals out
+# Local ports of the connections to servers: below the range that the kernel assigns by itself.
 FIRST_PORT = 10000
 LAST_PORT = 32000
-DIAL_S = 10.0
+CONNECT_TIMEOUT_S = 10.0
 
 
-class Way:
-    """One direction between two parties."""
+class Direction:
+    """The state of one direction between two parties."""
 
-    __slots__ = ("a", "b", "impairment", "free_at", "flows")
+    __slots__ = ("source", "destination", "impairment", "busy_until", "buffers")
 
-    def __init__(self, a: str, b: str) -> None:
-        self.a = a
-        self.b = b
+    def __init__(self, source: str, destination: str) -> None:
+        self.source = source
+        self.destination = destination
         self.impairment = CLEAN
-        self.free_at = 0.0
-        self.flows: dict[Flow, None] = {}
+        self.busy_until = 0.0  # when the last packet will have left, at a limited bandwidth
+        self.buffers: dict[ForwardingBuffer, None] = {}
+
 
+class ForwardingBuffer:
+    """One direction of one connection: from the endpoint that reads to the one that writes.
 
-class Flow:
-    """One direction of one connection, from the side that reads it to the side that writes it."""
+    It is registered as the producer of the writer's transport, which pauses it while it is full.
+    """
 
     __slots__ = (
         "relay",
-        "way",
-        "source",
-        "sink",
+        "direction",
+        "reader",
+        "writer",
         "queue",
-        "size",
-        "last",
+        "queued_bytes",
+        "last_due_at",
         "timer",
-        "torn",
-        "full",
-        "shut",
-        "over",
+        "has_lost_data",
+        "is_writer_full",
+        "is_reader_paused",
+        "is_closed",
     )
 
-    def __init__(self, relay: Relay, way: Way, source: Side, sink: Side) -> None:
+    def __init__(
+        self, relay: Relay, direction: Direction, reader: RelayEndpoint, writer: RelayEndpoint
+    ) -> None:
         self.relay = relay
-        self.way = way
-        self.source = source
-        self.sink = sink
-        self.queue: deque[tuple[float, bytes | None]] = deque()  # when it is due; None: the end
-        self.size = 0
-        self.last = 0.0
+        self.direction = direction
+        self.reader = reader
+        self.writer = writer
+        # When each piece is due, and its bytes; None stands for the end of the stream.
+        self.queue: deque[tuple[float, bytes | None]] = deque()
+        self.queued_bytes = 0
+        self.last_due_at = 0.0
         self.timer: Any = None
-        self.torn = self.full = self.shut = self.over = False
-        way.flows[self] = None
+        self.has_lost_data = self.is_writer_full = self.is_reader_paused = self.is_closed = False
+        direction.buffers[self] = None
 
-    def came(self, data: bytes | None) -> None:
-        """Take bytes that the source has read; None: the end."""
-        impairment = self.way.impairment
+    def bytes_received(self, data: bytes | None) -> None:
+        """Queue bytes that the reader has received, or None for the end of its stream."""
+        impairment = self.direction.impairment
         now = self.relay.reactor.seconds()
-        if impairment is CLEAN and not self.queue and self.sink.transport is not None:
+        if impairment is CLEAN and not self.queue and self.writer.transport is not None:
             self._write(data)
             return
         if impairment.silent and not impairment.kept:
-            self.torn = True
+            self.has_lost_data = True
             return
-        self.last = due = max(self.last, now + self._takes(impairment, now, len(data or b"")))
-        self.queue.append((due, data))
-        self.size += len(data or b"")
-        self._gate()
+        self.last_due_at = due_at = max(
+            self.last_due_at, now + self._transit_time(impairment, now, len(data or b""))
+        )
+        self.queue.append((due_at, data))
+        self.queued_bytes += len(data or b"")
+        self._pause_or_resume_reader()
         self.pump()
 
-    def _takes(self, impairment: Impairment, now: float, size: int) -> float:
-        """Seconds that it is on its way."""
-        chance = self.relay.chance
-        way = self.way
-        takes = impairment.delay_ms / 1000 + (
-            chance.random() * impairment.jitter_ms / 1000 if impairment.jitter_ms else 0.0
+    def _transit_time(self, impairment: Impairment, now: float, size: int) -> float:
+        """Return how many seconds `size` bytes take, with any retransmissions."""
+        rng = self.relay.rng
+        direction = self.direction
+        transit_s = impairment.delay_ms / 1000 + (
+            rng.random() * impairment.jitter_ms / 1000 if impairment.jitter_ms else 0.0
         )
         if impairment.bandwidth < UNLIMITED:
-            way.free_at = max(now, way.free_at) + (size + 40) / impairment.bandwidth
-            takes += way.free_at - now
-        for n in range(MAX_RETRANSMITS if impairment.loss else 0):
-            if chance.random() >= impairment.loss:
+            direction.busy_until = (
+                max(now, direction.busy_until) + (size + 40) / impairment.bandwidth
+            )
+            transit_s += direction.busy_until - now
+        for attempt in range(MAX_RETRANSMITS if impairment.loss else 0):
+            if rng.random() >= impairment.loss:
                 break
-            takes += RETRANSMIT_MS / 1000 * 2**n
-        return takes
+            transit_s += RETRANSMIT_MS / 1000 * 2**attempt
+        return transit_s
 
     def pump(self) -> None:
-        """Pass on what is due; a cut lets nothing through."""
-        if self.over or self.sink.transport is None or self.way.impairment.silent:
+        """Write everything that is due, unless the direction is silent."""
+        if self.is_closed or self.writer.transport is None or self.direction.impairment.silent:
             return
         now = self.relay.reactor.seconds()
         while self.queue and self.queue[0][0] <= now + 1e-6:
             data = self.queue.popleft()[1]
-            self.size -= len(data or b"")
+            self.queued_bytes -= len(data or b"")
             self._write(data)
-        self._gate()
+        self._pause_or_resume_reader()
         if self.queue and (self.timer is None or not self.timer.active()):
             self.timer = self.relay.reactor.callLater(self.queue[0][0] - now, self.pump)
 
     def _write(self, data: bytes | None) -> None:
         if data is None:
-            self.sink.transport.loseWriteConnection()
+            self.writer.transport.loseWriteConnection()
         else:
-            self.sink.transport.write(data)
+            self.writer.transport.write(data)
 
-    def _gate(self) -> None:
-        """The source is read while there is room."""
-        shut = self.full or self.size > HELD
-        if shut == self.shut or self.source.transport is None or self.over:
+    def _pause_or_resume_reader(self) -> None:
+        """Let the reader read only while the buffer has room."""
+        should_pause = self.is_writer_full or self.queued_bytes > MAX_BUFFERED_BYTES
+        if should_pause == self.is_reader_paused or self.reader.transport is None or self.is_closed:
             return
-        self.shut = shut
-        # A socket whose end was read stays readable: reading it again would spin.
-        if shut:
-            self.source.transport.pauseProducing()
-        elif not self.source.ended:
-            self.source.transport.resumeProducing()
+        self.is_reader_paused = should_pause
+        # A socket whose end of stream was read stays readable: resuming it would spin.
+        if should_pause:
+            self.reader.transport.pauseProducing()
+        elif not self.reader.received_fin:
+            self.reader.transport.resumeProducing()
 
-    # What the sink's transport tells of its buffer.
+    # Called by the writer's transport (IPushProducer).
 
     def pauseProducing(self) -> None:
-        """The sink's buffer is full."""
-        self.full = True
-        self._gate()
+        """Stop reading, because the writer's transport is full."""
+        self.is_writer_full = True
+        self._pause_or_resume_reader()
 
     def resumeProducing(self) -> None:
-        """The sink's buffer has room."""
-        self.full = False
-        self._gate()
+        """Read again, because the writer's transport has room."""
+        self.is_writer_full = False
+        self._pause_or_resume_reader()
 
     def stopProducing(self) -> None:
-        """The sink is closed; its side reports that."""
+        """Do nothing: the writer's endpoint reports that it is closed."""
         pass
 
-    def end(self) -> None:
-        """Drop what is under way."""
-        self.over = True
+    def discard(self) -> None:
+        """Close the buffer and drop what is queued."""
+        self.is_closed = True
         self.queue.clear()
-        self.way.flows.pop(self, None)
+        self.direction.buffers.pop(self, None)
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
 
 @implementer(IHalfCloseableProtocol)
-class Side(Protocol):
-    """One socket of a connection."""
+class RelayEndpoint(Protocol):
+    """One of the two sockets of a connection through the relay."""
 
-    def __init__(self, pair: Pair) -> None:
-        self.pair = pair
-        self.out = None
-        self.ended = self.lost = False  # the peer's end was read; the socket is closed
-        self.back: Flow | None = None  # the flow that this side writes
+    def __init__(self, connection: ProxiedConnection) -> None:
+        self.connection = connection
+        self.outgoing = None
+        self.received_fin = self.is_disconnected = False
+        self.incoming: ForwardingBuffer | None = None  # what this endpoint writes to its peer
 
     transport: Any = None
-    out: Flow | None
+    outgoing: ForwardingBuffer | None  # what this endpoint has read from its peer
 
     def connectionMade(self) -> None:
-        """The socket is open."""
+        """Start forwarding: the socket is open."""
         self.transport.setTcpNoDelay(True)
-        if self.back is not None:
-            self.transport.registerProducer(self.back, True)
-        self.pair.made(self)
+        if self.incoming is not None:
+            self.transport.registerProducer(self.incoming, True)
+        self.connection.connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes were read."""
-        if self.out is not None and not self.out.over:
-            self.out.came(data)
+        """Forward bytes."""
+        if self.outgoing is not None and not self.outgoing.is_closed:
+            self.outgoing.bytes_received(data)
 
     def readConnectionLost(self) -> None:
-        """The peer's end was read."""
-        self.ended = True
-        self.pair.ending(self)
-        if self.out is not None and not self.out.over:
-            self.out.came(None)
+        """Forward the peer's end of stream."""
+        self.received_fin = True
+        self.connection.half_closed(self)
+        if self.outgoing is not None and not self.outgoing.is_closed:
+            self.outgoing.bytes_received(None)
 
     def writeConnectionLost(self) -> None:
-        """Nothing: the other side's end was written."""
+        """Do nothing: the end of stream of the other side was written."""
         pass
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The socket is closed."""
-        self.ended = self.lost = True
-        self.pair.ending(self)
-        self.pair.gone(self, reason.check(ConnectionDone) is None)
-
-
-class Pair:
-    """One connection through a link."""
-
-    def __init__(self, link: Link) -> None:
-        self.link = link
-        self.relay = link.relay
-        self.near = Side(self)
-        self.far = Side(self)
-        there = Flow(self.relay, link.there, self.near, self.far)
-        back = Flow(self.relay, link.back, self.far, self.near)
-        self.near.out = self.far.back = there
-        self.far.out = self.near.back = back
-        self.port = self.client_port = (
-            0  # at which the listening party sees it; at which the dialling one is
+        """Report that the socket is closed, and whether it was reset."""
+        self.received_fin = self.is_disconnected = True
+        self.connection.half_closed(self)
+        self.connection.disconnected(self, reason.check(ConnectionDone) is None)
+
+
+class ProxiedConnection:
+    """One connection through a listener: the endpoints towards its client and its server."""
+
+    def __init__(self, listener: ProxyListener) -> None:
+        self.listener = listener
+        self.relay = listener.relay
+        self.client_side = RelayEndpoint(self)
+        self.server_side = RelayEndpoint(self)
+        to_server = ForwardingBuffer(
+            self.relay, listener.to_server, self.client_side, self.server_side
         )
-        self.told = self.over = False
-        self.reset_from: Side | None = None  # a reset that a cut keeps from the other side
-
-    def made(self, side: Side) -> None:
-        """One side's socket is open."""
-        if side is self.near:
+        to_client = ForwardingBuffer(
+            self.relay, listener.to_client, self.server_side, self.client_side
+        )
+        self.client_side.outgoing = self.server_side.incoming = to_server
+        self.server_side.outgoing = self.client_side.incoming = to_client
+        # The remote port that the server sees, and that of the client.
+        self.upstream_port = self.client_port = 0
+        self.is_close_recorded = self.is_closed = False
+        # The endpoint that was reset while its direction was silent: the other side does not know.
+        self.reset_side: RelayEndpoint | None = None
+
+    def connected(self, side: RelayEndpoint) -> None:
+        """Connect to the server once the client is accepted, and forward once both are open."""
+        if side is self.client_side:
             self.client_port = side.transport.getPeer().port
-            self.relay.dial(self)
+            self.relay.connect_upstream(self)
             return
-        if self.over or self.near.lost:
+        if self.is_closed or self.client_side.is_disconnected:
             side.transport.abortConnection()
             return
-        self.near.out.pump()
-
-    def ending(self, side: Side) -> None:
-        """The first sign that a node's end is no more."""
-        if side is self.near and not self.told and self.link.a in self.relay.nodes and self.port:
-            self.told = True
-            self.relay.tell("closed", self.link.a, port=self.port)
-
-    def unreached(self) -> None:
-        """The listening party could not be dialled."""
-        if self.link.a == "clients":
-            self.relay.tell("unread", self.link.b, port=self.client_port)
-        self.end()
-
-    def gone(self, side: Side, reset: bool) -> None:
-        """One socket is closed: a reset discards what is under way, and goes on where the way is
-        open."""
-        if self.over:
+        self.client_side.outgoing.pump()
+
+    def half_closed(self, side: RelayEndpoint) -> None:
+        """Record the first sign that a node has closed its end."""
+        if (
+            side is self.client_side
+            and not self.is_close_recorded
+            and self.listener.client in self.relay.nodes
+            and self.upstream_port
+        ):
+            self.is_close_recorded = True
+            self.relay.record("closed", self.listener.client, port=self.upstream_port)
+
+    def connect_failed(self) -> None:
+        """Reset the client, because the server cannot be reached."""
+        if self.listener.client == "clients":
+            self.relay.record("unread", self.listener.server, port=self.client_port)
+        self.tear_down()
+
+    def disconnected(self, side: RelayEndpoint, was_reset: bool) -> None:
+        """Handle a closed socket.
+
+        A reset discards what is in flight and is forwarded, unless its direction is silent.
+        """
+        if self.is_closed:
             return
-        other = self.far if side is self.near else self.near
-        if not reset:  # it has read and written its ends; what is under way goes on
-            if other.lost:
-                self.end()
+        other = self.server_side if side is self.client_side else self.client_side
+        if not was_reset:  # Both streams of this socket have ended; bytes in flight are forwarded.
+            if other.is_disconnected:
+                self.tear_down()
             return
-        if (
-            side.out.way.impairment.silent
-        ):  # the reset is lost; what the other side sends meets nobody
-            side.out.queue.clear()
-            self.reset_from = side
+        if side.outgoing.direction.impairment.silent:
+            # The reset is lost. What the other side sends from now on is not received.
+            side.outgoing.queue.clear()
+            self.reset_side = side
             return
-        self.end()
+        self.tear_down()
 
-    def healed(self) -> None:
-        """A cut of one of its directions has ended."""
-        if self.over:
+    def restored(self) -> None:
+        """Continue after a change of a direction: forward, or reset if data or a reset was lost."""
+        if self.is_closed:
             return
-        torn = any(
-            flow.torn and not flow.way.impairment.silent for flow in (self.near.out, self.far.out)
+        is_broken = any(
+            buffer.has_lost_data and not buffer.direction.impairment.silent
+            for buffer in (self.client_side.outgoing, self.server_side.outgoing)
         )
-        if torn or (self.reset_from is not None and not self.reset_from.out.way.impairment.silent):
-            self.end()
+        if is_broken or (
+            self.reset_side is not None and not self.reset_side.outgoing.direction.impairment.silent
+        ):
+            self.tear_down()
             return
-        self.near.out.pump()
-        self.far.out.pump()
+        self.client_side.outgoing.pump()
+        self.server_side.outgoing.pump()
 
-    def end(self) -> None:
-        """Both sides are reset."""
-        if self.over:
+    def tear_down(self) -> None:
+        """End the connection: reset each side that is still open."""
+        if self.is_closed:
             return
-        self.over = True
-        for flow in (self.near.out, self.far.out):
-            flow.end()
-        for side in (self.near, self.far):
-            if side.transport is not None and not side.lost:
+        self.is_closed = True
+        for buffer in (self.client_side.outgoing, self.server_side.outgoing):
+            buffer.discard()
+        for side in (self.client_side, self.server_side):
+            if side.transport is not None and not side.is_disconnected:
                 side.transport.abortConnection()
-        self.link.pairs.pop(self, None)
+        self.listener.connections.pop(self, None)
+
 
+class ProxyListener(Factory):
+    """A TCP link: listens on one address and forwards to another.
 
-class Link(Factory):
-    """A TCP link: dialled at one address, carried to another."""
+    How connection attempts are handled depends on the impairments of both directions: they are
+    accepted (mode `open`), refused (`shut`) or get no answer (`deaf`).
+    """
 
     noisy = False
 
     def __init__(
-        self, relay: Relay, a: str, b: str, at: tuple[str, int], to: tuple[str, int], whence: str
+        self,
+        relay: Relay,
+        client: str,
+        server: str,
+        listen_address: tuple[str, int],
+        server_address: tuple[str, int],
+        source_host: str,
     ) -> None:
-        """`a` dials, `b` listens; `whence`: the address that b sees."""
+        """Listen; `client` and `server` are names, `source_host` is the address the server sees."""
         self.relay = relay
-        self.a = a
-        self.b = b
-        self.at = at
-        self.to = to
-        self.whence = whence
-        self.there = relay.way(a, b)
-        self.back = relay.way(b, a)
-        self.pairs: dict[Pair, None] = {}
-        self.plugs: dict[tuple[str, int], socket.socket] = {}
+        self.client = client
+        self.server = server
+        self.listen_address = listen_address
+        self.server_address = server_address
+        self.source_host = source_host
+        self.to_server = relay.direction(client, server)
+        self.to_client = relay.direction(server, client)
+        self.connections: dict[ProxiedConnection, None] = {}
+        # Sockets that fill the backlog while attempts get no answer, by their addresses.
+        self.backlog_fillers: dict[tuple[str, int], socket.socket] = {}
         self.port: Any = None
         self.mode = "shut"
-        self.changed()
+        self.update()
 
-    def buildProtocol(self, addr: Any) -> Side | None:
-        """Accept a connection; the plugs of a full backlog are none."""
-        if (addr.host, addr.port) in self.plugs:
+    def buildProtocol(self, addr: Any) -> RelayEndpoint | None:
+        """Accept a connection, unless it is one of those that filled the backlog."""
+        if (addr.host, addr.port) in self.backlog_fillers:
             return None
-        pair = Pair(self)
-        self.pairs[pair] = None
-        return pair.near
-
-    def changed(self) -> None:
-        """A direction's state is another: how are dials met now, and what may go on?"""
-        there = self.there.impairment
-        back = self.back.impairment
-        mode = "shut" if there.refusing else "open"
-        if there.deaf or there.silent or back.silent:
+        connection = ProxiedConnection(self)
+        self.connections[connection] = None
+        return connection.client_side
+
+    def update(self) -> None:
+        """Apply the current impairments of both directions."""
+        to_server = self.to_server.impairment
+        to_client = self.to_client.impairment
+        mode = "shut" if to_server.refusing else "open"
+        if to_server.deaf or to_server.silent or to_client.silent:
             mode = "deaf"
         if mode != self.mode:
-            self._meet(mode)
-        for pair in list(self.pairs):
-            pair.healed()
+            self._set_mode(mode)
+        for connection in list(self.connections):
+            connection.restored()
 
-    def _meet(self, mode: str) -> None:
-        before = self.mode
+    def _set_mode(self, mode: str) -> None:
+        """Change how connection attempts are handled."""
+        previous = self.mode
         self.mode = mode
-        if before == "deaf":
-            for plug in self.plugs.values():
-                plug.close()
+        if previous == "deaf":
+            for filler in self.backlog_fillers.values():
+                filler.close()
             if mode == "open":
                 self.port.socket.listen(BACKLOG)
                 self.port.startReading()
@@ -361,190 +396,235 @@
             self.port.stopListening()
             self.port = None
         if mode != "shut" and self.port is None:
-            host, number = self.at
-            self.port = self.relay.reactor.listenTCP(number, self, backlog=BACKLOG, interface=host)
+            host, port = self.listen_address
+            self.port = self.relay.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
         if mode == "deaf":
             self.port.stopReading()
             self.port.socket.listen(0)
-            self.plugs = {}
-            for _ in range(2):  # one is enough to fill the line; the other tells whether it is
-                plug = socket.socket()
-                plug.setblocking(False)
-                plug.bind((self.whence, 0))
-                plug.connect_ex(self.at)
-                self.plugs[plug.getsockname()[:2]] = plug
+            self.backlog_fillers = {}
+            # One connection fills a backlog of 0; the second one is not answered, which shows that
+            # the backlog is full.
+            for _ in range(2):
+                filler = socket.socket()
+                filler.setblocking(False)
+                filler.bind((self.source_host, 0))
+                filler.connect_ex(self.listen_address)
+                self.backlog_fillers[filler.getsockname()[:2]] = filler
 
     def sever(self) -> None:
-        """Reset all its connections."""
-        if self.a == "clients" or self.b == "clients":
-            for pair in self.pairs:
-                self.relay.tell("unread", self.b, port=pair.client_port)
-        for pair in list(self.pairs):
-            pair.end()
+        """Reset all connections of this listener."""
+        if self.client == "clients" or self.server == "clients":
+            for connection in self.connections:
+                self.relay.record("unread", self.server, port=connection.client_port)
+        for connection in list(self.connections):
+            connection.tear_down()
+
 
+class _UpstreamConnector(ClientFactory):
+    """Connects to the server of one proxied connection."""
 
-class _Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, relay: Relay, pair: Pair) -> None:
+    def __init__(self, relay: Relay, connection: ProxiedConnection) -> None:
         self.relay = relay
-        self.pair = pair
+        self.connection = connection
 
-    def buildProtocol(self, addr: object) -> Side:
-        return self.pair.far
+    def buildProtocol(self, addr: object) -> RelayEndpoint:
+        return self.connection.server_side
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        if reason.check(ConnectBindError) is not None and not self.pair.over:
-            self.relay.dial(self.pair)  # the port is still in use; the next one
+        if reason.check(ConnectBindError) is not None and not self.connection.is_closed:
+            # The local port is still in use: the next one is tried.
+            self.relay.connect_upstream(self.connection)
         else:
-            self.pair.unreached()
+            self.connection.connect_failed()
+
 
+class DatagramForwarder(DatagramProtocol):
+    """The socket at which one node reaches another by UDP.
 
-class Datagrams(DatagramProtocol):
-    """Where one node finds another: what comes here leaves from where the other finds this one."""
+    What it receives is sent on from the opposite socket, at which the other node reaches the first.
+    """
 
-    def __init__(self, relay: Relay, a: str, b: str, to: tuple[str, int]) -> None:
+    def __init__(
+        self, relay: Relay, source: str, destination: str, destination_address: tuple[str, int]
+    ) -> None:
         self.relay = relay
-        self.way = relay.way(a, b)
-        self.to = to
-        self.other: Datagrams | None = None
+        self.direction = relay.direction(source, destination)
+        self.destination_address = destination_address
+        self.opposite: DatagramForwarder | None = None
 
     def datagramReceived(self, data: bytes, addr: object) -> None:
-        """Pass a datagram on, as its direction's state has it."""
-        impairment = self.way.impairment
+        """Forward a datagram as the impairment of its direction has it."""
+        impairment = self.direction.impairment
         relay = self.relay
-        chance = self.relay.chance
-        if impairment.silent or (impairment.loss and chance.random() < impairment.loss):
+        rng = self.relay.rng
+        if impairment.silent or (impairment.loss and rng.random() < impairment.loss):
             return
-        for _ in range(2 if impairment.repeat and chance.random() < impairment.repeat else 1):
-            takes = impairment.delay_ms + (
-                chance.random() * impairment.jitter_ms if impairment.jitter_ms else 0.0
+        for _ in range(2 if impairment.repeat and rng.random() < impairment.repeat else 1):
+            transit_ms = impairment.delay_ms + (
+                rng.random() * impairment.jitter_ms if impairment.jitter_ms else 0.0
             )
-            if impairment.reorder and chance.random() < impairment.reorder:
-                takes += 2 * impairment.delay_ms + 5.0
+            if impairment.reorder and rng.random() < impairment.reorder:
+                transit_ms += 2 * impairment.delay_ms + 5.0
             if impairment.bandwidth < UNLIMITED:
                 now = relay.reactor.seconds()
-                self.way.free_at = (
-                    max(now, self.way.free_at) + (len(data) + 28) / impairment.bandwidth
+                self.direction.busy_until = (
+                    max(now, self.direction.busy_until) + (len(data) + 28) / impairment.bandwidth
                 )
-                takes += (self.way.free_at - now) * 1000
-            if takes:
-                relay.reactor.callLater(takes / 1000, self.pass_on, data)
+                transit_ms += (self.direction.busy_until - now) * 1000
+            if transit_ms:
+                relay.reactor.callLater(transit_ms / 1000, self.forward, data)
             else:
-                self.pass_on(data)
+                self.forward(data)
 
-    def pass_on(self, data: bytes) -> None:
-        """Write the datagram where the other node receives it."""
+    def forward(self, data: bytes) -> None:
+        """Send a datagram to its destination, unless the direction is silent by now."""
         if (
-            not self.way.impairment.silent
-            and self.other is not None
-            and self.other.transport is not None
+            not self.direction.impairment.silent
+            and self.opposite is not None
+            and self.opposite.transport is not None
         ):
-            self.other.transport.write(data, self.to)
+            self.opposite.transport.write(data, self.destination_address)
 
 
 class Relay:
     """All links of one relay process."""
 
     def __init__(
-        self, reactor: Any, history: History, begun: float, nodes: list[str], seed: int
+        self, reactor: Any, history: History, started_at: float, nodes: list[str], seed: int
     ) -> None:
-        """`begun`: the run's start on the reactor's clock, in seconds."""
+        """Create a relay without links.
+
+        `started_at`: the run's start on the reactor's clock, in seconds.
+        """
         self.reactor = reactor
         self.history = history
-        self.begun = begun
+        self.started_at = started_at
         self.nodes = frozenset(nodes)
-        self.chance = random.Random(seed)
-        self.ways: dict[tuple[str, str], Way] = {}
-        self.links: dict[tuple[str, str], list[Link]] = {}
-        self._ports: dict[str, int] = {}
+        self.rng = random.Random(seed)
+        self.directions: dict[tuple[str, str], Direction] = {}
+        self.listeners: dict[tuple[str, str], list[ProxyListener]] = {}
+        self._last_ports: dict[str, int] = {}  # local ports of upstream connections, by host
 
-    def tell(self, kind: str, who: str, port: int) -> None:
+    def record(self, kind: str, who: str, port: int) -> None:
         """Record an event of the network."""
-        self.history.add((self.reactor.seconds() - self.begun) * 1000, kind, who, port=port)
+        self.history.add((self.reactor.seconds() - self.started_at) * 1000, kind, who, port=port)
 
-    def way(self, a: str, b: str) -> Way:
-        """The state of one direction."""
-        return self.ways.setdefault((a, b), Way(a, b))
+    def direction(self, source: str, destination: str) -> Direction:
+        """Return the state of one direction."""
+        return self.directions.setdefault((source, destination), Direction(source, destination))
 
-    def tcp(self, a: str, b: str, at: tuple[str, int], to: tuple[str, int], whence: str) -> Link:
-        """ValueError where the address is taken."""
+    def add_tcp_link(
+        self,
+        client: str,
+        server: str,
+        listen_address: tuple[str, int],
+        server_address: tuple[str, int],
+        source_host: str,
+    ) -> ProxyListener:
+        """Add a TCP link; raise ValueError if its address is in use."""
         try:
-            link = Link(self, a, b, at, to, whence)
-        except CannotListenError as fault:
-            raise ValueError(f"cannot listen on {at[0]}:{at[1]}: {fault.socketError}") from None
-        self.links.setdefault((a, b), []).append(link)
-        return link
-
-    def udp(
+            listener = ProxyListener(
+                self, client, server, listen_address, server_address, source_host
+            )
+        except CannotListenError as error:
+            raise ValueError(
+                f"cannot listen on {listen_address[0]}:{listen_address[1]}: {error.socketError}"
+            ) from None
+        self.listeners.setdefault((client, server), []).append(listener)
+        return listener
+
+    def add_udp_link(
         self,
         a: str,
         b: str,
-        at: tuple[str, int],
-        back: tuple[str, int],
-        to: dict[str, tuple[str, int]],
+        address_for_a: tuple[str, int],
+        address_for_b: tuple[str, int],
+        node_addresses: dict[str, tuple[str, int]],
     ) -> None:
-        """Datagrams between two nodes: a finds b at `at`, b finds a at `back`; `to`: where each
-        is."""
-        there = Datagrams(self, a, b, to[b])
-        here = Datagrams(self, b, a, to[a])
-        there.other = here
-        here.other = there
-        self.reactor.listenUDP(at[1], there, interface=at[0])
-        self.reactor.listenUDP(back[1], here, interface=back[0])
-
-    def dial(self, pair: Pair) -> None:
-        """Dial the listening party for a connection that was accepted."""
-        link = pair.link
-        port = self._ports.get(link.whence, FIRST_PORT) + 1
-        self._ports[link.whence] = FIRST_PORT if port >= LAST_PORT else port
-        pair.port = port  # what the other party will see, also where this one leaves before that
-        host, number = link.to
-        factory = _Dial(self, pair)
+        """Forward datagrams between two nodes.
+
+        `address_for_a` is the one at which node a reaches node b; `node_addresses` are the nodes'
+        own.
+        """
+        to_b = DatagramForwarder(self, a, b, node_addresses[b])
+        to_a = DatagramForwarder(self, b, a, node_addresses[a])
+        to_b.opposite = to_a
+        to_a.opposite = to_b
+        self.reactor.listenUDP(address_for_a[1], to_b, interface=address_for_a[0])
+        self.reactor.listenUDP(address_for_b[1], to_a, interface=address_for_b[0])
+
+    def connect_upstream(self, connection: ProxiedConnection) -> None:
+        """Connect to the server for a connection that was accepted."""
+        listener = connection.listener
+        port = self._last_ports.get(listener.source_host, FIRST_PORT) + 1
+        self._last_ports[listener.source_host] = FIRST_PORT if port >= LAST_PORT else port
+        # Known even if the client leaves before the server is reached.
+        connection.upstream_port = port
+        host, server_port = listener.server_address
+        factory = _UpstreamConnector(self, connection)
         self.reactor.connectTCP(
-            host, number, factory, timeout=DIAL_S, bindAddress=(link.whence, port)
+            host,
+            server_port,
+            factory,
+            timeout=CONNECT_TIMEOUT_S,
+            bindAddress=(listener.source_host, port),
         )
 
-    def order(self, what: str, *args: Any) -> None:
-        """`impair` A B STATE: what that direction is like from now on; `sever` A B: its connections
-        end; `tcp`: a new link."""
-        if what == "impair":
-            a, b, state = args
-            way = self.ways.get((a, b))
-            if way is not None:
+    def execute(self, command: str, *args: Any) -> None:
+        """Execute a command of the run.
+
+        `impair` A B STATE sets the impairment of the direction from A to B, `sever` A B resets the
+        connections between A and B, and `tcp` adds a link.
+        """
+        if command == "impair":
+            source, destination, state = args
+            direction = self.directions.get((source, destination))
+            if direction is not None:
                 impairment = msgspec.convert(state, Impairment)
-                way.impairment = CLEAN if impairment == CLEAN else impairment
-                for link in self._between(a, b):
-                    link.changed()
-        elif what == "tcp":
-            a, b, at, to, whence = args
-            self.tcp(a, b, tuple(at), tuple(to), whence)
-        elif what == "sever":
-            for link in self._between(*args):
-                link.sever()
-
-    def _between(self, a: str, b: str) -> list[Link]:
-        return [*self.links.get((a, b), ()), *self.links.get((b, a), ())]
-
-
-def made(
-    reactor: Any, given: dict[str, Any], history: EventRecorder, line: ControlConnection
+                direction.impairment = CLEAN if impairment == CLEAN else impairment
+                for listener in self._listeners_between(source, destination):
+                    listener.update()
+        elif command == "tcp":
+            client, server, listen_address, server_address, source_host = args
+            self.add_tcp_link(
+                client, server, tuple(listen_address), tuple(server_address), source_host
+            )
+        elif command == "sever":
+            for listener in self._listeners_between(*args):
+                listener.sever()
+
+    def _listeners_between(self, a: str, b: str) -> list[ProxyListener]:
+        return [*self.listeners.get((a, b), ()), *self.listeners.get((b, a), ())]
+
+
+def create_relay(
+    reactor: Any, options: dict[str, Any], history: EventRecorder, control: ControlConnection
 ) -> Any:
-    """What carries out orders."""
-    relay = Relay(reactor, history, given["begun"], given["nodes"], given["seed"])
-    for a, b, at, to, whence in given["tcp"]:
-        relay.tcp(a, b, tuple(at), tuple(to), whence)
-    for a, b, at, back, there, here in given["udp"]:
-        relay.udp(a, b, tuple(at), tuple(back), {b: tuple(there), a: tuple(here)})
-
-    def order(what: str, *args: Any) -> None:
-        if what == "sync":  # all that was ordered before is done
-            line.send("done", *args)
+    """Create the relay of this process and return its command handler."""
+    relay = Relay(reactor, history, options["begun"], options["nodes"], options["seed"])
+    for client, server, listen_address, server_address, source_host in options["tcp"]:
+        relay.add_tcp_link(
+            client, server, tuple(listen_address), tuple(server_address), source_host
+        )
+    for a, b, address_for_a, address_for_b, b_address, a_address in options["udp"]:
+        relay.add_udp_link(
+            a,
+            b,
+            tuple(address_for_a),
+            tuple(address_for_b),
+            {b: tuple(b_address), a: tuple(a_address)},
+        )
+
+    def execute(command: str, *args: Any) -> None:
+        if command == "sync":  # Confirms that all earlier commands are executed.
+            control.send("done", *args)
         else:
-            relay.order(what, *args)
+            relay.execute(command, *args)
 
-    return order
+    return execute
 
 
 if __name__ == "__main__":
-    sys.exit(run_child(made))
+    sys.exit(run_child(create_relay))
