--- a/hookpitch/core/__init__.py
+++ b/hookpitch/core/__init__.py
@@ -1,4 +1,4 @@
-"""The node's core: RESP2, deadlines, streams and the host that carries out routing decisions.
+"""The node's core: RESP2, timers, streams, and the host that carries out routing decisions.
 
-No I/O and no clock: callers pass the time, in milliseconds as a float.
+It does no I/O and reads no clock: callers pass the time, in milliseconds as a float.
 """
--- a/hookpitch/core/admission.py
+++ b/hookpitch/core/admission.py
@@ -28,17 +28,17 @@
 RATE_GROWTH = 1.15  # factor per window within the target: from a tenth to all in 17 windows
 DROP_RATE_FACTOR = 1.3  # a rate above this multiple of the arrivals limits nothing
 MIN_STEP = 0.6  # one window lowers the rate to this fraction of what was admitted, at the lowest
-MAX_STEP = 0.97  # ... and to this fraction, at the highest
+MAX_STEP = 0.97  # and to this fraction, at the highest
 MIN_USEFUL_CPU_FRACTION = 0.6  # of the CPU time used goes to admitted RPCs, whatever the wait
 # Above this multiple of the target wait that fraction shrinks: what would be admitted on top is too
 # late by the time it is read.
 LONG_WAIT_FACTOR = 1.25
-MIN_COST_SAMPLE = 8  # RPCs in a window, for its CPU time to be a measure of one RPC
+MIN_COST_SAMPLE = 8  # RPCs in a window whose CPU time is taken as a measure of one RPC
 COST_SMOOTHING = 0.2  # weight of the newest window in the CPU time of one RPC
 ARRIVALS_SMOOTHING = 0.5  # weight of the newest window in the arrival rate
 MAX_SHED_FRACTION = 0.98  # some RPCs are always admitted, or nothing would be measured
 PAUSE_FACTOR = 1.0  # times the target wait: a loop this late that used no CPU time was paused
-WINDOWS_AFTER_PAUSE = 2  # not measured: the one it ends, and the one that reads the backlog
+WINDOWS_AFTER_PAUSE = 2  # not measured: the window that a pause ends, and the one after it
 
 
 class Admission:
@@ -61,11 +61,11 @@
     )
 
     def __init__(self, now: float, soft_ms: float) -> None:
-        """`soft_ms`: the shortest soft deadline."""
+        """Start without a rate limit; `soft_ms` is the shortest soft deadline."""
         self.set_soft_deadline(soft_ms)
         self.admitted_per_ms = UNLIMITED
         self.shed_fraction = 0.0
-        self.cpu_ms_per_rpc = 0.0  # of an admitted one, measured while nothing is rejected
+        self.cpu_ms_per_rpc = 0.0  # of an admitted RPC, measured while nothing is rejected
         self.arrivals_per_ms = 0.0
         self.mean_wait_ms = 0.0  # in the last measured window
         self._window_started = now
--- a/hookpitch/core/counter_names.py
+++ b/hookpitch/core/counter_names.py
@@ -1,4 +1,4 @@
-"""The names of the counters that follow from an enum's value. Operators know them from `INFO`."""
+"""The names of the counters that belong to enum values; operators see them in `INFO`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FinalResult(Enum):
-    """How an RPC was answered, with its counter and the prefix of its counter by method."""
+    """How an RPC was answered: the result's counter, and the prefix of its counters per method."""
 
     COMPLETED = ("rpcs.completed", "completed")
     REJECTED = ("rpcs.exhausted", "rejected")
--- a/hookpitch/core/decision_runner.py
+++ b/hookpitch/core/decision_runner.py
@@ -1,4 +1,4 @@
-"""Pulls the router's decisions and carries them out."""
+"""Requests decisions from the router and carries them out."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 class DecisionRunner:
     """The `RouterHost` of one host's router.
 
-    Decisions may cause inputs (an attempt ends in the call that sends it). These do not pull
-    decisions themselves: the loop that runs goes on until there are none left.
+    Carrying out a decision may cause an event, such as the end of an attempt in the very call that
+    sends it. Such an event does not start another loop over the decisions: the running loop
+    continues until there are none left.
     """
 
     def __init__(self, host: Host) -> None:
         self._host = host
-        self._running = False  # or deferred
+        self._running = False  # also true while decisions are deferred
         self._unsent: deque[Attempt] = deque()  # attempts that could not be sent
         self._wakeup: Deadline | None = None
 
     def run(self, now: float) -> None:
-        """Carry out decisions until there is none."""
+        """Carry out decisions until there are none."""
         if self._running:
             return
         host = self._host
@@ -49,7 +50,7 @@
 
     @contextmanager
     def deferred(self) -> Iterator[None]:
-        """Within this block no decision is carried out."""
+        """Defer all decisions while the block of this context manager runs."""
         before = self._running
         self._running = True
         try:
@@ -61,7 +62,7 @@
         host = self._host
         rpc = attempt.rpc
         if rpc.client_half_closed and rpc.pending:
-            host.client_left(now, rpc, half_closed=True)
+            host.end_after_disconnect(now, rpc, half_closed=True)
         if not attempt.done:
             outcome = Outcome.CANCELLED if rpc.client_half_closed else Outcome.OVERLOADED
             host.attempt_finished(now, attempt, outcome)
@@ -69,7 +70,7 @@
     # ---- RouterHost
 
     def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
-        """Send an RPC to a backend."""
+        """Send an attempt of an RPC to a backend."""
         host = self._host
         now = host.now
         rpc = host.rpcs.get(rpc_id)
@@ -83,7 +84,8 @@
         attempt = Attempt(rpc, len(rpc.attempts), backend_id, now, deadline, start_by)
         rpc.attempts.append(attempt)
         rpc.in_flight += 1
-        # The client may have gone while the RPC was queued, with that still unread in the kernel.
+        # The client may have disconnected while the RPC was queued, and that may still be unread in
+        # the kernel.
         if rpc.pending and now > rpc.accepted_at and rpc.client.is_disconnected():
             rpc.client_half_closed = True
             host.counters.add("tx.for_nobody")
@@ -96,7 +98,7 @@
         host.timers.watch(rpc, deadline)
 
     def cancel(self, rpc_id: str, attempt: int) -> None:
-        """Cancel an attempt, unless its reply is still wanted."""
+        """Cancel an attempt, unless its reply is still needed."""
         host = self._host
         rpc = host.rpcs.get(rpc_id)
         if rpc is None or attempt >= len(rpc.attempts):
@@ -110,7 +112,7 @@
         host.attempt_finished(host.now, cancelled, Outcome.CANCELLED)
 
     def reject(self, rpc_id: str, retry_after_ms: float) -> None:
-        """Answer that an RPC may be retried later."""
+        """Answer an RPC as rejected: the client may retry it later."""
         self._answer(rpc_id, self._host.busy_reply(retry_after_ms), FinalResult.REJECTED)
 
     def fail(self, rpc_id: str) -> None:
@@ -130,7 +132,7 @@
         self._host.transport.close_idle(backend_id)
 
     def schedule_wakeup(self, at_ms: float) -> None:
-        """Wake the router up at a time, instead of that asked for before."""
+        """Schedule the router's wake-up; this replaces the wake-up scheduled before."""
         host = self._host
         host.deadlines.cancel(self._wakeup)
         self._wakeup = host.deadlines.add(at_ms, self._wake_up)
@@ -140,9 +142,9 @@
         self.run(now)
 
     def backend_ejected(self, backend_id: str, failures: int) -> None:
-        """Log an ejection, after so many failures in a row."""
+        """Log an ejection and the number of consecutive failures that caused it."""
         self._host.logger.info("backend_ejected", backend=backend_id, failures=failures)
 
     def backend_recovered(self, backend_id: str) -> None:
-        """Log that an ejected backend has answered again."""
+        """Log that an ejected backend has recovered."""
         self._host.logger.info("backend_recovered", backend=backend_id)
--- a/hookpitch/core/errors.py
+++ b/hookpitch/core/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that `hookpitch.core` raises for input it cannot read."""
+"""The base class of the errors that `hookpitch.core` raises for input it cannot parse."""
 
 from __future__ import annotations
 
 
 class InputError(ValueError):
-    """Bytes that a peer sent break their format; the message says what is wrong."""
+    """Raised where bytes from a peer violate their format; the message says how."""
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -1,9 +1,10 @@
 """One node's host: the class that the network adapters talk to.
 
-It takes in what happens (RPCs, replies, disconnects, endpoint lists, operators' commands), tells
-the router and lets its decisions be carried out. Times are in milliseconds of one clock, passed in
-by the caller. Invariants: each RPC gets one final answer, no later than its hard deadline; what
-goes wrong in the router's decisions is counted under `broken.` and changes nothing of that.
+The host is notified of events (RPCs, replies, disconnects, endpoint lists, operators' commands),
+reports them to the router and has the router's decisions carried out. Times are in milliseconds of
+one clock, passed in by the caller. Invariant: each RPC gets one final answer, no later than its
+hard deadline. A faulty decision of the router is counted under `broken.` and does not violate this
+invariant.
 """
 
 from __future__ import annotations
@@ -39,8 +40,8 @@
 NO_REPORT: Report = {}
 DEFAULT_DEADLINE_MS = 1000.0  # soft and hard, in a deployment without methods
 DEFAULT_VALUE_BUDGET_BYTES = 1 << 24
-MAX_LOGGED_PER_KIND = 3  # log lines for each kind of malformed input; all are counted
-MAX_LOGGED_TEXT = 200  # characters of it
+MAX_LOGGED_PER_KIND = 3  # log lines per kind of malformed input; every occurrence is counted
+MAX_LOGGED_TEXT = 200  # characters of the malformed input in a log line
 
 
 def _methods_by_name(deployment: Deployment) -> dict[bytes, Method]:
@@ -61,7 +62,7 @@
         methods = deployment.methods
         soft_ms = min((method.soft_ms for method in methods), default=DEFAULT_DEADLINE_MS)
         hard_ms = max((method.hard_ms for method in methods), default=DEFAULT_DEADLINE_MS)
-        self.now = now  # when decisions were pulled last
+        self.now = now  # when decisions were last carried out
         self.deployment = deployment
         self.methods = _methods_by_name(deployment)
         self.deadlines = deadlines
@@ -79,7 +80,7 @@
         self._decisions = DecisionRunner(self)
 
     def decide(self, now: float) -> None:
-        """Pull the router's decisions until there is none, unless that is being done already."""
+        """Carry out the router's decisions until there are none; a nested call does nothing."""
         self._decisions.run(now)
 
     # ---- clients
@@ -90,12 +91,12 @@
         client: Client,
         slot: ReplySlot,
         words: Sequence[bytes],
-        age: float = 0.0,
+        age_ms: float = 0.0,
     ) -> Rpc | None:
-        """Take a client's RPC, which was read `age` ms after it had arrived.
+        """Accept a client's RPC, which was read `age_ms` after it had arrived.
 
-        Returns None where a word is invalid, and where the RPC was shed: then the slot holds its
-        answer.
+        `words` are the command's name and its arguments. Returns None if an argument is invalid or
+        if the RPC was shed; in the second case the slot holds the answer.
         """
         fields = parse_extras(words[3])
         method = self.methods.get(fields.method)
@@ -104,14 +105,14 @@
         time_limit_ms = fields.time_limit_within(method.hard_ms)
         if not time_limit_ms > 0:
             return None
-        self.admission.record_arrival(age)
-        retry_after_ms = self.router.shed_delay(now, method.name, fields.tenant, age)
-        if retry_after_ms >= 0 or age >= time_limit_ms:
+        self.admission.record_arrival(age_ms)
+        retry_after_ms = self.router.shed_delay(now, method.name, fields.tenant, age_ms)
+        if retry_after_ms >= 0 or age_ms >= time_limit_ms:
             self._shed(slot, method, retry_after_ms)
             return None
         rpc = Rpc(client, slot, words, method.name)
         rpc.accepted_at = now
-        rpc.hard_deadline = now + time_limit_ms - age
+        rpc.hard_deadline = now + time_limit_ms - age_ms
         self.rpcs.add(rpc)
         self.router.rpc_arrived(
             now,
@@ -121,22 +122,23 @@
             fields.tenant,
             rpc.value is not None,
             time_limit_ms,
-            age,
+            age_ms,
         )
         self.decide(now)
-        if rpc.pending and rpc.timer is None:  # it is queued
+        if rpc.pending and rpc.timer is None:  # the RPC is queued
             self.timers.watch(rpc, rpc.hard_deadline)
         return rpc
 
     def _shed(self, slot: ReplySlot, method: Method, retry_after_ms: float) -> None:
-        # Under overload a rejection has to cost next to nothing: no RPC record, timer or quota.
+        # Under overload a rejection has to cost next to nothing: it needs no RPC record, no timer
+        # and no quota.
         self.admission.record_rejected()
         self.counters.add("rpcs.turned_away")
         self._count_rejected(method)
         slot.answer = self.busy_reply(max(0.0, retry_after_ms))
 
     def record_rejected(self, words: Sequence[bytes]) -> None:
-        """Count an RPC that an adapter rejected, if its method is known."""
+        """Count an RPC that an adapter rejected, under its method if that is known."""
         if len(words) <= 3:
             return
         method = self.methods.get(parse_extras(words[3]).method)
@@ -147,25 +149,26 @@
         self.counters.add(f"{FinalResult.REJECTED.method_prefix}.{method.name}")
 
     def busy_reply(self, retry_after_ms: float) -> bytes:
-        """Return the answer to a rejected RPC; less than a millisecond is not worth telling."""
+        """Return the answer to a rejected RPC; a delay below one millisecond is left out."""
         retry_after_ms = min(retry_after_ms, self.deployment.max_retry_after_ms)
         return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms >= 1 else b"-BUSY\r\n"
 
     def client_disconnected(self, now: float, rpcs: Sequence[Rpc], still_reads: bool) -> None:
-        """Take in that a client closed its connection, or half-closed it if `still_reads`."""
-        # The router has to know of all RPCs before it decides anything: otherwise the capacity that
-        # the first one frees would go to the next in the queue, and be sent for a client that left.
+        """Handle a client's disconnect, or the half-close of a client that `still_reads`."""
+        # The router has to be notified of all RPCs before it decides anything. Otherwise the
+        # capacity that the first RPC frees would go to the next RPC in the queue, which would be
+        # sent although its client has disconnected.
         with self._decisions.deferred():
             for rpc in rpcs:
                 if rpc.pending and not (rpc.client_half_closed and still_reads):
-                    self.client_left(now, rpc, half_closed=still_reads)
+                    self.end_after_disconnect(now, rpc, half_closed=still_reads)
         self.decide(now)
 
-    def client_left(self, now: float, rpc: Rpc, half_closed: bool) -> None:
-        """End an RPC whose client left, or may have left, as far as its attempts allow.
+    def end_after_disconnect(self, now: float, rpc: Rpc, half_closed: bool) -> None:
+        """End an RPC after its client disconnected or half-closed, as far as its attempts allow.
 
-        A half-closed connection is either: who still reads has to get its answer, so attempts in
-        flight go on; but nothing more is sent.
+        The client of a half-closed connection may still read and then has to get its answer, so
+        attempts in flight continue; but no further attempt is sent.
         """
         rpc.client_half_closed = half_closed
         if not half_closed:
@@ -181,13 +184,14 @@
     def _cancel_attempts(self, now: float, rpc: Rpc) -> None:
         cancel_written = self.deployment.cancellation_enabled or rpc.stream is not None
         for attempt in rpc.attempts:
-            # What only waits for a connection would otherwise be sent for nobody.
+            # An attempt that still waits for a connection would otherwise be sent, although nobody
+            # waits for its reply.
             if not attempt.done and (cancel_written or not attempt.written):
                 self.transport.cancel(now, attempt)
                 self.attempt_finished(now, attempt, Outcome.CANCELLED)
 
     def fail_all(self, now: float) -> None:
-        """Answer all RPCs because the node ends; streamed replies are left to their connections."""
+        """Fail all RPCs as the node shuts down; streamed replies are left to their connections."""
         for rpc in self.rpcs.values():
             if rpc.pending and rpc.stream is None:
                 self.rpcs.fail(rpc)
@@ -202,9 +206,9 @@
         outcome: Outcome,
         value: bytes | None = None,
         report: Report = NO_REPORT,
-        age: float = 0.0,
+        age_ms: float = 0.0,
     ) -> None:
-        """Take in the end of an attempt, which was read `age` ms after it had arrived.
+        """Handle the end of an attempt; its reply was read `age_ms` after it had arrived.
 
         `value` is the reply of a completed attempt, unless that was streamed; `report` is the
         backend's load report.
@@ -224,8 +228,10 @@
                 self.rpcs.answer(rpc, bulk(value), FinalResult.COMPLETED)
             elif rpc.stream is None and rpc.client_half_closed:
                 self.rpcs.fail(rpc)
-        # The time for which a reply stood unread here is not its backend's.
-        latency_ms = rpc.stream.first_byte_ms if streamed else max(0.0, now - attempt.sent_at - age)
+        # The time for which a reply waited here to be read does not count as the backend's latency.
+        latency_ms = (
+            rpc.stream.first_byte_ms if streamed else max(0.0, now - attempt.sent_at - age_ms)
+        )
         self.router.attempt_ended(
             now, str(rpc.number), attempt.index, outcome, not rpc.pending, latency_ms, report
         )
@@ -233,38 +239,38 @@
         self.decide(now)
 
     def stream_started(self, now: float, attempt: Attempt, length: int, source: Source) -> bool:
-        """Take in the start of a large reply; False where nobody waits for it any more."""
+        """Handle the start of a large reply; return False if the reply is no longer needed."""
         return self._streams.start(now, attempt, length, source)
 
     def stream_chunk(self, now: float, attempt: Attempt, data: bytes) -> None:
-        """Take in the next piece of a large reply."""
-        self._streams.pass_on(now, attempt, data)
+        """Handle the next chunk of a large reply."""
+        self._streams.forward_chunk(now, attempt, data)
 
     def update_endpoints(
         self,
         now: float,
         kind: EndpointUpdate,
-        entries: list[Endpoint],
+        endpoints: list[Endpoint],
         addresses: Mapping[str, str],
     ) -> None:
-        """Take in an endpoint list, or that none could be had: then the last one stays."""
+        """Handle an endpoint list; after a failed update the list in use stays."""
         self.counters.add(UPDATE_COUNTERS[kind])
         if kind == EndpointUpdate.FAILED:
             return
-        # The transport ends attempts; the router must not decide on them by the list before.
+        # The transport ends attempts. The router must have the new list before it acts on that.
         with self._decisions.deferred():
-            self.transport.update_endpoints(kind, entries, addresses)
-            self.router.update_endpoints(now, kind, entries)
+            self.transport.update_endpoints(kind, endpoints, addresses)
+            self.router.update_endpoints(now, kind, endpoints)
         self.decide(now)
 
     # ---- operators
 
     def reconfigured(self, now: float, deployment: Deployment) -> None:
-        """Use new settings from now on; RPCs in flight keep their method and deadlines."""
+        """Apply new settings; RPCs in flight keep their method and deadlines."""
         methods = deployment.methods
         self.deployment = deployment
         self.methods = _methods_by_name(deployment)
-        # Streams in flight started under the settings before, maybe with longer deadlines.
+        # Streams in flight started under the old settings, perhaps with longer deadlines.
         self.stream_timeout_ms = max(
             self.stream_timeout_ms, *(method.hard_ms for method in methods)
         )
@@ -273,33 +279,33 @@
         self.decide(now)
 
     def set_banned(self, now: float, backend_id: str, banned: bool) -> None:
-        """Send nothing to a backend any more, or lift that."""
+        """Stop sending to a backend, or lift its ban."""
         self.router.set_banned(now, backend_id, banned)
         if banned:
             self.transport.stop_sending(backend_id)
         self.decide(now)
 
     def can_ban(self, backend_id: str) -> bool:
-        """Whether an operator may name a backend."""
+        """Return whether an operator may ban or unban a backend."""
         return is_bannable(self.router, backend_id, self.deployment.origin_kind)
 
     def endpoint_counts(self) -> tuple[int, int]:
-        """Return how many caches are listed, and how many of them get no traffic now."""
+        """Return the number of listed caches, and of those the number without traffic now."""
         return count_endpoints(self.router, self.deployment.origin_kind)
 
     # ---- overload of this node
 
     def loop_late(self, now: float, late_ms: float, cpu_ms: float) -> None:
-        """Take in that the event loop runs its timers late.
+        """Detect whether the process was paused, as the event loop runs its timers late.
 
-        `cpu_ms`: CPU time used since the last window.
+        `late_ms`: how late; `cpu_ms`: CPU time used since the last window.
         """
         if self.admission.detect_pause(late_ms, cpu_ms):
             self.counters.add("node.away")
             self.router.event_loop_stalled(now)
 
     def end_window(self, now: float, late_ms: float, cpu_ms: float) -> None:
-        """End a window of the admission control; this is seen `late_ms` after its time.
+        """End a window of the admission control, `late_ms` after the window was due to end.
 
         `cpu_ms`: CPU time used since the process started.
         """
@@ -321,7 +327,7 @@
     # ---- log
 
     def record_malformed(self, kind: str, text: str) -> None:
-        """Count malformed input, and log the first of its kind."""
+        """Count malformed input; log the first `MAX_LOGGED_PER_KIND` of each kind."""
         counter = f"odd.{kind}"
         self.counters.add(counter)
         if self.counters.counts[counter] <= MAX_LOGGED_PER_KIND:
--- a/hookpitch/core/interfaces.py
+++ b/hookpitch/core/interfaces.py
@@ -1,4 +1,4 @@
-"""What the host expects of the adapters around it. Times are in milliseconds."""
+"""The interfaces that the host requires of its adapters. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 
 
 class Transport(Protocol):
-    """The pools of connections to caches and origin."""
+    """The connection pools to the caches and the origin."""
 
     def dispatch(self, now: float, attempt: Attempt) -> bool:
-        """Send an attempt, or queue it for a new connection; False where none can be had."""
+        """Send an attempt or queue it for a new connection; return False if neither is possible."""
 
     def cancel(self, now: float, attempt: Attempt) -> None:
-        """Stop an attempt; nothing is reported of it any more."""
+        """Stop an attempt; the host is not notified of its end."""
 
     def close_idle(self, backend_id: str) -> None:
         """Close the idle connections to a backend."""
 
     def stop_sending(self, backend_id: str) -> None:
-        """Start nothing new at a backend: fail what is queued for it and end its dials."""
+        """Send a backend nothing new: fail its queued attempts and stop connecting to it."""
 
     def update_endpoints(
-        self, kind: EndpointUpdate, entries: Sequence[Endpoint], addresses: Mapping[str, str]
+        self, kind: EndpointUpdate, endpoints: Sequence[Endpoint], addresses: Mapping[str, str]
     ) -> None:
-        """Take an endpoint list; `addresses`: each endpoint's address by its id."""
+        """Apply an endpoint list; `addresses` holds the address of each endpoint by its id."""
 
     def read_pending_response(self, attempt: Attempt) -> bool:
-        """Read what has arrived for an attempt; whether that was its reply."""
+        """Read the bytes that have arrived for an attempt; return whether the attempt has ended."""
 
 
 class Logger(Protocol):
     """A structured logger."""
 
     def info(self, event: str, **fields: object) -> None:
-        """Write one line: a stable event name, and the values that belong to it."""
+        """Write one line: a stable event name and the event's fields."""
 
 
 class Client(Protocol):
-    """A client's connection. The slots are those it passed to `Host.accept`."""
+    """A client's connection; each `slot` is one that it passed to `Host.accept`."""
 
     def reply(self, slot: ReplySlot, answer: bytes) -> None:
-        """Answer an RPC; for a streamed one this is the end of its reply."""
+        """Answer an RPC; `answer` is the end of the reply where the reply was streamed."""
 
     def stream_started(self, slot: ReplySlot, stream: Stream) -> None:
-        """A reply starts to be passed on in pieces."""
+        """Prepare for a reply that arrives in chunks."""
 
     def stream_chunk(self, slot: ReplySlot, data: bytes) -> None:
-        """The next piece of a streamed reply."""
+        """Send the next chunk of a streamed reply."""
 
     def stream_aborted(self, slot: ReplySlot) -> None:
-        """A streamed reply cannot be completed."""
+        """End a streamed reply that cannot be completed."""
 
     def is_disconnected(self) -> bool:
-        """Whether the peer closed or half-closed the connection, as far as the kernel knows."""
+        """Return whether the client has closed or half-closed, as far as the kernel knows."""
--- a/hookpitch/core/json_stream.py
+++ b/hookpitch/core/json_stream.py
@@ -1,8 +1,9 @@
-"""Splits a stream of bytes into JSON objects: one a line, indented over many lines, cut anywhere.
+"""Splits a stream of bytes into JSON objects.
 
-Only the extent of each object is found here; whether it is valid JSON is its reader's concern.
-Invariants: a byte is scanned once, however the stream is cut; only the beginning of one object is
-held; a byte that cannot begin an object raises `JsonStreamError` at once.
+An object may take one line or be indented over many lines, and the stream may be split at any byte.
+This module only finds where each object ends; its caller has to parse the object. Invariants: a
+byte is scanned once, however the stream is split; at most one unfinished object is buffered; a byte
+that cannot begin an object raises `JsonStreamError` at once.
 """
 
 from __future__ import annotations
@@ -16,39 +17,40 @@
 LINE_FEED = 0x0A
 QUOTE = 0x22
 BACKSLASH = 0x5C
-HEARTBEAT = b""  # stands for a blank line between two objects
-SHOWN_BYTES = 20  # of the input, in an error's message
-# Up to the next character that matters; outside of a string, whole strings are skipped in one step.
+HEARTBEAT = b""  # represents a blank line between two objects
+MAX_QUOTED_BYTES = 20  # of the input, in the message of an error
+# These match up to the next significant character; outside of a string, OUTSIDE_STRING skips whole
+# strings in one step.
 OUTSIDE_STRING = re.compile(rb'(?:[^"{}\[\]]|"[^"\\]*")*+(.)', re.DOTALL)
 INSIDE_STRING = re.compile(rb'[^"\\]*+(.)', re.DOTALL)
 
 
 class JsonStreamError(InputError):
-    """The stream holds something that is no object, or an object that is too long."""
+    """Raised where the stream holds anything but objects, or an object that is too long."""
 
 
 class JsonStream:
-    """The objects of one stream, in order, each of at most `max_object_bytes`."""
+    """The objects of one stream, in order, each at most `max_object_bytes` long."""
 
     __slots__ = ("_buffer", "_scanned", "_depth", "_in_string", "_max_bytes", "_line_is_blank")
 
     def __init__(self, max_object_bytes: int) -> None:
         self._buffer = bytearray()
         self._max_bytes = max_object_bytes
-        self._scanned = 0  # offset in the buffer
+        self._scanned = 0  # offset in the buffer up to which it has been scanned
         self._depth = 0  # open braces and brackets
         self._in_string = False
-        self._line_is_blank = True  # so far, of the line between two objects
+        self._line_is_blank = True  # whether the current line has held only whitespace so far
 
     def __len__(self) -> int:
-        """Bytes held of an unfinished object."""
+        """Return the number of buffered bytes of an unfinished object."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """Yield each object that is complete now, and `HEARTBEAT` for each blank line.
 
-        Raises JsonStreamError where no object begins or one is too long; after that nothing may be
-        fed any more.
+        Raises JsonStreamError if no object begins at the current byte or the object is too long;
+        `feed` must not be called after that.
         """
         self._buffer += data
         while True:
@@ -59,7 +61,9 @@
             end = self._find_object_end()
             if end < 0:
                 if len(self._buffer) > self._max_bytes:
-                    raise JsonStreamError("an object too long")
+                    raise JsonStreamError(
+                        f"JSON object is longer than the limit of {self._max_bytes} bytes"
+                    )
                 return
             text = bytes(self._buffer[:end])
             del self._buffer[:end]
@@ -68,7 +72,7 @@
             yield text
 
     def _skip_whitespace(self) -> Iterator[bytes]:
-        """Drop what stands between two objects."""
+        """Drop the whitespace between two objects, and yield `HEARTBEAT` for each blank line."""
         heartbeats = 0
         rest = self._buffer.lstrip(WHITESPACE)
         for byte in self._buffer[: len(self._buffer) - len(rest)]:
@@ -77,13 +81,15 @@
                     heartbeats += 1
                 self._line_is_blank = True
         if rest and rest[:1] != b"{":
-            raise JsonStreamError(f"no object begins with {bytes(rest[:SHOWN_BYTES])!r}")
+            raise JsonStreamError(
+                f"a JSON object begins with '{{', got {bytes(rest[:MAX_QUOTED_BYTES])!r}"
+            )
         self._buffer = rest
         for _ in range(heartbeats):
             yield HEARTBEAT
 
     def _find_object_end(self) -> int:
-        """Return the offset behind the object; -1 until it is complete."""
+        """Return the offset after the end of the object; -1 until the object is complete."""
         buffer = self._buffer
         offset = self._scanned
         while True:
@@ -95,7 +101,7 @@
             offset = found.end()
             byte = buffer[offset - 1]
             if byte == BACKSLASH:
-                if offset == len(buffer):  # the escaped character has not come yet
+                if offset == len(buffer):  # the escaped character has not arrived yet
                     self._scanned = offset - 1
                     return -1
                 offset += 1
--- a/hookpitch/core/reply_slot.py
+++ b/hookpitch/core/reply_slot.py
@@ -1,10 +1,10 @@
-"""One reply's place in the queue of a client's replies, which are sent in command order."""
+"""A place in the queue of a client's replies, which are sent in the order of its commands."""
 
 from __future__ import annotations
 
 
 class ReplySlot:
-    """The encoded reply to one command in `answer`; None until it is known."""
+    """Holds the encoded reply to one command in `answer`: None until the reply is known."""
 
     __slots__ = ("answer",)
 
--- a/hookpitch/core/resp.py
+++ b/hookpitch/core/resp.py
@@ -1,9 +1,11 @@
 """RESP2, the Redis protocol: an incremental parser, and encoders for commands and bulk strings.
 
-The parser takes bytes off a `Ring` and returns one complete value at a time, however the bytes
-were split. Invariants: what is held of an unfinished value is bounded by the limits below; input
-that breaks the format or a limit raises `ProtocolError`, after which the parser must not be used
-any more.
+The parser reads bytes from a `Ring` and returns one complete value at a time, however the bytes
+were split. Invariants: the size of an unfinished value is bounded by the limits below; input that
+violates the format or a limit raises `ProtocolError`, after which the parser must not be used.
+
+The message of a `ProtocolError` that a client's command can raise is sent to the client as
+`-ERR <message>`. These messages are part of the protocol and must not change.
 """
 
 from __future__ import annotations
@@ -18,11 +20,11 @@
 MAX_LINE_BYTES = 4096
 MAX_ARRAY_ITEMS = 16
 MAX_ARRAY_DEPTH = 4
-MAX_SHORT_ARRAY_BYTES = 2048  # an array of bulk strings within this is read in one step
-MAX_INTEGER_DIGITS = 20  # with its sign
+MAX_SHORT_ARRAY_BYTES = 2048  # an array of bulk strings of up to this size is read in one step
+MAX_INTEGER_DIGITS = 20  # including the sign
 MAX_INTEGER = 2**63 - 1
 MIN_INTEGER = -(2**63)
-# Where a value longer than `MAX_BULK_BYTES` may stand in the outermost array.
+# The index in the outermost array at which a value longer than `MAX_BULK_BYTES` is allowed.
 COMMAND_VALUE_INDEX = 4  # OBJ.SET key id extras VALUE
 REPLY_VALUE_INDEX = 0
 DOLLAR = ord("$")
@@ -30,7 +32,7 @@
 
 
 class ProtocolError(InputError):
-    """The input is no RESP2, or exceeds a limit."""
+    """Raised for input that is not valid RESP2, or exceeds a limit."""
 
 
 class SimpleString(bytes):
@@ -38,7 +40,7 @@
 
 
 class ErrorReply(bytes):
-    """An error line, without its dash."""
+    """An error reply, without the leading dash."""
 
 
 class NeedData(Enum):
@@ -53,7 +55,7 @@
 
 
 class _OpenArray:
-    """An array of which not all items have come."""
+    """An array whose items have not all arrived yet."""
 
     __slots__ = ("items", "length")
 
@@ -63,13 +65,13 @@
 
 
 class Parser:
-    """Reads complete values off a ring.
+    """Reads complete values from a ring.
 
     With `commands_only` only arrays of bulk strings are accepted, as clients send them. The value
-    in a command or a reply may have up to `max_value_bytes`. One over `MAX_BULK_BYTES` is not
-    collected: `body_remaining` is set to its length, an empty string takes its place in the array,
-    and the caller has to take that many bytes, off the ring with `read_body` or before they get
-    there (then it lowers `body_remaining` itself).
+    in a command or a reply may have up to `max_value_bytes`. A value over `MAX_BULK_BYTES` is not
+    collected: `body_remaining` is set to its length and an empty string takes its place in the
+    array. The caller has to consume that many bytes: either it reads them from the ring with
+    `read_body`, or it takes them before they are written to the ring and lowers `body_remaining`.
     """
 
     __slots__ = (
@@ -87,17 +89,17 @@
         self.commands_only = commands_only
         self.body_remaining = 0
         self._max_value_bytes = max_value_bytes
-        self._open_arrays: list[_OpenArray] = []  # the outermost first
+        self._open_arrays: list[_OpenArray] = []  # the outermost array first
         self._bulk_length = -1  # of the bulk string whose header has been read
         self._scanned = 0  # offset up to which the ring holds no line end
 
     @property
     def at_boundary(self) -> bool:
-        """Whether the input ends exactly after a value."""
+        """Whether the input ends exactly at the end of a value."""
         return not self._open_arrays and self._bulk_length < 0 and not len(self.ring)
 
     def next_value(self) -> Value | NeedData:
-        """Return the next complete value, or `NEED_DATA`; raise ProtocolError on bad input."""
+        """Return the next complete value or `NEED_DATA`; raise ProtocolError on invalid input."""
         if self.body_remaining or not len(self.ring):
             return NEED_DATA
         if self._bulk_length < 0 and not self._open_arrays and not self._scanned:
@@ -116,13 +118,13 @@
                 return value
 
     def read_body(self, limit: int) -> bytes:
-        """Take up to `limit` bytes of an oversized value off the ring."""
+        """Read up to `limit` bytes of an oversized value from the ring."""
         data = self.ring.read(min(self.body_remaining, limit))
         self.body_remaining -= len(data)
         return data
 
     def _read_short_array(self) -> list[Value] | None:
-        """Read an array of bulk strings that is short and complete; otherwise take nothing."""
+        """Read an array of bulk strings if it is short and complete; otherwise consume nothing."""
         data = self.ring.peek(MAX_SHORT_ARRAY_BYTES)
         if data.startswith(b"*4\r\n$"):
             words = self._read_four_words(data)
@@ -133,7 +135,7 @@
         return self._read_words(data, count=data[1] - ZERO)
 
     def _read_words(self, data: bytes, count: int) -> list[Value] | None:
-        """Read the bulk strings of an array behind its header of 4 bytes."""
+        """Read the bulk strings of an array, which follow its header of 4 bytes."""
         words: list[Value] = []
         offset = 4
         size = len(data)
@@ -157,19 +159,19 @@
         return words
 
     def _read_four_words(self, data: bytes) -> list[Value] | None:
-        """Read an array of four words, which nearly all commands are, with one split."""
+        """Read an array of four bulk strings, as nearly all commands are, with one split."""
         parts = data.split(b"\r\n", 9)
         if len(parts) != 10:
             return None
         _, header1, word1, header2, word2, header3, word3, header4, word4, rest = parts
         expected = b"$%d$%d$%d$%d" % (len(word1), len(word2), len(word3), len(word4))
         if header1 + header2 + header3 + header4 != expected:
-            return None  # a word holds a line end, or a length is written in another way
+            return None  # a word contains a line end, or a length is not in canonical form
         self.ring.skip(len(data) - len(rest))
         return [word1, word2, word3, word4]
 
     def _add_to_open_array(self, value: Value) -> Value | NeedData:
-        """Return the outermost value if `value` completes it."""
+        """Add a value; return the outermost value if it is complete now, else `NEED_DATA`."""
         while self._open_arrays:
             array = self._open_arrays[-1]
             array.items.append(value)
@@ -199,10 +201,10 @@
             return ErrorReply(text)
         if kind == b":":
             return _parse_integer(text, MIN_INTEGER, MAX_INTEGER)
-        raise ProtocolError("no such type")
+        raise ProtocolError(f"expected one of $ * + - : at the start of a value, got {kind!r}")
 
     def _open_array(self, length_text: bytes) -> Value | _OpenArray:
-        """Return an array without items for the header of one; a null or empty one is complete."""
+        """Return the array that a header begins; a null or empty array is complete at once."""
         length = _parse_integer(length_text, -1, MAX_ARRAY_ITEMS)
         if length < 0:
             return None
@@ -211,7 +213,7 @@
         return _OpenArray(length) if length else []
 
     def _read_line(self) -> bytes | None:
-        """Read a line with its line end; None until it is complete."""
+        """Read a line with its line end; return None until the line is complete."""
         end = self.ring.find_line_end(self._scanned)
         if end < 0:
             self._scanned = len(self.ring)
@@ -229,7 +231,7 @@
         return line
 
     def _read_bulk(self, length_text: bytes) -> Value | NeedData:
-        """Read a bulk string whose header has been taken."""
+        """Read a bulk string whose header has been read."""
         length = _parse_integer(length_text, -1, self._max_bulk_bytes())
         if length < 0:
             if self.commands_only:
@@ -243,7 +245,7 @@
         return self._read_bulk_body()
 
     def _max_bulk_bytes(self) -> int:
-        """The limit for a bulk string at the present place."""
+        """Return the size limit for a bulk string at the current position."""
         if len(self._open_arrays) == 1:
             value_index = COMMAND_VALUE_INDEX if self.commands_only else REPLY_VALUE_INDEX
             if len(self._open_arrays[0].items) == value_index:
@@ -251,7 +253,7 @@
         return MAX_BULK_BYTES
 
     def _read_bulk_body(self) -> bytes | NeedData:
-        size = self._bulk_length + 2  # with its line end
+        size = self._bulk_length + 2  # including the line end
         if len(self.ring) < size:
             return NEED_DATA
         body = self.ring.read(size)
@@ -270,13 +272,13 @@
 
 
 def bulk(value: bytes | None) -> bytes:
-    """Encode a bulk string; None is the null."""
+    """Encode a bulk string; None is encoded as null."""
     return b"$-1\r\n" if value is None else b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def command(*words: bytes) -> bytes:
     """Encode a command as an array of bulk strings."""
-    if len(words) == 4:  # nearly all of them: one formatting step
+    if len(words) == 4:  # nearly all commands: one formatting step
         name, key, request_id, extras = words
         return b"*4\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
             len(name),
--- a/hookpitch/core/ring.py
+++ b/hookpitch/core/ring.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-INITIAL_CAPACITY = 4096  # bytes; a ring that grew shrinks to this once it is empty
+INITIAL_CAPACITY = 4096  # bytes; a ring that has grown shrinks to this size once it is empty
 
 
 class Ring:
-    """Bytes in, bytes out, in order."""
+    """A queue of bytes."""
 
     __slots__ = ("_bytes", "_head", "_used")
 
@@ -23,7 +23,7 @@
 
     @property
     def capacity(self) -> int:
-        """Bytes of memory allocated."""
+        """The allocated memory in bytes."""
         return len(self._bytes)
 
     def write(self, data: bytes) -> None:
@@ -51,7 +51,7 @@
         self._head = 0
 
     def peek(self, count: int, offset: int = 0) -> bytes:
-        """Return up to `count` bytes from `offset` on, without taking them."""
+        """Return up to `count` bytes from `offset` on, without removing them."""
         count = max(0, min(count, self._used - offset))
         capacity = len(self._bytes)
         start = (self._head + offset) & (capacity - 1)
@@ -60,17 +60,17 @@
         return bytes(self._bytes[start:]) + bytes(self._bytes[: start + count - capacity])
 
     def skip(self, count: int) -> None:
-        """Drop up to `count` bytes."""
+        """Discard up to `count` bytes."""
         count = min(count, self._used)
         self._used -= count
         self._head = (self._head + count) & (len(self._bytes) - 1) if self._used else 0
         if not self._used and len(self._bytes) > INITIAL_CAPACITY:
-            # Otherwise one larger value on each of hundreds of connections would hold its memory
-            # as long as the connection lives.
+            # Otherwise hundreds of connections that each received one large value would keep its
+            # memory for as long as they are open.
             self._bytes = bytearray(INITIAL_CAPACITY)
 
     def read(self, count: int) -> bytes:
-        """Take up to `count` bytes."""
+        """Remove up to `count` bytes and return them."""
         start = self._head
         end = start + count
         if count >= self._used or end > len(self._bytes):
@@ -82,7 +82,7 @@
         return bytes(self._bytes[start:end])
 
     def find_line_end(self, offset: int = 0) -> int:
-        """Return the offset of the first line feed from `offset` on; -1 where there is none."""
+        """Return the offset of the first line feed from `offset` on; -1 if there is none."""
         capacity = len(self._bytes)
         start = self._head + offset
         end = self._head + self._used
--- a/hookpitch/core/router_view.py
+++ b/hookpitch/core/router_view.py
@@ -1,4 +1,4 @@
-"""The few things that the host reads from the router's state."""
+"""The queries with which the host reads the router's state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def is_bannable(router: Router, backend_id: str, origin_kind: int) -> bool:
-    """Whether an operator may name a backend: a listed cache, or one that is banned already."""
+    """Return whether a backend may be banned or unbanned: a listed cache, or a banned backend."""
     if backend_id in router.bans:
         return True
     backend = router.backends.get(backend_id)
@@ -18,21 +18,21 @@
 
 
 def count_endpoints(router: Router, origin_kind: int) -> tuple[int, int]:
-    """Return how many caches are listed, and how many of them get no traffic now.
+    """Return the number of listed caches, and the number of those that receive no traffic now.
 
-    The latter drain, are banned or ejected.
+    A cache receives no traffic while it is draining, banned or ejected.
     """
     listed = [
         backend
         for backend in router.backends.values()
         if backend.kind != origin_kind and backend.listed_state != EndpointState.REMOVED
     ]
-    avoided = [
+    without_traffic = [
         backend for backend in listed if backend.state != EndpointState.READY or backend.ejected
     ]
-    return len(listed), len(avoided)
+    return len(listed), len(without_traffic)
 
 
 def was_sent_before_pause(router: Router, attempt: Attempt) -> bool:
-    """Whether this process was paused since an attempt was sent."""
+    """Return whether this process has been paused since it sent an attempt."""
     return attempt.sent_at < router.local_delay.stalled_at
--- a/hookpitch/core/rpc.py
+++ b/hookpitch/core/rpc.py
@@ -1,6 +1,6 @@
 """The records of an RPC and of its attempts.
 
-They exist for every RPC in flight, so they have slots and no behaviour beyond their own fields.
+They exist for every RPC in flight, so they use `__slots__` and do nothing beyond their own fields.
 Times are in milliseconds of the host's clock.
 """
 
@@ -42,15 +42,15 @@
         self.index = index  # in `rpc.attempts`
         self.backend_id = backend_id
         self.sent_at = sent_at
-        self.deadline = deadline  # until then its reply is waited for
-        self.start_by = start_by  # what is not on a connection by then is not sent any more
-        self.carrier: object | None = None  # the pool it waits in, or the connection it is on
-        self.written = False  # at least partly, so the backend may have executed it
+        self.deadline = deadline  # until then the node waits for the reply
+        self.start_by = start_by  # an attempt without a connection by then is not sent any more
+        self.carrier: object | None = None  # the pool that the attempt waits in, or its connection
+        self.written = False  # at least in part, so the backend may have executed the RPC
         self.done = False
 
     def extras(self, now: float) -> bytes:
-        """Return the RPC's extras with `d`, the time limit, set to what is left of it."""
-        # A backend that is given more time than is left would work on for nobody.
+        """Return the RPC's extras with `d`, the time limit, set to the remaining time."""
+        # A backend that was given more time would go on working after the node stopped waiting.
         limit = b"d=%d" % max(1, int(self.deadline - now))
         pairs = [
             limit if pair[:2] == b"d=" else pair for pair in self.rpc.extras.split(b",") if pair
@@ -61,7 +61,7 @@
 
 
 class Rpc:
-    """An RPC, from its acceptance until it is answered and none of its attempts is in flight."""
+    """An RPC, from when it is accepted until it is answered and no attempt is in flight."""
 
     __slots__ = (
         "number",
@@ -87,19 +87,19 @@
     def __init__(
         self, client: Client, slot: ReplySlot, words: Sequence[bytes], method: str
     ) -> None:
-        """`words`: the client's command, its name first."""
+        """Create an RPC from `words`: the name of the client's command, and its arguments."""
         self.client = client
         self.slot = slot
         self.command, self.key, self.id, self.extras = words[:4]
         self.value: bytes | ChunkedValue | None = words[4] if len(words) > 4 else None
         self.method = method
-        self.number = -1  # in the table
+        self.number = -1  # the RPC's number in the `RpcTable`
         self.accepted_at = 0.0
         self.hard_deadline = 0.0
         self.timer: Deadline | None = None
         self.attempts: list[Attempt] = []
-        self.in_flight = 0  # attempts that are not done
+        self.in_flight = 0  # number of attempts that are not done
         self.pending = True  # not answered yet
-        self.client_half_closed = False  # it sends no more, and may be gone altogether
-        self.stream: Stream | None = None  # its reply, once that is being passed on in pieces,
-        self.streaming_attempt: Attempt | None = None  # and the attempt that it comes from
+        self.client_half_closed = False  # the client sends no more, and may have disconnected
+        self.stream: Stream | None = None  # the reply, once it is being streamed
+        self.streaming_attempt: Attempt | None = None  # the attempt whose reply is streamed
--- a/hookpitch/core/rpc_table.py
+++ b/hookpitch/core/rpc_table.py
@@ -1,7 +1,7 @@
-"""All RPCs that are not over, and the one final answer to each.
+"""The RPCs in progress, and the single final answer to each.
 
-Invariants: an id is in the table once; `pending` counts the RPCs without an answer; an RPC leaves
-the table once it is answered and none of its attempts is in flight.
+Invariants: an id is in the table once; `pending` counts the RPCs without an answer; an RPC is
+removed from the table once it is answered and none of its attempts is in flight.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class RpcTable:
-    """RPCs by number; the router knows them by the number's decimal text."""
+    """RPCs by number; the router identifies an RPC by the decimal text of its number."""
 
     def __init__(
         self, deadlines: Deadlines, counters: Counters, value_budget: MemoryBudget
@@ -33,14 +33,14 @@
         return len(self._slots)
 
     def add(self, rpc: Rpc) -> None:
-        """Give an RPC its number."""
+        """Add an RPC and set its number."""
         self.ids.add(rpc.id)
         rpc.number = self._slots.add(rpc)
         self._counters.add("rpcs.taken")
         self.pending += 1
 
     def get(self, rpc_id: str) -> Rpc | None:
-        """Return the RPC that the router names; None once it is over."""
+        """Return the RPC that the router identifies by `rpc_id`; None once it has been removed."""
         return self._slots.get(int(rpc_id))
 
     def values(self) -> list[Rpc]:
@@ -57,20 +57,20 @@
         self.answer(rpc, FAILED_REPLY, FinalResult.FAILED)
 
     def finish(self, rpc: Rpc, result: FinalResult) -> None:
-        """Count an RPC's result and let it be pending no more; the caller sends the answer."""
+        """Count an RPC's result and mark it as not pending; the caller sends the answer."""
         self._counters.add(result.counter)
         self._counters.add(f"{result.method_prefix}.{rpc.method}")
         self.abandon(rpc)
 
     def abandon(self, rpc: Rpc) -> None:
-        """Let an RPC be pending no more, without an answer."""
+        """Mark an RPC as not pending, without an answer."""
         rpc.pending = False
         self.pending -= 1
         if not rpc.in_flight:
             self._deadlines.cancel(rpc.timer)
 
     def release(self, rpc: Rpc) -> None:
-        """Drop an RPC if it is over."""
+        """Remove an RPC if it is not pending and none of its attempts is in flight."""
         if rpc.pending or rpc.in_flight:
             return
         self._deadlines.cancel(rpc.timer)
--- a/hookpitch/core/rpc_timers.py
+++ b/hookpitch/core/rpc_timers.py
@@ -1,7 +1,8 @@
-"""The timer of each RPC: the deadlines of its attempts, its hard deadline, silence of a stream.
+"""The timer of each RPC: for its attempts' deadlines, its hard deadline and stalled streams.
 
-Invariant: a pending RPC, and one with an attempt in flight, has a timer no later than the first of
-these. So no RPC passes its hard deadline without an answer, whatever the router does.
+Invariant: an RPC that is pending or has an attempt in flight has a timer, which fires no later than
+the earliest of these times. So every RPC is answered by its hard deadline, whatever the router
+does.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
         self._host = host
 
     def watch(self, rpc: Rpc, at: float) -> None:
-        """Let an RPC's timer fire at `at`, or sooner where it would already."""
+        """Make sure that the timer of an RPC fires at `at` or earlier."""
         if rpc.timer is None or rpc.timer.call is None or at < rpc.timer.at:
             deadlines = self._host.deadlines
             deadlines.cancel(rpc.timer)
@@ -48,11 +49,11 @@
             self.watch(rpc, min(due))
 
     def _check_stream(self, now: float, rpc: Rpc) -> None:
-        """End a stream that made no progress: its backend or its reader may be gone."""
+        """End a stream without progress: its backend or its reader may have disconnected."""
         host = self._host
-        silent_from = rpc.stream.last_progress + host.stream_timeout_ms
+        times_out_at = rpc.stream.last_progress + host.stream_timeout_ms
         if now - rpc.stream.last_progress < host.stream_timeout_ms:
-            self.watch(rpc, silent_from)
+            self.watch(rpc, times_out_at)
             return
         host.counters.add("streams.silent")
         host.transport.cancel(now, rpc.streaming_attempt)
@@ -60,20 +61,20 @@
 
     def _attempt_timed_out(self, now: float, attempt: Attempt) -> None:
         host = self._host
-        # After a pause of this process, replies that came in time are still unread.
+        # After a pause of this process, replies that arrived in time may still be unread.
         if now < attempt.rpc.hard_deadline and host.transport.read_pending_response(attempt):
             return
         host.transport.cancel(now, attempt)
         if attempt.written:
             outcome = Outcome.TIMEOUT
         elif was_sent_before_pause(host.router, attempt):
-            outcome = Outcome.OBSOLETE  # its connection could not come up meanwhile
+            outcome = Outcome.OBSOLETE  # no connection could be established during the pause
         else:
             outcome = Outcome.CONNECT_FAILED
         host.attempt_finished(now, attempt, outcome)
 
     def _hard_deadline_passed(self, now: float, rpc: Rpc) -> None:
-        """Answer an RPC that the router should have answered."""
+        """Fail an RPC that the router should have answered before its hard deadline."""
         host = self._host
         host.rpcs.fail(rpc)
         host.router.client_disconnected(now, str(rpc.number))
--- a/hookpitch/core/slot_table.py
+++ b/hookpitch/core/slot_table.py
@@ -1,7 +1,7 @@
-"""A table of numbered slots, whose numbers are not used twice while their users may hold them.
+"""A table that reuses its slots, but gives no item the number of an earlier one.
 
-A number holds the slot's index in its lower bits and, above them, how often the slot was used.
-Invariant: a number that was freed names nothing, even once its slot is used again.
+A number holds the slot's index in its lower `INDEX_BITS` bits and, above them, how often the slot
+has been reused. Invariant: a freed number refers to nothing, even once its slot is used again.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SlotTable(Generic[T]):
-    """Items by number; adding, looking up and freeing take constant time."""
+    """Items by number; adding an item, looking it up and freeing it take constant time."""
 
     def __init__(self) -> None:
         self._items: list[T | None] = []
@@ -37,7 +37,7 @@
         return self._numbers[index]
 
     def get(self, number: int) -> T | None:
-        """Return the item with this number; None once it was freed."""
+        """Return the item with this number; None once the number was freed."""
         index = number & INDEX_MASK
         if index >= len(self._numbers) or self._numbers[index] != number:
             return None
--- a/hookpitch/core/stream.py
+++ b/hookpitch/core/stream.py
@@ -1,9 +1,10 @@
-"""Values too large to hold: replies that are streamed, and large writes under a memory budget.
+"""Large values: replies that are streamed, and writes that are collected under a memory budget.
 
-A reply value over `resp.MAX_BULK_BYTES` is passed on in pieces, from the backend's connection (the
-source) to the client's. Its last `TAIL_BYTES` are held back until the backend's whole reply has
+A reply value over `resp.MAX_BULK_BYTES` is forwarded in chunks, from the backend's connection (the
+source) to the client's. Its last `TAIL_BYTES` are retained until the backend's complete reply has
 been read and found valid, so that a malformed reply never looks complete to the client. Invariants:
-what was passed on plus the tail is what came; a stream ends once. Sizes are in bytes.
+the forwarded bytes followed by the tail are the bytes received; a stream ends once. Sizes are in
+bytes.
 """
 
 from __future__ import annotations
@@ -11,39 +12,39 @@
 from typing import Protocol
 
 TAIL_BYTES = 1024
-CHUNK_BYTES = 32768  # a chunk of a large write is full from this size on
-MAX_STREAMED_BYTES = 1 << 22  # the largest value that is taken at all
-# What may wait unsent for a slow reader: at most, and at least with many streams.
+CHUNK_BYTES = 32768  # from this size on a chunk of a large write is full
+MAX_STREAMED_BYTES = 1 << 22  # the largest value that is accepted at all
+# The bytes that may wait unsent for a slow reader: with few streams, and with many.
 MAX_UNSENT_BYTES = 1 << 17
 MIN_UNSENT_BYTES = 1 << 14
 
 
 class Source(Protocol):
-    """The connection that a streamed reply comes from."""
+    """The connection that a streamed reply is read from."""
 
     def pause(self) -> None:
-        """Read no more for now."""
+        """Stop reading until `resume` is called."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
 
 
 class Stream:
-    """A reply value that is being passed on."""
+    """A reply value that is being forwarded in chunks."""
 
     __slots__ = ("source", "length", "remaining", "tail", "first_byte_ms", "last_progress")
 
     def __init__(self, source: Source, length: int, first_byte_ms: float, now: float) -> None:
-        """`first_byte_ms`: from the sending of the attempt to the first bytes."""
+        """Start a stream; `first_byte_ms` is the time from the sending to the first bytes."""
         self.source = source
         self.length = length
-        self.remaining = length  # to come from the source
+        self.remaining = length  # bytes that the source has not delivered yet
         self.tail = b""
         self.first_byte_ms = first_byte_ms
-        self.last_progress = now  # when a piece came or the reader last took something
+        self.last_progress = now  # when a chunk last arrived, or the reader last accepted data
 
     def feed(self, data: bytes) -> bytes:
-        """Take the next piece and return what of the value can be passed on now."""
+        """Accept the next chunk and return the part of the value that can be forwarded now."""
         self.remaining -= len(data)
         if self.remaining > TAIL_BYTES:
             return data
@@ -67,9 +68,9 @@
         return self.length
 
     def append(self, data: bytes) -> None:
-        """Add the next piece."""
+        """Add the next bytes."""
         self.length += len(data)
-        # A value that comes a byte at a time must not become an object for each byte.
+        # A value that arrives one byte at a time must not become one object per byte.
         if self.chunks and len(self.chunks[-1]) < CHUNK_BYTES:
             self.chunks[-1] += data
         else:
@@ -77,7 +78,7 @@
 
 
 class MemoryBudget:
-    """Memory for the large writes of all clients, so that many at once cannot exhaust it."""
+    """Limits the memory for large writes of all clients, so that many at once cannot exhaust it."""
 
     __slots__ = ("used", "limit")
 
@@ -86,12 +87,12 @@
         self.limit = limit
 
     def reserve(self, count: int) -> bool:
-        """Reserve bytes; False where the limit does not allow it."""
+        """Reserve `count` bytes; return False if the limit does not allow it."""
         if self.used + count > self.limit:
             return False
         self.used += count
         return True
 
     def release(self, count: int) -> None:
-        """Return bytes that were reserved."""
+        """Return `count` reserved bytes to the budget."""
         self.used -= count
--- a/hookpitch/core/streamed_replies.py
+++ b/hookpitch/core/streamed_replies.py
@@ -1,7 +1,7 @@
-"""Replies that are too large to hold: passed on from the backend's connection as they come.
+"""Replies that are too large to buffer: forwarded from the backend's connection as they arrive.
 
-Invariants: of several attempts of an RPC only the first that starts a reply is passed on; after
-that no deadline ends it, only silence of its backend or its reader does.
+Invariants: of the replies to an RPC's attempts, only the one that starts first is forwarded; from
+then on no deadline ends it, only a timeout without progress of its backend or its reader.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         self._host = host
 
     def start(self, now: float, attempt: Attempt, length: int, source: Source) -> bool:
-        """Start to pass on the reply of an attempt; False where it is of no use any more."""
+        """Start to forward the reply of an attempt; return False if it is no longer needed."""
         host = self._host
         rpc = attempt.rpc
         if attempt.done or not rpc.pending or rpc.stream is not None:
@@ -33,15 +33,15 @@
         rpc.stream = Stream(source, length, max(0.0, now - attempt.sent_at), now)
         rpc.streaming_attempt = attempt
         host.router.stream_started(now, str(rpc.number), attempt.index)
-        # The deadlines were for the first bytes; from now on only silence counts.
+        # The deadlines apply to the first bytes. From now on only lack of progress ends the reply.
         host.deadlines.cancel(rpc.timer)
         host.timers.watch(rpc, now + host.stream_timeout_ms)
         rpc.client.stream_started(rpc.slot, rpc.stream)
         host.decide(now)  # so that a hedged attempt is cancelled at once
         return True
 
-    def pass_on(self, now: float, attempt: Attempt, data: bytes) -> None:
-        """Pass on the next piece of a reply."""
+    def forward_chunk(self, now: float, attempt: Attempt, data: bytes) -> None:
+        """Forward the next chunk of a reply."""
         rpc = attempt.rpc
         if rpc.stream is None or not rpc.pending or attempt is not rpc.streaming_attempt:
             return
@@ -51,12 +51,14 @@
             rpc.client.stream_chunk(rpc.slot, data)
 
     def finish(self, rpc: Rpc, outcome: Outcome) -> None:
-        """End a reply: complete it with what was held back, or abort it."""
+        """End a reply: complete it with the retained tail, or abort it."""
         rpcs = self._host.rpcs
-        completed = outcome == Outcome.COMPLETED
-        complete = completed and not rpc.stream.remaining
-        self._host.counters.check(complete or not completed, "a value passed whole")
-        if complete:
+        attempt_completed = outcome == Outcome.COMPLETED
+        value_is_complete = attempt_completed and not rpc.stream.remaining
+        self._host.counters.check(
+            value_is_complete or not attempt_completed, "a value passed whole"
+        )
+        if value_is_complete:
             rpcs.finish(rpc, FinalResult.COMPLETED)
             rpc.client.reply(rpc.slot, rpc.stream.tail + b"\r\n")
         else:
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -106,13 +106,13 @@
         return self.descriptors_used < self.max_descriptors
 
     def update_endpoints(
-        self, kind: EndpointUpdate, entries: Sequence[Endpoint], addresses: Mapping[str, str]
+        self, kind: EndpointUpdate, endpoints: Sequence[Endpoint], addresses: Mapping[str, str]
     ) -> None:
         """Follows the endpoint list; `addresses` has the "host:port" of each entry by its id."""
-        for endpoint in entries:
+        for endpoint in endpoints:
             self._update_endpoint(endpoint, addresses[endpoint.id])
         if kind != EndpointUpdate.DELTA:
-            listed = {endpoint.id for endpoint in entries}
+            listed = {endpoint.id for endpoint in endpoints}
             for backend_id in [known for known in self.by_backend if known not in listed]:
                 self._forget(backend_id)
 
