--- a/hookpitch/startup/__init__.py
+++ b/hookpitch/startup/__init__.py
@@ -1,3 +1,5 @@
-"""What a node's start needs so that many nodes may start at once without harm to discovery, cache
-servers and origin: a poll schedule, phases with bounds, and snapshots of what was learned. No I/O
-and no clock."""
+"""The start of a node: a poll schedule, phases with timeouts, and snapshots of what was learned.
+
+With these, many nodes may start at once without overloading discovery, the cache servers and the
+origin. The package does no I/O and reads no clock.
+"""
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -172,7 +172,7 @@
         turned[at] ^= 1 << rng.randrange(8)
         with pytest.raises(ValueError):
             decode(bytes(turned))
-    with pytest.raises(ValueError, match="torn"):
+    with pytest.raises(ValueError, match="but the header states"):
         decode(data + b"x")
 
 
@@ -273,7 +273,7 @@
     [
         ({"fleet": "other"}, "of fleet"),
         ({"oldest_s": 1.0}, "s old"),
-        (None, "torn"),
+        (None, "but the header states"),
         ("", "file"),
     ],
 )
@@ -358,7 +358,7 @@
     path.write_bytes(b"HKPS")
     said = CliRunner().invoke(main, ["snapshot", "show", str(path)])
     assert said.exit_code == 2
-    assert "torn: 4 bytes" in said.output
+    assert "truncated: 4 bytes" in said.output
 
 
 def test_nodes_that_all_restart_restore_their_snapshots() -> None:
