--- a/hookpitch/simwire/__init__.py
+++ b/hookpitch/simwire/__init__.py
@@ -1,1 +1,4 @@
-"""The bench's wire: codec and adapter. Its names and its seconds end here."""
+"""The simulator's line protocol: codec and adapter.
+
+The protocol's names and its times in seconds are used in this package only.
+"""
--- a/hookpitch/simwire/__main__.py
+++ b/hookpitch/simwire/__main__.py
@@ -1,5 +1,4 @@
-"""`python -m hookpitch.simwire`: the decisions on the bench's wire, over standard input and
-output."""
+"""`python -m hookpitch.simwire`: routes RPCs for the simulator over standard input and output."""
 
 from hookpitch.simwire.adapter import main
 
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -1,7 +1,8 @@
-"""Hosts many nodes on the bench's wire: reads batches of lines, and writes a reply to each.
+"""Hosts many nodes for the simulator: reads batches of lines, and writes a reply to each batch.
 
-State: the nodes by name, and the time of the batch at hand. A line that cannot be read is named on
-the error stream and harms nothing else. Only nodes that a batch has touched write to its reply.
+State: the nodes by name, and the time of the current batch. A line that cannot be parsed is
+reported on the error stream and affects nothing else. Only the nodes that a batch addresses write
+to its reply.
 """
 
 from __future__ import annotations
@@ -19,64 +20,65 @@
 from hookpitch.simwire.codec import WireError, parse_ms, split_values
 from hookpitch.simwire.simulated_node import SimulatedNode
 
-MAX_QUOTED = 200  # characters of a line that is named
-MAX_ENTRY_QUOTED = 120
+MAX_QUOTED = 200  # characters of a line in the message of an error
+MAX_ENTRY_QUOTED = 120  # characters of an ENTRY line
 
+# Handles a message to one node; the text is the rest of the line, after the word.
 Handler = Callable[[SimulatedNode, Router, str], None]
 
 
 class Adapter:
-    """Reads batches, writes replies."""
+    """Reads batches from `source`, writes replies to `sink` and faults to `errors`."""
 
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.nodes: dict[str, SimulatedNode] = {}
         self._source = source
         self._sink = sink
         self._errors = errors
-        self._lines: list[str] = []  # of the reply
-        self._touched: dict[str, SimulatedNode] = {}  # by this batch, in order
+        self._lines: list[str] = []  # the lines of the current reply
+        self._addressed: dict[str, SimulatedNode] = {}  # the nodes to reply for, in order
         self._now = 0.0
         self._handlers: dict[str, Handler] = {
-            "REQUEST": self._request,
-            "TIMEOUT_FIRED": self._timer_fired,
-            "CLIENT_GONE": self._client_gone,
-            "SETTLED": self._settled,
-            "ACCEPTED": self._accepted,
-            # No probe or message is ever sent, so none is answered.
-            "PEER_DATA": self._ignored,
-            "SAMPLED": self._ignored,
+            "REQUEST": self._handle_request,
+            "TIMEOUT_FIRED": self._handle_timer,
+            "CLIENT_GONE": self._handle_client_gone,
+            "SETTLED": self._handle_settled,
+            "ACCEPTED": self._handle_accepted,
+            # These answer a probe or a message of a node, and no node sends any.
+            "PEER_DATA": self._ignore,
+            "SAMPLED": self._ignore,
         }
 
     def run(self) -> None:
-        """Serve until the source ends."""
+        """Handle lines until the source ends."""
         lines = iter(self._source)
-        for raw in lines:
-            line = raw.rstrip("\r\n")
+        for raw_line in lines:
+            line = raw_line.rstrip("\r\n")
             try:
-                self._line(line, lines)
+                self._handle_line(line, lines)
             except ValueError as error:
                 quoted = f"{line[:MAX_QUOTED]!r}"
                 print(f"hookpitch: {error}: {quoted}", file=self._errors, flush=True)
 
-    def _line(self, line: str, following: Iterator[str]) -> None:
+    def _handle_line(self, line: str, following: Iterator[str]) -> None:
         word, _, rest = line.partition(" ")
         if word == "EOB":
-            self._reply()
+            self._write_reply()
         elif word == "BEGIN_BATCH":
             self._now = parse_ms(rest)
         elif word == "HELLO":
-            self._hello(rest)
+            self._handle_hello(rest)
         elif word == "PEERS_KNOWN":
-            self._peers_known(rest, following)
+            self._handle_peers_known(rest, following)
         elif word == "EXIT":
-            self._exit(rest)
+            self._handle_exit(rest)
         elif line:
-            self._event(word, rest)
+            self._handle_event(word, rest)
 
-    def _reply(self) -> None:
-        touched = self._touched
-        self._touched = {}
-        for node in touched.values():
+    def _write_reply(self) -> None:
+        addressed = self._addressed
+        self._addressed = {}
+        for node in addressed.values():
             node.reply(self._now)
         self._lines.append("ACK\n")
         self._sink.write("\n".join(self._lines))
@@ -85,27 +87,27 @@
 
     # ---- lines of one node
 
-    def _event(self, word: str, rest: str) -> None:
+    def _handle_event(self, word: str, rest: str) -> None:
         handler = self._handlers.get(word)
         if handler is None:
-            raise WireError(f"unknown message '{word}'")
-        node, router = self._started_node(rest)
+            raise WireError(f"unknown message {word!r}")
+        node, router = self._find_started_node(rest)
         handler(node, router, rest)
 
-    def _started_node(self, rest: str) -> tuple[SimulatedNode, Router]:
+    def _find_started_node(self, rest: str) -> tuple[SimulatedNode, Router]:
         name = rest.partition(" ")[0]
         node = self.nodes.get(name)
         if node is None or node.router is None:
-            raise WireError(f"unknown instance '{name}'")
+            raise WireError(f"node {name!r} is unknown or was not started")
         return node, node.router
 
-    def _touch(self, node: SimulatedNode) -> None:
-        self._touched[node.name] = node
+    def _mark_addressed(self, node: SimulatedNode) -> None:
+        self._addressed[node.name] = node
 
-    def _hello(self, rest: str) -> None:
+    def _handle_hello(self, rest: str) -> None:
         name, seed, settings = split_values(rest, 3)
         node = self.nodes[name] = SimulatedNode(name, self._lines)
-        self._touch(node)
+        self._mark_addressed(node)
         try:
             deployment = parse_deployment(int(seed), json.loads(settings))
         except ValueError as error:
@@ -113,16 +115,16 @@
             raise
         node.start(self._now, deployment)
 
-    def _exit(self, rest: str) -> None:
+    def _handle_exit(self, rest: str) -> None:
         name = rest.partition(" ")[0]
         if name not in self.nodes:
-            raise WireError(f"unknown instance '{name}'")
+            raise WireError(f"node {name!r} is unknown")
         del self.nodes[name]
-        self._touched.pop(name, None)
+        self._addressed.pop(name, None)
 
-    def _request(self, node: SimulatedNode, router: Router, rest: str) -> None:
+    def _handle_request(self, node: SimulatedNode, router: Router, rest: str) -> None:
         values = split_values(rest, 9)
-        self._touch(node)
+        self._mark_addressed(node)
         request = codec.parse_request(values)
         router.rpc_arrived(
             self._now,
@@ -131,52 +133,52 @@
             request.method,
             request.tenant,
             request.write,
-            request.patience_ms,
+            request.time_limit_ms,
             0.0,
             request.work_ms,
         )
 
-    def _settled(self, node: SimulatedNode, router: Router, rest: str) -> None:
+    def _handle_settled(self, node: SimulatedNode, router: Router, rest: str) -> None:
         values = split_values(rest, 9)
-        self._touch(node)
-        settled = codec.parse_settled(values)
+        self._mark_addressed(node)
+        ended = codec.parse_settled(values)
         router.attempt_ended(
             self._now,
-            settled.rpc_id,
-            settled.attempt,
-            settled.outcome,
-            settled.last,
-            settled.took_ms,
-            settled.report,
+            ended.rpc_id,
+            ended.attempt,
+            ended.outcome,
+            ended.ends_rpc,
+            ended.latency_ms,
+            ended.report,
         )
 
-    def _accepted(self, node: SimulatedNode, router: Router, rest: str) -> None:
+    def _handle_accepted(self, node: SimulatedNode, router: Router, rest: str) -> None:
         values = split_values(rest, 5)
-        self._touch(node)
+        self._mark_addressed(node)
         started = codec.parse_accepted(values)
         router.stream_started(self._now, started.rpc_id, started.attempt)
 
-    def _client_gone(self, node: SimulatedNode, router: Router, rest: str) -> None:
-        self._touch(node)
+    def _handle_client_gone(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        self._mark_addressed(node)
         router.client_disconnected(self._now, split_values(rest, 2)[1])
 
-    def _timer_fired(self, node: SimulatedNode, router: Router, rest: str) -> None:
-        self._touch(node)
+    def _handle_timer(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        self._mark_addressed(node)
         router.timer_fired(self._now)
 
-    def _ignored(self, node: SimulatedNode, router: Router, rest: str) -> None:
-        self._touch(node)
+    def _ignore(self, node: SimulatedNode, router: Router, rest: str) -> None:
+        self._mark_addressed(node)
 
-    # ---- endpoint lists, the one message of several lines
+    # ---- endpoint lists, the only message of several lines
 
-    def _peers_known(self, rest: str, following: Iterator[str]) -> None:
-        known = self.nodes.get(rest.partition(" ")[0])
-        kind_names = known.kind_names if known is not None else ()
-        endpoints, fault = self._read_endpoints(rest, following, kind_names)
-        node, router = self._started_node(rest)
-        if fault:
-            raise WireError(fault)
-        self._touch(node)
+    def _handle_peers_known(self, rest: str, following: Iterator[str]) -> None:
+        receiver = self.nodes.get(rest.partition(" ")[0])
+        kind_names = receiver.kind_names if receiver is not None else ()
+        endpoints, entry_error = self._read_endpoints(rest, following, kind_names)
+        node, router = self._find_started_node(rest)
+        if entry_error:
+            raise WireError(entry_error)
+        self._mark_addressed(node)
         kind = EndpointUpdate(int(split_values(rest, 4)[1]))
         node.endpoints_received(self._now, kind)
         if kind != EndpointUpdate.FAILED:
@@ -186,26 +188,26 @@
     def _read_endpoints(
         rest: str, following: Iterator[str], kind_names: tuple[str, ...]
     ) -> tuple[list[Endpoint], str]:
-        """Return the ENTRY lines that follow, and the last fault among them.
+        """Parse the ENTRY lines that follow; return the endpoints and the last error message.
 
-        All are taken off the wire even where one is at fault, or the node is unknown.
+        All ENTRY lines are consumed, even if one is malformed or the node is unknown.
         """
         values = rest.split(" ")
         if len(values) != 4:
-            return [], "PEERS_KNOWN has four values"
+            return [], "expected 4 values after PEERS_KNOWN"
         count = int(values[3]) if values[3] != codec.ABSENT else 0
         endpoints: list[Endpoint] = []
-        fault = ""
+        entry_error = ""
         for _ in range(count):
             line = next(following, "").rstrip("\r\n")
             try:
                 endpoints.append(codec.parse_endpoint(line, kind_names))
             except ValueError as error:
-                fault = f"{error} in {line[:MAX_ENTRY_QUOTED]!r}"
-        return endpoints, fault
+                entry_error = f"{error} in {line[:MAX_ENTRY_QUOTED]!r}"
+        return endpoints, entry_error
 
 
 def main() -> None:
-    """Serve standard input and output."""
+    """Run the adapter on standard input and output."""
     gc.freeze()
     Adapter(sys.stdin, sys.stdout, sys.stderr).run()
--- a/hookpitch/simwire/codec.py
+++ b/hookpitch/simwire/codec.py
@@ -1,7 +1,7 @@
-"""The bench's lines, without I/O: values of a line into messages, decisions into lines.
+"""The simulator's line protocol, without I/O: parses the values of a line, and formats times.
 
-A line is a word and values set apart by blanks; `-` stands for no value, times are decimal seconds.
-Messages have milliseconds and the types of the decisions' interface.
+A line is a word and values, separated by spaces; `-` represents an absent value, times are decimal
+seconds. Messages contain times in milliseconds and the types of `balancer.interface`.
 """
 
 from __future__ import annotations
@@ -25,98 +25,102 @@
 }
 ABSENT = "-"
 UNKNOWN_KIND = -2
-REQUEST_STATES_WORK = 1  # a bit of a REQUEST's options
-REQUEST_IS_WRITE = 4
+# Bits of the options of a REQUEST.
+STATES_WORK_BIT = 1
+IS_WRITE_BIT = 4
 REPORT_SEPARATOR = ":"
 
 
 class WireError(ValueError):
-    """A line that cannot be read."""
+    """Raised for a line that cannot be parsed; the message says why."""
 
 
 # ---- messages
 
 
-class Request(NamedTuple):
-    """REQUEST: an RPC arrived."""
+class RpcArrived(NamedTuple):
+    """The message REQUEST: an RPC has arrived."""
 
     rpc_id: str
-    key: str  # empty: none
+    key: str  # empty if absent
     method: str
-    tenant: str  # empty: none
+    tenant: str  # empty if absent
     write: bool
-    patience_ms: float  # how long its client waits
-    work_ms: float  # that it states; 0: none
+    time_limit_ms: float  # how long the client waits
+    work_ms: float  # the service time that the RPC states; 0 if it states none
 
 
-class Settled(NamedTuple):
-    """SETTLED: an attempt ended."""
+class AttemptEnded(NamedTuple):
+    """The message SETTLED: an attempt has ended."""
 
     rpc_id: str
     attempt: int
     outcome: Outcome
-    last: bool  # the RPC ended with it
-    took_ms: float
+    ends_rpc: bool  # whether the RPC ended with this attempt
+    latency_ms: float
     report: Report
 
 
 class StreamStarted(NamedTuple):
-    """ACCEPTED: an attempt's answer began."""
+    """The message ACCEPTED: the reply to an attempt has started."""
 
     rpc_id: str
     attempt: int
 
 
-# ---- reading
+# ---- parsing
 
 
 def split_values(rest: str, count: int) -> list[str]:
-    """Split the values of a line; the last may hold blanks. Raises WireError if some lack."""
+    """Split the values of a line, of which the last may contain spaces.
+
+    Raises WireError if a value is missing.
+    """
     values = rest.split(" ", count - 1)
     if len(values) != count:
-        raise WireError(f"{count} values were due, {len(values)} came")
+        raise WireError(f"expected {count} values, got {len(values)}")
     return values
 
 
-def parse_request(values: list[str]) -> Request:
-    """Read the nine values of a REQUEST."""
-    _, rpc_id, key, options, patience, _, tenant, work, method = values
-    bits = int(options) if options != ABSENT else 0
-    return Request(
+def parse_request(values: list[str]) -> RpcArrived:
+    """Parse the nine values of a REQUEST."""
+    _, rpc_id, key, options, time_limit, _, tenant, work, method = values
+    option_bits = int(options) if options != ABSENT else 0
+    return RpcArrived(
         rpc_id=rpc_id,
         key="" if key == ABSENT else key,
         method=method,
         tenant="" if tenant == ABSENT else tenant,
-        work_ms=parse_ms(work) if bits & REQUEST_STATES_WORK else 0.0,
-        write=bool(bits & REQUEST_IS_WRITE),
-        patience_ms=parse_ms(patience),
+        work_ms=parse_ms(work) if option_bits & STATES_WORK_BIT else 0.0,
+        write=bool(option_bits & IS_WRITE_BIT),
+        time_limit_ms=parse_ms(time_limit),
     )
 
 
-def parse_settled(values: list[str]) -> Settled:
-    """Read the nine values of a SETTLED."""
-    _, rpc_id, took, _, code, last, _, attempt, load = values
-    return Settled(
+def parse_settled(values: list[str]) -> AttemptEnded:
+    """Parse the nine values of a SETTLED."""
+    _, rpc_id, latency, _, code, ends_rpc, _, attempt, load = values
+    return AttemptEnded(
         rpc_id=rpc_id,
         attempt=int(attempt),
         outcome=parse_outcome(code),
-        last=parse_flag(last),
-        took_ms=parse_ms(took),
+        ends_rpc=parse_flag(ends_rpc),
+        latency_ms=parse_ms(latency),
         report=parse_load_report(load, REPORT_SEPARATOR),
     )
 
 
 def parse_accepted(values: list[str]) -> StreamStarted:
-    """Read the five values of an ACCEPTED."""
+    """Parse the five values of an ACCEPTED."""
     _, rpc_id, _, _, attempt = values
     return StreamStarted(rpc_id, int(attempt))
 
 
 def parse_endpoint(line: str, kind_names: tuple[str, ...]) -> Endpoint:
-    """Read an ENTRY line; a kind is a number or one of the names."""
+    """Parse an ENTRY line; the kind is a number or one of `kind_names`."""
     values = line.split(" ")
     if len(values) != 8 or values[0] != "ENTRY":
-        raise WireError("an ENTRY line with seven values was due")
+        raise WireError(f"expected 8 words, the first of them ENTRY, got {len(values)}")
     _, zone, cell, started, server, condition, kind, size = values
     return Endpoint(
         id=server,
@@ -138,32 +142,32 @@
 
 
 def parse_ms(text: str) -> float:
-    """Read seconds as milliseconds; no value is 0."""
+    """Parse seconds into milliseconds; an absent value is 0."""
     if text == ABSENT:
         return 0.0
     value = float(text) * 1000
     if not isfinite(value):
-        raise WireError(f"'{text}' is no time")
+        raise WireError(f"time {text!r} is not a finite number of seconds")
     return value
 
 
 def parse_flag(text: str) -> bool:
-    """Read a flag; no value is False."""
+    """Parse a flag; an absent value is False."""
     if text not in ("0", "1", ABSENT):
-        raise WireError(f"'{text}' is no bool")
+        raise WireError(f"flag {text!r} is none of 0, 1 and {ABSENT}")
     return text == "1"
 
 
 def parse_outcome(text: str) -> Outcome:
-    """Read an outcome's number."""
+    """Parse the number of an outcome."""
     if text not in OUTCOMES:
-        raise WireError(f"'{text}' is no outcome")
+        raise WireError(f"outcome {text!r} is none of {', '.join(OUTCOMES)}")
     return OUTCOMES[text]
 
 
-# ---- writing
+# ---- formatting
 
 
 def format_seconds(value_ms: float) -> str:
-    """Write milliseconds as seconds."""
+    """Format milliseconds as seconds with six decimals."""
     return f"{value_ms / 1000:.6f}"
