--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -1,10 +1,11 @@
 """An experiment on loopback in real time: each node, fake server and relay is a process.
 
-Each node has a loopback network of its own (127.10.x.x, 127.11.x.x, ...), in which relays stand for
-all that it talks to: servers, the origin, discovery, its clients, the other nodes. So the testbed
-controls each link and the node's program is unchanged. Networks are allotted in blocks, so that
-several runs fit beside one another. This process has the clients and the time line, and merges the
-histories of all. A run in which the testbed fell behind is void. Sources: signal(7).
+Each node has a loopback subnet of its own (127.10.x.x, 127.11.x.x, ...), in which relays take the
+place of everything it talks to: servers, the origin, discovery, its clients, the other nodes. So
+the testbed controls every link, and the node's program is unchanged. Subnets are reserved in
+blocks, so that several runs can take place at the same time. This process holds the clients and
+schedules the faults, and merges the histories of all processes. A run in which the testbed fell
+behind is void. Sources: signal(7).
 """
 
 from __future__ import annotations
@@ -36,78 +37,81 @@
 
 CACHE_PORT = 26379
 ORIGIN_PORT = 28080
-# of nodes; of the stand-ins themselves
-FIRST_NET = 10
-STANDIN_NET = 200
-# blocks of nets, and nodes in one
-BLOCKS = 8
-BLOCK = 13
-NODES_MOST = BLOCKS * BLOCK
-RELAY_NODES = 16  # at a relay
-TOGETHER = 8  # servers in one process, of those that no fault needs alone
-OWN_PROCESS = ("crash", "drain", "suspend")  # faults of a server that its process dies of
-LEFT_S = 3.0  # more than its longest deadline, for a node to leave
-READY_S = 60.0  # for all processes to be up after their start
-VOID_MS = 150.0  # a rig that is later than this judges nothing
-OVERLAP_MS = 5.0  # between what a relay and a server tell of one moment
-CROSSING_MS = 20.0  # after it was asked, an RPC may meet its connection's end on the way
-CALL_S = 1.0
+# The second number of the loopback addresses: of the first node's subnet, and of the fake servers'.
+FIRST_NODE_SUBNET = 10
+FIRST_FAKES_SUBNET = 200
+BLOCK_COUNT = 8
+SUBNETS_PER_BLOCK = 13
+MAX_NODES = BLOCK_COUNT * SUBNETS_PER_BLOCK
+NODES_PER_RELAY = 16
+CACHES_PER_PROCESS = 8  # of the caches that need no process of their own
+# Faults that stop or kill the process of a server, which then must not be shared.
+SERVER_PROCESS_FAULTS = ("crash", "drain", "suspend")
+SHUTDOWN_TIMEOUT_S = 3.0  # for a node to exit, in addition to its longest deadline
+START_TIMEOUT_S = 60.0  # for all processes to be ready
+MAX_LATENESS_MS = 150.0  # a run in which a process of the testbed was later than this is void
+OVERLAP_MS = 5.0  # by which the records of a relay and a server of the same moment may differ
+# For so long after an RPC was sent, its connection's end may have crossed it on the way.
+CROSSING_MS = 20.0
+ADMIN_TIMEOUT_S = 1.0
 
 
 class _WallClock:
-    """What a happening asks of a network: the time since the start, and events at a time."""
+    """The part of a simulated network that runs and faults use: the time and scheduled calls."""
 
     def __init__(self, reactor: Any) -> None:
         self.reactor = reactor
-        self.begun = reactor.seconds()
+        self.started_at = reactor.seconds()
         self.epoch = time.time()
         self.program_errors = list[str]()
 
     @property
     def now(self) -> float:
-        return self.reactor.seconds() - self.begun
+        return self.reactor.seconds() - self.started_at
 
     def call_at(
-        self, when: float, machine: object, func: Callable[..., object], *args: object
+        self, time: float, machine: object, func: Callable[..., object], *args: object
     ) -> None:
-        self.reactor.callLater(max(0.0, when - self.now), func, *args)
+        self.reactor.callLater(max(0.0, time - self.now), func, *args)
 
 
-class _Ask(Protocol):
-    """One call at a node's door."""
+class _AdminRequest(Protocol):
+    """One command to a node's admin endpoint."""
 
-    def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
-        self.line = line
-        self.answered = answered
-        self.got = b""
-        self.over = False
+    def __init__(self, command: str, on_answer: Callable[[bool], None]) -> None:
+        self.command = command
+        self.on_answer = on_answer
+        self.answer = b""
+        self.is_finished = False
 
     def connectionMade(self) -> None:
-        self.transport.write(self.line.encode() + b"\n")
+        self.transport.write(self.command.encode() + b"\n")
 
     def dataReceived(self, data: bytes) -> None:
-        self.got += data
+        self.answer += data
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.answered(self.got.startswith(b"YES"))
+        self.on_answer(self.answer.startswith(b"YES"))
 
 
-class _Asks(ClientFactory):
+class _AdminRequestFactory(ClientFactory):
+    """Connects to a node's admin endpoint for one command."""
+
     noisy = False
 
-    def __init__(self, line: str, answered: Callable[[bool], None]) -> None:
-        self.line = line
-        self.answered = answered
+    def __init__(self, command: str, on_answer: Callable[[bool], None]) -> None:
+        self.command = command
+        self.on_answer = on_answer
 
-    def buildProtocol(self, addr: object) -> _Ask:
-        return _Ask(self.line, self.answered)
+    def buildProtocol(self, addr: object) -> _AdminRequest:
+        return _AdminRequest(self.command, self.on_answer)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.answered(False)
+        self.on_answer(False)
 
 
-class _Control(Factory):
-    """Where the rig's processes find this one."""
+class _ControlServer(Factory):
+    """Accepts the control connections of the child processes."""
 
     noisy = False
 
@@ -115,184 +119,214 @@
         self.run = run
 
     def buildProtocol(self, addr: object) -> ControlConnection:
-        whose: list[Child] = []
+        sender: list[Child] = []  # the child, once it has sent its name
 
-        def received(what: str, *args: Any) -> None:
-            if what == "hello":
-                whose.append(self.run.children[args[0]])
-            elif what == "ready":
-                whose[0].is_ready(line)
+        def on_message(kind: str, *args: Any) -> None:
+            if kind == "hello":
+                sender.append(self.run.children[args[0]])
+            elif kind == "ready":
+                sender[0].set_ready(control)
             else:
-                self.run.told_by(whose[0], what, *args)
+                self.run.message_received(sender[0], kind, *args)
 
-        line = ControlConnection(received, lambda: self.run.lost(whose[0], line) if whose else None)
-        return line
+        control = ControlConnection(
+            on_message, lambda: self.run.control_lost(sender[0], control) if sender else None
+        )
+        return control
 
 
 class ProcessRun(ProcessHost):
-    """The same run on loopback."""
+    """A run on real processes, on loopback."""
 
     def __init__(
         self,
-        x: Experiment,
+        experiment: Experiment,
         seed: int,
         reactor: Any,
         folder: Path,
-        tell: Callable[[str], None] | None = None,
+        progress: Callable[[str], None] | None = None,
     ) -> None:
-        """`tell` is given a line a second of how the run goes."""
-        for n, fault in enumerate(x.fault):
+        """Prepare a run; `progress` is called once per second with a line on its progress."""
+        for index, fault in enumerate(experiment.fault):
             if fault.what in VIRTUAL_ONLY:
                 why = f"'{fault.what}' is for virtual time alone: {VIRTUAL_ONLY[fault.what]}"
-                raise ValueError(f"{x.name}: fault[{n}].what: {why}")
-        if x.nodes.count > NODES_MOST:
-            raise ValueError(f"{x.name}: nodes.count: wants at most {NODES_MOST} on loopback")
+                raise ValueError(f"{experiment.name}: fault[{index}].what: {why}")
+        if experiment.nodes.count > MAX_NODES:
+            raise ValueError(
+                f"{experiment.name}: nodes.count: {experiment.nodes.count} exceeds the maximum "
+                f"of {MAX_NODES} on loopback"
+            )
         self.reactor = reactor
         self.folder = folder
-        self.tell = tell
-        super().__init__(x, seed, _WallClock(reactor))
-        self.begun = self.network.begun
-        self.control = str(folder / "control")
-        self.nets: dict[str, str] = {}  # by node
-        self.own = ""  # the stand-ins' net
+        self.progress = progress
+        super().__init__(experiment, seed, _WallClock(reactor))
+        self.begun = self.network.started_at
+        self.control_path = str(folder / "control")
+        self.subnets: dict[str, str] = {}  # by node
+        self.fakes_subnet = ""
         self.nodes: dict[str, NodeProcess] = {}
         self.children: dict[str, Child] = {}
-        self.home: dict[str, Child] = {}  # by stand-in: where it runs
+        self.server_processes: dict[str, Child] = {}  # by fake server: the process it runs in
         self.relays: dict[str, Child] = {}  # by node
-        self.void: list[str] = []
-        self.failed: list[str] = []  # why the run could not go on
-        self.offset = 0.0
-        self.over = False
-        self.closing = False
+        self.void_reasons: list[str] = []
+        self.failures: list[str] = []  # why the run could not be completed
+        self.offset = 0.0  # when the experiment began on the run's clock, in seconds
+        self.is_finished = False
+        self.is_closing = False
         self._locks: list[Any] = []
         self._impairments = ImpairmentRegistry()
-        self._alone = self._on_their_own()
-        self._excused: list[
-            tuple[str, float, float]
-        ] = []  # rig processes that were stopped, and when: in ms
+        self._isolated_servers = self._find_isolated_servers()
+        # Pauses of testbed processes that faults asked for: process, begin and end in ms.
+        self._excused_pauses: list[tuple[str, float, float]] = []
 
     # ---- building
 
-    def _on_their_own(self) -> set[str]:
-        """Servers that a fault stops or kills: each has a process of its own."""
-        found = {f.whom for f in self.experiment.fault if f.what in OWN_PROCESS}
+    def _find_isolated_servers(self) -> set[str]:
+        """Return the servers that a fault stops or kills: each gets a process of its own."""
+        found = {
+            fault.whom for fault in self.experiment.fault if fault.what in SERVER_PROCESS_FAULTS
+        }
         if "all" in found:
-            found |= {f"s{n}" for n in range(self.experiment.fleet.caches)}
-        for n, fault in enumerate(self.experiment.fault):
-            if fault.what in PROCESS_FAULTS:
-                found |= set(self.experiment.group(n, self.seed))
+            found |= {f"s{index}" for index in range(self.experiment.fleet.caches)}
+        for index, process_fault in enumerate(self.experiment.fault):
+            if process_fault.what in PROCESS_FAULTS:
+                found |= set(self.experiment.group(index, self.seed))
         return found
 
     def build(self) -> None:
-        """All processes but the nodes are started. ValueError says in one line why not."""
-        x = self.experiment
-        first = self._block()
-        self.nets = {f"n{n}": f"127.{FIRST_NET + first * BLOCK + n}" for n in range(x.nodes.count)}
-        self.names = {net: name for name, net in self.nets.items()}
-        self.own = f"127.{STANDIN_NET + first}"
-        self.reactor.listenUNIX(self.control, _Control(self))
+        """Start all processes except the nodes; raise ValueError if the subnets are in use."""
+        experiment = self.experiment
+        first_block = self._reserve_blocks()
+        self.subnets = {
+            f"n{index}": f"127.{FIRST_NODE_SUBNET + first_block * SUBNETS_PER_BLOCK + index}"
+            for index in range(experiment.nodes.count)
+        }
+        self.names = {subnet: name for name, subnet in self.subnets.items()}
+        self.fakes_subnet = f"127.{FIRST_FAKES_SUBNET + first_block}"
+        self.reactor.listenUNIX(self.control_path, _ControlServer(self))
         self.directory.put(FakeEndpoint("o1", f"{{net}}.2.2:{ORIGIN_PORT}", "origin"))
-        for n in range(x.fleet.caches):
-            self._place(f"s{n}")
-            self.list_server(f"s{n}", cold=False)
+        for index in range(experiment.fleet.caches):
+            self._assign_address(f"s{index}")
+            self.list_server(f"s{index}", cold=False)
         names = list(self.addresses)
-        shared = [name for name in names if name not in self._alone]
-        for n in range(0, len(shared), TOGETHER):
-            self._standin(f"caches{n // TOGETHER}", shared[n : n + TOGETHER], cold=False)
+        shared = [name for name in names if name not in self._isolated_servers]
+        for first in range(0, len(shared), CACHES_PER_PROCESS):
+            self._add_cache_process(
+                f"caches{first // CACHES_PER_PROCESS}",
+                shared[first : first + CACHES_PER_PROCESS],
+                cold=False,
+            )
         for name in names:
-            if name in self._alone:
-                self._standin(name, [name], cold=False)
-        self._child("origin", "standins", self._origin_given)
-        self._child("discovery", "standins", self._discovery_given)
-        for name, net in self.nets.items():
-            self.nodes[name] = NodeProcess(self, name, net)
-        for n in range(0, x.nodes.count, RELAY_NODES):
-            some = [f"n{i}" for i in range(n, min(x.nodes.count, n + RELAY_NODES))]
-            number = n // RELAY_NODES
-            child = self._child(
-                f"relay{number}", "relay", lambda some=some: self._relay_given(some)
+            if name in self._isolated_servers:
+                self._add_cache_process(name, [name], cold=False)
+        self._add_child("origin", "standins", self._origin_options)
+        self._add_child("discovery", "standins", self._discovery_options)
+        for name, subnet in self.subnets.items():
+            self.nodes[name] = NodeProcess(self, name, subnet)
+        for first in range(0, experiment.nodes.count, NODES_PER_RELAY):
+            nodes = [
+                f"n{node_index}"
+                for node_index in range(first, min(experiment.nodes.count, first + NODES_PER_RELAY))
+            ]
+            number = first // NODES_PER_RELAY
+            child = self._add_child(
+                f"relay{number}", "relay", lambda nodes=nodes: self._relay_options(nodes)
             )
-            self.relays |= dict.fromkeys(some, child)
+            self.relays |= dict.fromkeys(nodes, child)
         for child in self.children.values():
             child.start()
         self.crowd: LoadClients = self.clients(self.reactor, self.begun)
         LoopMonitor(self.reactor, self.history, "clients", self.begun)
 
-    def _block(self) -> int:
-        """The first of as many free blocks of nets as the nodes need, held until the run's end."""
-        need = -(-self.experiment.nodes.count // BLOCK)
-        for n in range(BLOCKS):
-            held = (Path(tempfile.gettempdir()) / f"hookpitch-lab-{n}.lock").open("w")
+    def _reserve_blocks(self) -> int:
+        """Lock as many adjacent blocks of subnets as the nodes need; return the first one.
+
+        The locks are held until the end of the run.
+        """
+        needed = -(-self.experiment.nodes.count // SUBNETS_PER_BLOCK)
+        for block in range(BLOCK_COUNT):
+            lock = (Path(tempfile.gettempdir()) / f"hookpitch-lab-{block}.lock").open("w")
             try:
-                fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
-                held.close()
+                lock.close()
                 while self._locks:
                     self._locks.pop().close()
                 continue
-            self._locks.append(held)
-            if len(self._locks) == need:
-                return n + 1 - need
+            self._locks.append(lock)
+            if len(self._locks) == needed:
+                return block + 1 - needed
         while self._locks:
             self._locks.pop().close()
-        raise ValueError("other runs on loopback are on: too few addresses are free")
+        raise ValueError(
+            f"other runs hold the loopback subnets: {needed} adjacent blocks of {BLOCK_COUNT} are "
+            "needed"
+        )
 
-    def _child(self, name: str, module: str, given: Callable[[], dict[str, Any]]) -> Child:
-        child = self.children[name] = Child(self, name, f"hookpitch.testbed.{module}", given)
+    def _add_child(
+        self, name: str, module: str, create_options: Callable[[], dict[str, Any]]
+    ) -> Child:
+        child = self.children[name] = Child(
+            self, name, f"hookpitch.testbed.{module}", create_options
+        )
         if module == "standins" and name in ("origin", "discovery"):
-            self.home[name] = child
+            self.server_processes[name] = child
         return child
 
-    def _place(self, name: str) -> None:
-        n = len(self.addresses)
-        self.addresses.setdefault(name, f"{100 + n // 250}.{1 + n % 250}")
+    def _assign_address(self, name: str) -> None:
+        """Give a cache server the last two numbers of its addresses in all subnets."""
+        index = len(self.addresses)
+        self.addresses.setdefault(name, f"{100 + index // 250}.{1 + index % 250}")
 
-    def _at(self, name: str) -> str:
-        """Where a server itself listens."""
-        n = list(self.addresses).index(name)
-        return f"{self.own}.{4 + n // 250}.{1 + n % 250}"
+    def _listen_host(self, name: str) -> str:
+        """Return the address on which a cache server itself listens."""
+        index = list(self.addresses).index(name)
+        return f"{self.fakes_subnet}.{4 + index // 250}.{1 + index % 250}"
 
-    def _standins_given(self, roles: list[dict[str, Any]]) -> dict[str, Any]:
-        t = self.experiment.traffic
+    def _fakes_options(self, roles: list[dict[str, Any]]) -> dict[str, Any]:
+        """Return the options of a process with fake servers."""
+        traffic = self.experiment.traffic
         return {
             "nets": self.names,
             "roles": roles,
-            "large": t.large,
-            "large_size": int(t.large_kb * 1024),
+            "large": traffic.large,
+            "large_size": int(traffic.large_kb * 1024),
         }
 
-    def _standin(self, name: str, servers: list[str], cold: bool) -> Child:
-        """A process for some servers; what starts again is cold."""
+    def _add_cache_process(self, name: str, servers: list[str], cold: bool) -> Child:
+        """Add a process for some cache servers; after a restart they are always cold."""
 
-        def given() -> dict[str, Any]:
-            again = cold or child.starts > 1
+        def create_options() -> dict[str, Any]:
+            is_cold = cold or child.starts > 1
             roles = []
             for server in servers:
                 make = msgspec.to_builtins(self.make(list(self.addresses).index(server)))
-                warm = (
-                    self.experiment.traffic.keys if self.experiment.fleet.warm and not again else 0
+                warm_keys = (
+                    self.experiment.traffic.keys
+                    if self.experiment.fleet.warm and not is_cold
+                    else 0
                 )
                 roles.append(
                     {
                         "kind": "cache",
                         "name": server,
                         "make": make,
-                        "address": self._at(server),
+                        "address": self._listen_host(server),
                         "port": CACHE_PORT,
-                        "cold": again,
-                        "warm": warm,
+                        "cold": is_cold,
+                        "warm": warm_keys,
                     }
                 )
-            return self._standins_given(roles)
+            return self._fakes_options(roles)
 
-        child = self._child(name, "standins", given)
-        self.home |= dict.fromkeys(servers, child)
+        child = self._add_child(name, "standins", create_options)
+        self.server_processes |= dict.fromkeys(servers, child)
         return child
 
-    def _origin_given(self) -> dict[str, Any]:
+    def _origin_options(self) -> dict[str, Any]:
         make = msgspec.to_builtins(self.origin_make())
         names = list(self.addresses)
-        host = f"{self.own}.3.2"
+        host = f"{self.fakes_subnet}.3.2"
         role = {
             "kind": "origin",
             "make": make,
@@ -300,425 +334,491 @@
             "port": ORIGIN_PORT,
             "caches": names,
         }
-        return self._standins_given([role])
+        return self._fakes_options([role])
 
-    def _discovery_given(self) -> dict[str, Any]:
-        seq, hosts = self.directory.whole()
-        fields = [list(msgspec.to_builtins(h).values()) for h in hosts]
-        again = self.children["discovery"].starts > 1
+    def _discovery_options(self) -> dict[str, Any]:
+        seq, endpoints = self.directory.whole()
+        fields = [list(msgspec.to_builtins(endpoint).values()) for endpoint in endpoints]
+        is_restart = self.children["discovery"].starts > 1
         role = {
             "kind": "discovery",
-            "address": f"{self.own}.3.1",
+            "address": f"{self.fakes_subnet}.3.1",
             "port": DISCOVERY_PORT,
             "hosts": fields,
-            "seq": 1 if again else seq,
+            "seq": 1 if is_restart else seq,
             "lag_ms": self.directory.lag_ms,
             "calls_per_s": self.experiment.discovery.calls_per_s,
         }
-        return self._standins_given([role])
+        return self._fakes_options([role])
 
-    def _relay_given(self, some: list[str]) -> dict[str, Any]:
-        """The links of some nodes: a node dials in its own net, and is seen at an address of it."""
+    def _relay_options(self, nodes: list[str]) -> dict[str, Any]:
+        """Return the links of some nodes.
+
+        A node connects to addresses in its own subnet, and its peers see it at one of them.
+        """
         tcp: list[list[Any]] = []
         udp: list[list[Any]] = []
-        for name in some:
-            net = self.nets[name]
-            port = self.experiment.nodes.peer_port
-            whence = f"{net}.9.9"
+        for name in nodes:
+            subnet = self.subnets[name]
+            peer_port = self.experiment.nodes.peer_port
+            source_host = f"{subnet}.9.9"
             tcp.append(
                 [
                     "clients",
                     name,
-                    [f"{net}.3.1", NODE_PORT],
-                    [f"{net}.0.1", NODE_PORT],
-                    f"{net}.3.2",
+                    [f"{subnet}.3.1", NODE_PORT],
+                    [f"{subnet}.0.1", NODE_PORT],
+                    f"{subnet}.3.2",
                 ]
             )
-            for at, other, port_there in (
+            for host, target, port in (
                 (2, "origin", ORIGIN_PORT),
                 (1, "discovery", DISCOVERY_PORT),
             ):
-                there = [f"{self.own}.3.{at}", port_there]
-                tcp.append([name, other, [f"{net}.2.{at}", port_there], there, whence])
+                target_address = [f"{self.fakes_subnet}.3.{host}", port]
+                tcp.append(
+                    [name, target, [f"{subnet}.2.{host}", port], target_address, source_host]
+                )
             for server in self.addresses:
-                tcp.append(self._link(name, server))
-            for other in self.nets if port else ():
-                if other == name:
+                tcp.append(self._server_link(name, server))
+            for peer in self.subnets if peer_port else ():
+                if peer == name:
                     continue
-                home = [f"{net}.0.1", port]
-                whole = [f"{self.nets[other]}.0.1", port]
-                here = self.peer(name, other)
-                there = self.peer(other, name)
-                tcp.append([name, other, list(here), whole, there[0]])
-                if int(name[1:]) < int(other[1:]):
-                    udp.append([name, other, list(here), list(there), whole, home])
-        return {"nodes": some, "tcp": tcp, "udp": udp}
-
-    def _link(self, node: str, server: str) -> list[Any]:
-        net = self.nets[node]
-        at = [f"{net}.{self.addresses[server]}", CACHE_PORT]
-        return [node, server, at, [self._at(server), CACHE_PORT], f"{net}.9.9"]
-
-    def peer(self, a: str, b: str) -> tuple[str, int]:
-        """Where node a finds node b, by TCP and by UDP."""
-        return f"{self.nets[a]}.200.{1 + int(b[1:])}", self.experiment.nodes.peer_port
-
-    def dials(self, net: str) -> list[str]:
-        """Where a node of that net finds the origin and each server that is there by now."""
+                own_address = [f"{subnet}.0.1", peer_port]
+                address_of_peer = [f"{self.subnets[peer]}.0.1", peer_port]
+                peer_for_node = self.peer_address(name, peer)
+                node_for_peer = self.peer_address(peer, name)
+                tcp.append([name, peer, list(peer_for_node), address_of_peer, node_for_peer[0]])
+                if int(name[1:]) < int(peer[1:]):
+                    udp.append(
+                        [
+                            name,
+                            peer,
+                            list(peer_for_node),
+                            list(node_for_peer),
+                            address_of_peer,
+                            own_address,
+                        ]
+                    )
+        return {"nodes": nodes, "tcp": tcp, "udp": udp}
+
+    def _server_link(self, node: str, server: str) -> list[Any]:
+        """Return the TCP link from a node to a cache server."""
+        subnet = self.subnets[node]
+        listen_address = [f"{subnet}.{self.addresses[server]}", CACHE_PORT]
+        return [
+            node,
+            server,
+            listen_address,
+            [self._listen_host(server), CACHE_PORT],
+            f"{subnet}.9.9",
+        ]
+
+    def peer_address(self, node: str, peer: str) -> tuple[str, int]:
+        """Return the address at which a node reaches another, by TCP and by UDP."""
+        return f"{self.subnets[node]}.200.{1 + int(peer[1:])}", self.experiment.nodes.peer_port
+
+    def server_addresses(self, subnet: str) -> list[str]:
+        """Return where the node of a subnet reaches the origin and each present cache server."""
         return [
-            f"{net}.2.2:{ORIGIN_PORT}",
-            *(f"{net}.{at}:{CACHE_PORT}" for at in self.addresses.values()),
+            f"{subnet}.2.2:{ORIGIN_PORT}",
+            *(f"{subnet}.{host}:{CACHE_PORT}" for host in self.addresses.values()),
         ]
 
     def dial(self, name: str) -> str:
-        """Where a server is dialled, for a network that is filled in later."""
+        """Return a server's address; the node's subnet is filled in for `{net}` later."""
         return f"{{net}}.{self.addresses[name]}:{CACHE_PORT}"
 
     def client_dial(self, node: NodeProcess) -> tuple[str, int]:
-        """The relay's address for a node's clients."""
-        return f"{node.net}.3.1", NODE_PORT
+        """Return the relay's address for a node's clients."""
+        return f"{node.subnet}.3.1", NODE_PORT
 
     def add_server(self, name: str, cold: bool) -> None:
         """Start a process for a new server, with links to all nodes."""
-        self._place(name)
-        child = self._standin(name, [name], cold)
+        self._assign_address(name)
+        child = self._add_cache_process(name, [name], cold)
         for node, relay in self.relays.items():
-            relay.order("tcp", *self._link(node, name))
-        child.then.append(lambda: self.list_server(name, cold))
+            relay.send_command("tcp", *self._server_link(node, name))
+        child.on_ready.append(lambda: self.list_server(name, cold))
         child.start()
 
-    # ---- what faults ask for
+    # ---- called by faults
 
-    def order(self, name: str, what: str, *args: Any) -> None:
-        """Send an order to the process of a fake server."""
+    def order(self, name: str, command: str, *args: Any) -> None:
+        """Send a command to the process of a fake server."""
         if name == "discovery":
-            self._mirror(what, *args)
-        child = self.home.get(name)
+            self._update_directory(command, *args)
+        child = self.server_processes.get(name)
         if child is not None:
-            child.order(name, what, *args)
+            child.send_command(name, command, *args)
 
-    def _mirror(self, what: str, *args: Any) -> None:
-        """What is ordered of discovery is known here, too: for nodes that start."""
-        if what == "put":
+    def _update_directory(self, command: str, *args: Any) -> None:
+        """Apply a command for discovery to the directory here, for the configuration of nodes."""
+        if command == "put":
             self.directory.put(FakeEndpoint(*args))
-        elif what == "health" and args[0] in self.directory.hosts:
+        elif command == "health" and args[0] in self.directory.hosts:
             self.directory.health(*args)
-        elif what == "lag":
+        elif command == "lag":
             self.directory.lag_ms = args[0]
-        elif what == "up" and args[0]:
+        elif command == "up" and args[0]:
             self.directory.restart()
 
     def kill(self, name: str) -> bool:
-        """Kill the process of a fake server."""
-        child = self.home[name]
-        if child.process is None or not child.ready:
+        """Kill the process of a fake server; return False if none runs."""
+        child = self.server_processes[name]
+        if child.process is None or not child.is_ready:
             return False
-        self.refuse(name, True)
+        self.refuse_connections(name, True)
         child.kill()
         self.history.add(self.now(), "down", name)
         return True
 
     def begin(self, name: str) -> None:
-        """Start the process of a fake server."""
-        child = self.home[name]
-        if child.ready:
+        """Start the process of a fake server, unless it runs."""
+        child = self.server_processes[name]
+        if child.is_ready:
             return
         if name == "discovery":
             self.directory.restart()
         if name in self.addresses:
-            child.then.append(lambda: self.list_server(name, cold=True))
-        child.then.append(lambda: self.refuse(name, False))
+            child.on_ready.append(lambda: self.list_server(name, cold=True))
+        child.on_ready.append(lambda: self.refuse_connections(name, False))
         child.start()
 
-    def refuse(self, name: str, on: bool) -> None:
-        """While a process is down, its links refuse dials as its kernel would."""
+    def refuse_connections(self, name: str, refuse: bool) -> None:
+        """Set whether the links to a process refuse connections, as its kernel would."""
         if name in self.nodes:
             peers = self.nodes if self.experiment.nodes.peer_port else ()
-            ways = [("clients", name), *((n, name) for n in peers if n != name)]
+            directions = [("clients", name), *((peer, name) for peer in peers if peer != name)]
         else:
-            ways = [(n, name) for n in self.nodes]
-        self.impair(ways, "down", Impairment(refusing=True) if on else None)
+            directions = [(node, name) for node in self.nodes]
+        self.impair(directions, "down", Impairment(refusing=True) if refuse else None)
 
     def stall(self, name: str, seconds: float) -> None:
-        """Stop a process; the relay or server it holds back is excused."""
+        """Pause a process; the lateness of a paused testbed process is excused."""
         if name in self.nodes:
-            self.nodes[name].stop(seconds)
+            self.nodes[name].pause(seconds)
             return
-        child = self.home[name]
+        child = self.server_processes[name]
         process = child.process
-        if process is None or not child.ready:
+        if process is None or not child.is_ready:
             return
-        self._excused.append((child.name, self.now(), self.now() + seconds * 1000 + VOID_MS))
-        process.stop()
-        self.network.call_at(self.network.now + seconds, None, process.go_on)
+        self._excused_pauses.append(
+            (child.name, self.now(), self.now() + seconds * 1000 + MAX_LATENESS_MS)
+        )
+        process.pause()
+        self.network.call_at(self.network.now + seconds, None, process.resume)
 
-    def vanish(self, name: str, gone: bool) -> None:
-        """Silence all links of a server."""
-        ways = [way for n in self.nodes for way in ((n, name), (name, n))]
-        self.impair(ways, "vanished", Impairment(silent=True, kept=False) if gone else None)
-        if not gone:
-            self.sever(ways)
+    def vanish(self, name: str, is_gone: bool) -> None:
+        """Silence all links of a server, or restore them and reset its connections."""
+        directions = [
+            direction for node in self.nodes for direction in ((node, name), (name, node))
+        ]
+        self.impair(
+            directions, "vanished", Impairment(silent=True, kept=False) if is_gone else None
+        )
+        if not is_gone:
+            self.sever(directions)
 
     def impair(
-        self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
+        self,
+        directions: Iterable[tuple[str, str]],
+        owner: object,
+        impairment: Impairment | None,
     ) -> None:
-        """Have the relays impair directions."""
-        for a, b in ways:
+        """Have the relays set the owner's impairment of directions; None removes it."""
+        for source, destination in directions:
             state = (
-                self._impairments.remove((a, b), by)
+                self._impairments.remove((source, destination), owner)
                 if impairment is None
-                else self._impairments.put((a, b), by, impairment)
+                else self._impairments.put((source, destination), owner, impairment)
             )
-            for relay in dict.fromkeys(self.relays[name] for name in (a, b) if name in self.relays):
-                relay.order("impair", a, b, msgspec.to_builtins(state))
-
-    def sever(self, ways: Iterable[tuple[str, str]]) -> None:
-        """Have the relays reset connections."""
-        for a, b in ways:
-            for relay in dict.fromkeys(self.relays[name] for name in (a, b) if name in self.relays):
-                relay.order("sever", a, b)
-
-    def ask(self, door: tuple[str, int], line: str, answered: Callable[[bool], None]) -> None:
-        """An operator's call: whether the answer is yes."""
-        self.reactor.connectTCP(*door, _Asks(line, answered), timeout=CALL_S)
-
-    def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
-        """Send an operator's call to a node."""
-        self.ask(
+            for relay in dict.fromkeys(
+                self.relays[name] for name in (source, destination) if name in self.relays
+            ):
+                relay.send_command("impair", source, destination, msgspec.to_builtins(state))
+
+    def sever(self, directions: Iterable[tuple[str, str]]) -> None:
+        """Have the relays reset all connections of directions."""
+        for source, destination in directions:
+            for relay in dict.fromkeys(
+                self.relays[name] for name in (source, destination) if name in self.relays
+            ):
+                relay.send_command("sever", source, destination)
+
+    def send_admin_command(
+        self, address: tuple[str, int], command: str, on_answer: Callable[[bool], None]
+    ) -> None:
+        """Send an admin command; `on_answer` is called with whether the answer is YES."""
+        self.reactor.connectTCP(
+            *address, _AdminRequestFactory(command, on_answer), timeout=ADMIN_TIMEOUT_S
+        )
+
+    def call(self, node: str, command: str, kind: str = "", what: str = "") -> None:
+        """Send an operator's command to a node and record its answer."""
+        self.send_admin_command(
             self.nodes[node].admin_address(),
-            line,
-            lambda yes: self.called(node, line, yes, kind, what),
+            command,
+            lambda is_yes: self.called(node, command, is_yes, kind, what),
         )
 
-    def when_serving(self, node: NodeProcess) -> None:
-        """Its links are open again once a process of it serves."""
+    def accept_when_serving(self, node: NodeProcess) -> None:
+        """Stop refusing connections to a node once its new process serves."""
         if node.node is None:
             return
-        if sum(line.get("event") == "serving" for line in node.lines()) >= node.starts:
-            self.refuse(node.name, False)
+        if sum(line.get("event") == "serving" for line in node.log_lines()) >= node.starts:
+            self.refuse_connections(node.name, False)
         else:
-            self.reactor.callLater(0.05, self.when_serving, node)
-
-    # ---- what the rig's processes tell
-
-    def told_by(self, child: Child, what: str, *args: Any) -> None:
-        """Carry out what a child process asks for."""
-        if what == "miss":
-            self.home["origin"].order("origin", "miss", *args)
-        elif what == "order":
-            name, *rest = args
-            if name in self.home:
-                self.home[name].order(name, *rest)
-        elif what == "failed":
-            self._stop(f"{child.name}: {args[0]}")
-
-    def lost(self, child: Child, line: ControlConnection) -> None:
-        """A control line has ended; the run is void where nobody asked for that."""
-        asked = self.closing or child.process is None or child.process.asked
-        if child.line is line and child.ready and not asked:
-            child.ready = False
-            self.void.append(f"{child.name} died at {self.network.now - self.offset:.1f} s")
-            self._stop("")
-
-    def _stop(self, why: str) -> None:
-        self.over = True
-        if why:
-            self.failed.append(why)
+            self.reactor.callLater(0.05, self.accept_when_serving, node)
+
+    # ---- messages of child processes
+
+    def message_received(self, child: Child, kind: str, *args: Any) -> None:
+        """Handle a message of a child process."""
+        if kind == "miss":
+            self.server_processes["origin"].send_command("origin", "miss", *args)
+        elif kind == "order":
+            name, *command = args
+            if name in self.server_processes:
+                self.server_processes[name].send_command(name, *command)
+        elif kind == "failed":
+            self._finish(f"{child.name}: {args[0]}")
+
+    def control_lost(self, child: Child, control: ControlConnection) -> None:
+        """Handle the end of a control connection: the run is void if the child died by itself."""
+        end_requested = self.is_closing or child.process is None or child.process.end_requested
+        if child.control is control and child.is_ready and not end_requested:
+            child.is_ready = False
+            self.void_reasons.append(f"{child.name} died at {self.network.now - self.offset:.1f} s")
+            self._finish("")
+
+    def _finish(self, failure: str) -> None:
+        """End the run; `failure` says why it could not be completed, or is empty."""
+        self.is_finished = True
+        if failure:
+            self.failures.append(failure)
         if self.reactor.running:
             self.reactor.stop()
 
     # ---- running
 
     def rules(self) -> Rules:
-        """Bounds are wider by how late the rig was, twice."""
-        # An RPC meets its relay on the way there and back.
-        plain = super().rules()
-        late = 2 * max(self.late().values(), default=0.0)
+        """Return the judge's rules, with bounds that allow for the lateness of the testbed."""
+        rules = super().rules()
+        # The worst lateness counts twice: an RPC passes its relay on the way there and back.
+        allowance = 2 * max(self.worst_lateness().values(), default=0.0)
         return replace(
-            plain,
-            overlap_ms=OVERLAP_MS + late,
-            crossing_ms=CROSSING_MS + late,
-            tolerance_ms=plain.tolerance_ms + late,
+            rules,
+            overlap_ms=OVERLAP_MS + allowance,
+            crossing_ms=CROSSING_MS + allowance,
+            tolerance_ms=rules.tolerance_ms + allowance,
         )
 
-    def late(self) -> dict[str, float]:
-        """By process of the rig: how late it was at the worst, in ms; a stop that was asked for is
-        none."""
+    def worst_lateness(self) -> dict[str, float]:
+        """Return by testbed process how late it was at worst, in ms, without excused pauses."""
         worst: dict[str, float] = dict.fromkeys([*self.children, "clients"], 0.0)
-        end = (
-            self.experiment.seconds + self.span()
-        ) * 1000  # from then on nodes leave, and nothing is asked
-        for e in self.history.events:
-            if e.kind != "rig" or not 0 <= e.at <= end:
+        # After this time the nodes shut down, and no RPC is sent.
+        end = (self.experiment.seconds + self.span()) * 1000
+        for event in self.history.events:
+            if event.kind != "rig" or not 0 <= event.at <= end:
                 continue
-            if any(who == e.who and a <= e.at <= b + e.value for who, a, b in self._excused):
+            if any(
+                process == event.who and pause_begin <= event.at <= pause_end + event.value
+                for process, pause_begin, pause_end in self._excused_pauses
+            ):
                 continue
-            worst[e.who] = max(worst.get(e.who, 0.0), e.value)
+            worst[event.who] = max(worst.get(event.who, 0.0), event.value)
         return worst
 
     def run(self) -> RunResult:
-        """Run the whole experiment and judge it; ValueError where it could not be run."""
-        begun = time.perf_counter()
+        """Run the whole experiment and judge it; raise ValueError if it could not be run."""
+        started_at = time.perf_counter()
         try:
             self.build()
-            self._up(self.network.now + READY_S)
-            # A run that is interrupted closes its lines itself: none of its processes has died.
-            self.reactor.addSystemEventTrigger("before", "shutdown", setattr, self, "closing", True)
+            self._wait_for_children(self.network.now + START_TIMEOUT_S)
+            # When the run is interrupted, its own shutdown closes the control connections: this is
+            # not taken for the death of a child.
+            self.reactor.addSystemEventTrigger(
+                "before", "shutdown", setattr, self, "is_closing", True
+            )
             self.reactor.run()
-            if self.failed or not self.over:
+            if self.failures or not self.is_finished:
                 raise ValueError(
-                    self.failed[0] if self.failed else f"{self.experiment.name}: interrupted"
+                    self.failures[0] if self.failures else f"{self.experiment.name}: interrupted"
                 )
-            return self._ended(begun)
+            return self._result(started_at)
         finally:
-            self.end()
+            self.clean_up()
 
-    def end(self) -> None:
-        """No process that was started is left."""
+    def clean_up(self) -> None:
+        """Kill every process that was started and release the subnets."""
         for node in self.nodes.values():
-            node.end()
+            node.clean_up()
         for child in self.children.values():
             child.kill()
         for lock in self._locks:
             lock.close()
 
-    def _up(self, until: float) -> None:
-        """Wait until the rig is up, then for the nodes; what was before does not count."""
-        if not all(child.ready for child in self.children.values()):
-            self._wait(until, self._up, "the rig is not up")
+    def _wait_for_children(self, until: float) -> None:
+        """Start the nodes once all child processes are ready."""
+        if not all(child.is_ready for child in self.children.values()):
+            self._retry(
+                until,
+                self._wait_for_children,
+                "relays and fake servers were not ready in time",
+            )
             return
         for node in self.nodes.values():
             node.start()
-        self._serving(until)
+        self._wait_for_nodes(until)
 
-    def _serving(self, until: float) -> None:
+    def _wait_for_nodes(self, until: float) -> None:
+        """Start the experiment once all nodes serve; what they did before does not count."""
         for node in self.nodes.values():
-            if not any(line.get("event") == "serving" for line in node.lines()):
-                if node.process is None or not node.process.running:
-                    self._stop(f"{node.name} did not start")
+            if not any(line.get("event") == "serving" for line in node.log_lines()):
+                if node.process is None or not node.process.is_running:
+                    self._finish(f"{node.name} did not start: its process ended")
                 else:
-                    self._wait(until, self._serving, f"{node.name} did not start")
+                    self._retry(
+                        until,
+                        self._wait_for_nodes,
+                        f"{node.name} did not start in time",
+                    )
                 return
-        self._begin()
+        self._start_experiment()
 
-    def _wait(self, until: float, call: Callable[[float], None], why: str) -> None:
+    def _retry(self, until: float, wait: Callable[[float], None], failure: str) -> None:
+        """Call `wait` again in a moment, or end the run after the time `until`."""
         if self.network.now > until:
-            self._stop(why)
+            self._finish(failure)
         else:
-            self.reactor.callLater(0.05, call, until)
-
-    def _begin(self) -> None:
-        x = self.experiment
-        at = self.network.now
-        self.offset = at
-        self.network.call_at(at + BEFORE_S, None, self.crowd.start)
-        schedule_faults(self, at)
-        self.network.call_at(at + x.seconds, None, self.crowd.stop)
-        self.network.call_at(at + x.seconds + self.span(), None, self._leave)
-        if self.tell is not None:
-            self._progress()
-
-    def _progress(self) -> None:
+            self.reactor.callLater(0.05, wait, until)
+
+    def _start_experiment(self) -> None:
+        experiment = self.experiment
+        now = self.network.now
+        self.offset = now
+        self.network.call_at(now + BEFORE_S, None, self.crowd.start)
+        schedule_faults(self, now)
+        self.network.call_at(now + experiment.seconds, None, self.crowd.stop)
+        self.network.call_at(now + experiment.seconds + self.span(), None, self._shut_down_nodes)
+        if self.progress is not None:
+            self._report_progress()
+
+    def _report_progress(self) -> None:
         now = self.network.now - self.offset
-        self.tell(
+        self.progress(
             f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, {self.crowd.count} RPCs"
         )
-        self.reactor.callLater(1.0, self._progress)
+        self.reactor.callLater(1.0, self._report_progress)
 
-    def _leave(self) -> None:
+    def _shut_down_nodes(self) -> None:
+        """Send SIGTERM to all nodes, which log their counters when they exit."""
         for node in self.nodes.values():
-            for process in (node.process, node.elder):
-                if process is not None and process.stopped:
-                    process.stopped = 1
-                    process.go_on()
+            for process in (node.process, node.previous_process):
+                if process is not None and process.pause_count:
+                    process.pause_count = 1
+                    process.resume()
             if node.node is not None:
-                if not node.process.running and not node.process.asked:
+                if not node.process.is_running and not node.process.end_requested:
                     self.network.program_errors.append(f"{node.name} ended by itself")
                 node.leave()
-        self._gone(self.network.now + self.span() + LEFT_S)
+        self._wait_for_shutdown(self.network.now + self.span() + SHUTDOWN_TIMEOUT_S)
 
-    def _gone(self, until: float) -> None:
-        """Nodes that leave have their time; what they counted is logged at their end."""
+    def _wait_for_shutdown(self, until: float) -> None:
+        """End the run once all nodes have exited, or after the time `until`."""
         if self.network.now > until or not any(
-            n.process.running for n in self.nodes.values() if n.process
+            node.process.is_running for node in self.nodes.values() if node.process
         ):
-            self._stop("")
+            self._finish("")
         else:
-            self.reactor.callLater(0.05, self._gone, until)
+            self.reactor.callLater(0.05, self._wait_for_shutdown, until)
 
-    def _ended(self, begun: float) -> RunResult:
-        offset = self.offset * 1000
+    def _result(self, started_at: float) -> RunResult:
+        """Merge the histories of all processes and judge the run."""
+        offset_ms = self.offset * 1000
         for name in self.children:
             self.history.events += recorded_events(self.folder / f"{name}.history")
-        events = [e._replace(at=e.at - offset) for e in self.history.events]
-        self._excused = [(who, a - offset, b - offset) for who, a, b in self._excused]
-        self.history.events[:] = _with_deaths(sorted(events, key=lambda e: e.at))
+        events = [event._replace(at=event.at - offset_ms) for event in self.history.events]
+        self._excused_pauses = [
+            (process, pause_begin - offset_ms, pause_end - offset_ms)
+            for process, pause_begin, pause_end in self._excused_pauses
+        ]
+        self.history.events[:] = _with_drops_at_deaths(sorted(events, key=lambda event: event.at))
         for node in self.nodes.values():
-            self._read(node)
-        late = self.late()
-        for name, ms in sorted(late.items()):
-            if ms > VOID_MS:
-                self.void.append(f"{name} was {ms:.0f} ms late, over {VOID_MS:g}")
-        end = self.now() - offset
+            self._read_log(node)
+        lateness = self.worst_lateness()
+        for name, late_ms in sorted(lateness.items()):
+            if late_ms > MAX_LATENESS_MS:
+                self.void_reasons.append(
+                    f"{name} was {late_ms:.0f} ms late, over {MAX_LATENESS_MS:g}"
+                )
+        end = self.now() - offset_ms
         judge = Judge(self.rules())
         broken: list[Violation] = judge.judge(self.history, end)
-        killed = {
-            e.who for e in self.history.events if e.kind == "stop"
-        }  # what they counted died with them
+        # The counters of a killed process were lost with it.
+        killed = {event.who for event in self.history.events if event.kind == "stop"}
         comparable = {name: counts for name, counts in self.counters.items() if name not in killed}
         broken += judge.check_counters(self.history, comparable)
-        real = time.perf_counter() - begun
-        return self.ended(broken, len(self.history.events), real, void=self.void, rig=late)
+        real_s = time.perf_counter() - started_at
+        return self.ended(
+            broken, len(self.history.events), real_s, void=self.void_reasons, rig=lateness
+        )
 
-    def _read(self, node: NodeProcess) -> None:
-        """What a node's log tells of its counters and of faults."""
-        plain = ("event", "node", "level", "timestamp")
-        for line in node.lines():
+    def _read_log(self, node: NodeProcess) -> None:
+        """Collect the events, the counters and the errors in a node's log."""
+        common_fields = ("event", "node", "level", "timestamp")
+        for line in node.log_lines():
             event = line.get("event", "")
-            stamp = datetime.fromisoformat(
+            timestamp = datetime.fromisoformat(
                 line.get("timestamp", "1970-01-01T00:00:00+00:00")
             ).timestamp()
-            at = 1000 * (stamp - self.network.epoch - self.offset)
+            at = 1000 * (timestamp - self.network.epoch - self.offset)
             self.logs.append(
                 (at, node.name, f"{event}: {line['what']}" if "what" in line else event)
             )
             if event == "shutdown_complete":
-                mine = self.counters.setdefault(node.name, {})
+                counters = self.counters.setdefault(node.name, {})
                 for name, count in line.items():
-                    if name not in plain:
-                        mine[name] = mine.get(name, 0) + count
+                    if name not in common_fields:
+                        counters[name] = counters.get(name, 0) + count
             elif event == "fault":
                 self.network.program_errors.append(f"{node.name}: {line.get('text', '')[-300:]}")
 
 
-def _with_deaths(events: list[Any]) -> list[Any]:
-    """What was at work in a process that was killed is dropped with it."""
-    open_at: dict[str, dict[str, int]] = {}
-    whole: list[Any] = []
-    for e in events:
-        if e.kind == "came":
-            here = open_at.setdefault(e.who, {})
-            here[e.rpc] = here.get(e.rpc, 0) + 1
-        elif e.kind in ("sent", "dropped"):
-            here = open_at.setdefault(e.who, {})
-            here[e.rpc] = here.get(e.rpc, 0) - 1
-        whole.append(e)
-        if e.kind == "down":
-            for rpc, count in open_at.pop(e.who, {}).items():
-                whole += [e._replace(kind="dropped", rpc=rpc)] * max(0, count)
-    return whole
+def _with_drops_at_deaths(events: list[Any]) -> list[Any]:
+    """Add a `dropped` event for each RPC that a server was working on when it was killed."""
+    open_rpcs: dict[str, dict[str, int]] = {}  # by server: how often it works on each RPC
+    result: list[Any] = []
+    for event in events:
+        if event.kind == "came":
+            counts = open_rpcs.setdefault(event.who, {})
+            counts[event.rpc] = counts.get(event.rpc, 0) + 1
+        elif event.kind in ("sent", "dropped"):
+            counts = open_rpcs.setdefault(event.who, {})
+            counts[event.rpc] = counts.get(event.rpc, 0) - 1
+        result.append(event)
+        if event.kind == "down":
+            for rpc, count in open_rpcs.pop(event.who, {}).items():
+                result += [event._replace(kind="dropped", rpc=rpc)] * max(0, count)
+    return result
 
 
 def run_on_loopback(
-    x: Experiment, seed: int, logs: Path | None = None, tell: Callable[[str], None] | None = None
+    experiment: Experiment,
+    seed: int,
+    logs: Path | None = None,
+    progress: Callable[[str], None] | None = None,
 ) -> RunResult:
-    """One run in this process, whose reactor can run only once. `logs`: a folder that keeps all of
-    them."""
+    """Run an experiment in this process, whose reactor can run only once.
+
+    `logs`: a folder that receives the logs, histories and configurations of all processes.
+    """
     from twisted.internet import reactor
 
     reactor.seconds = time.monotonic
     with tempfile.TemporaryDirectory(prefix="hookpitch-lab-") as folder:
-        run = ProcessRun(x, seed, reactor, Path(folder), tell)
+        run = ProcessRun(experiment, seed, reactor, Path(folder), progress)
         try:
             return run.run()
         finally:
@@ -729,35 +829,38 @@
                         (logs / path.name).write_bytes(path.read_bytes())
 
 
-def serve_fleet(x: Experiment, post: Path | None, tell: Callable[[str], None]) -> None:
-    """Stand-ins on loopback until the process is ended; `post`: where a node's JSON file for them
-    is
-    written."""
+def serve_fleet(
+    experiment: Experiment, node_file: Path | None, report: Callable[[str], None]
+) -> None:
+    """Run the fake servers of an experiment on loopback until the process is ended.
+
+    `node_file`: where to write the configuration of a node that can use them.
+    """
     from twisted.internet import reactor
 
     reactor.seconds = time.monotonic
     with tempfile.TemporaryDirectory(prefix="hookpitch-lab-") as folder:
-        run = ProcessRun(x, x.seed, reactor, Path(folder))
+        run = ProcessRun(experiment, experiment.seed, reactor, Path(folder))
 
-        def look() -> None:
-            if not all(child.ready for child in run.children.values()):
-                reactor.callLater(0.05, look)
+        def report_when_ready() -> None:
+            if not all(child.is_ready for child in run.children.values()):
+                reactor.callLater(0.05, report_when_ready)
                 return
             node = run.nodes["n0"]
-            config = run.node_config(node, f"{node.net}.2.1:{DISCOVERY_PORT}", node.net)
+            config = run.node_config(node, f"{node.subnet}.2.1:{DISCOVERY_PORT}", node.subnet)
             config["listen"] = f"{node.address}:{NODE_PORT}"
-            if post is not None:
-                post.write_text(json.dumps(config, indent=1))
-                tell(f"a node's file: {post}")
-            up = f"{len(run.addresses)} cache servers, the origin and discovery are up"
-            tell(f"{up}; a node: {config['listen']}")
+            if node_file is not None:
+                node_file.write_text(json.dumps(config, indent=1))
+                report(f"node configuration file: {node_file}")
+            ready = f"{len(run.addresses)} cache servers, the origin and discovery are ready"
+            report(f"{ready}; a node is to listen on {config['listen']}")
             schedule_faults(run, run.network.now)
 
         try:
             run.build()
-            look()
+            report_when_ready()
             reactor.run()
-            if run.failed:
-                raise ValueError(run.failed[0])
+            if run.failures:
+                raise ValueError(run.failures[0])
         finally:
-            run.end()
+            run.clean_up()
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -1,6 +1,6 @@
 """The processes of a run on loopback: nodes, relays and fake servers, from start to end.
 
-Every process dies with the one that started it, however that one ends (prctl(2),
+Every process dies with the one that has started it, however that one ends (prctl(2),
 PR_SET_PDEATHSIG), and is ended by its own process id alone.
 """
 
@@ -22,325 +22,355 @@
 from hookpitch.testbed.child import ControlConnection
 
 PR_SET_PDEATHSIG = 1
-ENDED_S = 0.7  # past its longest deadline, an old process is killed
-READY_S = 6.0  # by then a new process beside an old one says yes
-LOOK_S = 0.05
-SEEDS = 3  # members that all others know at first
+# An old process that still runs this long after the longest deadline is killed.
+TERMINATION_GRACE_S = 0.7
+UPGRADE_READY_TIMEOUT_S = 6.0  # for a new process beside an old one to be ready
+POLL_INTERVAL_S = 0.05
+SEED_MEMBERS = 3  # members whose addresses all others are configured with
 NODE_PORT = 26380
 DISCOVERY_PORT = 28500
 ADMIN_PORT = 25000
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
-def _with_parent() -> None:
-    """In the child, before it becomes another program."""
+def _die_with_parent() -> None:
+    """Have the kernel kill this process with its parent; runs in the child, before exec."""
     _LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Process:
     """One process and its log."""
 
-    def __init__(self, words: list[str], log: Path, environment: dict[str, str], *fds: int) -> None:
+    def __init__(
+        self, command: list[str], log: Path, environment: dict[str, str], *fds: int
+    ) -> None:
+        """Start the process; it inherits the descriptors `fds`."""
         with log.open("ab") as file:
             self.popen = subprocess.Popen(
-                words,
+                command,
                 env=os.environ | environment,
                 stdin=subprocess.DEVNULL,
                 stdout=file,
                 stderr=file,
                 pass_fds=fds,
-                preexec_fn=_with_parent,  # noqa: PLW1509 - no thread runs here
+                preexec_fn=_die_with_parent,  # noqa: PLW1509 - no thread runs here
             )
-        self.stopped = 0  # how many stops are on
-        self.asked = False  # its end was asked for
+        self.pause_count = 0  # pauses that have not ended yet
+        self.end_requested = False
 
     @property
-    def running(self) -> bool:
-        """Whether it has not ended."""
+    def is_running(self) -> bool:
+        """Whether the process has not ended."""
         return self.popen.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send a signal, if it runs."""
-        if self.running:
+        """Send a signal if the process runs."""
+        if self.is_running:
             self.popen.send_signal(number)
 
-    def stop(self) -> None:
-        """Stop it; stops add up."""
-        self.stopped += 1
+    def pause(self) -> None:
+        """Stop the process with SIGSTOP; each pause needs a `resume` of its own."""
+        self.pause_count += 1
         self.signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
-        """Take one stop back."""
-        self.stopped -= 1
-        if self.stopped == 0:
+    def resume(self) -> None:
+        """End one pause; the process continues when none is left."""
+        self.pause_count -= 1
+        if self.pause_count == 0:
             self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """Kill it and wait for its end."""
-        self.asked = True
-        if self.running:
+        """Kill the process and wait for its end."""
+        self.end_requested = True
+        if self.is_running:
             self.popen.kill()
         self.popen.wait()
 
 
 class ProcessHost(BaseRun):
-    """What the processes of a run ask of it; `process_run.py` has the run itself."""
+    """What the processes of a run need of it; the run itself is in `process_run.py`."""
 
     folder: Path  # of the run's files
-    control: Any  # where the control lines of relays and fake servers connect
-    nets: dict[str, str]  # the loopback network of each node, by name
+    control_path: Any  # of the Unix socket for the control connections of child processes
+    subnets: dict[str, str]  # the first two numbers of each node's loopback addresses, by name
 
-    def peer(self, a: str, b: str) -> tuple[str, int]:
-        """Where node a reaches node b's peer port."""
+    def peer_address(self, node: str, peer: str) -> tuple[str, int]:
+        """Return the address at which a node reaches the peer port of another."""
         raise NotImplementedError
 
-    def dials(self, net: str) -> list[str]:
-        """Where the node of a loopback network reaches the origin and each cache server."""
+    def server_addresses(self, subnet: str) -> list[str]:
+        """Return the addresses at which a node reaches the origin and each cache server."""
         raise NotImplementedError
 
-    def refuse(self, name: str, on: bool) -> None:
-        """Whether connections to a node are refused from now on."""
+    def refuse_connections(self, name: str, refuse: bool) -> None:
+        """Set whether connections to a process are refused."""
         raise NotImplementedError
 
-    def ask(self, door: tuple[str, int], line: str, answered: Callable[[bool], None]) -> None:
-        """Send one admin command; `answered` is called with whether the node agreed."""
+    def send_admin_command(
+        self, address: tuple[str, int], command: str, on_answer: Callable[[bool], None]
+    ) -> None:
+        """Send an admin command; `on_answer` is called with whether the answer is YES."""
         raise NotImplementedError
 
-    def when_serving(self, node: NodeProcess) -> None:
-        """Begin to ask the node whether it serves yet."""
+    def accept_when_serving(self, node: NodeProcess) -> None:
+        """Stop refusing connections to a node once its new process serves."""
         raise NotImplementedError
 
 
 class Child:
-    """A process of the rig: a relay or stand-ins, with its control line."""
+    """A process of the testbed, a relay or fake servers, with its control connection."""
 
     def __init__(
-        self, run: ProcessHost, name: str, module: str, given: Callable[[], dict[str, Any]]
+        self, run: ProcessHost, name: str, module: str, create_options: Callable[[], dict[str, Any]]
     ) -> None:
+        """Describe the process; `create_options` is called for each start of it."""
         self.run = run
         self.name = name
         self.module = module
-        self.given = given
+        self.create_options = create_options
         self.process: Process | None = None
-        self.line: ControlConnection | None = None
-        self.ready = False
+        self.control: ControlConnection | None = None
+        self.is_ready = False
         self.starts = 0
-        self.orders: list[tuple[Any, ...]] = []  # given before it was ready
-        self.then: list[Callable[[], None]] = []  # to be done once it is
+        self.pending_commands: list[tuple[Any, ...]] = []  # sent once the process is ready
+        self.on_ready: list[Callable[[], None]] = []  # called once, when the process is ready
 
     def start(self) -> None:
-        """Start a process of it."""
+        """Start the process."""
         run = self.run
         self.starts = self.starts + 1
-        top = self.given() | {
+        options = self.create_options() | {
             "name": self.name,
-            "control": run.control,
+            "control": run.control_path,
             "begun": run.begun,
             "seed": run.seed * 100 + self.starts,
             "history": str(run.folder / f"{self.name}.history"),
         }
         path = run.folder / f"{self.name}.json"
-        path.write_text(json.dumps(top))
-        words = [sys.executable, "-m", self.module, str(path)]
-        self.process = Process(words, run.folder / f"{self.name}.log", {})
-
-    def is_ready(self, line: ControlConnection) -> None:
-        """Its control line is up: send what waited."""
-        self.line = line
-        self.ready = True
-        for words in self.orders:
-            line.send(*words)
-        self.orders.clear()
-        for call in self.then:
-            call()
-        self.then.clear()
-
-    def order(self, *words: Any) -> None:
-        """Send an order, now or once it is ready."""
-        if self.ready and self.line is not None:
-            self.line.send(*words)
+        path.write_text(json.dumps(options))
+        command = [sys.executable, "-m", self.module, str(path)]
+        self.process = Process(command, run.folder / f"{self.name}.log", {})
+
+    def set_ready(self, control: ControlConnection) -> None:
+        """Send the pending commands, now that the process is ready."""
+        self.control = control
+        self.is_ready = True
+        for command in self.pending_commands:
+            control.send(*command)
+        self.pending_commands.clear()
+        for callback in self.on_ready:
+            callback()
+        self.on_ready.clear()
+
+    def send_command(self, *command: Any) -> None:
+        """Send a command now, or once the process is ready."""
+        if self.is_ready and self.control is not None:
+            self.control.send(*command)
         else:
-            self.orders.append(words)
+            self.pending_commands.append(command)
 
     def kill(self) -> None:
-        """Kill its process."""
-        self.ready = False
-        self.line = None
+        """Kill the process."""
+        self.is_ready = False
+        self.control = None
         if self.process is not None:
             self.process.kill()
 
 
 class NodeProcess:
-    """A node's place on loopback; `node` is itself while a process of it runs."""
+    """A node on loopback: its addresses, its files and the process that runs now.
 
-    def __init__(self, run: ProcessHost, name: str, net: str) -> None:
+    `node` is the object itself while a process runs, and None otherwise; faults test it in both
+    clocks.
+    """
+
+    def __init__(self, run: ProcessHost, name: str, subnet: str) -> None:
         self.run = run
         self.name = name
-        self.net = net
-        self.address = f"{net}.0.1"
+        self.subnet = subnet
+        self.address = f"{subnet}.0.1"
         self.starts = self.reloads = 0
         self.process: Process | None = None
-        self.elder: Process | None = None  # the one before it, while it still serves
+        self.previous_process: Process | None = None  # during an upgrade, while it still serves
         self.node: NodeProcess | None = None
         self.log = run.folder / f"{name}.log"
-        self.held: socket.socket | None = None  # the clients' socket, where processes inherit it
-        if any(f.what == "node_upgrade" and f.whom == name for f in run.experiment.fault):
-            self.held = socket.socket()
-            self.held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self.held.bind((self.address, NODE_PORT))
-            self.held.listen(4096)
+        # The listening socket for clients, where an upgrade needs the processes to inherit it.
+        self.inherited_socket: socket.socket | None = None
+        if any(
+            fault.what == "node_upgrade" and fault.whom == name for fault in run.experiment.fault
+        ):
+            self.inherited_socket = socket.socket()
+            self.inherited_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self.inherited_socket.bind((self.address, NODE_PORT))
+            self.inherited_socket.listen(4096)
 
     def admin_address(self) -> tuple[str, int]:
-        """Where its admin port listens."""
+        """Return the address of the admin endpoint; each process has a port of its own."""
         return self.address, ADMIN_PORT + self.starts
 
     def start(self) -> None:
-        """Start a process with a configuration of now."""
+        """Start a process with a configuration as of now."""
         run = self.run
         self.starts = self.starts + 1
         path = run.folder / f"{self.name}.json"
         path.write_text(json.dumps(self.config()))
         run.history.add(run.now(), "start", self.name)
-        shared = run.folder / f"{self.name}.shared"
-        shared.mkdir(exist_ok=True)
-        environment = {"PROXY_CONFIG": str(path), "TMPDIR": str(shared)}
-        if sections := self.sections():
-            own = run.folder / f"{self.name}.toml"
-            own.write_text("\n".join(sections) + "\n")
-            environment["HOOKPITCH_CONFIG"] = str(own)
+        shared_folder = run.folder / f"{self.name}.shared"
+        shared_folder.mkdir(exist_ok=True)
+        environment = {"PROXY_CONFIG": str(path), "TMPDIR": str(shared_folder)}
+        if lines := self.operator_config():
+            operator_file = run.folder / f"{self.name}.toml"
+            operator_file.write_text("\n".join(lines) + "\n")
+            environment["HOOKPITCH_CONFIG"] = str(operator_file)
         fds = []
-        if self.held is not None:
-            fds = [self.held.fileno()]
+        if self.inherited_socket is not None:
+            fds = [self.inherited_socket.fileno()]
             environment["PROXY_INHERITED_FD"] = str(fds[0])
         flags = [] if run.experiment.nodes.debug else ["-O"]
-        words = [sys.executable, *flags, "-m", "hookpitch"]
-        self.process = Process(words, self.log, environment, *fds)
+        command = [sys.executable, *flags, "-m", "hookpitch"]
+        self.process = Process(command, self.log, environment, *fds)
         self.node = self
-        run.when_serving(self)
+        run.accept_when_serving(self)
 
-    def sections(self) -> list[str]:
-        """The operator's file, by lines; none where nothing is turned on."""
+    def operator_config(self) -> list[str]:
+        """Return the lines of the operator's file; none if the experiment enables nothing in it."""
         run = self.run
-        x = self.run.experiment.nodes
+        nodes = self.run.experiment.nodes
         lines = list[str]()
-        if x.snapshot_s:
+        if nodes.snapshot_s:
             lines += [
                 "[snapshot]",
                 f'path = "{run.folder}/{{name}}.snapshot"',
                 f'fleet = "{run.experiment.name}"',
-                f"every_s = {x.snapshot_s}",
+                f"every_s = {nodes.snapshot_s}",
             ]
-        if x.members:  # each finds another at an address of its own, where a relay listens
-            at = {other: f"{run.nets[other]}.0.1:{x.peer_port}" for other in run.nets}
-            seeds = ", ".join(f'"{address}"' for address in list(at.values())[:SEEDS])
+        if nodes.members:
+            addresses = {
+                other: f"{run.subnets[other]}.0.1:{nodes.peer_port}" for other in run.subnets
+            }
+            seeds = ", ".join(f'"{address}"' for address in list(addresses.values())[:SEED_MEMBERS])
             lines += [
                 "[members]",
-                f'listen = "{at[self.name]}"',
+                f'listen = "{addresses[self.name]}"',
                 f'fleet = "{run.experiment.name}"',
             ]
+            # Each node reaches another through a relay, at an address in its own subnet.
             lines += [f"seeds = [{seeds}]", "[members.dial]"]
-            for other, address in at.items():
+            for other, address in addresses.items():
                 if other != self.name:
-                    host, port = run.peer(self.name, other)
+                    host, port = run.peer_address(self.name, other)
                     lines.append(f'"{address}" = "{host}:{port}"')
-                    # What another tells of a server is true in the other's net.
-                    mine = run.dials(self.net)
-                    theirs = run.dials(run.nets[other])
+                    # What another node says of a server names the server's address in that node's
+                    # subnet.
+                    own_addresses = run.server_addresses(self.subnet)
+                    their_addresses = run.server_addresses(run.subnets[other])
                     lines += [
-                        f'"{there}" = "{here}"' for here, there in zip(mine, theirs, strict=True)
+                        f'"{theirs}" = "{own}"'
+                        for own, theirs in zip(own_addresses, their_addresses, strict=True)
                     ]
         return lines
 
     def config(self) -> dict[str, Any]:
-        """Its file."""
-        host, door = self.admin_address()
-        config = self.run.node_config(self, f"{self.net}.2.1:{DISCOVERY_PORT}", self.net)
-        return config | {"listen": f"{self.address}:{NODE_PORT}", "management": f"{host}:{door}"}
+        """Return the node's configuration, as the platform writes it."""
+        host, admin_port = self.admin_address()
+        config = self.run.node_config(self, f"{self.subnet}.2.1:{DISCOVERY_PORT}", self.subnet)
+        return config | {
+            "listen": f"{self.address}:{NODE_PORT}",
+            "management": f"{host}:{admin_port}",
+        }
 
-    def reload(self, wrong: int) -> None:
-        """SIGHUP, with its file written anew."""
+    def reload(self, malformed: int) -> None:
+        """Rewrite the configuration file and send SIGHUP; `malformed` from 1: in a wrong form."""
         (self.run.folder / f"{self.name}.json").write_text(
-            self.run.config_text(self, self.config(), wrong)
+            self.run.config_text(self, self.config(), malformed)
         )
-        for process in (self.process, self.elder):
+        for process in (self.process, self.previous_process):
             if process is not None:
                 process.signal(signal.SIGHUP)
 
     def kill(self) -> None:
-        """Kill its process."""
+        """Kill the process; from then on its links refuse connections."""
         if self.process is not None and self.node is not None:
             self.run.history.add(self.run.now(), "stop", self.name)
-            self.run.refuse(self.name, True)
+            self.run.refuse_connections(self.name, True)
             self.process.kill()
         self.node = None
 
     def leave(self) -> None:
-        """SIGTERM."""
+        """Send SIGTERM, which starts a graceful shutdown."""
         if self.process is not None:
-            self.process.asked = True
+            self.process.end_requested = True
             self.process.signal(signal.SIGTERM)
 
-    def stop(self, seconds: float) -> None:
-        """Stop its process for so many seconds."""
+    def pause(self, seconds: float) -> None:
+        """Stop the process for a while."""
         process = self.process
         if process is not None:
-            process.stop()
-            self.run.network.call_at(self.run.network.now + seconds, None, process.go_on)
+            process.pause()
+            self.run.network.call_at(self.run.network.now + seconds, None, process.resume)
 
     def upgrade(self) -> None:
-        """A second process beside the first, which gets SIGTERM once the new one says yes."""
-        if self.node is None or self.elder is not None:
+        """Start a second process; the first one gets SIGTERM once the second is ready."""
+        if self.node is None or self.previous_process is not None:
             return
-        self.elder = self.process
+        self.previous_process = self.process
         self.start()
-        self._when_yes(self.elder, self.run.now() + READY_S * 1000)
+        self._poll_upgrade(self.previous_process, self.run.now() + UPGRADE_READY_TIMEOUT_S * 1000)
 
-    def _when_yes(self, old: Process, latest: float) -> None:
+    def _poll_upgrade(self, old: Process, latest_ms: float) -> None:
+        """Ask the new process whether it is ready, until `latest_ms`."""
         run = self.run
 
-        def answered(yes: bool) -> None:
-            if not yes:
-                if run.now() > latest:
+        def on_answer(is_ready: bool) -> None:
+            if not is_ready:
+                if run.now() > latest_ms:
                     run.history.add(
                         run.now(), "call", self.name, what="late: a new process says no for 6 s"
                     )
                     return
-                run.network.call_at(run.network.now + LOOK_S, None, self._when_yes, old, latest)
+                run.network.call_at(
+                    run.network.now + POLL_INTERVAL_S, None, self._poll_upgrade, old, latest_ms
+                )
                 return
-            old.asked = True
+            old.end_requested = True
             old.signal(signal.SIGTERM)
-            longest = max(m.hard_ms for m in run.experiment.method) / 1000
-            run.network.call_at(run.network.now + longest + ENDED_S, None, self._ended, old)
+            longest_deadline_s = max(method.hard_ms for method in run.experiment.method) / 1000
+            run.network.call_at(
+                run.network.now + longest_deadline_s + TERMINATION_GRACE_S,
+                None,
+                self._finish_upgrade,
+                old,
+            )
 
-        run.ask(self.admin_address(), "STATUS", answered)
+        run.send_admin_command(self.admin_address(), "STATUS", on_answer)
 
-    def _ended(self, old: Process) -> None:
+    def _finish_upgrade(self, old: Process) -> None:
         old.kill()
-        if self.elder is old:
-            self.elder = None
+        if self.previous_process is old:
+            self.previous_process = None
 
     def false_start(self) -> None:
-        """A second process that dies as soon as it has begun; the first serves on."""
-        if self.node is None or self.elder is not None:
+        """Start a second process that is killed right away; the first one continues to serve."""
+        if self.node is None or self.previous_process is not None:
             return
         first = self.process
         starts = self.starts
         self.start()
         second = self.process
         self.process = first
-        self.run.network.call_at(self.run.network.now + LOOK_S, None, second.kill)
+        self.run.network.call_at(self.run.network.now + POLL_INTERVAL_S, None, second.kill)
         self.starts = starts
 
-    def end(self) -> None:
-        """No process of it is left."""
-        for process in (self.process, self.elder):
+    def clean_up(self) -> None:
+        """Kill all processes of the node and close its socket."""
+        for process in (self.process, self.previous_process):
             if process is not None:
                 process.kill()
-        if self.held is not None:
-            self.held.close()
+        if self.inherited_socket is not None:
+            self.inherited_socket.close()
 
-    def lines(self) -> list[dict[str, Any]]:
-        """Its log's lines; what is no JSON is a fault."""
+    def log_lines(self) -> list[dict[str, Any]]:
+        """Return the lines of the node's log; a line that is not JSON is recorded as an error."""
         found = []
         for line in self.log.read_text().splitlines() if self.log.exists() else ():
             with suppress(ValueError):
