--- a/hookpitch/core/counters.py
+++ b/hookpitch/core/counters.py
@@ -9,9 +9,9 @@
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
 
-    def add(self, name: str, by: int = 1) -> None:
-        """Add `by` to a counter."""
-        self.counts[name] = self.counts.get(name, 0) + by
+    def add(self, name: str, amount: int = 1) -> None:
+        """Add `amount` to a counter."""
+        self.counts[name] = self.counts.get(name, 0) + amount
 
     def check(self, holds: bool, invariant: str) -> None:
         """Count an invariant that does not hold; without `python -O` also raise AssertionError.
--- a/hookpitch/core/resp.py
+++ b/hookpitch/core/resp.py
@@ -90,7 +90,7 @@
         self.body_remaining = 0
         self._max_value_bytes = max_value_bytes
         self._open_arrays: list[_OpenArray] = []  # the outermost array first
-        self._bulk_length = -1  # of the bulk string whose header has been read
+        self._bulk_length = -1  # of the bulk string whose header has been read; -1: none
         self._scanned = 0  # offset up to which the ring holds no line end
 
     @property
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -23,7 +23,7 @@
 MAX_QUOTED = 200  # characters of a line in the message of an error
 MAX_ENTRY_QUOTED = 120  # characters of an ENTRY line
 
-# Handles a message to one node; the text is the rest of the line, after the word.
+# Handles a message to one node; the text holds the values of the line, separated by spaces.
 Handler = Callable[[SimulatedNode, Router, str], None]
 
 
@@ -61,19 +61,19 @@
                 print(f"hookpitch: {error}: {quoted}", file=self._errors, flush=True)
 
     def _handle_line(self, line: str, following: Iterator[str]) -> None:
-        word, _, rest = line.partition(" ")
-        if word == "EOB":
+        message_name, _, values_text = line.partition(" ")
+        if message_name == "EOB":
             self._write_reply()
-        elif word == "BEGIN_BATCH":
-            self._now = parse_ms(rest)
-        elif word == "HELLO":
-            self._handle_hello(rest)
-        elif word == "PEERS_KNOWN":
-            self._handle_peers_known(rest, following)
-        elif word == "EXIT":
-            self._handle_exit(rest)
+        elif message_name == "BEGIN_BATCH":
+            self._now = parse_ms(values_text)
+        elif message_name == "HELLO":
+            self._handle_hello(values_text)
+        elif message_name == "PEERS_KNOWN":
+            self._handle_peers_known(values_text, following)
+        elif message_name == "EXIT":
+            self._handle_exit(values_text)
         elif line:
-            self._handle_event(word, rest)
+            self._handle_event(message_name, values_text)
 
     def _write_reply(self) -> None:
         addressed = self._addressed
@@ -87,15 +87,15 @@
 
     # ---- lines of one node
 
-    def _handle_event(self, word: str, rest: str) -> None:
-        handler = self._handlers.get(word)
+    def _handle_event(self, message_name: str, values_text: str) -> None:
+        handler = self._handlers.get(message_name)
         if handler is None:
-            raise WireError(f"unknown message {word!r}")
-        node, router = self._find_started_node(rest)
-        handler(node, router, rest)
+            raise WireError(f"unknown message {message_name!r}")
+        node, router = self._find_started_node(values_text)
+        handler(node, router, values_text)
 
-    def _find_started_node(self, rest: str) -> tuple[SimulatedNode, Router]:
-        name = rest.partition(" ")[0]
+    def _find_started_node(self, values_text: str) -> tuple[SimulatedNode, Router]:
+        name = values_text.partition(" ")[0]
         node = self.nodes.get(name)
         if node is None or node.router is None:
             raise WireError(f"node {name!r} is unknown or was not started")
@@ -104,8 +104,8 @@
     def _mark_addressed(self, node: SimulatedNode) -> None:
         self._addressed[node.name] = node
 
-    def _handle_hello(self, rest: str) -> None:
-        name, seed, settings = split_values(rest, 3)
+    def _handle_hello(self, values_text: str) -> None:
+        name, seed, settings = split_values(values_text, 3)
         node = self.nodes[name] = SimulatedNode(name, self._lines)
         self._mark_addressed(node)
         try:
@@ -115,15 +115,15 @@
             raise
         node.start(self._now, deployment)
 
-    def _handle_exit(self, rest: str) -> None:
-        name = rest.partition(" ")[0]
+    def _handle_exit(self, values_text: str) -> None:
+        name = values_text.partition(" ")[0]
         if name not in self.nodes:
             raise WireError(f"node {name!r} is unknown")
         del self.nodes[name]
         self._addressed.pop(name, None)
 
-    def _handle_request(self, node: SimulatedNode, router: Router, rest: str) -> None:
-        values = split_values(rest, 9)
+    def _handle_request(self, node: SimulatedNode, router: Router, values_text: str) -> None:
+        values = split_values(values_text, 9)
         self._mark_addressed(node)
         request = codec.parse_request(values)
         router.rpc_arrived(
@@ -138,8 +138,8 @@
             request.work_ms,
         )
 
-    def _handle_settled(self, node: SimulatedNode, router: Router, rest: str) -> None:
-        values = split_values(rest, 9)
+    def _handle_settled(self, node: SimulatedNode, router: Router, values_text: str) -> None:
+        values = split_values(values_text, 9)
         self._mark_addressed(node)
         ended = codec.parse_settled(values)
         router.attempt_ended(
@@ -152,47 +152,47 @@
             ended.report,
         )
 
-    def _handle_accepted(self, node: SimulatedNode, router: Router, rest: str) -> None:
-        values = split_values(rest, 5)
+    def _handle_accepted(self, node: SimulatedNode, router: Router, values_text: str) -> None:
+        values = split_values(values_text, 5)
         self._mark_addressed(node)
         started = codec.parse_accepted(values)
         router.stream_started(self._now, started.rpc_id, started.attempt)
 
-    def _handle_client_gone(self, node: SimulatedNode, router: Router, rest: str) -> None:
+    def _handle_client_gone(self, node: SimulatedNode, router: Router, values_text: str) -> None:
         self._mark_addressed(node)
-        router.client_disconnected(self._now, split_values(rest, 2)[1])
+        router.client_disconnected(self._now, split_values(values_text, 2)[1])
 
-    def _handle_timer(self, node: SimulatedNode, router: Router, rest: str) -> None:
+    def _handle_timer(self, node: SimulatedNode, router: Router, values_text: str) -> None:
         self._mark_addressed(node)
         router.timer_fired(self._now)
 
-    def _ignore(self, node: SimulatedNode, router: Router, rest: str) -> None:
+    def _ignore(self, node: SimulatedNode, router: Router, values_text: str) -> None:
         self._mark_addressed(node)
 
     # ---- endpoint lists, the only message of several lines
 
-    def _handle_peers_known(self, rest: str, following: Iterator[str]) -> None:
-        receiver = self.nodes.get(rest.partition(" ")[0])
+    def _handle_peers_known(self, values_text: str, following: Iterator[str]) -> None:
+        receiver = self.nodes.get(values_text.partition(" ")[0])
         kind_names = receiver.kind_names if receiver is not None else ()
-        endpoints, entry_error = self._read_endpoints(rest, following, kind_names)
-        node, router = self._find_started_node(rest)
+        endpoints, entry_error = self._read_endpoints(values_text, following, kind_names)
+        node, router = self._find_started_node(values_text)
         if entry_error:
             raise WireError(entry_error)
         self._mark_addressed(node)
-        kind = EndpointUpdate(int(split_values(rest, 4)[1]))
+        kind = EndpointUpdate(int(split_values(values_text, 4)[1]))
         node.endpoints_received(self._now, kind)
         if kind != EndpointUpdate.FAILED:
             router.update_endpoints(self._now, kind, endpoints)
 
     @staticmethod
     def _read_endpoints(
-        rest: str, following: Iterator[str], kind_names: tuple[str, ...]
+        values_text: str, following: Iterator[str], kind_names: tuple[str, ...]
     ) -> tuple[list[Endpoint], str]:
         """Parse the ENTRY lines that follow; return the endpoints and the last error message.
 
         All ENTRY lines are consumed, even if one is malformed or the node is unknown.
         """
-        values = rest.split(" ")
+        values = values_text.split(" ")
         if len(values) != 4:
             return [], "expected 4 values after PEERS_KNOWN"
         count = int(values[3]) if values[3] != codec.ABSENT else 0
--- a/hookpitch/simwire/codec.py
+++ b/hookpitch/simwire/codec.py
@@ -1,7 +1,8 @@
 """The simulator's line protocol, without I/O: parses the values of a line, and formats times.
 
-A line is a word and values, separated by spaces; `-` represents an absent value, times are decimal
-seconds. Messages contain times in milliseconds and the types of `balancer.interface`.
+A line is the name of a message and its values, separated by spaces; `-` represents an absent value,
+and times are decimal seconds. Messages contain times in milliseconds and the types of
+`balancer.interface`.
 """
 
 from __future__ import annotations
@@ -71,12 +72,12 @@
 # ---- parsing
 
 
-def split_values(rest: str, count: int) -> list[str]:
+def split_values(values_text: str, count: int) -> list[str]:
     """Split the values of a line, of which the last may contain spaces.
 
     Raises WireError if a value is missing.
     """
-    values = rest.split(" ", count - 1)
+    values = values_text.split(" ", count - 1)
     if len(values) != count:
         raise WireError(f"expected {count} values, got {len(values)}")
     return values
