--- a/hookpitch/members/anti_entropy.py
+++ b/hookpitch/members/anti_entropy.py
@@ -83,8 +83,10 @@
     def reconnect(self) -> None:
         """Try a dead member, or a seed that is not known: a partition may have ended."""
         known = self._members.values()
-        dead = [m.record.address for m in known if m.record.state == MemberState.DEAD]
-        active = {m.record.address for m in known if m.is_active}
+        dead = [
+            member.record.address for member in known if member.record.state == MemberState.DEAD
+        ]
+        active = {member.record.address for member in known if member.is_active}
         candidates = [address for address in (*self._seeds, *dead) if address not in active]
         if candidates:
             chosen = candidates[int(self._random() * len(candidates)) % len(candidates)]
--- a/hookpitch/members/codec.py
+++ b/hookpitch/members/codec.py
@@ -34,14 +34,14 @@
 
 MAGIC = b"HKM"
 FORMAT = 1
-HEAD = struct.Struct(">3sB8s8s")
+HEADER = struct.Struct(">3sB8s8s")
 HASH_BYTES = 8
 MAX_BYTES = 1200
 MAX_DATAGRAM_BYTES = 65535
 MAX_NAME_CHARS = 100
-MAX_COUNT = 1 << 62
-MAX_PARTITION_DIGEST = 1 << 16
-MAX_PORT = 65536
+INTEGER_LIMIT = 1 << 62
+PARTITION_DIGEST_LIMIT = 1 << 16
+PORT_LIMIT = 65536
 KINDS = tuple(MessageKind)
 
 
@@ -57,12 +57,12 @@
     """Reads and writes the datagrams of one fleet."""
 
     def __init__(self, fleet: str, key: bytes = b"") -> None:
-        self.fleet = blake2b(fleet.encode(), digest_size=HASH_BYTES).digest()
+        self.fleet_hash = blake2b(fleet.encode(), digest_size=HASH_BYTES).digest()
         self.key = key
 
     def write(self, message: Message) -> bytes:
         """The datagram, without the records that do not fit."""
-        records = [_record_fields(record) for record in message.records]
+        records = [_encode_record(record) for record in message.records]
         while True:
             fields = (
                 int(message.kind),
@@ -75,37 +75,37 @@
                 message.payload,
             )
             body = msgspec.msgpack.encode(fields)
-            if HEAD.size + len(body) <= MAX_BYTES or not records:
-                return HEAD.pack(MAGIC, FORMAT, self.fleet, self.checksum(body)) + body
+            if HEADER.size + len(body) <= MAX_BYTES or not records:
+                return HEADER.pack(MAGIC, FORMAT, self.fleet_hash, self.checksum(body)) + body
             records.pop()
 
     def read(self, data: bytes) -> Message:
         """The message that `data` holds. Raises DatagramError."""
         body = self._verified_body(data)
         try:
-            return _message(msgspec.msgpack.decode(body))
-        except (msgspec.MsgspecError, ValueError, TypeError) as fault:
-            raise DatagramError("wrong") from fault
+            return _parse_message(msgspec.msgpack.decode(body))
+        except (msgspec.MsgspecError, ValueError, TypeError) as error:
+            raise DatagramError("wrong") from error
 
     def checksum(self, body: bytes) -> bytes:
         """The keyed hash of a body."""
         return blake2b(body, digest_size=HASH_BYTES, key=self.key).digest()
 
     def _verified_body(self, data: bytes) -> bytes:
-        if not HEAD.size <= len(data) <= MAX_DATAGRAM_BYTES:
+        if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
             raise DatagramError("torn")
-        magic, format_number, fleet, checksum = HEAD.unpack_from(data)
-        if magic != MAGIC or fleet != self.fleet:
+        magic, format_number, fleet_hash, checksum = HEADER.unpack_from(data)
+        if magic != MAGIC or fleet_hash != self.fleet_hash:
             raise DatagramError("foreign")
         if format_number != FORMAT:
             raise DatagramError("version")
-        body = data[HEAD.size :]
+        body = data[HEADER.size :]
         if self.checksum(body) != checksum:
             raise DatagramError("torn")
         return body
 
 
-def _record_fields(record: Record) -> tuple[Any, ...]:
+def _encode_record(record: Record) -> tuple[Any, ...]:
     host, port = record.address
     return (
         record.name,
@@ -119,16 +119,18 @@
     )
 
 
-def _message(fields: Any) -> Message:  # noqa: ANN401 - whatever a datagram holds
+def _parse_message(fields: Any) -> Message:  # noqa: ANN401 - whatever a datagram holds
     """Raises ValueError or TypeError where a field is out of bounds."""
-    kind, sender, sequence, target, full_sync, records, *more = fields
+    kind, sender, sequence, target, full_sync, records, *optional_fields = fields
     # Earlier versions send neither of these.
-    digests = tuple(more[0]) if len(more) > 0 else ()
-    payload = more[1] if len(more) > 1 else b""
+    digests = tuple(optional_fields[0]) if len(optional_fields) > 0 else ()
+    payload = optional_fields[1] if len(optional_fields) > 1 else b""
     _require(len(digests) in (0, PARTITIONS))
-    _require(all(type(d) is int and 0 <= d < MAX_PARTITION_DIGEST for d in digests))
+    _require(
+        all(type(digest) is int and 0 <= digest < PARTITION_DIGEST_LIMIT for digest in digests)
+    )
     _require(_is_bytes(payload, MAX_PAYLOAD_BYTES))
-    _require(_is_name(sender) and _is_count(sequence) and _is_text(target))
+    _require(_is_name(sender) and _is_unsigned_integer(sequence) and _is_text(target))
     _require(type(full_sync) is bool)
     _require(type(kind) is int and 0 <= kind < len(KINDS))
     return Message(
@@ -136,18 +138,18 @@
         sender=sender,
         sequence=sequence,
         target=target,
-        records=tuple(_record(record) for record in records),
+        records=tuple(_parse_record(record) for record in records),
         full_sync=full_sync,
         partition_digests=digests,
         payload=payload,
     )
 
 
-def _record(fields: Sequence[Any]) -> Record:
+def _parse_record(fields: Sequence[Any]) -> Record:
     name, host, port, incarnation, state, accuser, metadata_version, metadata, *_ = fields
     _require(_is_name(name) and _is_name(host))
-    _require(_is_count(port) and port < MAX_PORT)
-    _require(_is_count(incarnation) and _is_count(metadata_version))
+    _require(_is_unsigned_integer(port) and port < PORT_LIMIT)
+    _require(_is_unsigned_integer(incarnation) and _is_unsigned_integer(metadata_version))
     _require(_is_text(accuser) and _is_bytes(metadata, MAX_METADATA_BYTES))
     return Record(
         name, (host, port), incarnation, MemberState(state), accuser, metadata_version, metadata
@@ -162,14 +164,14 @@
     return _is_text(value) and value != ""
 
 
-def _is_count(value: object) -> bool:
-    return type(value) is int and 0 <= value < MAX_COUNT
+def _is_unsigned_integer(value: object) -> bool:
+    return type(value) is int and 0 <= value < INTEGER_LIMIT
 
 
-def _is_bytes(value: object, longest: int) -> bool:
-    return type(value) is bytes and len(value) <= longest
+def _is_bytes(value: object, max_length: int) -> bool:
+    return type(value) is bytes and len(value) <= max_length
 
 
-def _require(holds: bool) -> None:
-    if not holds:
+def _require(condition: bool) -> None:
+    if not condition:
         raise ValueError("out of bounds")
--- a/hookpitch/members/dissemination.py
+++ b/hookpitch/members/dissemination.py
@@ -62,12 +62,12 @@
         """The records that were sent least often so far; they count as sent."""
         if not self.transmissions:
             return ()
-        enough = RETRANSMIT_FACTOR * log2(len(self._members) + 1)
+        max_transmissions = RETRANSMIT_FACTOR * log2(len(self._members) + 1)
         names = sorted(self.transmissions, key=lambda name: (self.transmissions[name], name))
         chosen = names[:limit]
         for name in chosen:
             self.transmissions[name] += 1
-            if self.transmissions[name] > enough:
+            if self.transmissions[name] > max_transmissions:
                 del self.transmissions[name]
         return tuple(self._members[name].record for name in chosen if name in self._members)
 
@@ -79,14 +79,16 @@
         """Send with the own record and gossip on board, as far as there is room."""
         included = {record.name for record in message.records}
         limit = MAX_RECORDS_PER_DATAGRAM - len(message.records) - 1
-        gossip = tuple(r for r in self.select_gossip(limit) if r.name not in included)
+        gossip = tuple(
+            queued for queued in self.select_gossip(limit) if queued.name not in included
+        )
         included.update(record.name for record in gossip)
         own = () if self._own_name in included else (self._members[self._own_name].record,)
         records = (message.records + own + gossip)[:MAX_RECORDS_PER_DATAGRAM]
         self.outbox.append((address, replace(message, records=records)))
 
     def send_known_records(
-        self, address: Address, full_sync: bool, their_digests: tuple[int, ...] = ()
+        self, address: Address, full_sync: bool, remote_digests: tuple[int, ...] = ()
     ) -> None:
         """Send all that is known, in datagrams of bounded size.
 
@@ -95,21 +97,21 @@
         """
         records = [member.record for member in self._members.values()]
         own_digests: tuple[int, ...] = ()
-        if len(their_digests) == PARTITIONS:
+        if len(remote_digests) == PARTITIONS:
             own_digests = partition_digests(self._members)
             differs = [
-                own != theirs for own, theirs in zip(own_digests, their_digests, strict=True)
+                own != remote for own, remote in zip(own_digests, remote_digests, strict=True)
             ]
             records = [record for record in records if differs[partition_of(record.name)]]
         end = max(1, len(records)) if full_sync else len(records)
         for start in range(0, end, SYNC_RECORDS_PER_DATAGRAM):
-            asks = full_sync and start == 0
+            requests_sync = full_sync and start == 0
             message = Message(
                 MessageKind.GOSSIP,
                 self._own_name,
                 records=tuple(records[start : start + SYNC_RECORDS_PER_DATAGRAM]),
-                full_sync=asks,
-                partition_digests=own_digests if asks else (),
+                full_sync=requests_sync,
+                partition_digests=own_digests if requests_sync else (),
             )
             self.outbox.append((address, message))
 
--- a/hookpitch/members/endpoint_exchange.py
+++ b/hookpitch/members/endpoint_exchange.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from hookpitch.members.list_chunks import (
-    FIRST_CHUNKS,
+    INITIAL_CHUNK_MASK,
     MAX_CHUNKS,
     CompressedList,
     ListChunk,
@@ -42,13 +42,13 @@
 
 # Between two requests of a node that has no list from anybody yet.
 REQUEST_INTERVAL_MS = 300.0
-# The same, once it has one or has requested `EAGER_REQUESTS` times.
+# The same, once it has one or has requested `FAST_REQUEST_ROUNDS` times.
 SLOW_REQUEST_INTERVAL_MS = 2000.0
-EAGER_REQUESTS = 10
+FAST_REQUEST_ROUNDS = 10
 # Members in one go; the first that answers is asked for the rest.
 REQUEST_FANOUT = 3
 # Requests in a row that bring no further chunk, before other members are asked.
-MAX_FRUITLESS_REQUESTS = 3
+MAX_REQUESTS_WITHOUT_PROGRESS = 3
 # Since the holder last heard from discovery: as old as a snapshot may be.
 MAX_LIST_AGE_MS = 3600000.0
 MAX_CHUNKS_PER_S = 400
@@ -61,12 +61,13 @@
 class ListStatus:
     """What this node holds at one moment.
 
-    `from_discovery`: discovery sent it to this process. `is_live`: discovery's watch is open.
+    `is_from_discovery`: discovery sent it to this process. `is_watch_open`: discovery's watch is
+    open.
     """
 
     version: int
-    from_discovery: bool
-    is_live: bool
+    is_from_discovery: bool
+    is_watch_open: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,41 +94,44 @@
         self._request_at = now
         self._request_rounds = 0
         self._has_accepted = False
-        self._discovery_heard_at = -NEVER
+        self._discovery_contact_at = -NEVER
         self._partial: PartialList | None = None
         self._compressed: CompressedList | None = None
         self._rate_limit = RateLimit(MAX_CHUNKS_PER_S)
 
     # ---- requests
 
-    def tick(self, now: float, held: ListStatus, members: Sequence[Address]) -> float:
+    def tick(self, now: float, own_status: ListStatus, members: Sequence[Address]) -> float:
         """Request the list if it is time to; returns when to call again.
 
         `members`: those that may be asked.
         """
-        if held.is_live:
-            self._discovery_heard_at = now
-        if held.from_discovery:
+        if own_status.is_watch_open:
+            self._discovery_contact_at = now
+        if own_status.is_from_discovery:
             self._partial = None
             return NEVER
         if now < self._request_at:
             return self._request_at
-        self._send_requests(held.version, members)
-        eager = self._request_rounds < EAGER_REQUESTS and not self._has_accepted
-        interval_ms = REQUEST_INTERVAL_MS if eager else SLOW_REQUEST_INTERVAL_MS
+        self._send_requests(own_status.version, members)
+        is_fast = self._request_rounds < FAST_REQUEST_ROUNDS and not self._has_accepted
+        interval_ms = REQUEST_INTERVAL_MS if is_fast else SLOW_REQUEST_INTERVAL_MS
         self._request_at = now + interval_ms * (0.75 + self._random() / 2)
         return self._request_at
 
-    def _send_requests(self, held_version: int, members: Sequence[Address]) -> None:
+    def _send_requests(self, own_version: int, members: Sequence[Address]) -> None:
         """Request what is missing of a partial list, or the first chunks from some members."""
         partial = self._partial
-        if partial is not None and partial.fruitless_requests < MAX_FRUITLESS_REQUESTS:
-            partial.fruitless_requests += 1
-            request = ListRequest(held_version, partial.digest, partial.missing_mask())
+        if (
+            partial is not None
+            and partial.requests_without_progress < MAX_REQUESTS_WITHOUT_PROGRESS
+        ):
+            partial.requests_without_progress += 1
+            request = ListRequest(own_version, partial.digest, partial.missing_mask())
             self._send_request(partial.source, request)
             return
         self._partial = None
-        request = ListRequest(held_version, b"", FIRST_CHUNKS)
+        request = ListRequest(own_version, b"", INITIAL_CHUNK_MASK)
         for address in sorted(members, key=lambda _: self._random())[:REQUEST_FANOUT]:
             self._send_request(address, request)
         self._request_rounds += 1
@@ -144,7 +148,7 @@
         now: float,
         source: Address,
         message: Message,
-        held: ListStatus,
+        own_status: ListStatus,
         document: Callable[[], bytes],
     ) -> None:
         """Answer another node; `document` makes discovery's JSON of the list that is held."""
@@ -152,12 +156,16 @@
         if request is None:
             self._count("members.lists_wrong")
             return
-        if held.is_live:
-            self._discovery_heard_at = now
-        age_ms = now - self._discovery_heard_at
-        if not held.from_discovery or age_ms > MAX_LIST_AGE_MS or held.version <= request.version:
+        if own_status.is_watch_open:
+            self._discovery_contact_at = now
+        age_ms = now - self._discovery_contact_at
+        if (
+            not own_status.is_from_discovery
+            or age_ms > MAX_LIST_AGE_MS
+            or own_status.version <= request.version
+        ):
             return
-        compressed = self._compress(now, held.version, document)
+        compressed = self._compress(now, own_status.version, document)
         if compressed.chunk_count > MAX_CHUNKS:
             self._count("members.lists_long")
             return
@@ -169,11 +177,11 @@
             self._send_chunk(source, compressed.chunk(index, max(0.0, age_ms)))
 
     def _compress(self, now: float, version: int, document: Callable[[], bytes]) -> CompressedList:
-        kept = self._compressed
-        if kept is not None and kept.version == version:
-            if now - kept.compressed_at <= COMPRESSED_LIFETIME_MS:
-                return kept
-        self._compressed = CompressedList.of(version, now, document())
+        cached = self._compressed
+        if cached is not None and cached.version == version:
+            if now - cached.compressed_at <= COMPRESSED_LIFETIME_MS:
+                return cached
+        self._compressed = CompressedList.compress(version, now, document())
         return self._compressed
 
     def _send_chunk(self, address: Address, chunk: ListChunk) -> None:
@@ -184,15 +192,15 @@
     # ---- chunks that come
 
     def handle_chunk(
-        self, now: float, source: Address, message: Message, held: ListStatus
+        self, now: float, source: Address, message: Message, own_status: ListStatus
     ) -> ReceivedList | None:
         """Take a chunk; returns the list once it is complete."""
         chunk = ListChunk.parse(message.payload)
         if chunk is None:
             self._count("members.lists_wrong")
             return None
-        outdated = chunk.version <= held.version or chunk.age_ms > MAX_LIST_AGE_MS
-        if held.from_discovery or outdated:
+        is_outdated = chunk.version <= own_status.version or chunk.age_ms > MAX_LIST_AGE_MS
+        if own_status.is_from_discovery or is_outdated:
             self._count("members.lists_old")
             return None
         partial = self._partial_list_for(now, source, chunk)
@@ -215,7 +223,7 @@
     ) -> PartialList | None:
         """The list that the chunk belongs to; None where another one goes on."""
         partial = self._partial
-        if partial is not None and partial.is_continued_by(source, chunk):
+        if partial is not None and partial.includes(source, chunk):
             return partial
         # Another member's list that is no newer gives way; one of the same member has changed.
         if partial is not None and partial.source != source and chunk.version <= partial.version:
--- a/hookpitch/members/failure_detector.py
+++ b/hookpitch/members/failure_detector.py
@@ -45,9 +45,9 @@
         """By which timeouts of probes are longer."""
         return 1 + self.penalty
 
-    def worsen(self, by: int = 1) -> None:
+    def worsen(self, amount: int = 1) -> None:
         """An own probe failed, the own loop stalled, or this member was suspected."""
-        self.penalty = min(MAX_HEALTH_PENALTY, self.penalty + by)
+        self.penalty = min(MAX_HEALTH_PENALTY, self.penalty + amount)
 
     def improve(self) -> None:
         """An own probe was answered."""
@@ -63,13 +63,13 @@
     started_at: float
     attempt: int = 1
     helpers: tuple[str, ...] = ()  # members that were asked to probe
-    indirect: bool = False  # the direct timeout is over
-    answered: bool = False
+    is_indirect: bool = False  # the direct timeout is over
+    is_answered: bool = False
 
     @property
     def awaits_direct_answer(self) -> bool:
         """Whether the direct timeout still matters."""
-        return not (self.indirect or self.answered)
+        return not (self.is_indirect or self.is_answered)
 
 
 class RelayedProbe(NamedTuple):
@@ -131,7 +131,7 @@
             self._round.append(self.probe.target)
             self.probe_next(now, self.probe.attempt + 1)
 
-    def may_retry(self) -> bool:
+    def can_retry(self) -> bool:
         """Whether the unanswered probe is followed by another one before a suspicion."""
         if self.probe is None or self.probe.attempt >= PROBE_ATTEMPTS:
             return False
@@ -145,7 +145,7 @@
             return
         if now < probe.started_at + DIRECT_TIMEOUT_MS * self.health.timeout_factor:
             return
-        probe.indirect = True
+        probe.is_indirect = True
         probe.helpers = tuple(self._dissemination.sample(INDIRECT_PROBES, (probe.target,)))
         target = self._members[probe.target].record
         self._send_probe(probe, target)
@@ -155,7 +155,7 @@
         for helper in probe.helpers:
             self._dissemination.send(helper, request)
 
-    def period_over(self, now: float) -> bool:
+    def is_period_over(self, now: float) -> bool:
         """Whether the present probe has had its period, or there is none."""
         if self.probe is None:
             return True
@@ -168,7 +168,7 @@
         timeout_ms = DIRECT_TIMEOUT_MS if self.probe.awaits_direct_answer else PROBE_PERIOD_MS
         return min(self.probe.started_at + timeout_ms * self.health.timeout_factor, latest)
 
-    def postpone(self, ms: float) -> None:
+    def extend_timeouts(self, ms: float) -> None:
         """Give the present probe more time, as this member was suspended."""
         if self.probe is not None:
             self.probe.started_at += ms
@@ -196,7 +196,7 @@
 
     # ---- answers, and probes on behalf of others
 
-    def answer_received(self, message: Message) -> None:
+    def ack_received(self, message: Message) -> None:
         """An ACK of the present probe, or of one on behalf of another member."""
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
@@ -206,7 +206,7 @@
         if probe is None:
             return
         if (probe.sequence, probe.target) == (message.sequence, message.target):
-            probe.answered = True
+            probe.is_answered = True
             self.health.improve()
 
     def probe_requested(self, now: float, requester: Address, message: Message) -> None:
--- a/hookpitch/members/flap_damping.py
+++ b/hookpitch/members/flap_damping.py
@@ -25,7 +25,7 @@
     return member.damped_since is not None and now - member.damped_since > DAMPED_MS
 
 
-def release(member: Member) -> None:
+def end_damping(member: Member) -> None:
     """Let the member return to views, with a clean record."""
     member.damped_since = None
     member.recovered_at.clear()
--- a/hookpitch/members/identity.py
+++ b/hookpitch/members/identity.py
@@ -16,7 +16,7 @@
 from hookpitch.members.messages import MAX_METADATA_BYTES, MemberState, Record
 
 # So many claims by another member to this one's name in so long are a conflict.
-NAME_CONFLICTS = 3
+NAME_CLAIMS_FOR_CONFLICT = 3
 NAME_CONFLICT_WINDOW_MS = 10000.0
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self, member: Member) -> None:
         self.member = member
-        self._claims: deque[float] = deque(maxlen=NAME_CONFLICTS)
+        self._claims: deque[float] = deque(maxlen=NAME_CLAIMS_FOR_CONFLICT)
 
     @property
     def record(self) -> Record:
@@ -45,12 +45,12 @@
         """Declare that this member has left."""
         self.member.record = replace(self.record, state=MemberState.LEFT)
 
-    def is_wrong(self, record: Record) -> bool:
+    def needs_refutation(self, record: Record) -> bool:
         """Whether another member's record of this one has to be refuted."""
         if record.incarnation < self.record.incarnation:
             return False
-        agrees = record.state == MemberState.ALIVE and record.address == self.record.address
-        return record.incarnation > self.record.incarnation or not agrees
+        is_consistent = record.state == MemberState.ALIVE and record.address == self.record.address
+        return record.incarnation > self.record.incarnation or not is_consistent
 
     def refute(self, record: Record) -> None:
         """Raise the incarnation above that of a wrong record."""
@@ -59,12 +59,15 @@
             self.record, incarnation=record.incarnation + 1, metadata_version=version
         )
 
-    def must_give_way(self, now: float, record: Record) -> bool:
+    def loses_name_conflict(self, now: float, record: Record) -> bool:
         """Note a claim to this name, if the record is one; whether to fall silent for it."""
         is_claim = record.address != self.record.address and record.state <= MemberState.SUSPECTED
         if not is_claim or record.incarnation < self.record.incarnation:
             return False
         self._claims.append(now)
-        if len(self._claims) < NAME_CONFLICTS or now - self._claims[0] >= NAME_CONFLICT_WINDOW_MS:
+        if (
+            len(self._claims) < NAME_CLAIMS_FOR_CONFLICT
+            or now - self._claims[0] >= NAME_CONFLICT_WINDOW_MS
+        ):
             return False
         return record.address > self.record.address
--- a/hookpitch/members/list_chunks.py
+++ b/hookpitch/members/list_chunks.py
@@ -17,13 +17,13 @@
 from hookpitch.members.messages import Address
 
 # A mask: the chunks that are requested while no list is known.
-FIRST_CHUNKS = 0xF
+INITIAL_CHUNK_MASK = 0xF
 CHUNK_BYTES = 900
 MAX_CHUNKS = 64
 MAX_LIST_BYTES = 1 << 20
 COMPRESSION_LEVEL = 6
 DIGEST_BYTES = 8
-MAX_COUNT = 1 << 62
+INTEGER_LIMIT = 1 << 62
 
 
 class ListRequest(NamedTuple):
@@ -40,7 +40,11 @@
             version, digest, chunk_mask, *_ = msgspec.msgpack.decode(payload)
         except (msgspec.MsgspecError, ValueError, TypeError):
             return None
-        if not (_is_count(version) and type(digest) is bytes and _is_count(chunk_mask)):
+        if not (
+            _is_unsigned_integer(version)
+            and type(digest) is bytes
+            and _is_unsigned_integer(chunk_mask)
+        ):
             return None
         return cls(version, digest, chunk_mask)
 
@@ -67,11 +71,11 @@
 
     def is_valid(self) -> bool:
         """Whether each field has its type and is within bounds."""
-        if not (_is_count(self.version) and type(self.digest) is bytes):
+        if not (_is_unsigned_integer(self.version) and type(self.digest) is bytes):
             return False
         if not (type(self.age_ms) in (int, float) and self.age_ms >= 0):
             return False
-        if not (_is_count(self.index) and _is_count(self.count)):
+        if not (_is_unsigned_integer(self.index) and _is_unsigned_integer(self.count)):
             return False
         if not self.index < self.count <= MAX_CHUNKS:
             return False
@@ -82,8 +86,8 @@
 class PartialList:
     """A list of which some chunks are missing.
 
-    `age_ms`: since its sender last heard from discovery, at `started_at`. `fruitless_requests`:
-    requests since the last new chunk.
+    `age_ms`: since its sender last heard from discovery, at `started_at`.
+    `requests_without_progress`: requests since the last new chunk.
     """
 
     source: Address
@@ -92,23 +96,23 @@
     digest: bytes
     count: int
     started_at: float
-    fruitless_requests: int = 0
+    requests_without_progress: int = 0
     chunks: dict[int, bytes] = field(default_factory=dict)
 
     def missing_mask(self) -> int:
         """A bit for each chunk that has not come; 0 once the list is complete."""
         return sum(1 << index for index in range(self.count) if index not in self.chunks)
 
-    def is_continued_by(self, source: Address, chunk: ListChunk) -> bool:
+    def includes(self, source: Address, chunk: ListChunk) -> bool:
         """Whether the chunk is of this list."""
-        mine = (self.source, self.digest, self.count)
-        return mine == (source, chunk.digest, chunk.count)
+        expected = (self.source, self.digest, self.count)
+        return expected == (source, chunk.digest, chunk.count)
 
     def add(self, chunk: ListChunk) -> None:
         """Keep the chunk, if it is new."""
         if chunk.index not in self.chunks:
             self.chunks[chunk.index] = chunk.data
-            self.fruitless_requests = 0
+            self.requests_without_progress = 0
 
     def document(self) -> bytes | None:
         """The complete list, None where the chunks are no list or one that is too long."""
@@ -132,7 +136,7 @@
     digest: bytes
 
     @classmethod
-    def of(cls, version: int, now: float, document: bytes) -> CompressedList:
+    def compress(cls, version: int, now: float, document: bytes) -> CompressedList:
         """Compress discovery's JSON."""
         data = zlib.compress(document, COMPRESSION_LEVEL)
         return cls(version, now, data, list_digest(data))
@@ -146,7 +150,7 @@
         """Indices; the first ones where the list has changed since the last request."""
         mask = request.chunk_mask
         if request.digest and request.digest != self.digest:
-            mask = FIRST_CHUNKS
+            mask = INITIAL_CHUNK_MASK
         return [index for index in range(self.chunk_count) if mask >> index & 1]
 
     def chunk(self, index: int, age_ms: float) -> ListChunk:
@@ -160,5 +164,5 @@
     return blake2b(compressed, digest_size=DIGEST_BYTES).digest()
 
 
-def _is_count(value: object) -> bool:
-    return type(value) is int and 0 <= value < MAX_COUNT
+def _is_unsigned_integer(value: object) -> bool:
+    return type(value) is int and 0 <= value < INTEGER_LIMIT
--- a/hookpitch/members/member.py
+++ b/hookpitch/members/member.py
@@ -11,8 +11,9 @@
 
 # Recoveries within `flap_damping.FLAP_WINDOW_MS` that damp a member.
 FLAP_RECOVERIES = 3
-# Refuted suspicions within `suspicion.UNCONFIRMED_WINDOW_MS` after which another is held back.
-MAX_UNCONFIRMED = 3
+# Refuted suspicions within `suspicion.REFUTED_SUSPICIONS_WINDOW_MS` after which another is
+# suppressed.
+MAX_REFUTED_SUSPICIONS = 3
 
 
 @dataclass(slots=True)
@@ -24,7 +25,9 @@
     accusers: dict[str, None] = field(default_factory=dict)  # who suspects it, in order
     recovered_at: deque[float] = field(default_factory=lambda: deque(maxlen=FLAP_RECOVERIES))
     # When suspicions that were raised here were refuted.
-    unconfirmed_at: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_UNCONFIRMED))
+    refuted_suspicions_at: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_REFUTED_SUSPICIONS)
+    )
     damped_since: float | None = None
 
     @property
@@ -36,8 +39,8 @@
 def digest(members: Mapping[str, Member]) -> int:
     """Over all that is known: equal where two members know the same."""
     known = sorted(
-        (name, m.record.incarnation, int(m.record.state), m.record.metadata_version)
-        for name, m in members.items()
+        (name, member.record.incarnation, int(member.record.state), member.record.metadata_version)
+        for name, member in members.items()
     )
     return crc32(repr(known).encode())
 
--- a/hookpitch/members/membership.py
+++ b/hookpitch/members/membership.py
@@ -65,7 +65,8 @@
     """One member's knowledge of the fleet.
 
     `members`: all that are known, this one and the dead ones among them. `due`: when to tick.
-    `outbox`: what is to be sent. `silenced`: another member has this name, and this one gave way.
+    `outbox`: what is to be sent. `is_silenced`: another member has this name, and this one
+    gave way.
     """
 
     def __init__(
@@ -81,8 +82,8 @@
         self.name = name
         self.address = address
         self.events = EventLog(log)
-        self.silenced = False
-        self.leaving = False
+        self.is_silenced = False
+        self.is_leaving = False
         # A process that follows another one under its name has to differ from it: by this draw, or
         # by what others know, never by a clock.
         incarnation = 1 + int(random() * MAX_FIRST_INCARNATION)
@@ -146,46 +147,46 @@
 
     def leave(self, now: float) -> None:
         """Say goodbye to some members, who pass it on."""
-        self.leaving = True
+        self.is_leaving = True
         self.identity.leave()
-        goodbye = self._gossip(self.identity.record)
+        departure = self._gossip(self.identity.record)
         for name in self.dissemination.sample(URGENT_FANOUT):
-            self.dissemination.send(name, goodbye)
+            self.dissemination.send(name, departure)
 
     # ---- time
 
     def tick(self, now: float) -> None:
         """Do what is due. To be called at `due`, or later."""
-        self._allow_for_stall(now)
+        self._compensate_for_stall(now)
         self._ticked_at = now
-        if self.silenced or self.leaving:
+        if self.is_silenced or self.is_leaving:
             self.due = now + PROBE_PERIOD_MS
             return
         self._run_probes(now)
-        self.roster.review(now, self.detector.health.penalty)
+        self.roster.expire_timeouts(now, self.detector.health.penalty)
         self.anti_entropy.tick(now)
         self._push_changes()
         self._settle_view(now)
         self.due = max(now + 1.0, self.detector.next_due(now + PROBE_PERIOD_MS / 2))
 
-    def _allow_for_stall(self, now: float) -> None:
+    def _compensate_for_stall(self, now: float) -> None:
         """A member that was suspended finds all others silent, while it is the one that was."""
         late_ms = now - max(self.due, self._ticked_at)
         if late_ms <= STALL_THRESHOLD_MS:
             return
         self.events.count("late")
         self.detector.health.worsen(1 + int(late_ms / PROBE_PERIOD_MS))
-        self.roster.postpone(late_ms)
-        self.detector.postpone(late_ms)
+        self.roster.extend_timeouts(late_ms)
+        self.detector.extend_timeouts(late_ms)
 
     def _run_probes(self, now: float) -> None:
         detector = self.detector
         detector.probe_indirectly(now)
-        if detector.period_over(now):
+        if detector.is_period_over(now):
             probe = detector.probe
-            if probe is None or probe.answered:
+            if probe is None or probe.is_answered:
                 detector.probe_next(now)
-            elif detector.may_retry():
+            elif detector.can_retry():
                 detector.retry(now)
             else:
                 detector.health.worsen()
@@ -198,7 +199,7 @@
         target = self.members.get(probe.target)
         if target is None or not target.is_active:
             return
-        if suspicion.is_held_back(target, now):
+        if suspicion.is_suppressed(target, now):
             self.events.count("held_back")
             return
         self.events.count("accusations")
@@ -223,34 +224,34 @@
 
     def receive(self, now: float, source: Address, message: Message) -> None:
         """Take a datagram from `source`."""
-        if self.silenced or message.sender == self.name:
+        if self.is_silenced or message.sender == self.name:
             return
         sender = self.members.get(message.sender)
-        self._allow_for_isolation(now)
+        self._compensate_for_isolation(now)
         for record in message.records:
-            self._take_gossip(now, source, message.sender, sender, record)
+            self._apply_gossip(now, source, message.sender, sender, record)
         self._correct_stale_records(source, message)
         if message.kind == MessageKind.PROBE and message.target != self.name:
             # It was meant for a member that had this address before.
             self.events.count("misdirected")
             return
-        self._answer(now, source, message)
+        self._dispatch(now, source, message)
         if message.full_sync:
             self.dissemination.send_known_records(source, False, message.partition_digests)
         self._inform_sender(source, message.sender, sender)
 
-    def _allow_for_isolation(self, now: float) -> None:
+    def _compensate_for_isolation(self, now: float) -> None:
         """Restart suspicions after a time without datagrams: refutations were missed meanwhile."""
         if now - self._received_at > ISOLATION_MS:
             self.events.count("deaf")
             self.roster.restart_timeouts(now)
         self._received_at = now
 
-    def _take_gossip(
+    def _apply_gossip(
         self, now: float, source: Address, sender_name: str, sender: Member | None, record: Record
     ) -> None:
-        second_hand = record.accuser not in ("", sender_name)
-        self._apply_record(now, record, f"told by {sender_name}" if second_hand else "")
+        is_relayed = record.accuser not in ("", sender_name)
+        self._apply_record(now, record, f"told by {sender_name}" if is_relayed else "")
         if sender is None or record.name != sender_name:
             return
         if sender.record.incarnation > record.incarnation:
@@ -273,12 +274,12 @@
             self.events.count("corrected")
             self.dissemination.send_to(source, self._gossip(*newer[:MAX_RECORDS_PER_DATAGRAM]))
 
-    def _answer(self, now: float, source: Address, message: Message) -> None:
+    def _dispatch(self, now: float, source: Address, message: Message) -> None:
         if message.kind == MessageKind.PROBE:
             answer = Message(MessageKind.ACK, self.name, message.sequence, self.name)
             self.dissemination.send_to(source, answer)
         elif message.kind == MessageKind.ACK:
-            self.detector.answer_received(message)
+            self.detector.ack_received(message)
         elif message.kind == MessageKind.PROBE_REQUEST:
             self.detector.probe_requested(now, source, message)
         elif message.kind == MessageKind.DIGEST:
@@ -302,14 +303,14 @@
 
     def _apply_own_record(self, now: float, record: Record) -> None:
         """What others hold of this member; refuted where it is wrong."""
-        if self.leaving:
+        if self.is_leaving:
             return
-        if self.identity.must_give_way(now, record):
-            self.silenced = True
+        if self.identity.loses_name_conflict(now, record):
+            self.is_silenced = True
             self.events.count("clash")
             host, port = record.address
             self.events.report("member_name_conflict", member=self.name, other=f"{host}:{port}")
-        elif self.identity.is_wrong(record):
+        elif self.identity.needs_refutation(record):
             self._refute(record)
 
     def _refute(self, record: Record) -> None:
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -38,9 +38,9 @@
 MAX_DATAGRAMS_PER_S = 2000
 # Until the next try to listen, where the process before still holds the address.
 LISTEN_RETRY_MS = 500.0
-MAX_REFUSALS_LOGGED = 3
+MAX_REJECTIONS_LOGGED = 3
 # Discovery's words for an endpoint's state.
-HEALTH_WORDS = {state: word for word, state in ENDPOINT_STATES.items()}
+HEALTH_NAMES = {state: name for name, state in ENDPOINT_STATES.items()}
 
 
 class _EndpointList(NamedTuple):
@@ -71,7 +71,7 @@
         self.count = count
         self.node = node
         self.codec = Codec(settings.fleet)
-        self.listening: Any = None
+        self.listening_port: Any = None
         # Processes of one node must not draw alike: the moment of the start makes them differ.
         start_seed = seed ^ int(clock.now())
         self.membership = Membership(
@@ -89,7 +89,7 @@
         self._accepted_version = 0  # of the list that a member sent
         self._pending_list: _EndpointList | None = None  # accepted, and not given to the node yet
         self._rate_limit = RateLimit(MAX_DATAGRAMS_PER_S)
-        self._refusals = 0
+        self._rejection_count = 0
 
     # ---- service
 
@@ -97,7 +97,7 @@
         """Listen, now or as soon as the process before has left the address."""
         host, port = self.settings.listen
         try:
-            self.listening = reactor.listenUDP(port, self, interface=host)
+            self.listening_port = reactor.listenUDP(port, self, interface=host)
         except CannotListenError:
             retry_at = self.clock.now() + LISTEN_RETRY_MS
             self.clock.deadlines.add(retry_at, lambda _: self.start(reactor))
@@ -106,23 +106,23 @@
 
     def leave(self) -> None:
         """Say goodbye, and stop listening."""
-        if self.listening is None or self.membership.leaving:
+        if self.listening_port is None or self.membership.is_leaving:
             return
         self.membership.leave(self.clock.now())
         self.flush()
-        self.listening.stopListening()
-        self.listening = None
+        self.listening_port.stopListening()
+        self.listening_port = None
 
     def tick(self, now: float) -> None:
         """Do what is due, and schedule the next call."""
-        if self.listening is None:
+        if self.listening_port is None:
             return
         if now >= self.membership.due:
             self.membership.tick(now)
         due = self.membership.due
         if self.node is not None:
-            due = min(due, self.exchange.tick(now, self.list_status(), self._exchange_members()))
-            self._give_pending_list()
+            due = min(due, self.exchange.tick(now, self.list_status(), self._list_sources()))
+            self._apply_pending_list()
         self.flush()
         self.clock.deadlines.add(max(due, now + 1.0), self.tick)
 
@@ -148,7 +148,7 @@
         try:
             message = self.codec.read(data)
         except DatagramError as error:
-            self._refused(addr, error)
+            self._datagram_rejected(addr, error)
             return
         source = addr[:2]
         self.membership.receive(now, source, message)
@@ -156,11 +156,11 @@
             self._exchange_list(now, source, message)
         self.flush()
 
-    def _refused(self, source: Address, error: DatagramError) -> None:
+    def _datagram_rejected(self, source: Address, error: DatagramError) -> None:
         self.count(f"members.{error}")
-        self._refusals += 1
-        if self._refusals <= MAX_REFUSALS_LOGGED:
-            self._log("member_datagram_refused", source=_text(source), reason=str(error))
+        self._rejection_count += 1
+        if self._rejection_count <= MAX_REJECTIONS_LOGGED:
+            self._log("member_datagram_refused", source=_format_address(source), reason=str(error))
 
     # ---- endpoint lists
 
@@ -172,12 +172,12 @@
         """
         discovery = self.node.discovery
         counts = self.node.host.counters.counts
-        from_discovery = "lists.full" in counts or "lists.delta" in counts
+        is_from_discovery = "lists.full" in counts or "lists.delta" in counts
         version = discovery.version
-        if not from_discovery:
+        if not is_from_discovery:
             version = max(version, self._accepted_version)
-        watch_is_open = discovery.poll_schedule.due_at == NEVER
-        return ListStatus(version, from_discovery, from_discovery and watch_is_open)
+        is_watch_open = discovery.poll_schedule.due_at == NEVER
+        return ListStatus(version, is_from_discovery, is_from_discovery and is_watch_open)
 
     def _exchange_list(self, now: float, source: Address, message: Message) -> None:
         if message.kind == MessageKind.LIST_REQUEST:
@@ -189,15 +189,15 @@
             if received is not None:
                 self._accept_list(received)
 
-    def _exchange_members(self) -> list[Address]:
+    def _list_sources(self) -> list[Address]:
         """Who may be asked for a list: the seeds, and all members that are alive."""
         alive = [
             member.record.address
             for member in self.membership.members.values()
             if member.record.state == MemberState.ALIVE
         ]
-        known = dict.fromkeys((*self.settings.seeds, *alive))
-        return [address for address in known if address != self.settings.listen]
+        candidates = dict.fromkeys((*self.settings.seeds, *alive))
+        return [address for address in candidates if address != self.settings.listen]
 
     def _list_document(self) -> bytes:
         """The list that this node holds, as discovery's JSON."""
@@ -212,7 +212,7 @@
                 "block": backend.cell,
                 "share": backend.size,
                 "born_ms": max(0.0, backend.started_at),
-                "health": HEALTH_WORDS[backend.listed_state],
+                "health": HEALTH_NAMES[backend.listed_state],
                 "class": kinds[backend.kind] if 0 <= backend.kind < len(kinds) else "",
             }
             for backend in host.router.backends.values()
@@ -224,7 +224,7 @@
 
     def _accept_list(self, received: ReceivedList) -> None:
         """Check a list that has come, and give it to the node."""
-        source = _text(received.source)
+        source = _format_address(received.source)
         try:
             endpoints, addresses = self._checked_list(received)
         except ValueError as error:
@@ -240,31 +240,31 @@
             endpoints=len(endpoints),
         )
         self._accepted_version = received.version
-        reached = {id: self._reached_at(address) for id, address in addresses.items()}
-        self._pending_list = _EndpointList(endpoints, reached)
-        self._give_pending_list()
+        dial_addresses = {id: self._dial_address(address) for id, address in addresses.items()}
+        self._pending_list = _EndpointList(endpoints, dial_addresses)
+        self._apply_pending_list()
 
     def _checked_list(self, received: ReceivedList) -> _EndpointList:
         """Raises ValueError where the list is malformed, or no node can start with it."""
         deployment = self.node.host.deployment
-        version, is_whole, endpoints, addresses = parse_endpoint_list(
+        version, is_complete, endpoints, addresses = parse_endpoint_list(
             received.document, deployment.kinds
         )
         has_ready_cache = any(
             endpoint.state == EndpointState.READY and endpoint.kind != deployment.origin_kind
             for endpoint in endpoints
         )
-        if version != received.version or not is_whole or not has_ready_cache:
+        if version != received.version or not is_complete or not has_ready_cache:
             raise MembersError("no list to begin with")
         return _EndpointList(endpoints, addresses)
 
-    def _reached_at(self, address: str) -> str:
+    def _dial_address(self, address: str) -> str:
         """Where an endpoint that another member sent is dialled from here."""
         host, _, port = address.rpartition(":")
-        reached = self.settings.dial.get((parse_host(host), int(port)))
-        return address if reached is None else _text(reached)
+        dial_address = self.settings.dial.get((parse_host(host), int(port)))
+        return address if dial_address is None else _format_address(dial_address)
 
-    def _give_pending_list(self) -> None:
+    def _apply_pending_list(self) -> None:
         """Let the node serve by a member's list until discovery sends one.
 
         Not during a poll: its response may hold changes to the list before, which would be applied
@@ -274,7 +274,7 @@
         if pending is None or self.node.discovery.current_watch is not None:
             return
         self._pending_list = None
-        if not self.list_status().from_discovery:
+        if not self.list_status().is_from_discovery:
             self.node.apply_cached_endpoints(0, pending.endpoints, pending.addresses)
 
     # ---- operators
@@ -297,14 +297,14 @@
         if record.state == MemberState.ALIVE and name not in self.membership.view.members:
             state += " flapping"
         seconds = max(0.0, now - member.state_since) / 1000
-        by = f" by={record.accuser}" if record.accuser else ""
+        accuser = f" by={record.accuser}" if record.accuser else ""
         return (
             f"{name} {state} for={seconds:.1f}s "
-            f"incarnation={record.incarnation} at={_text(record.address)}{by}"
+            f"incarnation={record.incarnation} at={_format_address(record.address)}{accuser}"
         )
 
 
-def _text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     host, port = address
     return f"{host}:{port}"
 
--- a/hookpitch/members/roster.py
+++ b/hookpitch/members/roster.py
@@ -13,7 +13,7 @@
 from hookpitch.members import flap_damping, suspicion
 from hookpitch.members.dissemination import Dissemination
 from hookpitch.members.events import EventLog
-from hookpitch.members.member import MAX_UNCONFIRMED, Member
+from hookpitch.members.member import MAX_REFUTED_SUSPICIONS, Member
 from hookpitch.members.messages import MemberState, Record
 from hookpitch.members.view import ViewPublisher
 
@@ -36,7 +36,7 @@
         "_events",
         "_own_name",
         "_views",
-        "_watched",
+        "_with_timeout",
     )
 
     def __init__(
@@ -53,38 +53,38 @@
         self._dissemination = dissemination
         self._views = views
         self._events = events
-        self._watched: dict[str, None] = {}  # who is not simply alive, in order
+        self._with_timeout: dict[str, None] = {}  # who is not simply alive, in order
 
     # ---- time
 
-    def postpone(self, ms: float) -> None:
+    def extend_timeouts(self, ms: float) -> None:
         """Do not count a time in which this member was suspended."""
-        for name in self._watched:
+        for name in self._with_timeout:
             self.members[name].state_since += ms
 
     def restart_timeouts(self, now: float) -> None:
         """Begin all suspicions anew."""
-        for name in self._watched:
+        for name in self._with_timeout:
             self.members[name].state_since = now
 
-    def review(self, now: float, health_penalty: int) -> None:
+    def expire_timeouts(self, now: float, health_penalty: int) -> None:
         """End suspicions, tombstones and damping that have lasted long enough."""
-        for name in list(self._watched):
+        for name in list(self._with_timeout):
             known = self.members[name]
             state = known.record.state
-            if self._is_to_be_called_dead(now, known, health_penalty):
+            if self._is_suspicion_expired(now, known, health_penalty):
                 dead = replace(known.record, state=MemberState.DEAD, accuser=self._own_name)
                 self.apply(now, dead)
             elif state >= MemberState.DEAD and now - known.state_since > TOMBSTONE_MS:
                 del self.members[name]
-                del self._watched[name]
+                del self._with_timeout[name]
             elif flap_damping.has_stabilized(known, now):
-                flap_damping.release(known)
+                flap_damping.end_damping(known)
                 self._views.note_change(now)
             elif state == MemberState.ALIVE and known.damped_since is None:
-                del self._watched[name]
+                del self._with_timeout[name]
 
-    def _is_to_be_called_dead(self, now: float, suspect: Member, health_penalty: int) -> bool:
+    def _is_suspicion_expired(self, now: float, suspect: Member, health_penalty: int) -> bool:
         """Whether it is suspected, and has been for long enough."""
         if suspect.record.state != MemberState.SUSPECTED:
             return False
@@ -109,9 +109,9 @@
             record = _with_metadata_of(record, known.record)
         elif _has_older_metadata(record, known.record):
             record = _with_metadata_of(record, known.record)
-        before = known.record
+        previous = known.record
         known.record = record
-        self._record_changed(now, known, before, evidence)
+        self._record_changed(now, known, previous, evidence)
 
     def _add_member(self, now: float, record: Record, evidence: str) -> None:
         if len(self.members) >= MAX_MEMBERS and not self._evict_tombstone():
@@ -120,44 +120,46 @@
         added = Member(record, now)
         self.members[record.name] = added
         if record.state >= MemberState.DEAD:
-            self._watched[record.name] = None  # kept so that older records of it change nothing
+            self._with_timeout[record.name] = (
+                None  # kept so that older records of it change nothing
+            )
             return
         self._record_changed(now, added, None, evidence)
 
     def _evict_tombstone(self) -> bool:
         """Forget the member that has been dead for longest, to bound memory; whether one was."""
-        tombstones = [name for name in self._watched if not self.members[name].is_active]
+        tombstones = [name for name in self._with_timeout if not self.members[name].is_active]
         if not tombstones:
             return False
         oldest = min(tombstones, key=lambda name: self.members[name].state_since)
         del self.members[oldest]
-        del self._watched[oldest]
+        del self._with_timeout[oldest]
         self._dissemination.forget(oldest)
         return True
 
     def _merge_same_incarnation(self, known: Member, record: Record) -> None:
         """Take another accuser, and newer metadata, of a record that is otherwise known."""
-        both_suspect = record.state == MemberState.SUSPECTED == known.record.state
-        if both_suspect and suspicion.confirm(known, record.accuser):
+        are_both_suspected = record.state == MemberState.SUSPECTED == known.record.state
+        if are_both_suspected and suspicion.confirm(known, record.accuser):
             self._dissemination.reannounce(record.name)
         if _has_older_metadata(known.record, record):
             known.record = _with_metadata_of(known.record, record)
             self._dissemination.announce(record.name)
 
     def _record_changed(
-        self, now: float, changed: Member, before: Record | None, evidence: str
+        self, now: float, changed: Member, previous: Record | None, evidence: str
     ) -> None:
-        """Do all that follows from a new record; `before` is None for a newcomer."""
+        """Do all that follows from a new record; `previous` is None for a newcomer."""
         record = changed.record
         changed.state_since = now
         if record.state == MemberState.ALIVE and self._own_name in changed.accusers:
             self._suspicion_refuted(now, changed)
-        suspected = record.state == MemberState.SUSPECTED
-        changed.accusers = {record.accuser: None} if suspected else {}
+        is_suspected = record.state == MemberState.SUSPECTED
+        changed.accusers = {record.accuser: None} if is_suspected else {}
         if record.state != MemberState.ALIVE:
-            self._watched[record.name] = None
-        if before is None or before.state != record.state:
-            was_dead = before is not None and before.state >= MemberState.DEAD
+            self._with_timeout[record.name] = None
+        if previous is None or previous.state != record.state:
+            was_dead = previous is not None and previous.state >= MemberState.DEAD
             if was_dead and record.state == MemberState.ALIVE:
                 self._note_recovery(now, changed)
             self._report_state(record, evidence)
@@ -170,7 +172,7 @@
             self._events.report(
                 "member_suspicions_held_back",
                 member=refuter.record.name,
-                unconfirmed=MAX_UNCONFIRMED,
+                unconfirmed=MAX_REFUTED_SUSPICIONS,
             )
 
     def _note_recovery(self, now: float, recovered: Member) -> None:
@@ -182,14 +184,14 @@
             self._events.count("flapping")
             self._events.report("member_damped", member=name, ms=flap_damping.DAMPED_MS)
         recovered.damped_since = now
-        self._watched[name] = None
+        self._with_timeout[name] = None
 
     def _report_state(self, record: Record, evidence: str) -> None:
         state = record.state.name.lower()
         self._events.count(state)
-        by = f" by {record.accuser}" if record.accuser else ""
-        path = f", {evidence}" if evidence and record.state != MemberState.ALIVE else ""
-        text = f"{record.name} {state}{by}{path}, incarnation {record.incarnation}"
+        accuser = f" by {record.accuser}" if record.accuser else ""
+        details = f", {evidence}" if evidence and record.state != MemberState.ALIVE else ""
+        text = f"{record.name} {state}{accuser}{details}, incarnation {record.incarnation}"
         self._events.report("members", what=text)
 
 
--- a/hookpitch/members/settings.py
+++ b/hookpitch/members/settings.py
@@ -18,7 +18,7 @@
 from hookpitch.members.errors import MembersError
 from hookpitch.members.messages import Address
 
-MAX_PORT = 65536
+PORT_LIMIT = 65536
 
 
 class SettingsError(MembersError):
@@ -55,14 +55,15 @@
         fleet=fleet,
         seeds=tuple(_address(seed, "seeds") for seed in seeds),
         dial={
-            _address(given, "dial"): _address(reached, "dial") for given, reached in dial.items()
+            _address(address, "dial"): _address(dial_address, "dial")
+            for address, dial_address in dial.items()
         },
     )
 
 
 def _address(text: object, name: str) -> Address:
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not port.isdigit() or not 0 < int(port) < MAX_PORT:
+    if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
         raise SettingsError(f"{name}: '{text}' is no address with a port")
     return parse_host(host), int(port)
 
--- a/hookpitch/members/view.py
+++ b/hookpitch/members/view.py
@@ -54,10 +54,14 @@
             return
         self._unsettled_since = None
         visible = tuple(
-            sorted(name for name, m in members.items() if m.is_active and m.damped_since is None)
+            sorted(
+                name
+                for name, member in members.items()
+                if member.is_active and member.damped_since is None
+            )
         )
         if visible == self.view.members:
             return
-        dead = sum(m.record.state == MemberState.DEAD for m in members.values())
+        dead = sum(member.record.state == MemberState.DEAD for member in members.values())
         fraction = len(visible) / max(1, len(visible) + dead)
         self.view = View(self.view.version + 1, visible, fraction)
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -42,7 +42,7 @@
         self.tellers = {
             at: EndpointExchange(0.0, f"n{at}", self.rng.random, self.count) for at in self.at
         }
-        self.held, self.taken = NOTHING, list[ReceivedList]()
+        self.own_status, self.taken = NOTHING, list[ReceivedList]()
         self.flying: list[tuple[tuple, tuple, Message]] = []  # from, to
 
     def count(self, name: str) -> None:
@@ -50,7 +50,7 @@
 
     def tick(self, ms: float = 1000.0) -> None:
         self.now += ms
-        self.asker.tick(self.now, self.held, [at for at, told in self.at.items() if told])
+        self.asker.tick(self.now, self.own_status, [at for at, told in self.at.items() if told])
         self.flying += [(C, to, message) for to, message in self.asker.outbox]
         self.asker.outbox = []
 
@@ -60,10 +60,10 @@
         assert len(data) <= MAX_BYTES
         assert Codec("f").read(data) == message
         if to == C:
-            taken = self.asker.handle_chunk(self.now, source, message, self.held)
+            taken = self.asker.handle_chunk(self.now, source, message, self.own_status)
             if taken is not None:
                 self.taken.append(taken)
-                self.held = ListStatus(taken.version, False, False)
+                self.own_status = ListStatus(taken.version, False, False)
             return
         told, text = self.at[to]
         self.tellers[to].handle_request(self.now, source, message, told, lambda: text)
@@ -152,7 +152,7 @@
     there: ListStatus, here: ListStatus
 ) -> None:
     p = Pair(a=(there, TEXT))
-    p.held = here
+    p.own_status = here
     p.tick(0.0)
     p.all()
     p.tick()
@@ -184,7 +184,7 @@
     p = Pair(a=(FRESH, b"[]"))
     p.tick(0.0)
     p.come()
-    p.held = ListStatus(3, True, True)  # discovery came first
+    p.own_status = ListStatus(3, True, True)  # discovery came first
     p.all()
     p.tick(60000.0)
     assert not p.taken
@@ -287,11 +287,13 @@
             texts[version] = TEXT[n:]
             p.at[A] = (ListStatus(version, True, True), texts[version])
         elif what == "told":
-            p.held = ListStatus(p.held.version, n > 25 or p.held.from_discovery, False)
+            p.own_status = ListStatus(
+                p.own_status.version, n > 25 or p.own_status.is_from_discovery, False
+            )
         elif p.flying:
             at = n % len(p.flying)
             before = len(p.taken)
-            told = p.held.from_discovery
+            told = p.own_status.is_from_discovery
             p.flying.pop(at) if what == "lose" else p.come(at, keep=what == "twice")
             assert len(p.taken) == before or not told
         versions = [t.version for t in p.taken]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -21,7 +21,7 @@
 from hookpitch.members.codec import MAX_BYTES, Codec
 from hookpitch.members.dissemination import Dissemination
 from hookpitch.members.failure_detector import PROBE_PERIOD_MS, Probe
-from hookpitch.members.member import MAX_UNCONFIRMED, Member
+from hookpitch.members.member import MAX_REFUTED_SUSPICIONS, Member
 from hookpitch.members.membership import Membership
 from hookpitch.members.messages import PARTITIONS, MemberState, Message, MessageKind, Record
 from hookpitch.members.port import attach, parse_settings
@@ -272,7 +272,7 @@
     before = m.counts["accusations"]
     net.advance(240)  # one in `SPARED_MS` of each at the most; it would be one in 47 s
     assert m.counts.get("held_back", 0) > 0
-    assert before <= (MAX_UNCONFIRMED + 1) * len(others)
+    assert before <= (MAX_REFUTED_SUSPICIONS + 1) * len(others)
     assert m.counts["accusations"] - before <= 2 * len(others)
     assert not deaths(net)
 
@@ -292,7 +292,7 @@
 def test_a_death_is_detected_by_others_where_one_holds_its_suspicions_back() -> None:
     net = up(8)
     m = net.members["m3"]
-    m.members["m5"].unconfirmed_at.extend([net.now - 2000.0, net.now - 1000.0, net.now])
+    m.members["m5"].refuted_suspicions_at.extend([net.now - 2000.0, net.now - 1000.0, net.now])
     net.kill(["m5"])
     net.advance(12)
     assert len(net.believers("m5", MemberState.DEAD)) == 7
@@ -335,7 +335,7 @@
     )
     net.run("m9", net.members["m9"])
     net.advance(30)
-    silent = [n for n in ("m2", "m9") if net.members[n].silenced]
+    silent = [n for n in ("m2", "m9") if net.members[n].is_silenced]
     assert len(silent) == 1
     assert any(who in silent and "conflict member=m2" in text for _, who, text in net.logs)
     last = max(m.members["m2"].record.incarnation for m in net.members.values())
@@ -551,8 +551,8 @@
                 m.detector.probe
                 and (
                     m.detector.probe.target,
-                    m.detector.probe.indirect,
-                    m.detector.probe.answered,
+                    m.detector.probe.is_indirect,
+                    m.detector.probe.is_answered,
                 ),
             )
             for n, m in self.members.items()
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -14,7 +14,7 @@
 )
 from test_members import World
 
-from hookpitch.members.codec import HEAD, KINDS, MAX_BYTES, MAX_NAME_CHARS, Codec
+from hookpitch.members.codec import HEADER, KINDS, MAX_BYTES, MAX_NAME_CHARS, Codec
 from hookpitch.members.messages import (
     MAX_METADATA_BYTES,
     MAX_RECORDS_PER_DATAGRAM,
@@ -89,7 +89,7 @@
 def test_any_body_is_refused_in_one_word_or_within_bounds(body: bytes, data: st.DataObject) -> None:
     codec = Codec("f")
     if data.draw(st.booleans()):  # near to a true one
-        true = bytearray(codec.write(data.draw(MESSAGES))[HEAD.size :])
+        true = bytearray(codec.write(data.draw(MESSAGES))[HEADER.size :])
         for _ in range(data.draw(st.integers(1, 3))):
             true[data.draw(st.integers(0, len(true) - 1))] = data.draw(st.integers(0, 255))
         body = bytes(true)
