--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -50,8 +50,8 @@
 SHUTDOWN_TIMEOUT_S = 3.0  # for a node to exit, in addition to its longest deadline
 START_TIMEOUT_S = 60.0  # for all processes to be ready
 MAX_LATENESS_MS = 150.0  # a run in which a process of the testbed was later than this is void
-OVERLAP_MS = 5.0  # by which the records of a relay and a server of the same moment may differ
-# For so long after an RPC was sent, its connection's end may have crossed it on the way.
+OVERLAP_MS = 5.0  # how far a relay's and a server's records of the same moment may differ
+# A connection that ends this soon after an RPC was sent on it may have crossed the RPC on the way.
 CROSSING_MS = 20.0
 ADMIN_TIMEOUT_S = 1.0
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay alone, as a process, between plain sockets: each fault of a link is what it says."""
+"""Tests of a relay process between plain sockets: every impairment of a link has its effect."""
 
 import json
 import socket
@@ -14,78 +14,97 @@
 from hookpitch.testbed.child import recorded_events
 from hookpitch.testbed.links import CLEAN, Impairment
 
-NET = "127.9"  # no run's
-AT, TO, WHENCE = (f"{NET}.1.1", 29100), (f"{NET}.2.1", 29101), f"{NET}.9.9"
-PEERS = {"n0": (f"{NET}.0.1", 29102), "n1": (f"{NET}.0.2", 29102)}
-SEEN = {
-    "n0": (f"{NET}.200.1", 29102),
-    "n1": (f"{NET}.200.2", 29102),
-}  # n0 as n1 finds it, n1 as n0 does
-MORE_S = 2.0  # that a loaded machine may take
+SUBNET = "127.9"  # not used by runs on loopback
+LISTEN_ADDRESS, SERVER_ADDRESS, SOURCE_HOST = (
+    (f"{SUBNET}.1.1", 29100),
+    (f"{SUBNET}.2.1", 29101),
+    f"{SUBNET}.9.9",
+)
+NODE_ADDRESSES = {"n0": (f"{SUBNET}.0.1", 29102), "n1": (f"{SUBNET}.0.2", 29102)}
+# The addresses at which n1 reaches n0, and n0 reaches n1.
+ADDRESSES_FOR_PEER = {"n0": (f"{SUBNET}.200.1", 29102), "n1": (f"{SUBNET}.200.2", 29102)}
+LOADED_MACHINE_S = 2.0  # by which a transfer may be late on a loaded machine
 
 
-class Rig:
-    """One relay with a TCP link from n0 to s0, and datagrams between n0 and n1."""
+class RelayProcess:
+    """A relay with a TCP link from n0 to s0, and datagrams between n0 and n1."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, control = folder, socket.socket(socket.AF_UNIX)
         control.bind(str(folder / "control"))
         control.listen()
-        given = {
+        options = {
             "name": "relay0",
             "control": str(folder / "control"),
             "begun": time.monotonic(),
             "seed": 1,
             "history": str(folder / "history"),
             "nodes": ["n0"],
-            "tcp": [["n0", "s0", AT, TO, WHENCE]],
-            "udp": [["n0", "n1", SEEN["n1"], SEEN["n0"], PEERS["n1"], PEERS["n0"]]],
+            "tcp": [["n0", "s0", LISTEN_ADDRESS, SERVER_ADDRESS, SOURCE_HOST]],
+            "udp": [
+                [
+                    "n0",
+                    "n1",
+                    ADDRESSES_FOR_PEER["n1"],
+                    ADDRESSES_FOR_PEER["n0"],
+                    NODE_ADDRESSES["n1"],
+                    NODE_ADDRESSES["n0"],
+                ]
+            ],
         }
-        (folder / "given").write_text(json.dumps(given))
-        words = [sys.executable, "-m", "hookpitch.testbed.relay", str(folder / "given")]
-        self.process = subprocess.Popen(words)
+        (folder / "given").write_text(json.dumps(options))
+        command = [sys.executable, "-m", "hookpitch.testbed.relay", str(folder / "given")]
+        self.process = subprocess.Popen(command)
         control.settimeout(20)
-        self.line = control.accept()[0].makefile("rw")
+        self.control = control.accept()[0].makefile("rw")
         control.close()
-        assert [json.loads(self.line.readline())[0] for _ in range(2)] == ["hello", "ready"]
-        self.server = socket.create_server(TO)
+        assert [json.loads(self.control.readline())[0] for _ in range(2)] == ["hello", "ready"]
+        self.server = socket.create_server(SERVER_ADDRESS)
         self.server.settimeout(3)
 
-    def say(self, *words: object) -> None:
-        for said in (words, ("sync",)):
-            self.line.write(json.dumps(said) + "\n")
-        self.line.flush()
-        assert json.loads(self.line.readline()) == ["done"]
+    def execute(self, *command: object) -> None:
+        for message in (command, ("sync",)):
+            self.control.write(json.dumps(message) + "\n")
+        self.control.flush()
+        assert json.loads(self.control.readline()) == ["done"]
 
     def impair(
-        self, impairment: Impairment = CLEAN, back: bool = False, a: str = "n0", b: str = "s0"
+        self,
+        impairment: Impairment = CLEAN,
+        backwards: bool = False,
+        source: str = "n0",
+        destination: str = "s0",
     ) -> None:
-        self.say("impair", *((b, a) if back else (a, b)), msgspec.to_builtins(impairment))
+        self.execute(
+            "impair",
+            *((destination, source) if backwards else (source, destination)),
+            msgspec.to_builtins(impairment),
+        )
 
     def connect(self) -> tuple[socket.socket, socket.socket]:
-        near = socket.create_connection(AT, 3)
-        far = self.server.accept()[0]
-        far.settimeout(3)
-        return near, far
+        client = socket.create_connection(LISTEN_ADDRESS, 3)
+        server = self.server.accept()[0]
+        server.settimeout(3)
+        return client, server
 
     def end(self) -> None:
-        self.line.close()  # a relay whose line ends, ends
+        self.control.close()  # A relay exits when its control connection is closed.
         assert self.process.wait(5) == 0
         self.server.close()
 
 
 @pytest.fixture
-def rig(tmp_path: Path) -> Iterator[Rig]:
-    made = Rig(tmp_path)
+def relay(tmp_path: Path) -> Iterator[RelayProcess]:
+    started = RelayProcess(tmp_path)
     try:
-        yield made
-        made.end()
+        yield started
+        started.end()
     finally:
-        made.process.kill()
-        made.process.wait()
+        started.process.kill()
+        started.process.wait()
 
 
-def silent(peer: socket.socket, seconds: float = 0.15) -> bool:
+def receives_nothing(peer: socket.socket, seconds: float = 0.15) -> bool:
     peer.settimeout(seconds)
     try:
         return peer.recv(100) is None
@@ -95,69 +114,76 @@
         peer.settimeout(3)
 
 
-def test_a_clean_link_passes_bytes_ends_and_resets_on_and_tells_of_a_nodes_end(rig: Rig) -> None:
-    near, far = rig.connect()
-    assert far.getpeername()[0] == WHENCE
-    near.sendall(b"x" * 300000 + b"end")
+def test_a_clean_link_passes_bytes_ends_and_resets_on_and_tells_of_a_nodes_end(
+    relay: RelayProcess,
+) -> None:
+    client, server = relay.connect()
+    assert server.getpeername()[0] == SOURCE_HOST
+    client.sendall(b"x" * 300000 + b"end")
     got = b""
     while not got.endswith(b"end"):
-        got += far.recv(65536)
+        got += server.recv(65536)
     assert len(got) == 300003
-    near.shutdown(socket.SHUT_WR)
-    assert far.recv(10) == b""  # half closed: the answer still comes
-    far.sendall(b"answer")
-    assert near.recv(10) == b"answer"
-    far.close()
-    assert near.recv(10) == b""
-    near.close()
-    near, far = rig.connect()
-    port = far.getpeername()[1]
-    near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-    near.close()
+    client.shutdown(socket.SHUT_WR)
+    assert server.recv(10) == b""
+    # The connection is half-closed: the answer still arrives.
+    server.sendall(b"answer")
+    assert client.recv(10) == b"answer"
+    server.close()
+    assert client.recv(10) == b""
+    client.close()
+    client, server = relay.connect()
+    port = server.getpeername()[1]
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+    client.close()
     with pytest.raises(ConnectionResetError):
-        far.recv(10)
-    rig.say("sever", "n0", "s0")
+        server.recv(10)
+    relay.execute("sever", "n0", "s0")
     assert port in [
-        e.port
-        for e in recorded_events(rig.folder / "history")
-        if (e.kind, e.who) == ("closed", "n0")
+        event.port
+        for event in recorded_events(relay.folder / "history")
+        if (event.kind, event.who) == ("closed", "n0")
     ]
 
 
-def test_a_cut_holds_what_is_sent_and_passes_it_on_in_order_when_it_ends(rig: Rig) -> None:
-    near, far = rig.connect()
-    rig.impair(Impairment(silent=True))
-    near.sendall(b"one ")
-    near.sendall(b"two")
-    far.sendall(b"the other way is open")
-    assert near.recv(100) == b"the other way is open" and silent(far)
-    rig.impair()
-    assert far.recv(100) + (b"" if silent(far) else b"?") == b"one two"
-
-
-def test_what_a_cut_swallows_breaks_its_connection_alone(rig: Rig) -> None:
-    torn, idle = rig.connect(), rig.connect()
-    rig.impair(Impairment(silent=True, kept=False))
-    torn[0].sendall(b"gone")
-    assert silent(torn[1])
-    rig.impair()
-    for peer in torn:
+def test_a_cut_holds_what_is_sent_and_passes_it_on_in_order_when_it_ends(
+    relay: RelayProcess,
+) -> None:
+    client, server = relay.connect()
+    relay.impair(Impairment(silent=True))
+    client.sendall(b"one ")
+    client.sendall(b"two")
+    server.sendall(b"the other way is open")
+    assert client.recv(100) == b"the other way is open" and receives_nothing(server)
+    relay.impair()
+    assert server.recv(100) + (b"" if receives_nothing(server) else b"?") == b"one two"
+
+
+def test_what_a_cut_swallows_breaks_its_connection_alone(relay: RelayProcess) -> None:
+    broken, idle = relay.connect(), relay.connect()
+    relay.impair(Impairment(silent=True, kept=False))
+    broken[0].sendall(b"gone")
+    assert receives_nothing(broken[1])
+    relay.impair()
+    for peer in broken:
         with pytest.raises(ConnectionResetError):
             peer.recv(10)
     idle[0].sendall(b"well")
     assert idle[1].recv(10) == b"well"
 
 
-def test_a_reset_in_a_cut_is_told_when_it_ends_and_an_end_comes_behind_the_bytes(rig: Rig) -> None:
-    reset, ended = rig.connect(), rig.connect()
-    rig.impair(Impairment(silent=True))
+def test_a_reset_in_a_cut_is_told_when_it_ends_and_an_end_comes_behind_the_bytes(
+    relay: RelayProcess,
+) -> None:
+    reset, ended = relay.connect(), relay.connect()
+    relay.impair(Impairment(silent=True))
     reset[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     reset[0].sendall(b"never")
     reset[0].close()
     ended[0].sendall(b"late")
     ended[0].close()
-    assert silent(reset[1]) and silent(ended[1])
-    rig.impair()
+    assert receives_nothing(reset[1]) and receives_nothing(ended[1])
+    relay.impair()
     with pytest.raises(ConnectionResetError):
         reset[1].recv(10)
     assert ended[1].recv(10) == b"late" and ended[1].recv(10) == b""
@@ -165,36 +191,38 @@
 
 @pytest.mark.parametrize("impairment", [Impairment(deaf=True), Impairment(silent=True)])
 def test_a_dial_through_a_dead_link_never_comes_up_and_does_when_it_is_well(
-    rig: Rig, impairment: Impairment
+    relay: RelayProcess, impairment: Impairment
 ) -> None:
-    rig.impair(impairment, back=impairment.silent)  # a cut of the way back is enough
+    # A cut of the opposite direction suffices.
+    relay.impair(impairment, backwards=impairment.silent)
     with pytest.raises(TimeoutError):
-        socket.create_connection(AT, 0.4)
-    rig.impair(back=impairment.silent)
-    near, far = rig.connect()
-    near.sendall(b"well")
-    assert far.recv(10) == b"well"
+        socket.create_connection(LISTEN_ADDRESS, 0.4)
+    relay.impair(backwards=impairment.silent)
+    client, server = relay.connect()
+    client.sendall(b"well")
+    assert server.recv(10) == b"well"
 
 
-def test_dials_are_refused_while_told_so_and_a_severed_link_resets_all(rig: Rig) -> None:
-    first = rig.connect()
-    rig.impair(Impairment(refusing=True))
+def test_dials_are_refused_while_told_so_and_a_severed_link_resets_all(relay: RelayProcess) -> None:
+    first = relay.connect()
+    relay.impair(Impairment(refusing=True))
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(AT, 3)
+        socket.create_connection(LISTEN_ADDRESS, 3)
     first[0].sendall(b"stands")
     assert first[1].recv(10) == b"stands"
-    rig.impair()
-    second = rig.connect()
-    rig.say("sever", "n0", "s0")
+    relay.impair()
+    second = relay.connect()
+    relay.execute("sever", "n0", "s0")
     for peer in (*first, *second):
         with pytest.raises(ConnectionResetError):
             peer.recv(10)
 
 
-def test_a_dial_to_a_dead_server_is_reset_at_once(rig: Rig) -> None:
-    rig.server.close()
-    with pytest.raises(ConnectionResetError):  # by then, or as soon as it is up
-        socket.create_connection(AT, 3).recv(10)
+def test_a_dial_to_a_dead_server_is_reset_at_once(relay: RelayProcess) -> None:
+    relay.server.close()
+    # The reset arrives while the connection is established, or right afterwards.
+    with pytest.raises(ConnectionResetError):
+        socket.create_connection(LISTEN_ADDRESS, 3).recv(10)
 
 
 @pytest.mark.parametrize(
@@ -202,71 +230,71 @@
     [
         (Impairment(delay_ms=120.0), 0.12, 10),
         (Impairment(bandwidth=20000.0), 0.2, 4000),
-        (Impairment(loss=0.95), 0.2, 10),  # a stream's bytes come late
+        (Impairment(loss=0.95), 0.2, 10),  # Lost bytes of a stream arrive late.
     ],
 )
 def test_a_slow_narrow_or_lossy_link_takes_its_time(
-    rig: Rig, impairment: Impairment, least_s: float, size: int
+    relay: RelayProcess, impairment: Impairment, least_s: float, size: int
 ) -> None:
-    near, far = rig.connect()
-    rig.impair(impairment)
-    begun = time.monotonic()
-    near.sendall(b"x" * size)
+    client, server = relay.connect()
+    relay.impair(impairment)
+    started_at = time.monotonic()
+    client.sendall(b"x" * size)
     if impairment.loss:
-        assert silent(far, least_s * 0.9)
+        assert receives_nothing(server, least_s * 0.9)
         return
     got = 0
     while got < size:
-        got += len(far.recv(65536))
-    assert least_s * 0.95 <= time.monotonic() - begun < least_s + MORE_S
+        got += len(server.recv(65536))
+    assert least_s * 0.95 <= time.monotonic() - started_at < least_s + LOADED_MACHINE_S
 
 
-def test_a_reader_that_stops_holds_the_writer_back(rig: Rig) -> None:
-    near, _ = rig.connect()
-    rig.impair(Impairment(silent=True))
-    near.settimeout(0.5)
+def test_a_reader_that_stops_holds_the_writer_back(relay: RelayProcess) -> None:
+    client, _ = relay.connect()
+    relay.impair(Impairment(silent=True))
+    client.settimeout(0.5)
     sent = 0
     with pytest.raises(TimeoutError):
         while sent < 1 << 26:
-            sent += near.send(b"x" * 65536)
+            sent += client.send(b"x" * 65536)
     assert sent < 1 << 25
 
 
-def test_datagrams_find_both_ways_and_are_lost_doubled_and_overtaken(rig: Rig) -> None:
-    a, b = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-    a.bind(PEERS["n0"])
-    b.bind(PEERS["n1"])
-    for peer in (a, b):
+def test_datagrams_find_both_ways_and_are_lost_doubled_and_overtaken(relay: RelayProcess) -> None:
+    n0, n1 = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+    n0.bind(NODE_ADDRESSES["n0"])
+    n1.bind(NODE_ADDRESSES["n1"])
+    for peer in (n0, n1):
         peer.settimeout(0.4)
 
-    def heard() -> list[int]:
-        got = []
+    def received() -> list[int]:
+        numbers = []
         try:
             while True:
-                got.append(int(b.recv(100)))
+                numbers.append(int(n1.recv(100)))
         except TimeoutError:
-            return got
+            return numbers
 
     def burst(count: int = 60) -> list[int]:
         for n in range(count):
-            a.sendto(b"%d" % n, SEEN["n1"])
+            n0.sendto(b"%d" % n, ADDRESSES_FOR_PEER["n1"])
             time.sleep(0.001)
-        return heard()
+        return received()
 
-    a.sendto(b"7", SEEN["n1"])
-    data, whence = b.recvfrom(100)
-    assert data == b"7" and whence == SEEN["n0"]
-    b.sendto(b"back", whence)
-    assert a.recvfrom(100) == (b"back", SEEN["n1"])
+    n0.sendto(b"7", ADDRESSES_FOR_PEER["n1"])
+    data, source = n1.recvfrom(100)
+    assert data == b"7" and source == ADDRESSES_FOR_PEER["n0"]
+    n1.sendto(b"back", source)
+    assert n0.recvfrom(100) == (b"back", ADDRESSES_FOR_PEER["n1"])
     assert burst() == list(range(60))
-    rig.impair(Impairment(silent=True), b="n1")
+    relay.impair(Impairment(silent=True), destination="n1")
     assert not burst(5)
-    rig.impair(Impairment(loss=0.5), b="n1")
+    relay.impair(Impairment(loss=0.5), destination="n1")
     assert 10 < len(burst()) < 50
-    rig.impair(Impairment(repeat=0.5), b="n1")
+    relay.impair(Impairment(repeat=0.5), destination="n1")
     assert 70 < len(burst()) < 110
-    rig.impair(Impairment(reorder=0.3), b="n1")
+    relay.impair(Impairment(reorder=0.3), destination="n1")
     got = burst()
     assert sorted(got) == list(range(60)) != got
-    a.close()
-    b.close()
+    n0.close()
+    n1.close()
