--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,5 +1,4 @@
-"""Experiments hold in virtual time, drawn ones break no rule, and one that does is shrunk to a
-small file."""
+"""Tests that experiments hold in virtual time, and of the fuzzer that draws and shrinks them."""
 
 from pathlib import Path
 
@@ -10,11 +9,11 @@
 from hookpitch.testbed.metrics import check_expectations
 from hookpitch.testbed.run import Run
 
-PLACE = Path(__file__).parent.parent / "experiments"
-FILES = sorted(path for path in PLACE.rglob("*.toml") if not path.stem.startswith("start-"))
+FOLDER = Path(__file__).parent.parent / "experiments"
+FILES = sorted(path for path in FOLDER.rglob("*.toml") if not path.stem.startswith("start-"))
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", FILES, ids=lambda file: file.stem)
 def test_an_experiments_rules_and_expectations_hold(path: Path) -> None:
     ended = Run(load(path), load(path).seed).run()
     assert not ended.broken, str(ended.broken[0])
@@ -38,14 +37,17 @@
 def test_a_failing_experiment_is_shrunk_to_a_file_that_plays_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    x = fuzz_draw.draw(7)
-    broken = fuzz.rules_broken
-
-    def as_if(ended: object) -> list[str]:  # a rule that any drain breaks
-        silent = any(f.what == "silence" for f in ended.experiment.fault)
-        return [*broken(ended), *(["rule 9"] if silent else [])]
-
-    monkeypatch.setattr(fuzz, "rules_broken", as_if)
-    small = fuzz.shrink(x, ["rule 9"], most=40)
-    assert [f.what for f in small.fault] == ["silence"] and small.traffic.rate < x.traffic.rate
+    drawn = fuzz_draw.draw(7)
+    rules_broken = fuzz.rules_broken
+
+    def with_rule_9(ended: object) -> list[str]:
+        """Pretend that any experiment with a silence violates a further rule."""
+        has_silence = any(fault.what == "silence" for fault in ended.experiment.fault)
+        return [*rules_broken(ended), *(["rule 9"] if has_silence else [])]
+
+    monkeypatch.setattr(fuzz, "rules_broken", with_rule_9)
+    small = fuzz.shrink(drawn, ["rule 9"], most=40)
+    assert [fault.what for fault in small.fault] == [
+        "silence"
+    ] and small.traffic.rate < drawn.traffic.rate
     assert read(fuzz_draw.experiment_text(small)) == small
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,5 +1,4 @@
-"""The lab: one seed is one history, the judge can fail, files are checked, virtual time is what it
-says."""
+"""Tests of the lab: reproducible histories, the judge, experiment files and virtual time."""
 
 import os
 import subprocess
@@ -43,13 +42,13 @@
         "print(Run(read(sys.argv[1]), int(sys.argv[2])).run().history.digest())"
     )
     digests = []
-    for hashes, seed in (("1", "5"), ("2", "5"), ("1", "6")):
-        words = [sys.executable, "-c", code, SMALL, seed]
-        environment = os.environ | {"PYTHONHASHSEED": hashes}
-        done = subprocess.run(
-            words, env=environment, cwd=ROOT, capture_output=True, text=True, check=True
+    for hash_seed, seed in (("1", "5"), ("2", "5"), ("1", "6")):
+        command = [sys.executable, "-c", code, SMALL, seed]
+        environment = os.environ | {"PYTHONHASHSEED": hash_seed}
+        completed = subprocess.run(
+            command, env=environment, cwd=ROOT, capture_output=True, text=True, check=True
         )
-        digests.append(done.stdout)
+        digests.append(completed.stdout)
     assert digests[0] == digests[1] != digests[2]
 
 
@@ -58,13 +57,19 @@
 NODE, SERVER = "n0", "s0"
 
 
-def story(*events: tuple) -> list[str]:
-    """The rules that a history breaks, by name; one RPC asked at 1000 with 500 ms is there."""
+def broken_rules(*events: tuple) -> list[str]:
+    """Return the names of the rules that a history violates.
+
+    The history begins with one RPC that is sent at 1000 ms with a deadline of 500 ms.
+    """
     history = History()
     history.add(1000.0, "asked", NODE, "q1", "read", 500.0, 7)
     for event in events:
         history.add(*event)
-    return [b.rule for b in Judge(Rules(retriable={"read": False})).judge(history, 60000.0)]
+    return [
+        violation.rule
+        for violation in Judge(Rules(retriable={"read": False})).judge(history, 60000.0)
+    ]
 
 
 CAME = (1001.0, "came", SERVER, "q1", NODE, 0.0, 1)
@@ -76,15 +81,21 @@
     ("rules", "events"),
     [
         ([], [CAME, SENT, DONE]),
-        (["rule 1"], [CAME]),  # withheld
-        (["rule 1"], [CAME, SENT, (1560.0, *DONE[1:])]),  # late
-        (["rule 1"], [CAME, SENT, DONE, (1012.0, "answered", NODE, "q1", "exhausted")]),  # twice
-        (["rule 1"], [CAME, SENT, (1011.0, "answered", NODE, "q1", "wrong")]),  # another's value
+        (["rule 1"], [CAME]),  # No answer.
+        (["rule 1"], [CAME, SENT, (1560.0, *DONE[1:])]),  # The answer is late.
+        (
+            ["rule 1"],
+            [CAME, SENT, DONE, (1012.0, "answered", NODE, "q1", "exhausted")],
+        ),  # Two answers.
+        (
+            ["rule 1"],
+            [CAME, SENT, (1011.0, "answered", NODE, "q1", "wrong")],
+        ),  # The value of another key.
         (["rule 1"], [CAME, SENT, (1011.0, "lost", NODE, "q1", "", 0.0, 7)]),
         (
             [],
             [(1001.0, "unread", NODE, "", "", 0.0, 7), (1002.0, "lost", NODE, "q1", "", 0.0, 7)],
-        ),  # never read
+        ),  # The node has not read the RPC.
         (
             ["rule 1"],
             [
@@ -134,7 +145,7 @@
 def test_the_judge_names_what_is_broken_and_nothing_else(
     rules: list[str], events: list[tuple]
 ) -> None:
-    assert story(*events) == rules
+    assert broken_rules(*events) == rules
 
 
 def test_the_judge_counts_a_drain_from_the_telling_or_six_seconds_after_the_change() -> None:
@@ -152,12 +163,14 @@
         history.add(at, "came", SERVER, "q1", NODE, 0.0, 1)
         history.add(at + 1, "sent", SERVER, "q1", "hit")
         history.add(at + 2, "answered", NODE, "q1", "completed")
-        assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == rules
+        assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == rules
     (broken,) = Judge(Rules()).judge(history, 60000.0)
-    assert "answered" in str(broken) and "came" in str(broken), "the RPC's whole history is told"
+    assert "answered" in str(broken) and "came" in str(broken), (
+        "the violation contains the whole history of the RPC"
+    )
 
 
-def asked_at(history: History, at: float, rpc: str, server: str = SERVER) -> None:
+def add_answered_rpc(history: History, at: float, rpc: str, server: str = SERVER) -> None:
     history.add(at, "asked", NODE, rpc, "read", 500.0, 7)
     history.add(at, "came", server, rpc, NODE, 0.0, 1)
     history.add(at + 1, "sent", server, rpc, "hit")
@@ -170,10 +183,10 @@
     history.add(1000.0, "banned", NODE, what=SERVER)
     history.add(1500.0, "told", NODE, what=f"{SERVER} in_service")
     history.add(1500.0, "listed", SERVER, what="in_service")
-    asked_at(history, at, "q1")
+    add_answered_rpc(history, at, "q1")
     history.add(at + 100, "back", NODE, what=SERVER)
-    asked_at(history, at + 200, "q2")
-    assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == rules
+    add_answered_rpc(history, at + 200, "q2")
+    assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == rules
 
 
 def test_the_judge_names_a_server_left_unused_a_drain_that_holds_clients_and_a_door_that_fails() -> (  # noqa: E501
@@ -182,14 +195,21 @@
     history = History()
     history.add(1000.0, "back", NODE, what=SERVER)
     for n in range(300):
-        asked_at(history, 1100.0 + 20 * n, f"q{n}", "s1")
-    assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == ["unused"]
+        add_answered_rpc(history, 1100.0 + 20 * n, f"q{n}", "s1")
+    assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == ["unused"]
     history.add(8000.0, "held", NODE, value=2.0)
     history.add(8100.0, "call", NODE, what="well")
     history.add(8200.0, "call", NODE, what="late: b'STATUS' has b'' and no end")
-    assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == ["unused", "drain", "door"]
-    history.add(8150.0, "stop", NODE)  # a node that was killed answers nobody
-    assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == ["unused", "drain"]
+    assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == [
+        "unused",
+        "drain",
+        "door",
+    ]
+    history.add(8150.0, "stop", NODE)  # A killed node answers nobody.
+    assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == [
+        "unused",
+        "drain",
+    ]
 
 
 def test_the_judge_holds_a_nodes_figures_against_what_others_saw_and_owes_a_slow_head_its_time() -> (  # noqa: E501
@@ -197,9 +217,9 @@
 ):
     history = History()
     for n in range(10):
-        asked_at(history, 1000.0 + 20 * n, f"q{n}")
+        add_answered_rpc(history, 1000.0 + 20 * n, f"q{n}")
     history.add(2000.0, "asked", NODE, "q99", "read", 500.0, 7)
-    history.add(2100.0, "left", NODE, "q99")  # it may be counted or not
+    history.add(2100.0, "left", NODE, "q99")  # The node may have counted it or not.
     for done, sent, broken in (
         (10, 10, 0),
         (13, 10, 0),
@@ -209,21 +229,21 @@
         (10, 6, 1),
     ):
         told = {NODE: {"completed.read": done, "upstream_requests": sent}}
-        assert [b.rule for b in Judge(Rules()).check_counters(history, told)] == [
+        assert [violation.rule for violation in Judge(Rules()).check_counters(history, told)] == [
             "figures"
         ] * broken, (
             done,
             sent,
         )
     history.add(3000.0, "cut", NODE)
-    assert [b.rule for b in Judge(Rules()).judge(history, 60000.0)] == ["head"]
+    assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == ["head"]
     assert not Judge(Rules(room_for_all_clients=False)).judge(history, 60000.0)
 
 
 def test_the_judge_takes_no_crossing_for_a_second_copy_and_no_death_for_a_ban() -> None:
     history = History()
     history.add(1000.0, "asked", NODE, "q1", "read", 500.0, 7)
-    history.add(1000.5, "closed", NODE, port=1)  # while the transmission was on its way there
+    history.add(1000.5, "closed", NODE, port=1)  # While the transmission was in flight.
     history.add(1001.0, "came", SERVER, "q1", NODE, 0.0, 1)
     history.add(1005.0, "came", "s1", "q1", NODE, 0.0, 2)
     history.add(1006.0, "sent", "s1", "q1", "hit")
@@ -232,7 +252,7 @@
     history.add(2000.0, "banned", NODE, what=SERVER)
     history.add(3000.0, "stop", NODE)
     history.add(3500.0, "start", NODE)
-    asked_at(history, 9000.0, "q2")  # by a process that was told of no ban
+    add_answered_rpc(history, 9000.0, "q2")  # By a process that was not notified of the ban.
     assert not Judge(Rules()).judge(history, 60000.0)
 
 
@@ -267,51 +287,56 @@
 """
 
 
-def leaves_its_clients(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
+def abort_all_clients(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
     for client in list(self.connections):
         client.transport.abortConnection()
 
 
 @pytest.mark.parametrize(
-    ("whose", "what", "fault", "rules"),
+    ("owner", "method", "replacement", "rules"),
     [
         (
             SharedState,
             "read_new",
             lambda self: iter(()),
             {"rule 3"},
-        ),  # the new process knows nothing of the ban
+        ),  # The new process does not know of the ban.
         (
             ClientRegistry,
             "shut_down",
-            leaves_its_clients,
+            abort_all_clients,
             {"rule 1"},
-        ),  # the old one ends its clients' connections
+        ),  # The old process aborts its clients' connections.
         (Counters, "add", lambda self, name, by=1: None, {"figures"}),
         (None, "", None, set()),
     ],
 )
 def test_an_upgrade_done_wrong_is_named_and_one_done_right_is_not(
-    whose: type | None, what: str, fault: object, rules: set[str], monkeypatch: pytest.MonkeyPatch
+    owner: type | None,
+    method: str,
+    replacement: object,
+    rules: set[str],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    if whose is not None:
-        monkeypatch.setattr(whose, what, fault)
+    if owner is not None:
+        monkeypatch.setattr(owner, method, replacement)
     run = Run(read(UPGRADE), 1)
     ended = run.run()
-    assert {b.rule for b in ended.broken} == rules, str(ended.broken[:1])
-    assert run.nodes["n0"].starts == 2 and run.nodes["n0"].elder is None  # the old one has gone
+    assert {violation.rule for violation in ended.broken} == rules, str(ended.broken[:1])
+    # The old process has ended.
+    assert run.nodes["n0"].starts == 2 and run.nodes["n0"].elder is None
 
 
 def test_only_a_process_that_another_follows_takes_its_time_to_part(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    spans, leave = list[float](), ClientRegistry.shut_down
+    spans, shut_down = list[float](), ClientRegistry.shut_down
 
-    def seen(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
+    def recording_shut_down(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
         spans.append(over_ms)
-        leave(self, done, over_ms)
+        shut_down(self, done, over_ms)
 
-    monkeypatch.setattr(ClientRegistry, "shut_down", seen)
+    monkeypatch.setattr(ClientRegistry, "shut_down", recording_shut_down)
     alone = UPGRADE.replace("node_upgrade", "node_leave").replace("suspend", "flush")
     for text in (UPGRADE, alone):
         assert not Run(read(text), 1).run().broken
@@ -322,7 +347,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("name = 'x'", "name: wants subsystem-words"),
         ("name = 'a-b'\nsecond = 3", "second"),
@@ -351,121 +376,131 @@
         ("name = ", "Invalid"),
     ],
 )
-def test_a_slip_is_told_with_its_place(text: str, said: str) -> None:
-    with pytest.raises(ValueError, match=said) as fault:
+def test_a_slip_is_told_with_its_place(text: str, message: str) -> None:
+    with pytest.raises(ValueError, match=message) as error:
         read(text)
-    assert "\n" not in str(fault.value)
+    assert "\n" not in str(error.value)
 
 
 # ---- virtual time
 
 
-class Echo(Protocol):
-    def __init__(self, seen: list) -> None:
-        self.seen = seen
+class RecordingProtocol(Protocol):
+    """Records what it receives, and the end of its connection, with the times."""
+
+    def __init__(self, events: list) -> None:
+        self.events = events
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.seen.append((round(self.network.now, 4), len(data)))
+        self.events.append((round(self.network.now, 4), len(data)))
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        self.seen.append((round(self.network.now, 4), type(reason.value).__name__))
+        self.events.append((round(self.network.now, 4), type(reason.value).__name__))
 
 
-class Pair:
-    """Two machines with a connection between them, a tenth of a second apart."""
+class ConnectedPair:
+    """Two machines with a connection between them and a delay of a tenth of a second."""
 
     def __init__(self) -> None:
-        self.network, self.here, self.there = SimulatedNetwork(3), [], []
-        Echo.network = self.network
-        self.a, self.b = self.network.machine("1.1.1.1"), self.network.machine("2.2.2.2")
+        self.network, self.client_events, self.server_events = SimulatedNetwork(3), [], []
+        RecordingProtocol.network = self.network
+        self.client_machine, self.server_machine = (
+            self.network.machine("1.1.1.1"),
+            self.network.machine("2.2.2.2"),
+        )
         self.network.connect("1.1.1.1", "2.2.2.2", 0.1)
-        self.server = Echo(self.there)
-        self.client = Echo(self.here)
+        self.server = RecordingProtocol(self.server_events)
+        self.client = RecordingProtocol(self.client_events)
         factory = Factory()
         factory.buildProtocol = lambda _: self.server
-        self.b.reactor.listenTCP(80, factory)
-        dial = ClientFactory()
-        dial.buildProtocol = lambda _: self.client
-        dial.clientConnectionFailed = lambda _, reason: self.here.append(
+        self.server_machine.reactor.listenTCP(80, factory)
+        client_factory = ClientFactory()
+        client_factory.buildProtocol = lambda _: self.client
+        client_factory.clientConnectionFailed = lambda _, reason: self.client_events.append(
             (round(self.network.now, 4), "failed")
         )
-        self.dial = dial
-        self.connector = self.a.reactor.connectTCP("2.2.2.2", 80, dial, timeout=None)
+        self.client_factory = client_factory
+        self.connector = self.client_machine.reactor.connectTCP(
+            "2.2.2.2", 80, client_factory, timeout=None
+        )
 
 
 def test_bytes_take_their_time_and_a_close_comes_behind_them() -> None:
-    p = Pair()
-    p.network.run(0.25)
-    p.client.transport.write(b"x" * 10)
-    p.client.transport.loseConnection()
-    p.network.run(1.0)
-    assert p.there == [(0.35, 10), (0.35, "ConnectionDone")] and p.here == [
+    pair = ConnectedPair()
+    pair.network.run(0.25)
+    pair.client.transport.write(b"x" * 10)
+    pair.client.transport.loseConnection()
+    pair.network.run(1.0)
+    assert pair.server_events == [(0.35, 10), (0.35, "ConnectionDone")] and pair.client_events == [
         (0.25, "ConnectionDone")
     ]
 
 
 def test_a_reader_that_stops_holds_the_writer_back() -> None:
-    p = Pair()
-    p.network.run(0.25)
-    p.server.transport.pauseProducing()
-    p.client.transport.write(b"x" * (3 * MAX_BUFFERED_BYTES))
-    p.network.run(5.0)
-    assert not p.there and p.server.transport.unread_bytes == MAX_BUFFERED_BYTES
-    assert sum(map(len, p.client.transport.send_buffer)) == 2 * MAX_BUFFERED_BYTES
-    p.server.transport.resumeProducing()
-    p.network.run(20.0)
+    pair = ConnectedPair()
+    pair.network.run(0.25)
+    pair.server.transport.pauseProducing()
+    pair.client.transport.write(b"x" * (3 * MAX_BUFFERED_BYTES))
+    pair.network.run(5.0)
+    assert not pair.server_events and pair.server.transport.unread_bytes == MAX_BUFFERED_BYTES
+    assert sum(map(len, pair.client.transport.send_buffer)) == 2 * MAX_BUFFERED_BYTES
+    pair.server.transport.resumeProducing()
+    pair.network.run(20.0)
     assert (
-        sum(n for _, n in p.there) == 3 * MAX_BUFFERED_BYTES and not p.client.transport.send_buffer
+        sum(size for _, size in pair.server_events) == 3 * MAX_BUFFERED_BYTES
+        and not pair.client.transport.send_buffer
     )
 
 
 def test_silence_holds_back_what_stands_and_a_reset_end_sends_nothing_more() -> None:
-    p = Pair()
-    p.network.run(0.25)
-    p.network.silence("1.1.1.1", "2.2.2.2")
-    p.client.transport.write(b"late")
-    p.network.run(3.0)
-    assert not p.there
-    p.network.restore("1.1.1.1", "2.2.2.2")
-    p.network.run(4.0)
-    assert p.there == [(3.1, 4)]
-    p.network.silence("1.1.1.1", "2.2.2.2")
-    p.client.transport.write(b"never")
-    p.client.transport.abortConnection()
-    p.network.run(5.0)
-    p.network.restore("1.1.1.1", "2.2.2.2")
-    p.network.run(6.0)
-    assert p.there == [(3.1, 4)] and p.here == [(4.0, "ConnectionAborted")]
+    pair = ConnectedPair()
+    pair.network.run(0.25)
+    pair.network.silence("1.1.1.1", "2.2.2.2")
+    pair.client.transport.write(b"late")
+    pair.network.run(3.0)
+    assert not pair.server_events
+    pair.network.restore("1.1.1.1", "2.2.2.2")
+    pair.network.run(4.0)
+    assert pair.server_events == [(3.1, 4)]
+    pair.network.silence("1.1.1.1", "2.2.2.2")
+    pair.client.transport.write(b"never")
+    pair.client.transport.abortConnection()
+    pair.network.run(5.0)
+    pair.network.restore("1.1.1.1", "2.2.2.2")
+    pair.network.run(6.0)
+    assert pair.server_events == [(3.1, 4)] and pair.client_events == [(4.0, "ConnectionAborted")]
 
 
 def test_death_resets_vanishing_says_nothing_and_nobody_listens_after() -> None:
-    p = Pair()
-    p.network.run(0.25)
-    p.b.detach()
-    p.client.transport.write(b"x")
-    p.network.run(1.0)
-    assert not p.here
-    p.b.reattach()
-    p.network.run(2.0)
-    assert p.here == [(1.1, "ConnectionLost")]
-    p.b.kill()
-    p.a.reactor.connectTCP("2.2.2.2", 80, p.dial, timeout=None)
-    p.network.run(3.0)
-    assert p.here[1:] == [(2.2, "failed")]
+    pair = ConnectedPair()
+    pair.network.run(0.25)
+    pair.server_machine.detach()
+    pair.client.transport.write(b"x")
+    pair.network.run(1.0)
+    assert not pair.client_events
+    pair.server_machine.reattach()
+    pair.network.run(2.0)
+    assert pair.client_events == [(1.1, "ConnectionLost")]
+    pair.server_machine.kill()
+    pair.client_machine.reactor.connectTCP("2.2.2.2", 80, pair.client_factory, timeout=None)
+    pair.network.run(3.0)
+    assert pair.client_events[1:] == [(2.2, "failed")]
 
 
 def test_a_busy_machine_does_its_events_in_order_when_it_is_free() -> None:
-    network, seen = SimulatedNetwork(1), []
+    network, events = SimulatedNetwork(1), []
     machine = network.machine("1.1.1.1")
     machine.event_cpu_s = 0.01
     for n in range(5):
-        machine.reactor.callLater(0.001 * n, lambda n=n: seen.append((round(network.now, 3), n)))
-    cancelled = machine.reactor.callLater(0.002, seen.append, "cancelled")
-    moved = machine.reactor.callLater(0.0025, lambda: seen.append((round(network.now, 3), "moved")))
+        machine.reactor.callLater(0.001 * n, lambda n=n: events.append((round(network.now, 3), n)))
+    cancelled = machine.reactor.callLater(0.002, events.append, "cancelled")
+    moved = machine.reactor.callLater(
+        0.0025, lambda: events.append((round(network.now, 3), "moved"))
+    )
     network.call_at(0.004, None, cancelled.cancel)
     network.call_at(0.005, None, moved.reset, 0.2)
     network.run(1.0)
-    assert seen == [(0.0, 0), (0.01, 1), (0.02, 2), (0.03, 3), (0.04, 4), (0.205, "moved")]
+    assert events == [(0.0, 0), (0.01, 1), (0.02, 2), (0.03, 3), (0.04, 4), (0.205, "moved")]
     assert round(machine.cpu_used_s, 3) == 0.06
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,8 +1,11 @@
-"""What a link's fault does, in virtual time: cuts that overlap, what they hold or swallow,
-datagrams."""
+"""Tests of impaired links in virtual time.
+
+They cover overlapping cuts, the data that a cut blocks or loses, datagrams, and the groups that
+faults name.
+"""
 
 import pytest
-from test_lab import Pair
+from test_lab import ConnectedPair
 from twisted.internet.protocol import DatagramProtocol
 
 from hookpitch.testbed.experiment import read
@@ -14,111 +17,118 @@
 A, B = "1.1.1.1", "2.2.2.2"
 
 
-def pair() -> Pair:
-    p = Pair()
-    p.network.run(0.25)
-    return p
+def connected_pair() -> ConnectedPair:
+    pair = ConnectedPair()
+    pair.network.run(0.25)
+    return pair
 
 
 def test_two_cuts_of_one_way_end_with_the_later_one() -> None:
-    p = pair()
-    p.network.impair(A, B, 1, Impairment(silent=True))
-    p.network.impair(A, B, 2, Impairment(silent=True))
-    p.client.transport.write(b"late")
-    p.network.run(1.0)
-    p.network.impair(A, B, 1, None)
-    p.network.run(2.0)
-    assert not p.there, "the second cut is still on"
-    p.network.impair(A, B, 2, None)
-    p.network.run(3.0)
-    assert p.there == [(2.1, 4)]
+    pair = connected_pair()
+    pair.network.impair(A, B, 1, Impairment(silent=True))
+    pair.network.impair(A, B, 2, Impairment(silent=True))
+    pair.client.transport.write(b"late")
+    pair.network.run(1.0)
+    pair.network.impair(A, B, 1, None)
+    pair.network.run(2.0)
+    assert not pair.server_events, "the second cut is still on"
+    pair.network.impair(A, B, 2, None)
+    pair.network.run(3.0)
+    assert pair.server_events == [(2.1, 4)]
 
 
 def test_what_a_cut_swallows_never_comes_and_breaks_its_connection_and_no_other() -> None:
-    p = pair()
-    p.network.impair(A, B, 1, Impairment(silent=True, kept=False))
-    p.network.run(1.0)
-    p.network.impair(A, B, 1, None)
-    p.client.transport.write(b"well")
-    p.network.run(2.0)
-    assert (
-        p.there == [(1.1, 4)] and not p.here
-    )  # nothing was sent in the cut: the connection stands
-    p.network.impair(A, B, 1, Impairment(silent=True, kept=False))
-    p.client.transport.write(b"gone")
-    p.network.run(3.0)
-    p.network.impair(A, B, 1, None)
-    p.network.run(4.0)
-    assert p.there == [(1.1, 4), (3.0, "ConnectionLost")] and p.here == [(3.0, "ConnectionLost")]
+    pair = connected_pair()
+    pair.network.impair(A, B, 1, Impairment(silent=True, kept=False))
+    pair.network.run(1.0)
+    pair.network.impair(A, B, 1, None)
+    pair.client.transport.write(b"well")
+    pair.network.run(2.0)
+    # Nothing was sent during the cut: the connection is intact.
+    assert pair.server_events == [(1.1, 4)] and not pair.client_events
+    pair.network.impair(A, B, 1, Impairment(silent=True, kept=False))
+    pair.client.transport.write(b"gone")
+    pair.network.run(3.0)
+    pair.network.impair(A, B, 1, None)
+    pair.network.run(4.0)
+    assert pair.server_events == [(1.1, 4), (3.0, "ConnectionLost")] and pair.client_events == [
+        (3.0, "ConnectionLost")
+    ]
 
 
 def test_a_lossy_stream_comes_whole_and_late_and_a_reset_one_comes_no_more() -> None:
-    p = pair()
-    p.network.impair(A, B, 1, Impairment(loss=0.3))
+    pair = connected_pair()
+    pair.network.impair(A, B, 1, Impairment(loss=0.3))
     for _ in range(40):
-        p.client.transport.write(b"x" * 10)
-    p.network.run(30.0)
-    assert sum(n for _, n in p.there) == 400 and p.there[-1][0] >= 0.55
-    p.network.impair(A, B, 1, Impairment(loss=0.999))
-    before = len(p.there)
-    p.client.transport.write(b"x")
-    p.client.transport.abortConnection()
-    p.network.run(60.0)
-    assert all(not isinstance(n, int) for _, n in p.there[before:])
+        pair.client.transport.write(b"x" * 10)
+    pair.network.run(30.0)
+    assert sum(size for _, size in pair.server_events) == 400 and pair.server_events[-1][0] >= 0.55
+    pair.network.impair(A, B, 1, Impairment(loss=0.999))
+    before = len(pair.server_events)
+    pair.client.transport.write(b"x")
+    pair.client.transport.abortConnection()
+    pair.network.run(60.0)
+    assert all(not isinstance(event, int) for _, event in pair.server_events[before:])
 
 
 @pytest.mark.parametrize(
-    ("impairment", "seen"),
+    ("impairment", "events"),
     [
         (Impairment(refusing=True), [(1.2, "failed")]),
         (Impairment(deaf=True), []),
         (Impairment(delay_ms=100.0), []),
     ],
 )
-def test_a_dial_is_refused_or_gets_no_answer(impairment: Impairment, seen: list) -> None:
-    p = pair()
-    p.network.run(1.0)
-    p.network.impair(A, B, 1, impairment)
-    p.a.reactor.connectTCP(B, 80, p.dial, timeout=None)
-    p.network.run(5.0)
-    assert p.here == seen
+def test_a_dial_is_refused_or_gets_no_answer(impairment: Impairment, events: list) -> None:
+    pair = connected_pair()
+    pair.network.run(1.0)
+    pair.network.impair(A, B, 1, impairment)
+    pair.client_machine.reactor.connectTCP(B, 80, pair.client_factory, timeout=None)
+    pair.network.run(5.0)
+    assert pair.client_events == events
 
 
 def test_a_severed_link_loses_all_its_connections_and_a_narrow_one_takes_its_time() -> None:
-    p = pair()
-    p.network.impair(A, B, 1, Impairment(bandwidth=100.0))
-    p.client.transport.write(b"x" * 60)  # and 40 of the packet's own
-    p.network.run(3.0)
-    assert p.there == [(1.35, 60)]
-    p.network.sever(A, B)
-    p.network.run(4.0)
-    assert p.there[1:] == [(3.0, "ConnectionLost")] and p.here == [(3.0, "ConnectionLost")]
+    pair = connected_pair()
+    pair.network.impair(A, B, 1, Impairment(bandwidth=100.0))
+    pair.client.transport.write(b"x" * 60)  # The packet has 40 bytes of headers as well.
+    pair.network.run(3.0)
+    assert pair.server_events == [(1.35, 60)]
+    pair.network.sever(A, B)
+    pair.network.run(4.0)
+    assert pair.server_events[1:] == [(3.0, "ConnectionLost")] and pair.client_events == [
+        (3.0, "ConnectionLost")
+    ]
 
 
-class Heard(DatagramProtocol):
+class RecordingDatagramProtocol(DatagramProtocol):
     def __init__(self, network: SimulatedNetwork) -> None:
-        self.network, self.seen = network, list[tuple[float, bytes, tuple[str, int]]]()
+        self.network, self.received = network, list[tuple[float, bytes, tuple[str, int]]]()
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        self.seen.append((round(self.network.now, 4), data, addr))
+        self.received.append((round(self.network.now, 4), data, addr))
 
 
-def datagrams() -> tuple[SimulatedNetwork, Heard, Heard]:
+def datagram_network() -> tuple[
+    SimulatedNetwork, RecordingDatagramProtocol, RecordingDatagramProtocol
+]:
     network = SimulatedNetwork(5)
     network.connect(A, B, 0.01)
-    here, there = Heard(network), Heard(network)
-    network.machine(A).reactor.listenUDP(7, here, interface=A)
-    network.machine(B).reactor.listenUDP(7, there, interface=B)
-    return network, here, there
+    socket_a, socket_b = RecordingDatagramProtocol(network), RecordingDatagramProtocol(network)
+    network.machine(A).reactor.listenUDP(7, socket_a, interface=A)
+    network.machine(B).reactor.listenUDP(7, socket_b, interface=B)
+    return network, socket_a, socket_b
 
 
 def test_datagrams_go_both_ways_and_each_fault_is_what_it_says() -> None:
-    network, here, there = datagrams()
-    here.transport.write(b"to", (B, 7))
-    there.transport.write(b"back", (A, 7))
-    here.transport.write(b"nobody", (B, 8))
+    network, socket_a, socket_b = datagram_network()
+    socket_a.transport.write(b"to", (B, 7))
+    socket_b.transport.write(b"back", (A, 7))
+    socket_a.transport.write(b"nobody", (B, 8))
     network.run(1.0)
-    assert there.seen == [(0.01, b"to", (A, 7))] and here.seen == [(0.01, b"back", (B, 7))]
+    assert socket_b.received == [(0.01, b"to", (A, 7))] and socket_a.received == [
+        (0.01, b"back", (B, 7))
+    ]
     cases = (
         (Impairment(loss=0.5), 60, 140),
         (Impairment(repeat=0.5), 260, 340),
@@ -126,35 +136,37 @@
     )
     for impairment, least, most in cases:
         network.impair(A, B, 1, impairment)
-        before = len(there.seen)
+        before = len(socket_b.received)
         for _ in range(200):
-            here.transport.write(b"x", (B, 7))
+            socket_a.transport.write(b"x", (B, 7))
         network.run(network.now + 1.0)
-        assert least <= len(there.seen) - before <= most
+        assert least <= len(socket_b.received) - before <= most
     network.impair(A, B, 1, Impairment(reorder=0.3))
-    before = len(there.seen)
+    before = len(socket_b.received)
     for n in range(100):
-        network.call_at(network.now + n * 0.005, None, here.transport.write, b"%d" % n, (B, 7))
+        network.call_at(network.now + n * 0.005, None, socket_a.transport.write, b"%d" % n, (B, 7))
     network.run(network.now + 2.0)
-    came = [int(data) for _, data, _ in there.seen[before:]]
-    assert sorted(came) == list(range(100)) != came
+    numbers = [int(data) for _, data, _ in socket_b.received[before:]]
+    assert sorted(numbers) == list(range(100)) != numbers
 
 
 def test_a_stopped_process_reads_what_its_socket_held_and_loses_the_rest() -> None:
-    network, here, there = datagrams()
+    network, socket_a, socket_b = datagram_network()
     network.machine(B).pause(5.0)
     for _ in range(300):
-        here.transport.write(b"x" * 1024, (B, 7))
+        socket_a.transport.write(b"x" * 1024, (B, 7))
     network.run(4.0)
-    assert not there.seen
+    assert not socket_b.received
     network.run(6.0)
     assert len(
-        there.seen
-    ) == MAX_UNREAD_DATAGRAM_BYTES // 1024 and there.transport.dropped == 300 - len(there.seen)
+        socket_b.received
+    ) == MAX_UNREAD_DATAGRAM_BYTES // 1024 and socket_b.transport.dropped == 300 - len(
+        socket_b.received
+    )
     network.machine(B).kill()
-    here.transport.write(b"dead", (B, 7))
+    socket_a.transport.write(b"dead", (B, 7))
     network.run(7.0)
-    assert len(there.seen) == MAX_UNREAD_DATAGRAM_BYTES // 1024
+    assert len(socket_b.received) == MAX_UNREAD_DATAGRAM_BYTES // 1024
 
 
 def test_groups_are_drawn_by_the_seed_and_links_have_a_node_at_one_end() -> None:
@@ -180,12 +192,18 @@
 
 
 def test_impairments_add_up() -> None:
-    two = (
+    impairments = (
         Impairment(delay_ms=5, loss=0.5, bandwidth=10),
         Impairment(delay_ms=3, loss=0.5, silent=True, kept=False),
     )
-    both = combine(two)
-    assert (both.delay_ms, both.loss, both.bandwidth, both.silent, both.kept) == (
+    combined = combine(impairments)
+    assert (
+        combined.delay_ms,
+        combined.loss,
+        combined.bandwidth,
+        combined.silent,
+        combined.kept,
+    ) == (
         8,
         0.75,
         10,
@@ -195,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "said"),
+    ("fault", "message"),
     [
         ("what = 'cut'\nwhom = 'n0'\nto = 'n7'", r"fault\[0\].whom: 'n7' is no node"),
         ("what = 'cut'\nwhom = 's0'\nto = 'servers'", r"fault\[0\].to: no link goes"),
@@ -205,6 +223,6 @@
         ("what = 'crash'\nwhom = 's0'\nto = 'n0'", "crash has no `to`"),
     ],
 )
-def test_a_slip_in_a_groups_fault_is_told_with_its_place(fault: str, said: str) -> None:
-    with pytest.raises(ValueError, match=said):
+def test_a_slip_in_a_groups_fault_is_told_with_its_place(fault: str, message: str) -> None:
+    with pytest.raises(ValueError, match=message):
         read(f"name = 'a-b'\n[[fault]]\nat = 1.0\n{fault}")
