--- a/hookpitch/testbed/interfaces.py
+++ b/hookpitch/testbed/interfaces.py
@@ -52,7 +52,7 @@
         endpoint: Any = None,
         no_retransmit: bool = False,
     ) -> None:
-        """Send a packet of `size` bytes, which is retransmitted if lost, unless `no_retransmit`."""
+        """Send a packet of `size` bytes; with `no_retransmit`, a silent link drops it for good."""
 
     def datagram(
         self, source: str, destination: str, size: int, deliver: Callable[[], None]
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -62,7 +62,8 @@
 class ForwardingBuffer:
     """One direction of one connection: from the endpoint that reads to the one that writes.
 
-    It is registered as the producer of the writer's transport, which pauses it while it is full.
+    The buffer is the producer of the writer's transport, which pauses it while the transport's own
+    buffer is full.
     """
 
     __slots__ = (
@@ -193,31 +194,31 @@
 
     def __init__(self, connection: ProxiedConnection) -> None:
         self.connection = connection
-        self.outgoing = None
+        self.read_buffer = None
         self.received_fin = self.is_disconnected = False
-        self.incoming: ForwardingBuffer | None = None  # what this endpoint writes to its peer
+        self.write_buffer: ForwardingBuffer | None = None  # what this endpoint is to write
 
     transport: Any = None
-    outgoing: ForwardingBuffer | None  # what this endpoint has read from its peer
+    read_buffer: ForwardingBuffer | None  # what this endpoint has read
 
     def connectionMade(self) -> None:
         """Start forwarding: the socket is open."""
         self.transport.setTcpNoDelay(True)
-        if self.incoming is not None:
-            self.transport.registerProducer(self.incoming, True)
+        if self.write_buffer is not None:
+            self.transport.registerProducer(self.write_buffer, True)
         self.connection.connected(self)
 
     def dataReceived(self, data: bytes) -> None:
         """Forward bytes."""
-        if self.outgoing is not None and not self.outgoing.is_closed:
-            self.outgoing.bytes_received(data)
+        if self.read_buffer is not None and not self.read_buffer.is_closed:
+            self.read_buffer.bytes_received(data)
 
     def readConnectionLost(self) -> None:
         """Forward the peer's end of stream."""
         self.received_fin = True
         self.connection.half_closed(self)
-        if self.outgoing is not None and not self.outgoing.is_closed:
-            self.outgoing.bytes_received(None)
+        if self.read_buffer is not None and not self.read_buffer.is_closed:
+            self.read_buffer.bytes_received(None)
 
     def writeConnectionLost(self) -> None:
         """Do nothing: the end of stream of the other side was written."""
@@ -244,8 +245,8 @@
         to_client = ForwardingBuffer(
             self.relay, listener.to_client, self.server_side, self.client_side
         )
-        self.client_side.outgoing = self.server_side.incoming = to_server
-        self.server_side.outgoing = self.client_side.incoming = to_client
+        self.client_side.read_buffer = self.server_side.write_buffer = to_server
+        self.server_side.read_buffer = self.client_side.write_buffer = to_client
         # The remote port that the server sees, and that of the client.
         self.upstream_port = self.client_port = 0
         self.is_close_recorded = self.is_closed = False
@@ -261,7 +262,7 @@
         if self.is_closed or self.client_side.is_disconnected:
             side.transport.abortConnection()
             return
-        self.client_side.outgoing.pump()
+        self.client_side.read_buffer.pump()
 
     def half_closed(self, side: RelayEndpoint) -> None:
         """Record the first sign that a node has closed its end."""
@@ -292,9 +293,9 @@
             if other.is_disconnected:
                 self.tear_down()
             return
-        if side.outgoing.direction.impairment.silent:
+        if side.read_buffer.direction.impairment.silent:
             # The reset is lost. What the other side sends from now on is not received.
-            side.outgoing.queue.clear()
+            side.read_buffer.queue.clear()
             self.reset_side = side
             return
         self.tear_down()
@@ -305,22 +306,23 @@
             return
         is_broken = any(
             buffer.has_lost_data and not buffer.direction.impairment.silent
-            for buffer in (self.client_side.outgoing, self.server_side.outgoing)
+            for buffer in (self.client_side.read_buffer, self.server_side.read_buffer)
         )
         if is_broken or (
-            self.reset_side is not None and not self.reset_side.outgoing.direction.impairment.silent
+            self.reset_side is not None
+            and not self.reset_side.read_buffer.direction.impairment.silent
         ):
             self.tear_down()
             return
-        self.client_side.outgoing.pump()
-        self.server_side.outgoing.pump()
+        self.client_side.read_buffer.pump()
+        self.server_side.read_buffer.pump()
 
     def tear_down(self) -> None:
         """End the connection: reset each side that is still open."""
         if self.is_closed:
             return
         self.is_closed = True
-        for buffer in (self.client_side.outgoing, self.server_side.outgoing):
+        for buffer in (self.client_side.read_buffer, self.server_side.read_buffer):
             buffer.discard()
         for side in (self.client_side, self.server_side):
             if side.transport is not None and not side.is_disconnected:
@@ -346,7 +348,7 @@
         server_address: tuple[str, int],
         source_host: str,
     ) -> None:
-        """Listen; `client` and `server` are names, `source_host` is the address the server sees."""
+        """Start to listen; `client` and `server` are names, the server sees `source_host`."""
         self.relay = relay
         self.client = client
         self.server = server
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -235,8 +235,8 @@
     ) -> None:
         """Send a packet of `size` bytes; `deliver` is called when it arrives.
 
-        A lost packet is retransmitted, as by TCP, for as long as its `endpoint` has not sent a
-        reset; with `no_retransmit` (for a reset) it is not.
+        A lost packet is retransmitted, as by TCP, unless its `endpoint` has sent a reset meanwhile.
+        `no_retransmit` is for the reset itself: a silent link drops it for good.
         """
         link = self.link(source, destination)
         sender = self.machines.get(source)
