--- a/hookpitch/members/__init__.py
+++ b/hookpitch/members/__init__.py
@@ -1,2 +1,4 @@
-"""Membership among nodes, for installations that allow traffic between them; off by default, and
-not imported where it is off."""
+"""Membership among the nodes of a fleet, for installations that allow traffic between nodes.
+
+It is off by default, and this package is not imported while it is off.
+"""
--- a/hookpitch/members/anti_entropy.py
+++ b/hookpitch/members/anti_entropy.py
@@ -1,8 +1,10 @@
-"""Comparisons of all that is known, for what gossip did not reach, and reconnects after partitions.
+"""Anti-entropy: repairs what gossip missed, and reconnects after network partitions.
 
-Now and then a member sends another one a digest; where it differs, both send each other the
-partitions that differ. The interval grows while nothing differs and shrinks when something does.
-Times are milliseconds given by the caller.
+Each member periodically sends a digest of all its records to another member. If the other member's
+digest differs, the two exchange the records of the partitions (`PARTITIONS` in `messages.py`) that
+differ. The interval between digests doubles up to `MAX_SYNC_INTERVAL_MS` while all digests agree,
+and is divided by 4 down to `MIN_SYNC_INTERVAL_MS` when one differs. Times are milliseconds given by
+the caller.
 """
 
 from __future__ import annotations
@@ -15,12 +17,13 @@
 
 MIN_SYNC_INTERVAL_MS = 1000.0
 MAX_SYNC_INTERVAL_MS = 16000.0
-# Between two tries to reach a dead member or a seed, in case a partition has ended.
+# Time between two attempts to reach a dead member or an unknown seed, because a network partition
+# may have ended.
 RECONNECT_INTERVAL_MS = 5000.0
 
 
 class AntiEntropy:
-    """One member's comparisons with others."""
+    """Periodic digest comparisons and reconnect attempts of one member."""
 
     __slots__ = (
         "_dissemination",
@@ -52,7 +55,7 @@
         self._reconnect_at = now
 
     def tick(self, now: float) -> None:
-        """Compare, and try to reconnect, where it is time to."""
+        """Send a digest and attempt to reconnect, each if it is due."""
         if now >= self._sync_at:
             self._sync_interval_ms = min(MAX_SYNC_INTERVAL_MS, 2 * self._sync_interval_ms)
             self._sync_at = self._next_sync(now)
@@ -62,7 +65,7 @@
             self.reconnect()
 
     def digest_received(self, now: float, source: Address, message: Message) -> None:
-        """Another member sent its digest: exchange what differs, and compare again sooner."""
+        """Exchange the records that differ from the sender's, and send the next digest sooner."""
         if message.sequence == digest(self._members):
             return
         self._sync_interval_ms = max(MIN_SYNC_INTERVAL_MS, self._sync_interval_ms / 4)
@@ -70,7 +73,7 @@
         self._dissemination.send_known_records(source, True, message.partition_digests)
 
     def send_digest(self) -> None:
-        """Send the digest of all that is known to some member."""
+        """Send the digest of all known records to a random member."""
         for name in self._dissemination.sample(1):
             message = Message(
                 MessageKind.DIGEST,
@@ -81,7 +84,7 @@
             self._dissemination.send(name, message)
 
     def reconnect(self) -> None:
-        """Try a dead member, or a seed that is not known: a partition may have ended."""
+        """Contact a dead member or an unknown seed, because a network partition may have ended."""
         known = self._members.values()
         dead = [
             member.record.address for member in known if member.record.state == MemberState.DEAD
--- a/hookpitch/members/codec.py
+++ b/hookpitch/members/codec.py
@@ -1,15 +1,20 @@
-"""Members' datagrams as bytes.
+"""Encodes and decodes the datagrams between members.
 
     HKM | format, 1 byte | fleet, 8 bytes | check, 8 bytes | body (msgpack array)
 
-`fleet` is a hash of the fleet's name: another fleet's datagrams are refused unread. `check` is a
-keyed hash of the body, with an empty key at present. It detects damage in transit and no forger:
-the network has to be trusted. Authentication would fill the key, and nothing else would change.
+`fleet` is a hash of the fleet's name: datagrams of another fleet are rejected before their body is
+decoded. `check` is a keyed hash of the body, at present with an empty key. It detects corruption in
+transit but not forgery, so the network has to be trusted. Authentication would need a key here and
+no other change.
 
-Messages and records are arrays that later versions may extend: fields behind the known ones are
-skipped. Invariants: `read(write(message)) == message`, for a message that fits; at most `MAX_BYTES`
-bytes, records that do not fit are left out, the last first; whatever comes, `read` raises
-DatagramError or returns a message within the bounds of `messages.py`. No I/O and no clock.
+Messages and records are arrays that later versions may extend: unknown fields at the end are
+skipped. There is no I/O and no clock here. Invariants:
+
+- `read(write(message)) == message` for a message that fits into a datagram;
+- a datagram has at most `MAX_BYTES` bytes; records that do not fit are omitted, the last ones
+  first;
+- for any input, `read` raises DatagramError or returns a message within the limits of
+  `messages.py`.
 """
 
 from __future__ import annotations
@@ -39,6 +44,7 @@
 MAX_BYTES = 1200
 MAX_DATAGRAM_BYTES = 65535
 MAX_NAME_CHARS = 100
+# These limits are exclusive.
 INTEGER_LIMIT = 1 << 62
 PARTITION_DIGEST_LIMIT = 1 << 16
 PORT_LIMIT = 65536
@@ -46,22 +52,22 @@
 
 
 class DatagramError(MembersError):
-    """A datagram that is refused.
+    """A rejected datagram.
 
-    The text is one word, part of a counter's name: foreign (of another program or fleet), version,
-    torn (damaged) or wrong (a body out of bounds).
+    The text is one word, the suffix of a counter: foreign (of another program or fleet), version,
+    torn (corrupted) or wrong (a malformed body).
     """
 
 
 class Codec:
-    """Reads and writes the datagrams of one fleet."""
+    """Encodes and decodes the datagrams of one fleet."""
 
     def __init__(self, fleet: str, key: bytes = b"") -> None:
         self.fleet_hash = blake2b(fleet.encode(), digest_size=HASH_BYTES).digest()
         self.key = key
 
     def write(self, message: Message) -> bytes:
-        """The datagram, without the records that do not fit."""
+        """Return the datagram of a message, without the records that do not fit."""
         records = [_encode_record(record) for record in message.records]
         while True:
             fields = (
@@ -80,7 +86,7 @@
             records.pop()
 
     def read(self, data: bytes) -> Message:
-        """The message that `data` holds. Raises DatagramError."""
+        """Return the message that `data` holds. Raise DatagramError if it is rejected."""
         body = self._verified_body(data)
         try:
             return _parse_message(msgspec.msgpack.decode(body))
@@ -88,7 +94,7 @@
             raise DatagramError("wrong") from error
 
     def checksum(self, body: bytes) -> bytes:
-        """The keyed hash of a body."""
+        """Return the keyed hash of a body."""
         return blake2b(body, digest_size=HASH_BYTES, key=self.key).digest()
 
     def _verified_body(self, data: bytes) -> bytes:
@@ -119,10 +125,10 @@
     )
 
 
-def _parse_message(fields: Any) -> Message:  # noqa: ANN401 - whatever a datagram holds
-    """Raises ValueError or TypeError where a field is out of bounds."""
+def _parse_message(fields: Any) -> Message:  # noqa: ANN401 - any msgpack value
+    """Return the message. Raise ValueError or TypeError if a field is out of bounds."""
     kind, sender, sequence, target, full_sync, records, *optional_fields = fields
-    # Earlier versions send neither of these.
+    # Earlier versions send neither the digests nor the payload.
     digests = tuple(optional_fields[0]) if len(optional_fields) > 0 else ()
     payload = optional_fields[1] if len(optional_fields) > 1 else b""
     _require(len(digests) in (0, PARTITIONS))
@@ -174,4 +180,4 @@
 
 def _require(condition: bool) -> None:
     if not condition:
-        raise ValueError("out of bounds")
+        raise ValueError("a field of the datagram is out of bounds")
--- a/hookpitch/members/dissemination.py
+++ b/hookpitch/members/dissemination.py
@@ -1,8 +1,8 @@
-"""Outgoing datagrams, and the gossip that rides on them.
+"""Outgoing datagrams and the gossip that is piggybacked on them.
 
-Each change is sent about `RETRANSMIT_FACTOR` x log2 of the fleet times, the least-sent changes
-first, at most `MAX_RECORDS_PER_DATAGRAM` records a datagram whatever the fleet's size. The sender's
-own record is on board of every datagram that has room.
+Each changed record is sent about `RETRANSMIT_FACTOR` * log2(fleet size) times, the records with the
+fewest transmissions first. A datagram carries at most `MAX_RECORDS_PER_DATAGRAM` records at any
+fleet size. The sender's own record is included in every datagram that has space for it.
 """
 
 from __future__ import annotations
@@ -23,16 +23,17 @@
     partition_of,
 )
 
-# Times log2 of the fleet that a change is sent.
+# A changed record is sent this factor times log2(fleet size) times.
 RETRANSMIT_FACTOR = 3.0
-# Records in each datagram of a full sync.
+# The number of records in each datagram of a full sync.
 SYNC_RECORDS_PER_DATAGRAM = 12
 
 
 class Dissemination:
-    """One member's datagrams to come: `outbox`, which the caller sends and empties.
+    """The send queue and the gossip queue of one member.
 
-    `transmissions` counts by member how often its record has been sent since it changed.
+    `outbox` holds the datagrams to send; the caller sends and clears them. `transmissions` maps the
+    name of a member to the number of times that its record was sent since it last changed.
     """
 
     __slots__ = ("outbox", "transmissions", "_members", "_own_name", "_random")
@@ -47,19 +48,19 @@
         self._random = random
 
     def announce(self, name: str) -> None:
-        """Send the member's record on, as it has changed."""
+        """Queue the changed record of a member for gossip."""
         self.transmissions[name] = 0
 
     def reannounce(self, name: str) -> None:
-        """Send the record on some more, as another member has confirmed it."""
+        """Send a record more often, because another member has confirmed it."""
         self.transmissions[name] = self.transmissions.get(name, 0) // 2
 
     def forget(self, name: str) -> None:
-        """The member is no longer known."""
+        """Remove a member that is no longer known from the gossip queue."""
         self.transmissions.pop(name, None)
 
     def select_gossip(self, limit: int) -> tuple[Record, ...]:
-        """The records that were sent least often so far; they count as sent."""
+        """Return the records with the fewest transmissions, and count them as sent."""
         if not self.transmissions:
             return ()
         max_transmissions = RETRANSMIT_FACTOR * log2(len(self._members) + 1)
@@ -72,11 +73,11 @@
         return tuple(self._members[name].record for name in chosen if name in self._members)
 
     def send(self, name: str, message: Message) -> None:
-        """Send to a known member."""
+        """Queue a message to a known member."""
         self.send_to(self._members[name].record.address, message)
 
     def send_to(self, address: Address, message: Message) -> None:
-        """Send with the own record and gossip on board, as far as there is room."""
+        """Queue a message, and add the own record and gossip while there is space for them."""
         included = {record.name for record in message.records}
         limit = MAX_RECORDS_PER_DATAGRAM - len(message.records) - 1
         gossip = tuple(
@@ -90,10 +91,11 @@
     def send_known_records(
         self, address: Address, full_sync: bool, remote_digests: tuple[int, ...] = ()
     ) -> None:
-        """Send all that is known, in datagrams of bounded size.
+        """Send all known records, in datagrams of bounded size.
 
-        With digests of the other's partitions, only what differs: with datagrams lost, two members
-        never know quite the same. `full_sync` asks for the same in return.
+        If the digests of the other member's partitions are given, send only the partitions that
+        differ: while datagrams are lost, the records of two members always differ in a few places.
+        `full_sync` requests the same in return.
         """
         records = [member.record for member in self._members.values()]
         own_digests: tuple[int, ...] = ()
@@ -116,7 +118,7 @@
             self.outbox.append((address, message))
 
     def sample(self, count: int, excluding: Collection[str] = ()) -> list[str]:
-        """At most `count` other members that are alive, at random."""
+        """Return at most `count` random other members that are alive and not suspected."""
         candidates = [
             name
             for name, member in self._members.items()
--- a/hookpitch/members/endpoint_exchange.py
+++ b/hookpitch/members/endpoint_exchange.py
@@ -1,25 +1,26 @@
-"""The endpoint list from another member, for a node that discovery has sent none yet.
+"""Exchange of endpoint lists between members, for a node without a list from discovery.
 
-A node that starts requests the list from some members before its poll of discovery is due, and
-again while discovery sends nothing; a member that has lately heard from discovery answers with what
-it holds, in chunks of one datagram each. Who requests, from whom and when, and what is accepted is
-decided here; `port.py` carries the datagrams and hands the list to the node.
+A starting node requests the list from some members before its first poll of discovery is due, and
+repeats the request while discovery sends no list. A member that has recently been in contact with
+discovery answers with its list, in chunks of one datagram each. This module decides when to send a
+request and to which members, and which lists to accept; `port.py` sends and receives the datagrams
+and applies the list to the node.
 
 Invariants:
 
-- nothing is requested and nothing accepted once discovery has sent this process a list: its word
-  comes first;
-- a list is passed on only by a node that had it from discovery, and heard from discovery within
-  `MAX_LIST_AGE_MS`: one member's mistake is not repeated by another. Of two lists the one of the
-  higher version prevails, not the younger;
-- a list is accepted only if its version is higher than that of the one held, and it is complete:
-  chunks of two lists never mix (each has the digest of its list), and what decompresses to more
-  than `MAX_LIST_BYTES` is refused;
-- at most `REQUEST_FANOUT` requests each `REQUEST_INTERVAL_MS`, and at most `MAX_CHUNKS_PER_S`
-  chunks sent a second, whoever requests them.
-
-Requests and chunks: `list_chunks.py`. Times are milliseconds given by the caller. No I/O and no
-clock.
+- once discovery has sent this process a list, nothing is requested and nothing is accepted, because
+  discovery takes precedence over members;
+- a node sends only a list that it received from discovery, and only within `MAX_LIST_AGE_MS` of its
+  last contact with discovery: no member spreads the wrong list of another one. Of two lists the one
+  with the higher version prevails, not the one with the lower age;
+- a list is accepted only if its version is higher than that of the current list, and only once it
+  is complete. The chunks of two lists are never mixed, because each carries the digest of its list,
+  and a list that decompresses to more than `MAX_LIST_BYTES` is rejected;
+- a node sends at most `REQUEST_FANOUT` requests per `REQUEST_INTERVAL_MS`, and at most
+  `MAX_CHUNKS_PER_S` chunks per second to all requesters together.
+
+`list_chunks.py` defines requests and chunks. Times are milliseconds given by the caller. No I/O and
+no clock.
 """
 
 from __future__ import annotations
@@ -40,29 +41,30 @@
 from hookpitch.members.messages import Address, Message, MessageKind
 from hookpitch.members.rate_limit import RateLimit
 
-# Between two requests of a node that has no list from anybody yet.
+# Time between two request rounds of a node that no member has sent a list yet.
 REQUEST_INTERVAL_MS = 300.0
-# The same, once it has one or has requested `FAST_REQUEST_ROUNDS` times.
+# The same, once a member has sent a list or after `FAST_REQUEST_ROUNDS` rounds.
 SLOW_REQUEST_INTERVAL_MS = 2000.0
 FAST_REQUEST_ROUNDS = 10
-# Members in one go; the first that answers is asked for the rest.
+# The number of members in one round; the first that answers receives the further requests.
 REQUEST_FANOUT = 3
-# Requests in a row that bring no further chunk, before other members are asked.
+# After this number of consecutive requests without a new chunk, other members are asked.
 MAX_REQUESTS_WITHOUT_PROGRESS = 3
-# Since the holder last heard from discovery: as old as a snapshot may be.
+# The longest time since the sender's last contact with discovery: the same as the greatest age of a
+# snapshot.
 MAX_LIST_AGE_MS = 3600000.0
 MAX_CHUNKS_PER_S = 400
-# A list that is sent is compressed anew after so long, or with a new version.
+# A compressed list is cached for this time, or until the version changes.
 COMPRESSED_LIFETIME_MS = 1000.0
 NEVER = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class ListStatus:
-    """What this node holds at one moment.
+    """The state of this node's own endpoint list.
 
-    `is_from_discovery`: discovery sent it to this process. `is_watch_open`: discovery's watch is
-    open.
+    `is_from_discovery`: discovery has sent this process a list. `is_watch_open`: besides, the watch
+    at discovery is open, so that the list is up to date.
     """
 
     version: int
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedList:
-    """A complete list: discovery's JSON, and which member sent it."""
+    """A complete list: the JSON document of discovery, and the member that sent it."""
 
     version: int
     age_ms: float
@@ -81,12 +83,12 @@
 
 
 class EndpointExchange:
-    """One node's requests and answers. `outbox` holds what is to be sent."""
+    """The requests and answers of one node; `outbox` holds the datagrams to send."""
 
     def __init__(
         self, now: float, name: str, random: Callable[[], float], count: Callable[[str], None]
     ) -> None:
-        """`count` adds one to the counter of a name."""
+        """Create the exchange of the node `name`; `count` adds one to the counter of a name."""
         self.name = name
         self.outbox: list[tuple[Address, Message]] = []
         self._random = random
@@ -102,9 +104,9 @@
     # ---- requests
 
     def tick(self, now: float, own_status: ListStatus, members: Sequence[Address]) -> float:
-        """Request the list if it is time to; returns when to call again.
+        """Request the list if a request is due, and return when to call again.
 
-        `members`: those that may be asked.
+        `members` are the members that may be asked.
         """
         if own_status.is_watch_open:
             self._discovery_contact_at = now
@@ -120,7 +122,7 @@
         return self._request_at
 
     def _send_requests(self, own_version: int, members: Sequence[Address]) -> None:
-        """Request what is missing of a partial list, or the first chunks from some members."""
+        """Request the missing chunks of a partial list, or the first chunks from some members."""
         partial = self._partial
         if (
             partial is not None
@@ -151,7 +153,7 @@
         own_status: ListStatus,
         document: Callable[[], bytes],
     ) -> None:
-        """Answer another node; `document` makes discovery's JSON of the list that is held."""
+        """Answer another node; `document` returns this node's list as a JSON document."""
         request = ListRequest.parse(message.payload)
         if request is None:
             self._count("members.lists_wrong")
@@ -170,7 +172,8 @@
             self._count("members.lists_long")
             return
         for index in compressed.requested_chunks(request):
-            # Hundreds of nodes that start at once must not take CPU and link from RPCs.
+            # Answering hundreds of nodes that start at once must not take CPU time and bandwidth
+            # from RPCs.
             if not self._rate_limit.allow(now):
                 self._count("members.lists_busy")
                 return
@@ -189,12 +192,12 @@
         payload = msgspec.msgpack.encode(chunk)
         self.outbox.append((address, Message(MessageKind.LIST_CHUNK, self.name, payload=payload)))
 
-    # ---- chunks that come
+    # ---- received chunks
 
     def handle_chunk(
         self, now: float, source: Address, message: Message, own_status: ListStatus
     ) -> ReceivedList | None:
-        """Take a chunk; returns the list once it is complete."""
+        """Process a chunk, and return the list once it is complete."""
         chunk = ListChunk.parse(message.payload)
         if chunk is None:
             self._count("members.lists_wrong")
@@ -221,11 +224,12 @@
     def _partial_list_for(
         self, now: float, source: Address, chunk: ListChunk
     ) -> PartialList | None:
-        """The list that the chunk belongs to; None where another one goes on."""
+        """Return the partial list that the chunk belongs to, or None to ignore the chunk."""
         partial = self._partial
         if partial is not None and partial.includes(source, chunk):
             return partial
-        # Another member's list that is no newer gives way; one of the same member has changed.
+        # Another member's list is ignored unless its version is higher. If the chunk is of the same
+        # member, that member's list has changed, and the new list replaces the partial one.
         if partial is not None and partial.source != source and chunk.version <= partial.version:
             return None
         self._partial = PartialList(
--- a/hookpitch/members/errors.py
+++ b/hookpitch/members/errors.py
@@ -1,5 +1,5 @@
-"""The base of this package's errors."""
+"""Base class of the errors of this package."""
 
 
 class MembersError(ValueError):
-    """Settings, a datagram or metadata that membership cannot use."""
+    """Settings, a datagram, an endpoint list or metadata that membership cannot use."""
--- a/hookpitch/members/events.py
+++ b/hookpitch/members/events.py
@@ -1,4 +1,4 @@
-"""What a member counts and logs of itself."""
+"""Counters and log events of one member."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 
 
 class EventLog:
-    """`counts`: how often things happened, by name. `log` takes an event and its fields."""
+    """Counts events and writes log events.
+
+    `counts` holds the number of events by counter name. `log` is called with the name of a log
+    event and its fields.
+    """
 
     __slots__ = ("counts", "_log")
 
@@ -15,10 +19,10 @@
         self._log = log
 
     def count(self, name: str) -> None:
-        """Add one to a counter."""
+        """Add one to the counter `name`."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def report(self, event: str, **fields: object) -> None:
-        """Write a line to the log, where there is one."""
+        """Write a log event, if there is a log."""
         if self._log is not None:
             self._log(event, **fields)
--- a/hookpitch/members/failure_detector.py
+++ b/hookpitch/members/failure_detector.py
@@ -1,8 +1,9 @@
-"""Probes, after SWIM and Lifeguard: direct, then indirect through other members, in random rounds.
+"""The failure detector of SWIM and Lifeguard: direct probes, then indirect ones through others.
 
-One probe a period, at most twice with indirect ones; every other member is probed once a round. A
-member whose own probes fail or whose loop stalls trusts itself less (`LocalHealth`): all its
-timeouts grow with the penalty.
+In each period one member is probed: directly and, without an answer, also through other members.
+Without any answer it is probed once more in the next period. Each round probes every other member
+once, in random order. A member whose own probes fail or whose event loop stalls trusts its own
+findings less (`LocalHealth`): its timeouts grow with the health penalty.
 
 Times are milliseconds given by the caller.
 """
@@ -17,23 +18,23 @@
 from hookpitch.members.member import Member
 from hookpitch.members.messages import Address, MemberState, Message, MessageKind, Record
 
-# One probe in each period.
+# One probe is started in each period.
 PROBE_PERIOD_MS = 500.0
-# For an answer, before other members are asked to probe.
+# The time for an answer to the direct probe, before other members are asked to probe.
 DIRECT_TIMEOUT_MS = 200.0
-# Unanswered probes in a row, indirect ones included, before a member is suspected. With a fifth of
-# the datagrams lost one probe in sixty is unanswered by chance, and each wrong suspicion and its
-# refutation are sent round the fleet.
+# A member is suspected after this number of consecutive unanswered probes, each with its indirect
+# probes. If a fifth of the datagrams is lost, one probe in sixty is unanswered by chance, and each
+# wrong suspicion and its refutation are gossiped to the whole fleet.
 PROBE_ATTEMPTS = 2
-# Members that are asked to probe.
+# The number of members that are asked to probe indirectly.
 INDIRECT_PROBES = 4
-# The highest penalty: timeouts are up to 1 + this many times as long.
+# The highest health penalty; timeouts of probes are then 1 + 4 times as long.
 MAX_HEALTH_PENALTY = 4
 MAX_FIRST_SEQUENCE = 1e6
 
 
 class LocalHealth:
-    """How little a member trusts its own findings: `penalty` is 0 for a healthy one."""
+    """The local health of Lifeguard: `penalty` is 0 for a member that trusts its own findings."""
 
     __slots__ = ("penalty",)
 
@@ -42,38 +43,38 @@
 
     @property
     def timeout_factor(self) -> int:
-        """By which timeouts of probes are longer."""
+        """The factor by which the timeouts of probes are longer."""
         return 1 + self.penalty
 
     def worsen(self, amount: int = 1) -> None:
-        """An own probe failed, the own loop stalled, or this member was suspected."""
+        """Raise the penalty after a failed probe, a stalled event loop or a suspicion."""
         self.penalty = min(MAX_HEALTH_PENALTY, self.penalty + amount)
 
     def improve(self) -> None:
-        """An own probe was answered."""
+        """Lower the penalty after an answered probe."""
         self.penalty = max(0, self.penalty - 1)
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of the present period."""
+    """The probe of the current period."""
 
     target: str
     sequence: int
     started_at: float
     attempt: int = 1
-    helpers: tuple[str, ...] = ()  # members that were asked to probe
-    is_indirect: bool = False  # the direct timeout is over
+    helpers: tuple[str, ...] = ()  # members that were asked to probe indirectly
+    is_indirect: bool = False  # the direct timeout has passed
     is_answered: bool = False
 
     @property
     def awaits_direct_answer(self) -> bool:
-        """Whether the direct timeout still matters."""
+        """Whether the direct timeout still applies."""
         return not (self.is_indirect or self.is_answered)
 
 
 class RelayedProbe(NamedTuple):
-    """A probe on behalf of another member."""
+    """A probe on behalf of another member; `sequence` is that of the requester's own probe."""
 
     expires_at: float
     requester: Address
@@ -81,7 +82,7 @@
 
 
 class FailureDetector:
-    """One member's probes. `probe` is the present one, None where there is nobody to probe."""
+    """The probes of one member; `probe` is the current one, None if there is no member to probe."""
 
     __slots__ = (
         "health",
@@ -108,14 +109,14 @@
         self._members = members
         self._dissemination = dissemination
         self._random = random
-        self._round: list[str] = []  # who is still to be probed in this round, the next one last
+        self._round: list[str] = []  # members left to probe, the next one last
         self._relayed: dict[int, RelayedProbe] = {}
         self._sequence = int(random() * MAX_FIRST_SEQUENCE)
 
     # ---- own probes
 
     def probe_next(self, now: float, attempt: int = 1) -> None:
-        """Probe the next member of the round; a new round is in random order."""
+        """Probe the next member of the round, or the first one of a new round in random order."""
         self.probe = None
         target = self._next_target()
         if target is None:
@@ -126,20 +127,20 @@
         self._send_probe(self.probe, target.record)
 
     def retry(self, now: float) -> None:
-        """Probe the same member once more, if it may still be probed."""
+        """Probe the same member once more, or the next one if it is no longer active."""
         if self.probe is not None:
             self._round.append(self.probe.target)
             self.probe_next(now, self.probe.attempt + 1)
 
     def can_retry(self) -> bool:
-        """Whether the unanswered probe is followed by another one before a suspicion."""
+        """Return whether the unanswered probe is to be repeated before the member is suspected."""
         if self.probe is None or self.probe.attempt >= PROBE_ATTEMPTS:
             return False
         target = self._members.get(self.probe.target)
         return target is not None and target.record.state == MemberState.ALIVE
 
     def probe_indirectly(self, now: float) -> None:
-        """Once the direct timeout is over: probe again, and ask others to."""
+        """Probe again and ask other members to probe, once the direct timeout has passed."""
         probe = self.probe
         if probe is None or not probe.awaits_direct_answer:
             return
@@ -156,20 +157,20 @@
             self._dissemination.send(helper, request)
 
     def is_period_over(self, now: float) -> bool:
-        """Whether the present probe has had its period, or there is none."""
+        """Return whether the period of the current probe is over, or there is no probe."""
         if self.probe is None:
             return True
         return now >= self.probe.started_at + PROBE_PERIOD_MS * self.health.timeout_factor
 
     def next_due(self, latest: float) -> float:
-        """When the present probe next needs attention, at `latest`."""
+        """Return when the next timeout of the current probe ends, at most `latest`."""
         if self.probe is None:
             return latest
         timeout_ms = DIRECT_TIMEOUT_MS if self.probe.awaits_direct_answer else PROBE_PERIOD_MS
         return min(self.probe.started_at + timeout_ms * self.health.timeout_factor, latest)
 
     def extend_timeouts(self, ms: float) -> None:
-        """Give the present probe more time, as this member was suspended."""
+        """Give the current probe more time, because this member was suspended."""
         if self.probe is not None:
             self.probe.started_at += ms
 
@@ -189,7 +190,7 @@
                 return member
 
     def _send_probe(self, probe: Probe, target: Record) -> None:
-        # A suspect learns first of all of the suspicion, so that it can refute it.
+        # The probe tells a suspected member about the suspicion, so that it can refute it.
         records = (target,) if target.state == MemberState.SUSPECTED else ()
         message = Message(MessageKind.PROBE, self._own_name, probe.sequence, probe.target, records)
         self._dissemination.send(probe.target, message)
@@ -197,7 +198,7 @@
     # ---- answers, and probes on behalf of others
 
     def ack_received(self, message: Message) -> None:
-        """An ACK of the present probe, or of one on behalf of another member."""
+        """Process an ACK of the current probe, or of a probe on behalf of another member."""
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
             answer = Message(MessageKind.ACK, self._own_name, relayed.sequence, message.target)
@@ -222,7 +223,7 @@
         self._dissemination.send(message.target, probe)
 
     def expire_relayed(self, now: float) -> None:
-        """Forget probes on behalf of others that were not answered in time."""
+        """Remove the probes on behalf of other members that were not answered in time."""
         self._relayed = {
             sequence: relayed
             for sequence, relayed in self._relayed.items()
--- a/hookpitch/members/list_chunks.py
+++ b/hookpitch/members/list_chunks.py
@@ -1,8 +1,12 @@
-"""A compressed endpoint list in chunks of one datagram each, and the request for them.
+"""Compressed endpoint lists, split into chunks of one datagram each, and requests for chunks.
 
-A request is `[version held, digest, mask of chunks]`, a chunk `[version, age in ms, digest, index,
-count, bytes]`, both in msgpack; later versions may extend either. The list itself is discovery's
-own JSON, deflated. Chunks of two lists never mix: each has the digest of its list. No I/O.
+Both are msgpack arrays that later versions may extend:
+
+- a request is `[version that the requester has, digest, mask of chunks]`;
+- a chunk is `[version, age in ms, digest, index, count, bytes]`.
+
+The list itself is the JSON document of discovery, compressed with zlib. Each chunk carries the
+digest of its list, so that the chunks of two lists are never mixed. No I/O.
 """
 
 from __future__ import annotations
@@ -16,18 +20,18 @@
 
 from hookpitch.members.messages import Address
 
-# A mask: the chunks that are requested while no list is known.
+# A request without a partial list asks for the first four chunks.
 INITIAL_CHUNK_MASK = 0xF
 CHUNK_BYTES = 900
 MAX_CHUNKS = 64
 MAX_LIST_BYTES = 1 << 20
 COMPRESSION_LEVEL = 6
 DIGEST_BYTES = 8
-INTEGER_LIMIT = 1 << 62
+INTEGER_LIMIT = 1 << 62  # exclusive
 
 
 class ListRequest(NamedTuple):
-    """Which chunks a member wants; `digest` is of the list that it has a part of, or empty."""
+    """A request for chunks; `digest` is that of the partial list to complete, empty if none."""
 
     version: int
     digest: bytes
@@ -35,7 +39,7 @@
 
     @classmethod
     def parse(cls, payload: bytes) -> ListRequest | None:
-        """The request, None where the payload is none."""
+        """Return the request, or None if the payload is not a valid one."""
         try:
             version, digest, chunk_mask, *_ = msgspec.msgpack.decode(payload)
         except (msgspec.MsgspecError, ValueError, TypeError):
@@ -50,7 +54,7 @@
 
 
 class ListChunk(NamedTuple):
-    """One part of a compressed list, `index` of `count`; `digest` is of the whole."""
+    """Chunk `index` of `count` of a compressed list; `digest` is that of the complete list."""
 
     version: int
     age_ms: float
@@ -61,7 +65,7 @@
 
     @classmethod
     def parse(cls, payload: bytes) -> ListChunk | None:
-        """The chunk, None where the payload is none."""
+        """Return the chunk, or None if the payload is not a valid one."""
         try:
             version, age_ms, digest, index, count, data, *_ = msgspec.msgpack.decode(payload)
         except (msgspec.MsgspecError, ValueError, TypeError):
@@ -70,7 +74,7 @@
         return chunk if chunk.is_valid() else None
 
     def is_valid(self) -> bool:
-        """Whether each field has its type and is within bounds."""
+        """Return whether each field has the right type and is within its limits."""
         if not (_is_unsigned_integer(self.version) and type(self.digest) is bytes):
             return False
         if not (type(self.age_ms) in (int, float) and self.age_ms >= 0):
@@ -86,8 +90,9 @@
 class PartialList:
     """A list of which some chunks are missing.
 
-    `age_ms`: since its sender last heard from discovery, at `started_at`.
-    `requests_without_progress`: requests since the last new chunk.
+    `started_at` is when the first chunk was received; `age_ms` is the time from the sender's last
+    contact with discovery until then. `requests_without_progress` counts the requests since the
+    last new chunk.
     """
 
     source: Address
@@ -100,22 +105,22 @@
     chunks: dict[int, bytes] = field(default_factory=dict)
 
     def missing_mask(self) -> int:
-        """A bit for each chunk that has not come; 0 once the list is complete."""
+        """Return a mask with a bit for each missing chunk, 0 once the list is complete."""
         return sum(1 << index for index in range(self.count) if index not in self.chunks)
 
     def includes(self, source: Address, chunk: ListChunk) -> bool:
-        """Whether the chunk is of this list."""
+        """Return whether the chunk belongs to this list and comes from the same member."""
         expected = (self.source, self.digest, self.count)
         return expected == (source, chunk.digest, chunk.count)
 
     def add(self, chunk: ListChunk) -> None:
-        """Keep the chunk, if it is new."""
+        """Store the chunk if it is new."""
         if chunk.index not in self.chunks:
             self.chunks[chunk.index] = chunk.data
             self.requests_without_progress = 0
 
     def document(self) -> bytes | None:
-        """The complete list, None where the chunks are no list or one that is too long."""
+        """Return the decompressed list, or None if it is corrupted or exceeds `MAX_LIST_BYTES`."""
         compressed = b"".join(self.chunks[index] for index in range(self.count))
         if list_digest(compressed) != self.digest:
             return None
@@ -128,7 +133,7 @@
 
 
 class CompressedList(NamedTuple):
-    """A list as it is sent."""
+    """A compressed list, as it is sent in chunks; `compressed_at` is a time in ms."""
 
     version: int
     compressed_at: float
@@ -137,30 +142,30 @@
 
     @classmethod
     def compress(cls, version: int, now: float, document: bytes) -> CompressedList:
-        """Compress discovery's JSON."""
+        """Compress a JSON document of discovery."""
         data = zlib.compress(document, COMPRESSION_LEVEL)
         return cls(version, now, data, list_digest(data))
 
     @property
     def chunk_count(self) -> int:
-        """How many chunks it takes."""
+        """The number of chunks of the list."""
         return -(-len(self.data) // CHUNK_BYTES)
 
     def requested_chunks(self, request: ListRequest) -> list[int]:
-        """Indices; the first ones where the list has changed since the last request."""
+        """Return the indices of the chunks to send: the first ones if the list has changed."""
         mask = request.chunk_mask
         if request.digest and request.digest != self.digest:
             mask = INITIAL_CHUNK_MASK
         return [index for index in range(self.chunk_count) if mask >> index & 1]
 
     def chunk(self, index: int, age_ms: float) -> ListChunk:
-        """One part of it."""
+        """Return the chunk at `index`."""
         data = self.data[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES]
         return ListChunk(self.version, age_ms, self.digest, index, self.chunk_count, data)
 
 
 def list_digest(compressed: bytes) -> bytes:
-    """The digest that each chunk of a list has."""
+    """Return the digest that each chunk of a list carries."""
     return blake2b(compressed, digest_size=DIGEST_BYTES).digest()
 
 
--- a/hookpitch/members/member.py
+++ b/hookpitch/members/member.py
@@ -1,4 +1,4 @@
-"""What one member keeps of another, and digests over all of it."""
+"""The state that one member holds of another member, and digests over all such states."""
 
 from __future__ import annotations
 
@@ -9,22 +9,27 @@
 
 from hookpitch.members.messages import PARTITIONS, MemberState, Record, partition_of
 
-# Recoveries within `flap_damping.FLAP_WINDOW_MS` that damp a member.
+# A member with this number of recoveries within `flap_damping.FLAP_WINDOW_MS` is damped.
 FLAP_RECOVERIES = 3
-# Refuted suspicions within `suspicion.REFUTED_SUSPICIONS_WINDOW_MS` after which another is
-# suppressed.
+# Further suspicions are suppressed after this number of refuted suspicions within
+# `suspicion.REFUTED_SUSPICIONS_WINDOW_MS`.
 MAX_REFUTED_SUSPICIONS = 3
 
 
 @dataclass(slots=True)
 class Member:
-    """A member as it is known here. Times are milliseconds of this member's own running time."""
+    """A member as this member knows it.
+
+    Times are milliseconds. `state_since` is moved forward by the time in which this member was
+    suspended, so that only its own running time counts.
+    """
 
     record: Record
     state_since: float
-    accusers: dict[str, None] = field(default_factory=dict)  # who suspects it, in order
+    # The members that suspect this one, in the order in which their suspicions arrived.
+    accusers: dict[str, None] = field(default_factory=dict)
     recovered_at: deque[float] = field(default_factory=lambda: deque(maxlen=FLAP_RECOVERIES))
-    # When suspicions that were raised here were refuted.
+    # When suspicions that this member raised were refuted.
     refuted_suspicions_at: deque[float] = field(
         default_factory=lambda: deque(maxlen=MAX_REFUTED_SUSPICIONS)
     )
@@ -32,21 +37,26 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it counts as part of the fleet: a suspect is not dead yet."""
+        """Whether the member counts as part of the fleet: a suspected member still does."""
         return self.record.state <= MemberState.SUSPECTED
 
 
 def digest(members: Mapping[str, Member]) -> int:
-    """Over all that is known: equal where two members know the same."""
+    """Return a digest of all records: equal at two members that hold the same records."""
     known = sorted(
-        (name, member.record.incarnation, int(member.record.state), member.record.metadata_version)
+        (
+            name,
+            member.record.incarnation,
+            int(member.record.state),
+            member.record.metadata_version,
+        )
         for name, member in members.items()
     )
     return crc32(repr(known).encode())
 
 
 def partition_digests(members: Mapping[str, Member]) -> tuple[int, ...]:
-    """A digest of 16 bits for each partition, independent of the members' order."""
+    """Return a digest of 16 bits for each partition, independent of the order of the members."""
     sums = [0] * PARTITIONS
     for name, member in members.items():
         record = member.record
--- a/hookpitch/members/membership.py
+++ b/hookpitch/members/membership.py
@@ -1,25 +1,27 @@
-"""Who is in the fleet, as one member knows it: SWIM with Lifeguard's changes, as a state machine.
+"""The fleet as one member knows it: SWIM with the extensions of Lifeguard, as a state machine.
 
-SWIM: indirect probes (`failure_detector.py`), suspicion (`suspicion.py`) that its subject refutes
-by a higher incarnation (`identity.py`), gossip carried by the probes (`dissemination.py`).
-Lifeguard: a member that is itself slow trusts itself less; a suspicion ends sooner when others
-confirm it; a suspect learns of it from whoever probes it. Further: comparisons for what gossip
-missed (`anti_entropy.py`), flap damping (`flap_damping.py`) and views that settle (`view.py`).
-Reasons: docs/members.md.
+From SWIM come indirect probes (`failure_detector.py`), suspicions (`suspicion.py`) that the
+suspected member refutes by a higher incarnation (`identity.py`), and gossip that is carried by the
+probes (`dissemination.py`). From Lifeguard come three rules: a member that is itself slow trusts
+its own findings less; a suspicion times out sooner if other members confirm it; and a probe tells a
+suspected member about the suspicion. In addition there are anti-entropy for what gossip missed
+(`anti_entropy.py`), flap damping (`flap_damping.py`) and views that are published once changes have
+settled (`view.py`). The reasons for this design are in docs/members.md.
 
 Invariants:
 
-- an incarnation in a record never falls, and only its owner raises one;
-- of two records of one member the one with the higher incarnation prevails; of equal ones the one
-  with the higher state: what was called dead at an incarnation does not return at that one;
-- a member is suspected for at least `suspicion.MIN_SUSPICION_MS` of this member's own running time
-  before it is called dead here; time in which this member was suspended, or its loop stalled, does
-  not count;
-- one probe a period, with `INDIRECT_PROBES` requests, and `MAX_RECORDS_PER_DATAGRAM` records a
-  datagram, at any size of the fleet.
-
-The caller calls `tick(now)` at `due` and `receive(now, source, message)`, and sends what `outbox`
-holds. Times are milliseconds. No I/O and no clock.
+- the incarnation of a member never decreases, and only the member itself raises it;
+- of two records of one member the one with the higher incarnation prevails, and at equal
+  incarnations the one with the higher state: a member that was declared dead returns only with a
+  higher incarnation;
+- before this member declares another one dead, it has suspected it for at least
+  `suspicion.MIN_SUSPICION_MS` of its own running time; time in which this member was suspended or
+  its event loop was stalled does not count;
+- at any fleet size there is one probe per period, with at most `INDIRECT_PROBES` requests for
+  indirect probes, and a datagram carries at most `MAX_RECORDS_PER_DATAGRAM` records.
+
+The caller calls `tick(now)` at `due`, calls `receive(now, source, message)` for each datagram, and
+sends the datagrams in `outbox`. Times are milliseconds. No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -50,13 +52,13 @@
 from hookpitch.members.roster import Roster
 from hookpitch.members.view import View, ViewPublisher
 
-# A tick so much late: this member was suspended, or its loop stalled.
+# A tick that is later than this shows that this member was suspended or its event loop stalled.
 STALL_THRESHOLD_MS = 250.0
-# Without a datagram from anybody: what others refuted meanwhile was missed.
+# After this time without any datagram, this member has missed the refutations sent meanwhile.
 ISOLATION_MS = 3000.0
-# Members that a change is sent to at the next tick, by each that learns of it.
+# Each member that learns of a change sends it to this number of members at its next tick.
 PUSH_FANOUT = 2
-# Members that a refutation or a goodbye is sent to at once.
+# A refutation or a departure is sent to this number of members at once.
 URGENT_FANOUT = 2 * INDIRECT_PROBES
 MAX_FIRST_INCARNATION = 1000
 
@@ -64,9 +66,9 @@
 class Membership:
     """One member's knowledge of the fleet.
 
-    `members`: all that are known, this one and the dead ones among them. `due`: when to tick.
-    `outbox`: what is to be sent. `is_silenced`: another member has this name, and this one
-    gave way.
+    `members` holds all known members, including this one and dead ones. `due` is when to call
+    `tick`. `outbox` holds the datagrams to send. `is_silenced`: another member has the same name,
+    and this one has stopped taking part.
     """
 
     def __init__(
@@ -78,14 +80,14 @@
         random: Callable[[], float],
         log: Callable[..., None] | None = None,
     ) -> None:
-        """`log` takes an event and its fields."""
+        """Create the member `name`; `log` is called with a log event and its fields."""
         self.name = name
         self.address = address
         self.events = EventLog(log)
         self.is_silenced = False
         self.is_leaving = False
-        # A process that follows another one under its name has to differ from it: by this draw, or
-        # by what others know, never by a clock.
+        # A new process must not have the incarnation of the process before it under this name. This
+        # random draw or the records of other members make the difference, never a clock.
         incarnation = 1 + int(random() * MAX_FIRST_INCARNATION)
         own_record = Record(name, address, incarnation, MemberState.ALIVE)
         own = Member(own_record, now)
@@ -100,63 +102,63 @@
         self._ticked_at = now
         self._received_at = now
 
-    # ---- for users
+    # ---- access for callers
 
     @property
     def counts(self) -> dict[str, int]:
-        """How often things happened, by name."""
+        """The number of events by counter name."""
         return self.events.counts
 
     @property
     def view(self) -> View:
-        """What users act on."""
+        """The last published view."""
         return self.views.view
 
     @property
     def outbox(self) -> list[tuple[Address, Message]]:
-        """Datagrams to send; `take_outbox` empties it."""
+        """The datagrams to send; `take_outbox` clears them."""
         return self.dissemination.outbox
 
     def take_outbox(self) -> list[tuple[Address, Message]]:
-        """The datagrams to send, which are the caller's from now on."""
+        """Return the datagrams to send, and clear the outbox."""
         outbox = self.dissemination.outbox
         self.dissemination.outbox = []
         return outbox
 
     def state_of(self, name: str) -> MemberState | None:
-        """The state of a member, None where it is not known."""
+        """Return the state of a member, or None if it is unknown."""
         known = self.members.get(name)
         return known.record.state if known is not None else None
 
     def active_members(self) -> list[str]:
-        """All that are part of the fleet as far as is known, suspects among them."""
+        """Return the names of all members that are part of the fleet, including suspected ones."""
         return sorted(name for name, known in self.members.items() if known.is_active)
 
     def digest(self) -> int:
-        """Over all that is known: equal where two members know the same."""
+        """Return a digest of all records: equal at two members that hold the same records."""
         return member.digest(self.members)
 
     def partition_digests(self) -> tuple[int, ...]:
-        """A digest for each partition of what is known."""
+        """Return a digest for each partition of the members."""
         return member.partition_digests(self.members)
 
     def set_metadata(self, metadata: bytes) -> None:
-        """Tell all members a few bytes about this one; the latest replace those before."""
+        """Send a few bytes about this member to all members, in place of the previous ones."""
         self.identity.set_metadata(metadata)
         self.dissemination.announce(self.name)
 
     def leave(self, now: float) -> None:
-        """Say goodbye to some members, who pass it on."""
+        """Announce the departure of this member to some members, which gossip it."""
         self.is_leaving = True
         self.identity.leave()
         departure = self._gossip(self.identity.record)
         for name in self.dissemination.sample(URGENT_FANOUT):
             self.dissemination.send(name, departure)
 
-    # ---- time
+    # ---- timers
 
     def tick(self, now: float) -> None:
-        """Do what is due. To be called at `due`, or later."""
+        """Do what is due; to be called at `due` or later."""
         self._compensate_for_stall(now)
         self._ticked_at = now
         if self.is_silenced or self.is_leaving:
@@ -170,7 +172,10 @@
         self.due = max(now + 1.0, self.detector.next_due(now + PROBE_PERIOD_MS / 2))
 
     def _compensate_for_stall(self, now: float) -> None:
-        """A member that was suspended finds all others silent, while it is the one that was."""
+        """Extend the timeouts by a time in which this member was suspended.
+
+        Otherwise it would suspect all other members, while only this one did not run.
+        """
         late_ms = now - max(self.due, self._ticked_at)
         if late_ms <= STALL_THRESHOLD_MS:
             return
@@ -195,7 +200,7 @@
         detector.expire_relayed(now)
 
     def _suspect(self, now: float, probe: Probe) -> None:
-        """Neither this member's probes were answered nor those of its helpers."""
+        """Suspect a member that answered neither direct nor indirect probes."""
         target = self.members.get(probe.target)
         if target is None or not target.is_active:
             return
@@ -210,7 +215,10 @@
         self._apply_record(now, record, evidence)
 
     def _push_changes(self) -> None:
-        """Gossip that waited for probes alone would be slow to reach the last member."""
+        """Send changes to some members at once.
+
+        Gossip that is carried by probes alone would be slow to reach the last member.
+        """
         if not self.roster.has_unsent_changes:
             return
         self.roster.has_unsent_changes = False
@@ -223,7 +231,7 @@
     # ---- datagrams
 
     def receive(self, now: float, source: Address, message: Message) -> None:
-        """Take a datagram from `source`."""
+        """Process a datagram from `source`."""
         if self.is_silenced or message.sender == self.name:
             return
         sender = self.members.get(message.sender)
@@ -232,7 +240,7 @@
             self._apply_gossip(now, source, message.sender, sender, record)
         self._correct_stale_records(source, message)
         if message.kind == MessageKind.PROBE and message.target != self.name:
-            # It was meant for a member that had this address before.
+            # The probe is for a member that had this address before.
             self.events.count("misdirected")
             return
         self._dispatch(now, source, message)
@@ -241,7 +249,7 @@
         self._inform_sender(source, message.sender, sender)
 
     def _compensate_for_isolation(self, now: float) -> None:
-        """Restart suspicions after a time without datagrams: refutations were missed meanwhile."""
+        """Restart suspicions after a time without datagrams, in which refutations were missed."""
         if now - self._received_at > ISOLATION_MS:
             self.events.count("deaf")
             self.roster.restart_timeouts(now)
@@ -250,18 +258,20 @@
     def _apply_gossip(
         self, now: float, source: Address, sender_name: str, sender: Member | None, record: Record
     ) -> None:
+        """Apply one record of a datagram, and send a restarted sender its own newer record."""
         is_relayed = record.accuser not in ("", sender_name)
         self._apply_record(now, record, f"told by {sender_name}" if is_relayed else "")
         if sender is None or record.name != sender_name:
             return
         if sender.record.incarnation > record.incarnation:
-            # A new process under that name, which does not know its last incarnation.
+            # The sender is a new process under that name, which does not know the incarnation of
+            # the process before it.
             self.dissemination.send_to(source, self._gossip(sender.record))
 
     def _correct_stale_records(self, source: Address, message: Message) -> None:
-        """Tell a sender that suspects by old records what was refuted since.
+        """Send the newer records to a sender of suspicions that have been refuted.
 
-        One that was suspended missed the refutations, and gossip does not repeat them.
+        A sender that was suspended has missed the refutations, and gossip does not repeat them.
         """
         newer = tuple(
             self.members[record.name].record
@@ -286,7 +296,7 @@
             self.anti_entropy.digest_received(now, source, message)
 
     def _inform_sender(self, source: Address, sender_name: str, sender: Member | None) -> None:
-        """Send a newcomer all that is known, and a member that is called dead that it is."""
+        """Send all records to a new member, and its own record to one that was declared dead."""
         if sender is None and sender_name not in self.members:
             self.dissemination.send_known_records(source, True)
         elif sender is not None and sender.record.state >= MemberState.DEAD:
@@ -295,14 +305,14 @@
     # ---- records
 
     def _apply_record(self, now: float, record: Record, evidence: str = "") -> None:
-        """Take a record of a member, from whomever; `evidence` is for the log."""
+        """Apply a record of any member; `evidence` is written to the log."""
         if record.name == self.name:
             self._apply_own_record(now, record)
         else:
             self.roster.apply(now, record, evidence)
 
     def _apply_own_record(self, now: float, record: Record) -> None:
-        """What others hold of this member; refuted where it is wrong."""
+        """Process a record of this member, and refute it if it is wrong."""
         if self.is_leaving:
             return
         if self.identity.loses_name_conflict(now, record):
@@ -319,7 +329,7 @@
             self.detector.health.worsen()
         self.identity.refute(record)
         self.dissemination.announce(self.name)
-        # By gossip alone the refutation could reach the accuser too late.
+        # The refutation is sent directly, because gossip alone could reach the accuser too late.
         recipients = []
         if record.accuser in self.members and record.accuser != self.name:
             recipients.append(record.accuser)
@@ -327,7 +337,7 @@
         for name in dict.fromkeys(recipients):
             self.dissemination.send(name, self._gossip(self.identity.record))
 
-    # ----
+    # ---- helpers
 
     def _gossip(self, *records: Record) -> Message:
         return Message(MessageKind.GOSSIP, self.name, records=records)
--- a/hookpitch/members/messages.py
+++ b/hookpitch/members/messages.py
@@ -1,7 +1,7 @@
-"""What members send one another: records about members, and the messages that carry them.
+"""The messages between members, and the records of members that the messages carry.
 
-All times are the receiver's own: no record or message holds a time. The limits bound what the
-codec accepts and what a member sends.
+No record or message holds a time: each receiver uses its own clock. The limits apply to what a
+member sends and to what the codec accepts.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 MAX_METADATA_BYTES = 64
 MAX_PAYLOAD_BYTES = 1000
 MAX_RECORDS_PER_DATAGRAM = 10
-# Parts of the membership that are compared by themselves, so that only what differs is sent.
+# Anti-entropy divides the members into this number of partitions by a hash of their names. Each
+# partition has its own digest, so that only the partitions that differ are sent.
 PARTITIONS = 32
 
 
 def partition_of(name: str) -> int:
-    """The partition that a member belongs to, the same one at every member."""
+    """Return the partition that a member belongs to, which is the same at every member."""
     return crc32(name.encode()) % PARTITIONS
 
 
 class MemberState(IntEnum):
-    """Of two records with one incarnation the one with the higher state prevails."""
+    """The state of a member: of two records with equal incarnations the higher state prevails."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -49,8 +50,8 @@
 class Record:
     """What is known of one member.
 
-    `accuser` is who suspects it or called it dead. `metadata` is the owner's latest, numbered by
-    `metadata_version`.
+    `accuser` is the member that suspects it or declared it dead, empty for other states. `metadata`
+    is set by the member itself; `metadata_version` numbers its changes.
     """
 
     name: str
@@ -66,10 +67,10 @@
 class Message:
     """One datagram.
 
-    `sequence` ties an ACK to its probe; of a DIGEST it is the digest of all that the sender knows.
-    `target` is the member that is to be probed, or was. `full_sync`: the sender sends all that it
-    knows and wants the same in return, of all partitions or, where `partition_digests` are given,
-    of those that differ. `payload` belongs to the exchange of endpoint lists
+    `sequence` matches an ACK to its probe; in a DIGEST it is the digest of all records of the
+    sender. `target` is the member to probe, or in an ACK the member that was probed. `full_sync`
+    requests the receiver's records in return: all of them or, if `partition_digests` are given,
+    those of the partitions that differ. `payload` is used by the exchange of endpoint lists
     (`endpoint_exchange.py`).
     """
 
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -1,12 +1,12 @@
-"""Membership on UDP: the Twisted adapter; off, and not imported, without a section `[members]`.
+"""Membership over UDP: the Twisted adapter, which is imported only with a section `[members]`.
 
-The state machine decides (`membership.py`), the codec reads and writes (`codec.py`); here datagrams
-become calls and calls datagrams. A node that discovery has sent no list gets one from a member
-(`endpoint_exchange.py`): it is given to the node like a list known at its start, and discovery is
-then polled for the whole list.
+The state machine (`membership.py`) makes the decisions, and the codec (`codec.py`) encodes and
+decodes the datagrams; this module passes datagrams between both and the socket. A node without a
+list from discovery requests one from other members (`endpoint_exchange.py`). The node applies it
+like a list that it knew at its start, and then polls discovery for the complete list.
 
-Invariants: nothing that comes raises; at most `MAX_DATAGRAMS_PER_S` datagrams are read a second,
-more are dropped and counted. Times are milliseconds.
+Invariants: no received datagram raises an error; at most `MAX_DATAGRAMS_PER_S` datagrams are read
+per second, and further ones are dropped and counted. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -34,24 +34,24 @@
 
 __all__ = ["MembershipPort", "Settings", "attach", "parse_settings"]
 
-# A flood of datagrams must not take the node's CPU from RPCs.
+# This limit keeps a flood of datagrams from taking CPU time from RPCs.
 MAX_DATAGRAMS_PER_S = 2000
-# Until the next try to listen, where the process before still holds the address.
+# Time until the next attempt to listen, if the previous process still uses the address.
 LISTEN_RETRY_MS = 500.0
 MAX_REJECTIONS_LOGGED = 3
-# Discovery's words for an endpoint's state.
+# The names that discovery uses for the states of an endpoint.
 HEALTH_NAMES = {state: name for name, state in ENDPOINT_STATES.items()}
 
 
 class _EndpointList(NamedTuple):
-    """Endpoints, and the address of each."""
+    """Endpoints, and their addresses by endpoint id."""
 
     endpoints: list[Endpoint]
     addresses: dict[str, str]
 
 
 class MembershipPort(DatagramProtocol):
-    """One node's place among the members."""
+    """The UDP socket, state machine and endpoint exchange of one node."""
 
     noisy = False
 
@@ -65,14 +65,14 @@
         count: Callable[[str], None],
         node: Any = None,  # noqa: ANN401 - SocketNode, whose module imports none of this package
     ) -> None:
-        """`node`: whose endpoint list others may request, and which requests theirs."""
+        """Create the member `name`; `node`, if any, exchanges endpoint lists with other members."""
         self.settings = settings
         self.clock = clock
         self.count = count
         self.node = node
         self.codec = Codec(settings.fleet)
         self.listening_port: Any = None
-        # Processes of one node must not draw alike: the moment of the start makes them differ.
+        # The start time makes the random draws of successive processes of one node differ.
         start_seed = seed ^ int(clock.now())
         self.membership = Membership(
             clock.now(),
@@ -86,15 +86,15 @@
             clock.now(), name, seeded_random(start_seed, "lists"), count
         )
         self._log = log
-        self._accepted_version = 0  # of the list that a member sent
-        self._pending_list: _EndpointList | None = None  # accepted, and not given to the node yet
+        self._accepted_version = 0  # of the last list from a member
+        self._pending_list: _EndpointList | None = None  # accepted, but not yet applied
         self._rate_limit = RateLimit(MAX_DATAGRAMS_PER_S)
         self._rejection_count = 0
 
-    # ---- service
+    # ---- lifecycle
 
     def start(self, reactor: Any) -> None:  # noqa: ANN401 - any of Twisted's reactors
-        """Listen, now or as soon as the process before has left the address."""
+        """Listen now, or as soon as the previous process has released the address."""
         host, port = self.settings.listen
         try:
             self.listening_port = reactor.listenUDP(port, self, interface=host)
@@ -105,7 +105,7 @@
         self.tick(self.clock.now())
 
     def leave(self) -> None:
-        """Say goodbye, and stop listening."""
+        """Announce the departure of this member, and stop listening."""
         if self.listening_port is None or self.membership.is_leaving:
             return
         self.membership.leave(self.clock.now())
@@ -114,7 +114,7 @@
         self.listening_port = None
 
     def tick(self, now: float) -> None:
-        """Do what is due, and schedule the next call."""
+        """Do what is due, and schedule the next tick."""
         if self.listening_port is None:
             return
         if now >= self.membership.due:
@@ -129,18 +129,18 @@
     # ---- datagrams
 
     def flush(self) -> None:
-        """Send all that is to be sent."""
+        """Send all queued datagrams."""
         outbox = self.membership.take_outbox() + self.exchange.outbox
         self.exchange.outbox = []
         for address, message in outbox:
             try:
                 data = self.codec.write(message)
                 self.transport.write(data, self.settings.dial.get(address, address))
-            except OSError:  # no route or no buffer: as if lost in transit
+            except OSError:  # no route or no buffer space: treated like a loss in transit
                 self.count("members.unsent")
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
-        """Called by Twisted for each datagram."""
+        """Process a datagram; Twisted calls this method."""
         now = self.clock.now()
         if not self._rate_limit.allow(now):
             self.count("members.flood")
@@ -165,10 +165,10 @@
     # ---- endpoint lists
 
     def list_status(self) -> ListStatus:
-        """What the node holds now.
+        """Return the state of the node's endpoint list.
 
-        A version that a member sent counts only until discovery has sent a list: its own count may
-        be lower.
+        The version of a list from a member counts only until discovery has sent a list, because the
+        versions of discovery may be lower.
         """
         discovery = self.node.discovery
         counts = self.node.host.counters.counts
@@ -190,7 +190,7 @@
                 self._accept_list(received)
 
     def _list_sources(self) -> list[Address]:
-        """Who may be asked for a list: the seeds, and all members that are alive."""
+        """Return the members that may be asked for a list: the seeds and all that are alive."""
         alive = [
             member.record.address
             for member in self.membership.members.values()
@@ -200,7 +200,7 @@
         return [address for address in candidates if address != self.settings.listen]
 
     def _list_document(self) -> bytes:
-        """The list that this node holds, as discovery's JSON."""
+        """Return the list of this node as a JSON document of discovery."""
         host = self.node.host
         addresses = self.node.pools.addresses()
         kinds = host.deployment.kinds
@@ -223,7 +223,7 @@
         ).encode()
 
     def _accept_list(self, received: ReceivedList) -> None:
-        """Check a list that has come, and give it to the node."""
+        """Check a received list, and apply it to the node if it is valid."""
         source = _format_address(received.source)
         try:
             endpoints, addresses = self._checked_list(received)
@@ -245,7 +245,7 @@
         self._apply_pending_list()
 
     def _checked_list(self, received: ReceivedList) -> _EndpointList:
-        """Raises ValueError where the list is malformed, or no node can start with it."""
+        """Return the list. Raise ValueError if it is malformed or a node cannot start with it."""
         deployment = self.node.host.deployment
         version, is_complete, endpoints, addresses = parse_endpoint_list(
             received.document, deployment.kinds
@@ -255,20 +255,24 @@
             for endpoint in endpoints
         )
         if version != received.version or not is_complete or not has_ready_cache:
-            raise MembersError("no list to begin with")
+            raise MembersError(
+                f"expected a complete list of version {received.version} with a ready cache, "
+                f"got version {version}, complete: {is_complete}, ready cache: {has_ready_cache}"
+            )
         return _EndpointList(endpoints, addresses)
 
     def _dial_address(self, address: str) -> str:
-        """Where an endpoint that another member sent is dialled from here."""
+        """Return the address at which this node dials an endpoint that another member sent."""
         host, _, port = address.rpartition(":")
         dial_address = self.settings.dial.get((parse_host(host), int(port)))
         return address if dial_address is None else _format_address(dial_address)
 
     def _apply_pending_list(self) -> None:
-        """Let the node serve by a member's list until discovery sends one.
+        """Apply a list from a member to the node, which uses it until discovery sends one.
 
-        Not during a poll: its response may hold changes to the list before, which would be applied
-        to this one. Once the poll has failed, the next asks for the whole list.
+        The list is not applied during a poll of discovery: the response may hold changes to the
+        previous list, which would be applied to this one. After that poll has failed, the next one
+        requests the complete list.
         """
         pending = self._pending_list
         if pending is None or self.node.discovery.current_watch is not None:
@@ -280,7 +284,7 @@
     # ---- operators
 
     def lines(self) -> list[str]:
-        """The answer to MEMBERS: a line of the view, then one for each member."""
+        """Return the answer to MEMBERS: a summary of the view, then a line for each member."""
         view = self.membership.view
         summary = (
             f"view={view.version} members={len(view.members)} part={view.visible_fraction:.2f} "
@@ -310,7 +314,7 @@
 
 
 def attach(settings: Settings, node: Any) -> MembershipPort:  # noqa: ANN401 - SocketNode
-    """Make the node a member while it serves; it says goodbye as it leaves."""
+    """Make the node a member while it serves; it announces its departure when it shuts down."""
     port = MembershipPort(
         settings,
         node.config.name,
--- a/hookpitch/members/rate_limit.py
+++ b/hookpitch/members/rate_limit.py
@@ -1,8 +1,8 @@
-"""A bound on how often something is done in a second."""
+"""A limit on the number of events per second."""
 
 
 class RateLimit:
-    """Allows `per_second` events in each whole second of the caller's clock."""
+    """Allows at most `per_second` events within each whole second of the caller's clock."""
 
     __slots__ = ("_count", "_per_second", "_second")
 
@@ -12,7 +12,7 @@
         self._count = 0
 
     def allow(self, now: float) -> bool:
-        """Count one event at `now` (ms); whether it is within the bound."""
+        """Count one event at `now` (ms) and return whether it is within the limit."""
         second = int(now // 1000)
         if second != self._second:
             self._second = second
--- a/hookpitch/members/roster.py
+++ b/hookpitch/members/roster.py
@@ -1,9 +1,10 @@
-"""What is known of the other members: records are applied, and end, here.
+"""The records of the other members: applies received records, and expires old states.
 
-Of two records of one member the one with the higher incarnation prevails; of equal ones the one
-with the higher state. A member is suspected for at least `suspicion.MIN_SUSPICION_MS` of this
-member's own running time before it is called dead. Memory is bounded: at most `MAX_MEMBERS`, the
-longest dead forgotten first. Times are milliseconds given by the caller.
+Of two records of one member the one with the higher incarnation prevails, and at equal incarnations
+the one with the higher state. A member is suspected for at least `suspicion.MIN_SUSPICION_MS` of
+this member's own running time before it is declared dead. Memory is bounded: there are at most
+`MAX_MEMBERS` members, and the one that has been dead for longest is removed first. Times are
+milliseconds given by the caller.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from hookpitch.members.messages import MemberState, Record
 from hookpitch.members.view import ViewPublisher
 
-# How long a dead member's record is kept, so that older news of it changes nothing.
+# The time for which the record of a dead member is retained, so that older records have no effect.
 TOMBSTONE_MS = 600000.0
 MAX_MEMBERS = 2000
 
@@ -25,8 +26,8 @@
 class Roster:
     """The other members as one member knows them.
 
-    `members` has this member's own record, too, which is `identity.py`'s. `has_unsent_changes`: a
-    record has changed since its user last looked.
+    `members` also has this member's own record, which only `identity.py` changes.
+    `has_unsent_changes`: a record has changed since the caller last cleared this flag.
     """
 
     __slots__ = (
@@ -53,22 +54,23 @@
         self._dissemination = dissemination
         self._views = views
         self._events = events
-        self._with_timeout: dict[str, None] = {}  # who is not simply alive, in order
+        # The members that are suspected, dead, left or damped, in order of that change.
+        self._with_timeout: dict[str, None] = {}
 
-    # ---- time
+    # ---- timeouts
 
     def extend_timeouts(self, ms: float) -> None:
-        """Do not count a time in which this member was suspended."""
+        """Extend all timeouts by a time in which this member was suspended."""
         for name in self._with_timeout:
             self.members[name].state_since += ms
 
     def restart_timeouts(self, now: float) -> None:
-        """Begin all suspicions anew."""
+        """Restart all timeouts."""
         for name in self._with_timeout:
             self.members[name].state_since = now
 
     def expire_timeouts(self, now: float, health_penalty: int) -> None:
-        """End suspicions, tombstones and damping that have lasted long enough."""
+        """End the suspicions, tombstones and damping whose timeouts have passed."""
         for name in list(self._with_timeout):
             known = self.members[name]
             state = known.record.state
@@ -85,7 +87,7 @@
                 del self._with_timeout[name]
 
     def _is_suspicion_expired(self, now: float, suspect: Member, health_penalty: int) -> bool:
-        """Whether it is suspected, and has been for long enough."""
+        """Return whether the member has been suspected for long enough to declare it dead."""
         if suspect.record.state != MemberState.SUSPECTED:
             return False
         timeout_ms = suspicion.timeout_ms(suspect, len(self.members), health_penalty)
@@ -94,7 +96,7 @@
     # ---- records
 
     def apply(self, now: float, record: Record, evidence: str = "") -> None:
-        """Take a record of another member, from whomever; `evidence` is for the log."""
+        """Apply a record of another member; `evidence` is written to the log."""
         known = self.members.get(record.name)
         if known is None:
             self._add_member(now, record, evidence)
@@ -120,14 +122,12 @@
         added = Member(record, now)
         self.members[record.name] = added
         if record.state >= MemberState.DEAD:
-            self._with_timeout[record.name] = (
-                None  # kept so that older records of it change nothing
-            )
+            self._with_timeout[record.name] = None  # retained against older records
             return
         self._record_changed(now, added, None, evidence)
 
     def _evict_tombstone(self) -> bool:
-        """Forget the member that has been dead for longest, to bound memory; whether one was."""
+        """Remove the member that has been dead for longest, and return whether there was one."""
         tombstones = [name for name in self._with_timeout if not self.members[name].is_active]
         if not tombstones:
             return False
@@ -138,7 +138,7 @@
         return True
 
     def _merge_same_incarnation(self, known: Member, record: Record) -> None:
-        """Take another accuser, and newer metadata, of a record that is otherwise known."""
+        """Take over a further accuser and newer metadata from a record of equal incarnation."""
         are_both_suspected = record.state == MemberState.SUSPECTED == known.record.state
         if are_both_suspected and suspicion.confirm(known, record.accuser):
             self._dissemination.reannounce(record.name)
@@ -149,7 +149,7 @@
     def _record_changed(
         self, now: float, changed: Member, previous: Record | None, evidence: str
     ) -> None:
-        """Do all that follows from a new record; `previous` is None for a newcomer."""
+        """Update all state after a record has changed; `previous` is None for a new member."""
         record = changed.record
         changed.state_since = now
         if record.state == MemberState.ALIVE and self._own_name in changed.accusers:
@@ -176,7 +176,7 @@
             )
 
     def _note_recovery(self, now: float, recovered: Member) -> None:
-        """Damp a member that has recovered too often."""
+        """Omit a member from views if it has recovered too often."""
         if not flap_damping.note_recovery(recovered, now):
             return
         name = recovered.record.name
@@ -196,7 +196,7 @@
 
 
 def _has_older_metadata(record: Record, other: Record) -> bool:
-    """Whether `other`, of the same process, has newer metadata."""
+    """Return whether `other` has newer metadata and is of the same address."""
     return record.metadata_version < other.metadata_version and record.address == other.address
 
 
--- a/hookpitch/members/settings.py
+++ b/hookpitch/members/settings.py
@@ -1,12 +1,12 @@
-"""The operator's section `[members]`.
+"""The section `[members]` of the operator's file.
 
 [members]
-listen = "10.0.0.4:7946"                    # this node's own address, as the others dial it
+listen = "10.0.0.4:7946"                    # the address at which other members reach this node
 fleet = "sydney"
-seeds = ["10.0.0.5:7946", "10.0.0.6:7946"]  # some that are usually up
+seeds = ["10.0.0.5:7946", "10.0.0.6:7946"]  # some members that are usually up
 
-[members.dial]                              # where an address that others send is reached
-"10.9.0.7:7946" = "10.0.0.7:7946"           # from here, if elsewhere
+[members.dial]                              # an address as other members send it, and the one
+"10.9.0.7:7946" = "10.0.0.7:7946"           # at which this node reaches it, where they differ
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 class SettingsError(MembersError):
-    """A setting that is refused; the text begins with its name."""
+    """An invalid setting; the text begins with the name of the setting."""
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The section, checked. `dial`: where an address that others send is reached from here."""
+    """The checked section; `dial` maps an address from other members to the one to dial here."""
 
     listen: Address
     fleet: str = ""
@@ -36,20 +36,20 @@
 
 
 def parse_settings(table: Mapping[str, Any]) -> Settings:
-    """The section as it stands in the file, checked. Raises SettingsError."""
+    """Check the section as read from the file. Raise SettingsError if a setting is invalid."""
     known = Settings.__slots__
     for name in table:
         if name not in known:
-            raise SettingsError(f"{name}: no such setting; known are {', '.join(known)}")
+            raise SettingsError(f"{name}: unknown setting, expected one of {', '.join(known)}")
     fleet = table.get("fleet", "")
     seeds = table.get("seeds", [])
     dial = table.get("dial", {})
     if not isinstance(fleet, str):
-        raise SettingsError("fleet: wants a name")
+        raise SettingsError(f"fleet: expected a name, got {fleet!r}")
     if not isinstance(seeds, list):
-        raise SettingsError("seeds: wants a list of addresses")
+        raise SettingsError(f"seeds: expected a list of addresses, got {seeds!r}")
     if not isinstance(dial, dict):
-        raise SettingsError("dial: wants addresses by address")
+        raise SettingsError(f"dial: expected a table of addresses by address, got {dial!r}")
     return Settings(
         listen=_address(table.get("listen"), "listen"),
         fleet=fleet,
@@ -64,10 +64,10 @@
 def _address(text: object, name: str) -> Address:
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
-        raise SettingsError(f"{name}: '{text}' is no address with a port")
+        raise SettingsError(f"{name}: expected an address with a port (host:port), got {text!r}")
     return parse_host(host), int(port)
 
 
 def parse_host(text: str) -> str:
-    """A host without the brackets of an IPv6 address."""
+    """Return a host without the brackets of an IPv6 address."""
     return text.strip("[]")
--- a/hookpitch/members/suspicion.py
+++ b/hookpitch/members/suspicion.py
@@ -1,8 +1,9 @@
-"""How long a suspicion lasts, and when another one of the same member is held back.
+"""The timeout of a suspicion, and the suppression of suspicions that are refuted repeatedly.
 
-A suspicion ends sooner when other members confirm it, and later at a member that trusts itself
-less. A member whose suspicions of another are refuted again and again (its own path there is cut)
-leaves that one to others for a while.
+A suspicion times out sooner if other members confirm it, and later at a member with a health
+penalty (`LocalHealth` in `failure_detector.py`). A member whose suspicions of another one are
+repeatedly refuted, because only its own path to that member is cut, does not suspect it for a while
+and leaves its detection to the others.
 """
 
 from __future__ import annotations
@@ -11,23 +12,23 @@
 
 from hookpitch.members.member import MAX_REFUTED_SUSPICIONS, Member
 
-# The shortest suspicion: longer than a pause of 2 s and the refutation's way through the fleet.
+# The shortest suspicion, longer than a pause of 2 s and the time for the refutation to reach all.
 MIN_SUSPICION_MS = 3300.0
-# For a fleet of up to 2 ** this; longer in a larger one.
+# Suspicions last longer in a fleet of more than 2 ** BASE_FLEET_LOG2 = 512 members.
 BASE_FLEET_LOG2 = 9
-# Times as long, where nobody else confirms it.
+# A suspicion that no other member confirms lasts this many times as long.
 MAX_SUSPICION_FACTOR = 2.0
-# Others that suspect the same; from here on the shortest.
+# A suspicion that this number of other members confirm is the shortest.
 CONFIRMATIONS_FOR_MIN_SUSPICION = 2
 MAX_ACCUSERS = 8
-# So many refuted suspicions of one member by this one in so long,
+# Suspicions of one member are suppressed once `MAX_REFUTED_SUSPICIONS` were refuted in this window.
 REFUTED_SUSPICIONS_WINDOW_MS = 180000.0
-# and the next is held back for so long.
+# Suspicions are suppressed for this time after the last refutation.
 SUPPRESSION_MS = 120000.0
 
 
 def timeout_ms(member: Member, fleet_size: int, health_penalty: int) -> float:
-    """How long the suspicion of `member` lasts before it is called dead."""
+    """Return how long `member` is suspected before it is declared dead."""
     confirmations = min(CONFIRMATIONS_FOR_MIN_SUSPICION, max(0, len(member.accusers) - 1))
     unconfirmed_fraction = 1 - log(confirmations + 1) / log(CONFIRMATIONS_FOR_MIN_SUSPICION + 1)
     fleet_factor = max(1.0, log2(max(2, fleet_size)) / BASE_FLEET_LOG2)
@@ -36,7 +37,7 @@
 
 
 def confirm(member: Member, accuser: str) -> bool:
-    """Note another accuser of a suspected member; whether it is new."""
+    """Record an accuser of a suspected member, and return whether it is new."""
     if accuser in member.accusers or len(member.accusers) >= MAX_ACCUSERS:
         return False
     member.accusers[accuser] = None
@@ -44,10 +45,10 @@
 
 
 def is_suppressed(member: Member, now: float) -> bool:
-    """Whether this member has lately suspected `member` too often without confirmation.
+    """Return whether this member's suspicions of `member` were recently refuted too often.
 
-    With a path cut one way between the two, a member that all others hear would be suspected for
-    ever.
+    If the path between the two is cut in one direction, this member would otherwise suspect
+    forever a member that all others can reach.
     """
     refuted_at = member.refuted_suspicions_at
     if len(refuted_at) < MAX_REFUTED_SUSPICIONS:
@@ -58,7 +59,7 @@
 
 
 def note_refutation(member: Member, now: float) -> bool:
-    """A suspicion raised here was refuted; whether further ones are held back from now on."""
+    """Record a refuted suspicion, and return whether further ones are now suppressed."""
     refuted_at = member.refuted_suspicions_at
     refuted_at.append(now)
     return (
--- a/hookpitch/members/view.py
+++ b/hookpitch/members/view.py
@@ -1,7 +1,7 @@
-"""The view that users of membership act on: whole versions, published once changes have settled.
+"""Published views of the members, in numbered versions, for the users of membership.
 
-A view is published when nothing has changed for `QUIET_MS`, or `MAX_UNSETTLED_MS` after the first
-change that no view has, so that members which fail together are one change to a user.
+A new view is published when nothing has changed for `QUIET_MS`, or `MAX_UNSETTLED_MS` after the
+first unpublished change. Members that fail together are therefore one change for a user.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """A version, the members of the fleet by name, and how much of the fleet these are.
+    """One version of the view: the names of the members that are part of the fleet.
 
-    `visible_fraction`: the members over these and the dead ones.
+    `visible_fraction` is the number of these members divided by that of these and the dead ones.
     """
 
     version: int
@@ -29,27 +29,27 @@
 
 
 class ViewPublisher:
-    """Holds the last published `view`."""
+    """Publishes views; `view` is the last one."""
 
     __slots__ = ("view", "_changed_at", "_unsettled_since")
 
     def __init__(self, now: float, own_name: str) -> None:
         self.view = View(0, (own_name,), 1.0)
         self._changed_at = now
-        # The first change that is in no view; None where the view has all.
+        # When the first unpublished change occurred, None if there is none.
         self._unsettled_since: float | None = None
 
     def note_change(self, now: float) -> None:
-        """Something that a view shows has changed."""
+        """Record that a member has changed."""
         self._changed_at = now
         if self._unsettled_since is None or now < self._unsettled_since:
             self._unsettled_since = now
 
     def settle(self, now: float, members: Mapping[str, Member]) -> None:
-        """Publish a view if changes have settled."""
+        """Publish a view if the changes have settled."""
         if self._unsettled_since is None:
             return
-        # A change at the very moment of settling is in no view yet: it opens another period.
+        # A change at the same time as this publication, but after it, starts a new period.
         if now < min(self._changed_at + QUIET_MS, self._unsettled_since + MAX_UNSETTLED_MS):
             return
         self._unsettled_since = None
