--- a/hookpitch/members/codec.py
+++ b/hookpitch/members/codec.py
@@ -50,13 +50,16 @@
 PORT_LIMIT = 65536
 KINDS = tuple(MessageKind)
 
+# Why a datagram is rejected. Each reason is the suffix of a counter (such as `members.torn`) and
+# the `reason` of a log event, so these texts must not change.
+REASON_FOREIGN = "foreign"  # sent by another program or another fleet
+REASON_VERSION = "version"  # the format number is not FORMAT
+REASON_CORRUPTED = "torn"  # the length is impossible, or the checksum does not match
+REASON_MALFORMED = "wrong"  # the body is not a valid message, or a field is out of bounds
 
-class DatagramError(MembersError):
-    """A rejected datagram.
 
-    The text is one word, the suffix of a counter: foreign (of another program or fleet), version,
-    torn (corrupted) or wrong (a malformed body).
-    """
+class DatagramError(MembersError):
+    """A rejected datagram; the text is one of the `REASON_` constants."""
 
 
 class Codec:
@@ -91,7 +94,7 @@
         try:
             return _parse_message(msgspec.msgpack.decode(body))
         except (msgspec.MsgspecError, ValueError, TypeError) as error:
-            raise DatagramError("wrong") from error
+            raise DatagramError(REASON_MALFORMED) from error
 
     def checksum(self, body: bytes) -> bytes:
         """Return the keyed hash of a body."""
@@ -99,15 +102,15 @@
 
     def _verified_body(self, data: bytes) -> bytes:
         if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
-            raise DatagramError("torn")
+            raise DatagramError(REASON_CORRUPTED)
         magic, format_number, fleet_hash, checksum = HEADER.unpack_from(data)
         if magic != MAGIC or fleet_hash != self.fleet_hash:
-            raise DatagramError("foreign")
+            raise DatagramError(REASON_FOREIGN)
         if format_number != FORMAT:
-            raise DatagramError("version")
+            raise DatagramError(REASON_VERSION)
         body = data[HEADER.size :]
         if self.checksum(body) != checksum:
-            raise DatagramError("torn")
+            raise DatagramError(REASON_CORRUPTED)
         return body
 
 
