--- a/hookpitch/fakes/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -184,7 +184,7 @@
         """Return milliseconds since the start of the run."""
         return (self.reactor.seconds() - self.begun) * MS_PER_S
 
-    def start(self, addresses: Sequence[str], port: int, cold: bool) -> None:
+    def start_process(self, addresses: Sequence[str], port: int, cold: bool) -> None:
         """Start a new process that listens on the port at each address."""
         self.process = Cache(self.name, self.spec, self.now(), cold, self.chance)
         self.origin.caches[self.name] = self.process
@@ -192,7 +192,7 @@
             self.reactor.listenTCP(port, self, backlog=LISTEN_BACKLOG, interface=address)
         self.history.add(self.now(), "up", self.name, value=self.process.speed(self.now()))
 
-    def die(self) -> None:
+    def stop_process(self) -> None:
         """End the process with its keys; the machine's runner ends its connections."""
         self.history.add(self.now(), "down", self.name)
         for job in list(self._replies):
@@ -237,7 +237,7 @@
     def _finish(self, process: Cache, job: Job, now: float) -> None:
         result = process.look_up(now, job)
         if result != HIT:
-            self.origin.miss(job.rpc, process)
+            self.origin.record_miss(job.rpc, process)
         if self.mood == "mute" and self.chance.random() < self.part:
             return
         value = None
--- a/hookpitch/fakes/control_commands.py
+++ b/hookpitch/fakes/control_commands.py
@@ -62,16 +62,16 @@
 
 
 def _set_health(discovery: DiscoveryServer, host: str, health: str) -> None:
-    if host in discovery.directory.hosts:
-        discovery.health(host, health)
+    if host in discovery.directory.endpoints:
+        discovery.set_health(host, health)
 
 
 def _stop_discovery(discovery: DiscoveryServer) -> None:
-    discovery.go_down()
+    discovery.stop_serving()
 
 
 def _start_discovery(discovery: DiscoveryServer, restarted: bool) -> None:
-    discovery.come_up(restarted)
+    discovery.resume_serving(restarted)
 
 
 def _set_lag(discovery: DiscoveryServer, ms: float) -> None:
--- a/hookpitch/fakes/discovery.py
+++ b/hookpitch/fakes/discovery.py
@@ -23,7 +23,7 @@
     share: float = 1.0
     born_ms: float = 0.0
 
-    def wire(self, net: str = "") -> dict[str, object]:
+    def to_json(self, net: str = "") -> dict[str, object]:
         """Return the endpoint's JSON object; `net` replaces `{net}` in the address."""
         return {
             "host": self.host,
@@ -50,47 +50,47 @@
 
     def __init__(self, lag_ms: float = 100.0) -> None:
         self.lag_ms = lag_ms
-        self.seq = FIRST_VERSION
-        self.hosts: dict[str, FakeEndpoint] = {}
+        self.version = FIRST_VERSION
+        self.endpoints: dict[str, FakeEndpoint] = {}
         self._changed_in: dict[str, int] = {}  # the version in which an endpoint last changed
         self._removed: dict[str, FakeEndpoint] = {}
 
     def put(self, endpoint: FakeEndpoint) -> None:
         """Add an endpoint, or replace the one of the same name."""
-        self.seq += 1
-        self.hosts[endpoint.host] = endpoint
+        self.version += 1
+        self.endpoints[endpoint.host] = endpoint
         self._removed.pop(endpoint.host, None)
-        self._changed_in[endpoint.host] = self.seq
+        self._changed_in[endpoint.host] = self.version
 
-    def health(self, host: str, health: str) -> None:
+    def set_health(self, host: str, health: str) -> None:
         """Set an endpoint's health; a terminated one leaves the list."""
-        endpoint = self.hosts[host]
-        self.seq += 1
+        endpoint = self.endpoints[host]
+        self.version += 1
         endpoint.health = health
-        self._changed_in[host] = self.seq
+        self._changed_in[host] = self.version
         if health == TERMINATED:
-            self._removed[host] = self.hosts.pop(host)
+            self._removed[host] = self.endpoints.pop(host)
 
     def restart(self) -> None:
         """Start versions from the first again, without the removed endpoints."""
-        self.seq = FIRST_VERSION
+        self.version = FIRST_VERSION
         self._removed.clear()
-        self._changed_in = dict.fromkeys(self.hosts, FIRST_VERSION)
+        self._changed_in = dict.fromkeys(self.endpoints, FIRST_VERSION)
 
-    def whole(self) -> tuple[int, list[FakeEndpoint]]:
+    def snapshot(self) -> tuple[int, list[FakeEndpoint]]:
         """Return the version and the whole list."""
-        return self.seq, list(self.hosts.values())
+        return self.version, list(self.endpoints.values())
 
-    def since(self, seq: int) -> EndpointChanges:
-        """Return what changed after version `seq`; the whole list if `seq` is not known."""
-        if seq <= 0 or seq > self.seq:
-            return EndpointChanges(self.seq, True, list(self.hosts.values()))
-        known = [*self.hosts.values(), *self._removed.values()]
-        changed = [endpoint for endpoint in known if self._changed_in[endpoint.host] > seq]
-        return EndpointChanges(self.seq, False, changed)
+    def changes_since(self, version: int) -> EndpointChanges:
+        """Return what changed after `version`; the whole list if that version is not known."""
+        if version <= 0 or version > self.version:
+            return EndpointChanges(self.version, True, list(self.endpoints.values()))
+        known = [*self.endpoints.values(), *self._removed.values()]
+        changed = [endpoint for endpoint in known if self._changed_in[endpoint.host] > version]
+        return EndpointChanges(self.version, False, changed)
 
 
 def encode_list(seq: int, whole: bool, hosts: list[FakeEndpoint], net: str = "") -> bytes:
     """Return one line of discovery's JSON, without its end of line."""
-    message = {"seq": seq, "whole": whole, "hosts": [host.wire(net) for host in hosts]}
+    message = {"seq": seq, "whole": whole, "hosts": [host.to_json(net) for host in hosts]}
     return json.dumps(message, separators=(",", ":")).encode()
--- a/hookpitch/fakes/discovery_server.py
+++ b/hookpitch/fakes/discovery_server.py
@@ -44,8 +44,10 @@
             return
         server.record_call(self.node, "served")
         if query.get("follow") != ["1"]:
-            seq, hosts = server.directory.whole()
-            self.answer(200, encode_list(seq, True, hosts, server.nets.get(self.node, "")))
+            seq, hosts = server.directory.snapshot()
+            self.answer(
+                200, encode_list(seq, True, hosts, server.network_by_node.get(self.node, ""))
+            )
             return
         headers = [("Transfer-Encoding", "chunked")]
         self.transport.write(self.http.send(h11.Response(status_code=200, headers=headers)))
@@ -85,7 +87,7 @@
         self.whose = whose
         self.begun = begun
         self.up = True
-        self.nets: dict[str, str] = {}  # by node: what replaces `{net}` in addresses
+        self.network_by_node: dict[str, str] = {}  # by node: what replaces `{net}` in addresses
         self.watchers: dict[DiscoveryConnection, None] = {}
         self.calls_per_s = 0.0
         self._tokens = 0.0
@@ -109,11 +111,11 @@
         """Add a node's request to the history."""
         self.history.add(self.now(), "called", node, what=result)
 
-    def begin(self) -> None:
+    def start_process(self) -> None:
         """Start a new process, which counts versions from the first."""
         self.watchers.clear()
         self.reactor.callLater(HEARTBEAT_S, self._heartbeat)
-        self.come_up(restarted=True)
+        self.resume_serving(restarted=True)
 
     def now(self) -> float:
         """Return milliseconds since the start of the run."""
@@ -128,9 +130,9 @@
         self.directory.put(endpoint)
         self._changed(endpoint.host, endpoint.health)
 
-    def health(self, host: str, health: str) -> None:
+    def set_health(self, host: str, health: str) -> None:
         """Set an endpoint's health and notify the watchers."""
-        self.directory.health(host, health)
+        self.directory.set_health(host, health)
         self._changed(host, health)
 
     def _changed(self, host: str, health: str) -> None:
@@ -143,7 +145,7 @@
 
     def notify(self, watcher: DiscoveryConnection, first: bool = False) -> None:
         """Write what changed since the watcher's version; `first`: even if nothing did."""
-        changes = self.directory.since(watcher.seq)
+        changes = self.directory.changes_since(watcher.seq)
         endpoints = changes.endpoints
         if not endpoints and not first:
             return
@@ -154,7 +156,7 @@
             self._record_notified(watcher, "whole")
         elif not endpoints:
             self._record_notified(watcher, "nothing")
-        net = self.nets.get(watcher.node, "")
+        net = self.network_by_node.get(watcher.node, "")
         watcher.write_line(encode_list(changes.version, changes.is_snapshot, endpoints, net))
 
     def _record_notified(self, watcher: DiscoveryConnection, what: str) -> None:
@@ -165,13 +167,13 @@
         for watcher in list(self.watchers):
             watcher.write_line(b"")
 
-    def go_down(self) -> None:
+    def stop_serving(self) -> None:
         """End all watches and refuse requests."""
         self.up = False
         for watcher in list(self.watchers):
             watcher.transport.loseConnection()
 
-    def come_up(self, restarted: bool = False) -> None:
+    def resume_serving(self, restarted: bool = False) -> None:
         """Serve requests again; `restarted`: as a new process, from the first version."""
         self.up = True
         if restarted:
--- a/hookpitch/fakes/load_clients.py
+++ b/hookpitch/fakes/load_clients.py
@@ -136,7 +136,7 @@
         if self.single_use:
             self.transport.loseConnection()
         else:
-            self.clients.idle[self.node].append(self)
+            self.clients.idle_connections[self.node].append(self)
 
     def _leave(self, rpc: ClientRpc) -> None:
         if rpc.open and not self.lost:
@@ -210,7 +210,7 @@
 
 
 class LoadClients:
-    """All clients of a run. `rate` and `nodes_in_use` may be changed while it runs."""
+    """All clients of a run. `rate_per_s` and `nodes_in_use` may be changed while it runs."""
 
     def __init__(
         self,
@@ -220,24 +220,26 @@
         nodes: dict[str, tuple[str, int]],
         methods: Sequence[ClientMethod],
         keys: KeyDistribution,
-        rate: float,
+        rate_per_s: float,
         behavior: ClientBehavior,
         begun: float,
     ) -> None:
-        """`nodes`: addresses by name; `rate`: RPCs a second in all; `begun`: reactor seconds."""
+        """`nodes`: addresses by name; `rate_per_s`: of all nodes; `begun`: reactor seconds."""
         self.reactor = reactor
         self.history = history
         self.nodes = nodes
         self.methods = methods
         self.keys = keys
         self.chance = random.Random(seed)
-        self.rate = rate
+        self.rate_per_s = rate_per_s
         self.behavior = behavior
         self.begun = begun
-        self.idle: dict[str, deque[ClientConnection]] = {name: deque() for name in nodes}
+        self.idle_connections: dict[str, deque[ClientConnection]] = {
+            name: deque() for name in nodes
+        }
         self.open_connections = dict.fromkeys(nodes, 0)
         self.nodes_in_use = list(nodes)  # that new RPCs are sent to
-        self.count = 0  # of RPCs, retries included
+        self.rpc_count = 0  # of RPCs, retries included
         self.connection_limit_hits = 0
         self._stopped = False
         self._due_ms = 0.0
@@ -256,7 +258,7 @@
         self._stopped = True
 
     def _schedule_arrival(self) -> None:
-        self._due_ms += self.chance.expovariate(max(MIN_RATE_PER_S, self.rate)) * MS_PER_S
+        self._due_ms += self.chance.expovariate(max(MIN_RATE_PER_S, self.rate_per_s)) * MS_PER_S
         self.reactor.callLater(max(0.0, self._due_ms - self.now()) / MS_PER_S, self._arrive)
 
     def _arrive(self) -> None:
@@ -269,8 +271,8 @@
 
     def next_rpc_id(self) -> str:
         """Return a new RPC's name."""
-        self.count += 1
-        return f"q{self.count}"
+        self.rpc_count += 1
+        return f"q{self.rpc_count}"
 
     def _send(self, method: ClientMethod, key: str, retries: int) -> None:
         if not self.nodes_in_use:
@@ -278,7 +280,7 @@
         rpc = ClientRpc(self.next_rpc_id(), method, key, retries)
         node = self.nodes_in_use[self.chance.randrange(len(self.nodes_in_use))]
         single_use = self.chance.random() < self.behavior.single_use_fraction
-        idle = self.idle[node]
+        idle = self.idle_connections[node]
         while idle and not single_use:
             connection = idle.pop()
             if not connection.lost:
--- a/hookpitch/fakes/misbehaving_clients.py
+++ b/hookpitch/fakes/misbehaving_clients.py
@@ -44,12 +44,12 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Note how long the connection was kept."""
-        self.clients.kept_ms.append(self.clients.load_clients.now() - self.opened_ms)
+        self.clients.lifetimes_ms.append(self.clients.load_clients.now() - self.opened_ms)
 
 
 class MisbehavingClients(ClientFactory):
     """`per_s` new connections a second to the nodes in use; `unfinished`: with the beginning of a
-    request in place of a malformed one. `kept_ms`: how long each one was kept."""
+    request in place of a malformed one. `lifetimes_ms`: how long each one was kept."""
 
     noisy = False
 
@@ -58,8 +58,8 @@
         self.per_s = per_s
         self.until_ms = 0.0
         self.requests = UNFINISHED_REQUESTS if unfinished else MALFORMED_REQUESTS
-        self.chance = random.Random(load_clients.count + SEED_OFFSET)
-        self.kept_ms: list[float] = []
+        self.chance = random.Random(load_clients.rpc_count + SEED_OFFSET)
+        self.lifetimes_ms: list[float] = []
 
     def start(self, seconds: float) -> None:
         """Open connections for so many seconds."""
--- a/hookpitch/fakes/origin.py
+++ b/hookpitch/fakes/origin.py
@@ -40,7 +40,7 @@
         self.queue = Cache("origin", self.work, 0.0, cold=False, chance=self.queue.chance)
         self.missed.clear()
 
-    def miss(self, rpc: str, cache: Cache) -> None:
+    def record_miss(self, rpc: str, cache: Cache) -> None:
         """Note that the RPC missed in this cache."""
         self.missed.setdefault(rpc, []).append(cache)
         if len(self.missed) > MAX_MISSED_RPCS:
--- a/hookpitch/fakes/origin_server.py
+++ b/hookpitch/fakes/origin_server.py
@@ -141,7 +141,7 @@
             self.history.add(self.now(), "dropped", self.name, job.rpc)
             self.origin.queue.cancel(job)
 
-    def die(self) -> None:
+    def stop_process(self) -> None:
         """End the process with all its jobs; the machine's runner ends its connections."""
         for job in list(self._connections):
             self.cancel(job)
--- a/hookpitch/fakes/slow_header_clients.py
+++ b/hookpitch/fakes/slow_header_clients.py
@@ -61,7 +61,7 @@
         self.load_clients = load_clients
         self.per_s = per_s
         self.until_ms = 0.0
-        self.chance = random.Random(load_clients.count + SEED_OFFSET)
+        self.chance = random.Random(load_clients.rpc_count + SEED_OFFSET)
 
     def start(self, seconds: float) -> None:
         """Open connections for so many seconds."""
--- a/hookpitch/fakes/traffic.py
+++ b/hookpitch/fakes/traffic.py
@@ -33,15 +33,15 @@
 
 
 class KeyDistribution:
-    """Keys drawn by a power law; `hot`: the fraction of draws that give one hot key."""
+    """Keys drawn by a power law; `hot_fraction`: the fraction of draws that give one hot key."""
 
     def __init__(self, count: int, skew: float) -> None:
-        self.hot = 0.0
+        self.hot_fraction = 0.0
         self._cumulative_weights = list(accumulate((n + 1) ** -skew for n in range(count)))
 
     def draw(self, chance: random.Random) -> str:
         """Return a key."""
-        if self.hot and chance.random() < self.hot:
+        if self.hot_fraction and chance.random() < self.hot_fraction:
             return "hot"
         total = self._cumulative_weights[-1]
         return f"key{bisect_left(self._cumulative_weights, chance.random() * total)}"
--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -222,8 +222,8 @@
     def _known_list(self, net: str) -> dict[str, Any]:
         """The list in a node's configuration: the present one, an outdated one or none."""
         known = self.experiment.nodes.known
-        sequence, listed = self.directory.whole()
-        hosts = [host.wire(net) for host in listed] if known != "none" else []
+        sequence, listed = self.directory.snapshot()
+        hosts = [host.to_json(net) for host in listed] if known != "none" else []
         if known == "yesterday":
             hosts = [_outdated(host) for host in hosts if host["class"] != "origin"]
         return {"seq": sequence if known == "now" else 0, "whole": True, "hosts": hosts}
@@ -303,7 +303,7 @@
 
     def ended(self, broken: list[Violation], events: int, real_s: float, **rig: Any) -> RunResult:
         """The run's result."""
-        kept = [ms for rudes in self.rudes for ms in rudes.kept_ms]
+        kept = [ms for rudes in self.rudes for ms in rudes.lifetimes_ms]
         return RunResult(
             self.experiment,
             self.seed,
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -229,13 +229,13 @@
         """It is listed as terminating, goes after `by` seconds (5), and comes back new and cold at
         the
         end."""
-        if self.fault.whom not in self.run.directory.hosts:  # it has gone already
+        if self.fault.whom not in self.run.directory.endpoints:  # it has gone already
             return
         self.run.order("discovery", "health", self.fault.whom, "terminating")
         self._later(self.fault.by or 5.0, self._gone)
 
     def _gone(self) -> None:
-        if self.fault.whom in self.run.directory.hosts:
+        if self.fault.whom in self.run.directory.endpoints:
             self.run.order("discovery", "health", self.fault.whom, "terminated")
             self.crash()
 
@@ -348,7 +348,7 @@
     def _away(self, name: str) -> None:
         if name in self.run.crowd.nodes_in_use:
             self.run.crowd.nodes_in_use.remove(name)
-        for caller in list(self.run.crowd.idle[name]):
+        for caller in list(self.run.crowd.idle_connections[name]):
             if not caller.lost:
                 caller.transport.loseConnection()
 
@@ -442,19 +442,19 @@
 
     def surge(self) -> None:
         """The load is `by` times as high (3)."""
-        self.run.crowd.rate = self.run.experiment.traffic.rate * (self.fault.by or 3.0)
+        self.run.crowd.rate_per_s = self.run.experiment.traffic.rate * (self.fault.by or 3.0)
 
     def surge_ends(self) -> None:
         """The load is the experiment's."""
-        self.run.crowd.rate = self.run.experiment.traffic.rate
+        self.run.crowd.rate_per_s = self.run.experiment.traffic.rate
 
     def hot_key(self) -> None:
         """A share `by` (0.2) of RPCs is for one key."""
-        self.run.keys.hot = self.fault.by or 0.2
+        self.run.keys.hot_fraction = self.fault.by or 0.2
 
     def hot_key_ends(self) -> None:
         """Keys are drawn as the experiment says."""
-        self.run.keys.hot = 0.0
+        self.run.keys.hot_fraction = 0.0
 
     def rude(self) -> None:
         """`by` clients a second that break the protocol (20)."""
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -301,7 +301,7 @@
         return self._standins_given([role])
 
     def _discovery_given(self) -> dict[str, Any]:
-        seq, hosts = self.directory.whole()
+        seq, hosts = self.directory.snapshot()
         fields = [list(msgspec.to_builtins(h).values()) for h in hosts]
         again = self.children["discovery"].starts > 1
         role = {
@@ -399,8 +399,8 @@
         """What is ordered of discovery is known here, too: for nodes that start."""
         if what == "put":
             self.directory.put(FakeEndpoint(*args))
-        elif what == "health" and args[0] in self.directory.hosts:
-            self.directory.health(*args)
+        elif what == "health" and args[0] in self.directory.endpoints:
+            self.directory.set_health(*args)
         elif what == "lag":
             self.directory.lag_ms = args[0]
         elif what == "up" and args[0]:
@@ -619,7 +619,8 @@
     def _progress(self) -> None:
         now = self.network.now - self.offset
         self.tell(
-            f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, {self.crowd.count} RPCs"
+            f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, "
+            f"{self.crowd.rpc_count} RPCs"
         )
         self.reactor.callLater(1.0, self._progress)
 
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -119,7 +119,7 @@
         )
         server.size_of = self.size_of
         self.servers[name] = server
-        server.start([address], CACHE_PORT, cold)
+        server.start_process([address], CACHE_PORT, cold)
         self.list_server(name, cold)
 
     def _whose(self, transport: Any) -> str:
@@ -140,11 +140,11 @@
         if not machine.running:
             return False
         if name == "origin":
-            self.origin_server.die()
+            self.origin_server.stop_process()
         elif name == "discovery":
-            self.discovery.go_down()
+            self.discovery.stop_serving()
         else:
-            self.servers[name].die()
+            self.servers[name].stop_process()
         machine.kill()
         return True
 
@@ -156,12 +156,12 @@
         if name in self.servers:
             server = self.servers[name]
             server.reactor = machine.start()
-            server.start([machine.address], CACHE_PORT, cold=True)
+            server.start_process([machine.address], CACHE_PORT, cold=True)
             self.list_server(name, cold=True)
             return
         self._listen(name)
         if name == "discovery":
-            self.discovery.begin()
+            self.discovery.start_process()
 
     def stall(self, name: str, seconds: float) -> None:
         """Stop the machine's process for so long."""
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -31,7 +31,7 @@
         self.line = line
         self.caches = dict[str, Cache]()
 
-    def miss(self, rpc: str, cache: Cache) -> None:
+    def record_miss(self, rpc: str, cache: Cache) -> None:
         """Report a miss to the origin's process."""
         self.line.send("miss", rpc, cache.name)
 
@@ -93,7 +93,7 @@
         )
         server.size_of = self._size
         self.there[role["name"]] = server
-        server.start([role["address"]], role["port"], role["cold"])
+        server.start_process([role["address"]], role["port"], role["cold"])
         if role["warm"]:
             execute_command(server, "warm", role["warm"])
 
@@ -112,10 +112,10 @@
         directory = EndpointDirectory(role["lag_ms"])
         for fields in role["hosts"]:
             directory.put(FakeEndpoint(*fields))
-        directory.seq = max(directory.seq, role["seq"])
+        directory.version = max(directory.version, role["seq"])
         server = DiscoveryServer(directory, self.reactor, self.history, self._whose, self.begun)
         server.calls_per_s = role["calls_per_s"]
-        server.nets = {name: net for net, name in self.nets.items()}
+        server.network_by_node = {name: net for net, name in self.nets.items()}
         self.there["discovery"] = server
         self.reactor.listenTCP(role["port"], server, interface=role["address"], backlog=4096)
 
@@ -125,7 +125,7 @@
         if what == "miss" and isinstance(server, OriginServer):
             rpc, cache = args
             origin = server.origin
-            origin.miss(rpc, origin.caches.setdefault(cache, FarCache(self.line, cache)))
+            origin.record_miss(rpc, origin.caches.setdefault(cache, FarCache(self.line, cache)))
         else:
             execute_command(server, what, *args)
 
