--- a/hookpitch/fakes/__init__.py
+++ b/hookpitch/fakes/__init__.py
@@ -1,6 +1,7 @@
 """Fakes of everything a node talks to: cache servers, the origin, discovery, clients, operators.
 
-No part of the node. A fake is a model (no I/O, no clock: callers pass the time in milliseconds as
-a float) and a thin adapter on Twisted, so that the same fake runs in a simulation's virtual time
-and in a process on loopback.
+The node imports nothing from this package. A fake server consists of a model and a thin Twisted
+adapter. The model does no I/O and reads no clock: its callers pass the time in milliseconds as a
+float. The same fake therefore runs in the virtual time of a simulation and in a process on
+loopback.
 """
--- a/hookpitch/fakes/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -1,8 +1,8 @@
 """A cache server on Twisted: RESP2 around the model of one process.
 
-Its faults are its `mood`: "well"; "mute" (jobs run and are not answered); "garbled" (some answers
-are malformed); "resets" (some connections are aborted in place of an answer). `part` is the
-fraction of RPCs that meet the fault.
+`CacheServer.fault_mode` selects a fault: "well" (none), "mute" (jobs run but are not answered),
+"garbled" (answers are malformed) or "resets" (the connection is aborted instead of an answer).
+`CacheServer.fault_fraction` is the fraction of RPCs that the fault affects.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from hookpitch.fakes.origin import Origin
 from hookpitch.fakes.timer import EARLY_WAKE_MS, MS_PER_S, JobTimer
 
-WORDS_OF_COMMANDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
-ACCEPTED_COMMANDS = (b"CLIENT", b"SELECT")  # answered with OK, without effect
+WORD_COUNT_BY_COMMAND = {b"OBJ.GET": 4, b"OBJ.SET": 5}
+NO_OP_COMMANDS = (b"CLIENT", b"SELECT")  # answered with OK; they have no effect
 OK_ANSWER = b"+OK\r\n"
 UNKNOWN_COMMAND_ANSWER = b"-ERR unknown command\r\n"
 BUSY_ANSWER = b"-BUSY\r\n"
-PIECE_INTERVAL_S = 0.002  # between two pieces of an answer
-MAX_PIPELINED_RPCS = 8  # of a connection, begun and not yet answered
+PIECE_INTERVAL_S = 0.002  # time between two pieces of an answer
+MAX_PIPELINED_RPCS = 8  # RPCs of one connection that are begun and not yet answered
 LISTEN_BACKLOG = 4096
 MALFORMED_ANSWERS = (
     b"$7\r\nshort\r\n",
@@ -40,7 +40,7 @@
 
 
 class PendingReply:
-    """The place of an answer in a connection's order of answers."""
+    """The place of an answer in the order in which a connection sends its answers."""
 
     __slots__ = ("answer", "connection", "job")
 
@@ -48,36 +48,36 @@
         self, connection: CacheConnection, job: Job | None, answer: bytes | None = None
     ) -> None:
         self.connection = connection
-        self.job = job  # None: answered without one
+        self.job = job  # None if the command is answered without a job
         self.answer = answer
 
 
 class CacheConnection(Protocol):
-    """One connection: RPCs are begun as they come and answered in their order."""
+    """One connection: RPCs begin as they arrive and are answered in the order of arrival."""
 
     def __init__(self, server: CacheServer) -> None:
         self.server = server
         self.ring = Ring()
         self.parser = Parser(self.ring, commands_only=True)
         self.replies: deque[PendingReply] = deque()
-        self.pieces: deque[bytes] = deque()  # of answers: the first is being sent, the others wait
-        self.in_table = False
+        self.pieces: deque[bytes] = deque()  # pieces of answers; the first one is being sent
+        self.is_in_table = False
         self.node = ""
 
     def connectionMade(self) -> None:
-        """Take a place in the connection table, or abort the connection if it is full."""
+        """Enter the connection table, or abort the connection if the table is full."""
         server = self.server
-        node = server.whose(self.transport)
+        node = server.node_of(self.transport)
         server.history.add(server.now(), "dialled", server.name, what=node)
         if server.process is None or not server.process.accept_connection():
             self.transport.abortConnection()
             return
-        self.in_table = True
+        self.is_in_table = True
         server.connections[self] = None
         self.node = node
 
     def dataReceived(self, data: bytes) -> None:
-        """Begin the commands that are complete, up to `MAX_PIPELINED_RPCS`."""
+        """Begin the complete commands, up to `MAX_PIPELINED_RPCS` unanswered ones."""
         self.ring.write(data)
         try:
             while len(self.replies) < MAX_PIPELINED_RPCS:
@@ -92,8 +92,8 @@
 
     def _begin_command(self, words: list[bytes]) -> None:
         name = words[0].upper()
-        if WORDS_OF_COMMANDS.get(name) != len(words):
-            answer = OK_ANSWER if name in ACCEPTED_COMMANDS else UNKNOWN_COMMAND_ANSWER
+        if WORD_COUNT_BY_COMMAND.get(name) != len(words):
+            answer = OK_ANSWER if name in NO_OP_COMMANDS else UNKNOWN_COMMAND_ANSWER
             self.replies.append(PendingReply(self, None, answer))
             return
         _, key, rpc, extras = words[:4]
@@ -105,7 +105,7 @@
         self.server.begin(job, reply)
 
     def flush(self) -> None:
-        """Write the answers whose turn it is, then read on."""
+        """Write the answers that are next in order, then continue to read."""
         while self.replies and self.replies[0].answer is not None:
             self._write(self.replies.popleft().answer)
         has_room = len(self.replies) < MAX_PIPELINED_RPCS
@@ -113,14 +113,14 @@
             self.dataReceived(b"")
 
     def _write(self, data: bytes) -> None:
-        """Write at once, or in small pieces, `PIECE_INTERVAL_S` after each other."""
-        if not self.server.piece and not self.pieces:
+        """Write all data at once, or in pieces at intervals of `PIECE_INTERVAL_S`."""
+        if not self.server.piece_bytes and not self.pieces:
             self.transport.write(data)
             return
-        size = self.server.piece or len(data)
-        idle = not self.pieces
-        self.pieces.extend(data[at : at + size] for at in range(0, len(data), size))
-        if idle:
+        size = self.server.piece_bytes or len(data)
+        was_idle = not self.pieces
+        self.pieces.extend(data[start : start + size] for start in range(0, len(data), size))
+        if was_idle:
             self._write_piece()
 
     def _write_piece(self) -> None:
@@ -134,11 +134,11 @@
             self._write_piece()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Leave the connection table and cancel the jobs that are not answered."""
+        """Leave the connection table and cancel the unanswered jobs."""
         server = self.server
         self.pieces.clear()
         server.connections.pop(self, None)
-        if self.in_table and server.process is not None:
+        if self.is_in_table and server.process is not None:
             server.process.release_connection()
         for reply in self.replies:
             if reply.job is not None and reply.answer is None:
@@ -147,7 +147,7 @@
 
 
 class CacheServer(Factory):
-    """A server of the endpoint list, with the process that runs behind its name now, if any."""
+    """A cache server of the endpoint list, and the process that currently runs for it, if any."""
 
     noisy = False
 
@@ -158,42 +158,49 @@
         reactor: Any,
         history: History,
         origin: Origin,
-        chance: random.Random,
-        whose: Callable[[Any], str],
-        begun: float,
+        rng: random.Random,
+        node_of: Callable[[Any], str],
+        run_start_s: float,
     ) -> None:
-        """`whose`: the node behind a transport; `begun`: the run's start, reactor seconds."""
+        """Create a server without a process.
+
+        `node_of` returns the name of the node at the other end of a transport. `run_start_s` is
+        the time of the reactor's clock at which the run started.
+        """
         self.name = name
         self.spec = spec
         self.reactor = reactor
         self.history = history
         self.origin = origin
-        self.chance = chance
-        self.whose = whose
-        self.begun = begun
+        self.rng = rng
+        self.node_of = node_of
+        self.run_start_s = run_start_s
         self.process: Cache | None = None
         self.connections: dict[CacheConnection, None] = {}
-        self.mood = "well"
-        self.part = 1.0
-        self.piece = 0  # bytes written at a time; 0: a whole answer
-        self.size_of: Callable[[str], int] = no_minimum_size  # bytes of a key's value
+        self.fault_mode = "well"
+        self.fault_fraction = 1.0
+        self.piece_bytes = 0  # bytes of a piece; 0: an answer is written at once
+        self.size_of: Callable[[str], int] = no_minimum_size  # minimum bytes of a key's value
         self._replies: dict[Job, PendingReply] = {}
         self._timer = JobTimer(self)
 
     def now(self) -> float:
-        """Return milliseconds since the start of the run."""
-        return (self.reactor.seconds() - self.begun) * MS_PER_S
+        """Return the milliseconds since the start of the run."""
+        return (self.reactor.seconds() - self.run_start_s) * MS_PER_S
 
     def start_process(self, addresses: Sequence[str], port: int, cold: bool) -> None:
-        """Start a new process that listens on the port at each address."""
-        self.process = Cache(self.name, self.spec, self.now(), cold, self.chance)
+        """Start a new process that listens on `port` at each address."""
+        self.process = Cache(self.name, self.spec, self.now(), cold, self.rng)
         self.origin.caches[self.name] = self.process
         for address in addresses:
             self.reactor.listenTCP(port, self, backlog=LISTEN_BACKLOG, interface=address)
         self.history.add(self.now(), "up", self.name, value=self.process.speed(self.now()))
 
     def stop_process(self) -> None:
-        """End the process with its keys; the machine's runner ends its connections."""
+        """End the process and discard its keys.
+
+        The machine ends the connections.
+        """
         self.history.add(self.now(), "down", self.name)
         for job in list(self._replies):
             self.cancel(job)
@@ -207,7 +214,7 @@
         return CacheConnection(self)
 
     def begin(self, job: Job, reply: PendingReply) -> None:
-        """Give a job to the process, or answer BUSY if its queue is full."""
+        """Pass a job to the process, or answer BUSY if its queue is full."""
         now = self.now()
         process = self.process
         port = reply.connection.transport.getPeer().port
@@ -218,13 +225,13 @@
         if not process.begin(now, job):
             self._answer(job, BUSY_ANSWER, "busy")
             return
-        if process.has_crashed():
-            self.history.add(now, "fell", self.name, job.rpc, value=process.overload)
-            process.overload = 0.0
-        self._timer.arm(process.due)
+        if process.is_overloaded():
+            self.history.add(now, "fell", self.name, job.rpc, value=process.peak_overload)
+            process.peak_overload = 0.0
+        self._timer.arm(process.next_due_ms)
 
     def finish_jobs(self) -> None:
-        """Answer the jobs that are finished by now."""
+        """Answer the jobs that have finished."""
         process = self.process
         now = self.now()
         if process is None:
@@ -232,18 +239,18 @@
         for job in process.finish_jobs(now + EARLY_WAKE_MS):
             self._finish(process, job, now)
         if self.process is not None:
-            self._timer.arm(self.process.due)
+            self._timer.arm(self.process.next_due_ms)
 
     def _finish(self, process: Cache, job: Job, now: float) -> None:
         result = process.look_up(now, job)
         if result != HIT:
             self.origin.record_miss(job.rpc, process)
-        if self.mood == "mute" and self.chance.random() < self.part:
+        if self.fault_mode == "mute" and self.rng.random() < self.fault_fraction:
             return
         value = None
         if result == HIT:
             value = make_value(job.rpc, job.key, self.name, self.size_of(job.key))
-        report = process.report(now)
+        report = process.load_report(now)
         answer = b"*3\r\n" + bulk(value) + bulk(result.encode()) + bulk(report.encode())
         self._answer(job, answer, result)
 
@@ -251,23 +258,27 @@
         reply = self._replies.pop(job, None)
         if reply is None:
             return
-        if self.mood == "resets" and self.chance.random() < self.part:
+        if self.fault_mode == "resets" and self.rng.random() < self.fault_fraction:
             self.history.add(self.now(), "sent", self.name, job.rpc, "reset")
-            job.over = True
+            job.is_done = True
             reply.connection.transport.abortConnection()
             return
-        if self.mood == "garbled" and result != "busy" and self.chance.random() < self.part:
-            answer = self.chance.choice(MALFORMED_ANSWERS)
+        if (
+            self.fault_mode == "garbled"
+            and result != "busy"
+            and self.rng.random() < self.fault_fraction
+        ):
+            answer = self.rng.choice(MALFORMED_ANSWERS)
             result = "rubbish"
         self.history.add(self.now(), "sent", self.name, job.rpc, result)
-        job.over = True
+        job.is_done = True
         reply.answer = answer
         reply.connection.flush()
 
     def cancel(self, job: Job) -> None:
-        """Drop the answer to a job whose connection has ended."""
+        """Drop the answer to a job whose connection has closed."""
         self._replies.pop(job, None)
-        if not job.over:
+        if not job.is_done:
             self.history.add(self.now(), "dropped", self.name, job.rpc)
             if self.process is not None:
                 self.process.cancel(job)
--- a/hookpitch/fakes/control_commands.py
+++ b/hookpitch/fakes/control_commands.py
@@ -1,6 +1,6 @@
-"""Commands that change a fake during a run: faults, contents, health.
+"""Commands that change a fake during a run: its faults, contents or endpoint list.
 
-A command is a name and plain values, so that it can be sent as JSON to a fake in another process.
+A command consists of a name and JSON values, so that it can be sent to a fake in another process.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from hookpitch.fakes.origin_server import OriginServer
 
 
-def _slow_cache(server: CacheServer, by: float) -> None:
+def _slow_cache(server: CacheServer, factor: float) -> None:
     if server.process is not None:
-        server.process.slow = by
+        server.process.slowdown = factor
 
 
-def _set_fault(server: CacheServer, mood: str, part: float) -> None:
-    server.mood, server.part = mood, part
+def _set_fault(server: CacheServer, mode: str, fraction: float) -> None:
+    server.fault_mode, server.fault_fraction = mode, fraction
 
 
 def _set_piece_size(server: CacheServer, size: int) -> None:
-    server.piece = size
+    server.piece_bytes = size
 
 
 def _flush_keys(server: CacheServer) -> None:
@@ -42,19 +42,19 @@
         server.process.drop(key)
 
 
-def _warm_up(server: CacheServer, keys: int) -> None:
-    """Store the most popular keys, the most popular of them last."""
+def _warm_up(server: CacheServer, key_count: int) -> None:
+    """Store the most popular keys, in order of increasing popularity."""
     if server.process is not None:
-        for n in reversed(range(min(keys, server.spec.max_keys))):
-            server.process.store(f"key{n}")
+        for index in reversed(range(min(key_count, server.spec.max_keys))):
+            server.process.store(f"key{index}")
 
 
-def _slow_origin(origin: OriginServer, by: float) -> None:
-    origin.origin.queue.slow = by
+def _slow_origin(origin: OriginServer, factor: float) -> None:
+    origin.origin.job_queue.slowdown = factor
 
 
-def _fail_origin(origin: OriginServer, part: float) -> None:
-    origin.failing = part
+def _fail_origin(origin: OriginServer, fraction: float) -> None:
+    origin.failure_fraction = fraction
 
 
 def _put_endpoint(discovery: DiscoveryServer, *fields: Any) -> None:
@@ -74,8 +74,8 @@
     discovery.resume_serving(restarted)
 
 
-def _set_lag(discovery: DiscoveryServer, ms: float) -> None:
-    discovery.directory.lag_ms = ms
+def _set_lag(discovery: DiscoveryServer, lag_ms: float) -> None:
+    discovery.directory.lag_ms = lag_ms
 
 
 COMMANDS: dict[type, dict[str, Callable[..., None]]] = {
@@ -102,5 +102,8 @@
 def execute_command(
     fake: CacheServer | OriginServer | DiscoveryServer, command: str, *args: Any
 ) -> None:
-    """Execute a command of the fake's type; `KeyError` if it has none of this name."""
+    """Execute a command that is defined for the fake's type.
+
+    Raise KeyError if the type has no command of this name.
+    """
     COMMANDS[type(fake)][command](fake, *args)
--- a/hookpitch/fakes/http_connection.py
+++ b/hookpitch/fakes/http_connection.py
@@ -1,4 +1,4 @@
-"""The server side of an HTTP/1.1 connection on Twisted, parsed by h11."""
+"""The server side of an HTTP/1.1 connection on Twisted; h11 parses the requests."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class HttpConnection(Protocol):
-    """One connection of a server: a request is read after the one before it is answered."""
+    """One connection of a server; each request is read after the previous one is answered."""
 
     def __init__(self) -> None:
         self.http = h11.Connection(h11.SERVER)
-        self.lost = False
+        self.is_closed = False
         self._request: h11.Request | None = None
         self._body = b""
 
     def dataReceived(self, data: bytes) -> None:
-        """Read what has come."""
+        """Parse the received data."""
         self.http.receive_data(data)
         self._read()
 
     def _read(self) -> None:
         try:
-            while not self.lost:
+            while not self.is_closed:
                 event = self.http.next_event()
                 if isinstance(event, h11.Request):
                     self._request = event
@@ -33,19 +33,19 @@
                 elif isinstance(event, h11.EndOfMessage):
                     self.handle(self._request, self._body)
                 else:
-                    return  # more data is needed, an answer is due, or the connection ends
+                    return  # h11 needs more data, an answer is pending, or the connection ends
         except h11.RemoteProtocolError:
             self.transport.loseConnection()
 
     def handle(self, request: h11.Request, body: bytes) -> None:
-        """Handle a complete request; the answer may come later."""
+        """Handle a complete request; the answer may be written later."""
         raise NotImplementedError
 
     def answer(
         self, status: int, body: bytes, extra_headers: list[tuple[str, str]] | None = None
     ) -> None:
-        """Write the whole answer to the request, then read the next one."""
-        if self.lost:
+        """Write a complete answer to the request, then read the next request."""
+        if self.is_closed:
             return
         headers = [("Content-Length", str(len(body))), *(extra_headers or [])]
         parts = [
@@ -59,5 +59,5 @@
             self._read()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Write nothing any more."""
-        self.lost = True
+        """Mark the connection as closed, so that nothing more is written."""
+        self.is_closed = True
--- a/hookpitch/fakes/misbehaving_clients.py
+++ b/hookpitch/fakes/misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send malformed requests, unfinished ones, or nothing at all."""
+"""Clients that send malformed requests, unfinished requests or nothing at all."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     b"*4\r\n",
     b"*5\r\n$7\r\nOBJ.SET\r\n$3\r\nkey\r\n$2\r\nr1\r\n$6\r\nc=read\r\n$500000\r\nww",
 )
-SILENT_FRACTION = 1 / 3  # of the connections, on which nothing is sent
+SILENT_FRACTION = 1 / 3  # fraction of the connections on which nothing is sent
 SEED_OFFSET = 7
 
 
 class MisbehavingConnection(Protocol):
-    """Sends its data and measures how long the node keeps the connection."""
+    """Sends its data and measures how long the node keeps the connection open."""
 
     def __init__(self, clients: MisbehavingClients, data: bytes) -> None:
         self.clients = clients
@@ -37,49 +37,54 @@
         self.opened_ms = 0.0
 
     def connectionMade(self) -> None:
-        """Send the data, if there is any."""
+        """Send the data, if any."""
         self.opened_ms = self.clients.load_clients.now()
         if self.data:
             self.transport.write(self.data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Note how long the connection was kept."""
+        """Record how long the connection was open."""
         self.clients.lifetimes_ms.append(self.clients.load_clients.now() - self.opened_ms)
 
 
 class MisbehavingClients(ClientFactory):
-    """`per_s` new connections a second to the nodes in use; `unfinished`: with the beginning of a
-    request in place of a malformed one. `lifetimes_ms`: how long each one was kept."""
+    """Opens `rate_per_s` connections a second to the nodes in use.
+
+    A connection sends a malformed request or, if `unfinished` is set, only the beginning of a
+    request. `lifetimes_ms` holds how long each closed connection was open.
+    """
 
     noisy = False
 
-    def __init__(self, load_clients: LoadClients, per_s: float, unfinished: bool = False) -> None:
+    def __init__(
+        self, load_clients: LoadClients, rate_per_s: float, unfinished: bool = False
+    ) -> None:
         self.load_clients = load_clients
-        self.per_s = per_s
-        self.until_ms = 0.0
+        self.rate_per_s = rate_per_s
+        self.end_ms = 0.0
         self.requests = UNFINISHED_REQUESTS if unfinished else MALFORMED_REQUESTS
-        self.chance = random.Random(load_clients.rpc_count + SEED_OFFSET)
+        self.rng = random.Random(load_clients.rpc_count + SEED_OFFSET)
         self.lifetimes_ms: list[float] = []
 
-    def start(self, seconds: float) -> None:
-        """Open connections for so many seconds."""
-        self.until_ms = self.load_clients.now() + seconds * MS_PER_S
+    def start(self, duration_s: float) -> None:
+        """Open connections for `duration_s` seconds."""
+        self.end_ms = self.load_clients.now() + duration_s * MS_PER_S
         self._connect_next()
 
     def _connect_next(self) -> None:
         clients = self.load_clients
-        if clients.now() >= self.until_ms:
+        if clients.now() >= self.end_ms:
             return
-        node = self.chance.choice(clients.nodes_in_use or list(clients.nodes))
+        node = self.rng.choice(clients.nodes_in_use or list(clients.nodes))
         host, port = clients.nodes[node]
         clients.reactor.connectTCP(host, port, self, timeout=CONNECT_TIMEOUT_S)
-        clients.reactor.callLater(self.chance.expovariate(self.per_s), self._connect_next)
+        clients.reactor.callLater(self.rng.expovariate(self.rate_per_s), self._connect_next)
 
     def buildProtocol(self, addr: object) -> MisbehavingConnection:
-        """Return a connection with a random request, or with none."""
-        if self.chance.random() < SILENT_FRACTION:
+        """Return a connection that sends a random request or nothing."""
+        if self.rng.random() < SILENT_FRACTION:
             return MisbehavingConnection(self, b"")
-        return MisbehavingConnection(self, self.chance.choice(self.requests))
+        return MisbehavingConnection(self, self.rng.choice(self.requests))
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Do nothing: a node may refuse such clients."""
+        """Ignore the failure: a node may refuse such clients."""
--- a/hookpitch/fakes/origin.py
+++ b/hookpitch/fakes/origin.py
@@ -1,4 +1,4 @@
-"""The origin's model: a bounded queue before a few cores, and the caches its answers go to."""
+"""The model of the origin: cores with a bounded queue, and the caches to store answers in."""
 
 from __future__ import annotations
 
@@ -7,51 +7,58 @@
 
 from hookpitch.fakes.cache import Cache, CacheSpec
 
-MAX_MISSED_RPCS = 20000  # RPCs whose fetch never comes are forgotten beyond this
+MAX_MISSED_RPCS = 20000  # the oldest ones are dropped, as some RPCs never fetch their key
 UNLIMITED_CONNECTIONS = 1 << 30
 
 
 @dataclass(frozen=True, slots=True)
 class OriginSpec:
-    """The origin's size; a fetch beyond `queue_limit` waiting ones is refused, not executed."""
+    """The capacity of the origin.
+
+    A fetch that arrives while `queue_limit` fetches wait is rejected without being executed.
+    """
 
     cores: int = 4
     queue_limit: int = 40
-    work_ms: float = 20.0  # of a fetch, at full speed
+    work_ms: float = 20.0  # work of one fetch or write, at full speed
 
 
 class Origin:
-    """Executes fetches and writes; knows which caches an RPC missed, and stores its value there."""
+    """Executes fetches and writes, and updates the caches accordingly.
+
+    A fetched key is stored in every cache in which the RPC missed; a written key is removed from
+    all caches.
+    """
 
-    def __init__(self, spec: OriginSpec, now: float, chance: random.Random) -> None:
-        self.work = CacheSpec(
+    def __init__(self, spec: OriginSpec, now: float, rng: random.Random) -> None:
+        self.queue_spec = CacheSpec(
             cores=spec.cores,
             queue_limit=spec.queue_limit,
             default_work_ms=spec.work_ms,
             max_keys=0,
             max_connections=UNLIMITED_CONNECTIONS,
         )
-        self.queue = Cache("origin", self.work, now, cold=False, chance=chance)
-        self.missed: dict[str, list[Cache]] = {}  # by RPC
+        self.job_queue = Cache("origin", self.queue_spec, now, cold=False, rng=rng)
+        self.missed_caches: dict[str, list[Cache]] = {}  # caches in which an RPC missed, by RPC
         self.caches: dict[str, Cache] = {}
 
     def restart(self) -> None:
-        """Forget the queue and the misses, as a new process would."""
-        self.queue = Cache("origin", self.work, 0.0, cold=False, chance=self.queue.chance)
-        self.missed.clear()
+        """Discard the queue and the recorded misses, as a restart of the process does."""
+        self.job_queue = Cache("origin", self.queue_spec, 0.0, cold=False, rng=self.job_queue.rng)
+        self.missed_caches.clear()
 
     def record_miss(self, rpc: str, cache: Cache) -> None:
-        """Note that the RPC missed in this cache."""
-        self.missed.setdefault(rpc, []).append(cache)
-        if len(self.missed) > MAX_MISSED_RPCS:
-            self.missed.pop(next(iter(self.missed)))
-
-    def fetched(self, rpc: str, key: str) -> None:
-        """Store a fetched key in the caches that the RPC missed."""
-        for cache in self.missed.pop(rpc, ()):
+        """Record that an RPC missed in a cache."""
+        self.missed_caches.setdefault(rpc, []).append(cache)
+        if len(self.missed_caches) > MAX_MISSED_RPCS:
+            self.missed_caches.pop(next(iter(self.missed_caches)))
+
+    def store_fetched(self, rpc: str, key: str) -> None:
+        """Store a fetched key in the caches in which the RPC missed."""
+        for cache in self.missed_caches.pop(rpc, ()):
             cache.store(key)
 
-    def written(self, key: str) -> None:
-        """Drop every cache's copy of a key that was written."""
+    def invalidate(self, key: str) -> None:
+        """Remove a written key from all caches."""
         for cache in self.caches.values():
             cache.drop(key)
--- a/hookpitch/fakes/origin_server.py
+++ b/hookpitch/fakes/origin_server.py
@@ -1,4 +1,4 @@
-"""The origin on Twisted: HTTP/1.1 around the origin's model."""
+"""The origin on Twisted: HTTP/1.1 around the model of the origin."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from hookpitch.fakes.origin import Origin
 from hookpitch.fakes.timer import EARLY_WAKE_MS, MS_PER_S, JobTimer
 
-HEALTH_PATHS = ("healthz", "load")  # answered at once, if the request names no RPC
+HEALTH_PATHS = ("healthz", "load")  # answered at once if the request names no RPC
 NOT_EXECUTED_HEADERS = [("X-Not-Run", "1")]
 
 
 class OriginConnection(HttpConnection):
-    """One connection of a node to the origin; one job at a time."""
+    """One connection of a node to the origin, with one job at a time."""
 
     def __init__(self, server: OriginServer) -> None:
         super().__init__()
@@ -31,7 +31,7 @@
         self.is_write = False
 
     def handle(self, request: h11.Request, body: bytes) -> None:
-        """Begin a fetch or a write, or answer a health check."""
+        """Begin a fetch or a write, or answer a health check at once."""
         headers = {
             name.decode().lower(): value.decode("latin-1") for name, value in request.headers
         }
@@ -42,19 +42,22 @@
         extras = headers.get("x-extras", "").split(",")
         pairs = dict(pair.split("=", 1) for pair in extras if "=" in pair)
         self.is_write = request.method == b"PUT"
-        node = self.server.whose(self.transport)
+        node = self.server.node_of(self.transport)
         self.job = Job(headers.get("x-request-id", ""), key, pairs.get("c", ""), node)
         self.server.begin(self.job, self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Cancel the job that is not answered."""
+        """Cancel the job if it is unanswered."""
         super().connectionLost(reason)
-        if self.job is not None and not self.job.over:
+        if self.job is not None and not self.job.is_done:
             self.server.cancel(self.job)
 
 
 class OriginServer(Factory):
-    """The one origin. `failing`: a fault, the fraction of RPCs that end with status 500."""
+    """The origin server of a run.
+
+    `failure_fraction` is a fault: the fraction of executed RPCs that are answered with status 500.
+    """
 
     noisy = False
     name = "origin"
@@ -64,59 +67,63 @@
         origin: Origin,
         reactor: Any,
         history: History,
-        chance: random.Random,
-        whose: Callable[[Any], str],
-        begun: float,
+        rng: random.Random,
+        node_of: Callable[[Any], str],
+        run_start_s: float,
     ) -> None:
-        """`whose`: the node behind a transport; `begun`: the run's start, reactor seconds."""
+        """Create a server without jobs.
+
+        `node_of` returns the name of the node at the other end of a transport. `run_start_s` is
+        the time of the reactor's clock at which the run started.
+        """
         self.origin = origin
         self.reactor = reactor
         self.history = history
-        self.chance = chance
-        self.whose = whose
-        self.begun = begun
-        self.failing = 0.0
-        self.size_of: Callable[[str], int] = no_minimum_size  # bytes of a key's value
-        self._connections: dict[Job, OriginConnection] = {}  # of the jobs in flight
+        self.rng = rng
+        self.node_of = node_of
+        self.run_start_s = run_start_s
+        self.failure_fraction = 0.0
+        self.size_of: Callable[[str], int] = no_minimum_size  # minimum bytes of a key's value
+        self._connections: dict[Job, OriginConnection] = {}  # by job in flight
         self._timer = JobTimer(self)
 
     def now(self) -> float:
-        """Return milliseconds since the start of the run."""
-        return (self.reactor.seconds() - self.begun) * MS_PER_S
+        """Return the milliseconds since the start of the run."""
+        return (self.reactor.seconds() - self.run_start_s) * MS_PER_S
 
     def buildProtocol(self, addr: object) -> OriginConnection:
         """Return the protocol of a new connection."""
         return OriginConnection(self)
 
     def begin(self, job: Job, connection: OriginConnection) -> None:
-        """Queue a job, or answer 503 if the queue is full."""
+        """Run or queue a job, or answer 503 if the queue is full."""
         now = self.now()
         port = connection.transport.getPeer().port
         self.history.add(now, "came", self.name, job.rpc, job.node, port=port)
         self._connections[job] = connection
-        if not self.origin.queue.begin(now, job):
+        if not self.origin.job_queue.begin(now, job):
             self._answer(job, 503, b"busy", "busy", NOT_EXECUTED_HEADERS)
             return
-        self._timer.arm(self.origin.queue.due)
+        self._timer.arm(self.origin.job_queue.next_due_ms)
 
     def finish_jobs(self) -> None:
-        """Answer the jobs that are finished by now."""
-        for job in self.origin.queue.finish_jobs(self.now() + EARLY_WAKE_MS):
+        """Answer the jobs that have finished."""
+        for job in self.origin.job_queue.finish_jobs(self.now() + EARLY_WAKE_MS):
             connection = self._connections.get(job)
             if connection is not None:
                 self._finish(job, connection.is_write)
-        self._timer.arm(self.origin.queue.due)
+        self._timer.arm(self.origin.job_queue.next_due_ms)
 
     def _finish(self, job: Job, is_write: bool) -> None:
         if is_write:
             self.history.add(self.now(), "effect", self.name, job.rpc)
-        if self.chance.random() < self.failing:
+        if self.rng.random() < self.failure_fraction:
             self._answer(job, 500, b"failed", "error")
             return
         if is_write:
-            self.origin.written(job.key)
+            self.origin.invalidate(job.key)
         else:
-            self.origin.fetched(job.rpc, job.key)
+            self.origin.store_fetched(job.rpc, job.key)
         value = make_value(job.rpc, job.key, self.name, self.size_of(job.key))
         self._answer(job, 200, value, "stored" if is_write else "fetched")
 
@@ -131,18 +138,21 @@
         connection = self._connections.pop(job, None)
         if connection is None:
             return
-        job.over = True
+        job.is_done = True
         self.history.add(self.now(), "sent", self.name, job.rpc, result)
         connection.answer(status, body, extra_headers)
 
     def cancel(self, job: Job) -> None:
-        """Drop the answer to a job whose connection has ended."""
+        """Drop the answer to a job whose connection has closed."""
         if self._connections.pop(job, None) is not None:
             self.history.add(self.now(), "dropped", self.name, job.rpc)
-            self.origin.queue.cancel(job)
+            self.origin.job_queue.cancel(job)
 
     def stop_process(self) -> None:
-        """End the process with all its jobs; the machine's runner ends its connections."""
+        """End the process and cancel all its jobs.
+
+        The machine ends the connections.
+        """
         for job in list(self._connections):
             self.cancel(job)
         self._timer.cancel()
--- a/hookpitch/fakes/timer.py
+++ b/hookpitch/fakes/timer.py
@@ -1,4 +1,4 @@
-"""The timer of a server fake: one pending call, at the time when the model's next job finishes."""
+"""The timer of a fake server: one pending call at the time when the model's next job finishes."""
 
 from __future__ import annotations
 
@@ -6,23 +6,26 @@
 
 NEVER_MS = float("inf")
 MS_PER_S = 1000
-EARLY_WAKE_MS = 1e-6  # a timer may fire this much before the time it was set for
+EARLY_WAKE_MS = 1e-6  # a timer may fire this much before its due time
 
 
 class JobServer(Protocol):
-    """A server whose jobs finish on time. Its reactor changes when its machine restarts."""
+    """A server whose jobs finish at known times.
+
+    Its `reactor` is replaced when its machine restarts.
+    """
 
     reactor: Any
 
     def now(self) -> float:
-        """Return milliseconds since the start of the run."""
+        """Return the milliseconds since the start of the run."""
 
     def finish_jobs(self) -> None:
-        """Answer the jobs that are finished by now."""
+        """Answer the jobs that have finished."""
 
 
 class JobTimer:
-    """Calls `finish_jobs` at the earliest time it was armed for, then waits to be armed again."""
+    """Calls `finish_jobs` once, at the earliest of the times it was armed for."""
 
     def __init__(self, server: JobServer) -> None:
         self._server = server
@@ -30,7 +33,7 @@
         self._due_ms = NEVER_MS
 
     def arm(self, due_ms: float) -> None:
-        """Call back at `due_ms`, unless an earlier call is pending."""
+        """Schedule a call at `due_ms` unless a call at that time or earlier is pending."""
         if due_ms >= self._due_ms:
             return
         self._cancel_call()
@@ -39,7 +42,7 @@
         self._call = self._server.reactor.callLater(delay_ms / MS_PER_S, self._fire)
 
     def cancel(self) -> None:
-        """Drop the pending call, if there is one."""
+        """Cancel the pending call, if any."""
         self._cancel_call()
         self._call = None
         self._due_ms = NEVER_MS
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -349,7 +349,7 @@
         if name in self.run.crowd.nodes_in_use:
             self.run.crowd.nodes_in_use.remove(name)
         for caller in list(self.run.crowd.idle_connections[name]):
-            if not caller.lost:
+            if not caller.is_closed:
                 caller.transport.loseConnection()
 
     def node_leave_ends(self) -> None:
