--- a/hookpitch/fakes/discovery_server.py
+++ b/hookpitch/fakes/discovery_server.py
@@ -122,7 +122,7 @@
         """Add a request of a node to the history."""
         self.history.add(self.now(), "called", node, what=result)
 
-    def start_process(self) -> None:
+    def restart_process(self) -> None:
         """Start a new process, whose versions begin at the first one."""
         self.watchers.clear()
         self.reactor.callLater(HEARTBEAT_S, self._heartbeat)
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -161,7 +161,7 @@
             return
         self._listen(name)
         if name == "discovery":
-            self.discovery.start_process()
+            self.discovery.restart_process()
 
     def stall(self, name: str, seconds: float) -> None:
         """Stop the machine's process for so long."""
