--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -1,14 +1,13 @@
-"""What membership does at its sizes, in virtual time: state machine and codec alone
-(`hookpitch/testbed/membership_simulation.py`).
+"""Measure membership at several fleet sizes, in virtual time: the state machine and codec alone.
 
     python benchmarks/members_size.py detect 400 --seeds 20
     python benchmarks/members_size.py lossy 100 --loss 0.2 --seconds 120 --seeds 20
 
-`detect` kills one (or `--part` of all) and prints seconds to the first suspicion and until all
-agree;
-`lossy`, `pause`, `deaf` and `calm` print how many were called dead, wrongly, and bytes a second of
-each.
-Each seed is a process of its own; `--jobs` at once.
+`detect` kills one member (or the fraction `--part` of all) and prints the seconds to the first
+suspicion and the seconds until all members agree. `lossy`, `pause`, `deaf` and `calm` print how
+many members were declared dead wrongly, the bytes a second of each member, and the seconds until
+all members agree again. Each seed is a process of its own, `--jobs` of them at a time. The
+simulation is in `hookpitch/testbed/membership_simulation.py`.
 """
 
 from __future__ import annotations
@@ -22,81 +21,94 @@
 from hookpitch.testbed.membership_simulation import MembershipSimulation
 
 
-def up(count: int, seed: int) -> MembershipSimulation:
-    net = MembershipSimulation(count, seed)
-    if net.advance_until(net.agreed, 60) >= 60:
-        raise ValueError(f"seed {seed}: {count} members did not meet within 60 s")
-    net.advance(60)
-    net.logs.clear()
-    return net
+def start_network(count: int, seed: int) -> MembershipSimulation:
+    """Return a simulated network of `count` members that agree, after 60 s of steady state."""
+    network = MembershipSimulation(count, seed)
+    if network.advance_until(network.agreed, 60) >= 60:
+        raise ValueError(f"seed {seed}: {count} members did not agree within 60 s")
+    network.advance(60)
+    network.logs.clear()
+    return network
 
 
-def called_dead(net: MembershipSimulation) -> int:
-    return len({text.split()[0] for _, _, text in net.logs if " dead" in text})
+def count_declared_dead(network: MembershipSimulation) -> int:
+    """Return the number of members that any member has declared dead."""
+    return len({text.split()[0] for _, _, text in network.logs if " dead" in text})
 
 
-def cost(net: MembershipSimulation, before: int, seconds: float) -> float:
-    return (sum(net.bytes.values()) - before) / len(net.members) / seconds
+def bytes_per_second(network: MembershipSimulation, bytes_before: int, seconds: float) -> float:
+    """Return the bytes a second of one member, on average over `seconds`."""
+    return (sum(network.bytes.values()) - bytes_before) / len(network.members) / seconds
 
 
-def detect(count: int, part: float, seed: int) -> tuple[float, ...]:
-    net = up(count, seed)
-    gone = [f"m{n}" for n in range(1, count, max(1, round(1 / part)) if part else count)] or ["m1"]
-    net.kill(gone)
-    some = lambda: any(net.believers(gone[0], s) for s in (MemberState.SUSPECTED, MemberState.DEAD))  # noqa: E731
-    first = net.advance_until(some, 30, 0.1)
-    agreed = first + net.advance_until(net.agreed, 60, 0.1)
-    return first, agreed, float(called_dead(net) - len(gone))
+def measure_detection(count: int, part: float, seed: int) -> tuple[float, ...]:
+    """Kill members; return the times to suspicion and agreement, and the wrong declarations."""
+    network = start_network(count, seed)
+    killed = [f"m{n}" for n in range(1, count, max(1, round(1 / part)) if part else count)] or [
+        "m1"
+    ]
+    network.kill(killed)
+    is_suspected = lambda: any(  # noqa: E731
+        network.believers(killed[0], state) for state in (MemberState.SUSPECTED, MemberState.DEAD)
+    )
+    first = network.advance_until(is_suspected, 30, 0.1)
+    agreed = first + network.advance_until(network.agreed, 60, 0.1)
+    return first, agreed, float(count_declared_dead(network) - len(killed))
 
 
-def quiet(kind: str, count: int, loss: float, seconds: float, seed: int) -> tuple[float, ...]:
-    net = up(count, seed)
-    before = sum(net.bytes.values())
+def measure_fault(
+    kind: str, count: int, loss: float, seconds: float, seed: int
+) -> tuple[float, ...]:
+    """Apply a fault for `seconds`; return the wrong declarations, traffic and recovery time."""
+    network = start_network(count, seed)
+    bytes_before = sum(network.bytes.values())
     if kind == "lossy":
-        net.loss = loss
+        network.loss = loss
     elif kind == "deaf":
-        net.extra_loss["m3"] = loss
+        network.extra_loss["m3"] = loss
     if kind == "pause":
         for n in range(20):
-            net.suspend([f"m{(7 * n) % count}"], loss)
-            net.advance(seconds / 20)
+            network.suspend([f"m{(7 * n) % count}"], loss)
+            network.advance(seconds / 20)
     else:
-        net.advance(seconds)
-    told = cost(net, before, seconds)
-    net.loss, net.extra_loss = 0.0, {}
-    healed = net.advance_until(net.agreed, 120)
-    return float(called_dead(net)), told, healed
+        network.advance(seconds)
+    traffic = bytes_per_second(network, bytes_before, seconds)
+    network.loss, network.extra_loss = 0.0, {}
+    recovery_s = network.advance_until(network.agreed, 120)
+    return float(count_declared_dead(network)), traffic, recovery_s
 
 
-def line(name: str, values: list[float]) -> str:
-    some = sorted(values)
-    at = lambda q: some[min(len(some) - 1, int(q * len(some)))]  # noqa: E731
-    return f"  {name}: median {at(0.5):.1f}, 99th {at(0.99):.1f}, least {some[0]:.1f}, most {some[-1]:.1f}"  # noqa: E501
+def format_summary(name: str, values: list[float]) -> str:
+    """Return one line with the median, the 99th percentile and the extremes of the values."""
+    ordered = sorted(values)
+    at = lambda q: ordered[min(len(ordered) - 1, int(q * len(ordered)))]  # noqa: E731
+    return f"  {name}: median {at(0.5):.1f}, 99th {at(0.99):.1f}, least {ordered[0]:.1f}, most {ordered[-1]:.1f}"  # noqa: E501
 
 
 @click.command()
 @click.argument("kind", type=click.Choice(["detect", "calm", "lossy", "deaf", "pause"]))
 @click.argument("count", type=int)
 @click.option("--seeds", default=20)
-@click.option("--part", default=0.0, help="Of all, killed at once; 0: one.")
-@click.option("--loss", default=0.2, help="Part of the datagrams lost; of `pause`, its seconds.")
+@click.option("--part", default=0.0, help="Fraction of the members killed at once; 0: one member.")
+@click.option("--loss", default=0.2, help="Fraction of datagrams lost; for `pause`, its seconds.")
 @click.option("--seconds", default=120.0)
 @click.option("--jobs", default=8)
 def main(
     kind: str, count: int, seeds: int, part: float, loss: float, seconds: float, jobs: int
 ) -> None:
-    play = (
-        partial(detect, count, part)
+    """Measure COUNT members under the fault KIND and print a summary over the seeds."""
+    measure = (
+        partial(measure_detection, count, part)
         if kind == "detect"
-        else partial(quiet, kind, count, loss, seconds)
+        else partial(measure_fault, kind, count, loss, seconds)
     )
-    wrongly = "called dead wrongly"
-    names = ("first", "agreed", wrongly) if kind == "detect" else (wrongly, "bytes/s", "healed s")
+    wrongly = "declared dead wrongly"
+    names = ("first", "agreed", wrongly) if kind == "detect" else (wrongly, "bytes/s", "recovery s")
     with ProcessPoolExecutor(jobs) as pool:
-        rows = list(pool.map(play, range(1, seeds + 1)))
+        rows = list(pool.map(measure, range(1, seeds + 1)))
     click.echo(f"{kind} {count} part={part:g} loss={loss:g} seconds={seconds:g} seeds={seeds}")
     for n, name in enumerate(names):
-        click.echo(line(name, [row[n] for row in rows]))
+        click.echo(format_summary(name, [row[n] for row in rows]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -1,16 +1,14 @@
-"""CPU an RPC of a node, and what its clients see, on loopback: two builds in turns where two are
-named.
+"""Measure the CPU time of a node per RPC, and what its clients see, on loopback.
 
     python benchmarks/node_cpu.py [--root DIR] [--against DIR] [--rate 600] [--duty 0.5] [--storm]
 
-One process stands in for caches, origin and discovery, one for clients (open loop: an RPC is sent
-when it is
-due, however late the answers are). `--duty` stops the node for the rest of every 20 ms, `--gap`
-for 300 ms in
-every second, as a busy neighbour would. `--storm`: a client that is exhausted, fails or waits too
-long tries
-again at once, three times at the most, on a new connection. Latencies count from the time an RPC
-was due.
+`--against` names the root of a second build, which is then measured alternately with the first.
+Each of the `--loaders` pairs of processes has one process for the caches, the origin and discovery,
+and one for clients. The load is open-loop: an RPC is sent when it is due, regardless of how late
+the answers are, and its latency counts from the time at which it was due. `--duty` lets the node
+run for this fraction of every 20 ms only, and `--gap` stops it for 300 ms in every second, as
+another busy process on the machine would. With `--storm`, a client retries at once on a new
+connection, at most three times, if its RPC is exhausted, fails or takes too long.
 """
 
 from __future__ import annotations
@@ -29,19 +27,24 @@
 import time
 from pathlib import Path
 
-HOST, CACHES = "127.0.0.1", 8
-TICKS = os.sysconf("SC_CLK_TCK")
-PLAIN = {"soft_deadline_s": 0.25, "hard_deadline_s": 0.8, "idempotency": "retryable"}
-METHODS = [{"name": "read", "gain": 1.0, **PLAIN}, {"name": "quote", "gain": 4.0, **PLAIN}]
+HOST, CACHE_COUNT = "127.0.0.1", 8
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+METHOD_LIMITS = {"soft_deadline_s": 0.25, "hard_deadline_s": 0.8, "idempotency": "retryable"}
+METHODS = [
+    {"name": "read", "gain": 1.0, **METHOD_LIMITS},
+    {"name": "quote", "gain": 4.0, **METHOD_LIMITS},
+]
 
 
-class Cache(asyncio.Protocol):
-    """Answers each command after two milliseconds: a hit."""
+class FakeCache(asyncio.Protocol):
+    """Answers each command with a hit after 2 ms."""
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Start with an empty buffer."""
         self.transport, self.data = transport, b""
 
     def data_received(self, data: bytes) -> None:
+        """Schedule the answers to all complete commands."""
         self.data += data
         while self.data.startswith(b"*") and self.data.count(b"\r\n") >= 9:
             words = self.data.split(b"\r\n", 9)
@@ -51,200 +54,244 @@
             asyncio.get_running_loop().call_later(0.002, self.transport.write, answer)
 
 
-class Web(asyncio.Protocol):
-    """Discovery, and an origin that nobody should need."""
+class FakeHttpServer(asyncio.Protocol):
+    """Serves discovery, and an origin for which there should be no use."""
 
     hosts: list[dict[str, object]] = []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Store the transport."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Begin a watch of the endpoint list, or answer any other request with 200."""
         if b"/v1/servers" not in data:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             return
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.beat(json.dumps({"seq": 1, "whole": True, "hosts": self.hosts}).encode())
+        self.write_line(json.dumps({"seq": 1, "whole": True, "hosts": self.hosts}).encode())
 
-    def beat(self, line: bytes = b"") -> None:
+    def write_line(self, line: bytes = b"") -> None:
+        """Write a line of the watch, and an empty line as a heartbeat every 2 s after it."""
         if not self.transport.is_closing():
             self.transport.write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
-            asyncio.get_running_loop().call_later(2, self.beat)
+            asyncio.get_running_loop().call_later(2, self.write_line)
 
 
-def fleet(pipe, n: int) -> None:  # noqa: ANN001
+def run_servers(pipe, index: int) -> None:  # noqa: ANN001
+    """Run caches and an HTTP server; send the HTTP server's port and the endpoints to `pipe`."""
+
     async def run() -> None:
         loop, ports = asyncio.get_running_loop(), []
-        for kind in [Cache] * CACHES + [Web]:
+        for kind in [FakeCache] * CACHE_COUNT + [FakeHttpServer]:
             server = await loop.create_server(kind, HOST, 0, backlog=4096)
             ports.append(server.sockets[0].getsockname()[1])
-        plain = {"site": "a", "block": 0, "health": "in_service", "share": 1.0, "born_ms": 0}
-        Web.hosts = [
-            {"host": f"s{n}-{i}", "dial": f"{HOST}:{p}", "class": "std", **plain}
-            for i, p in enumerate(ports[:-1])
+        common = {"site": "a", "block": 0, "health": "in_service", "share": 1.0, "born_ms": 0}
+        FakeHttpServer.hosts = [
+            {"host": f"s{index}-{i}", "dial": f"{HOST}:{port}", "class": "std", **common}
+            for i, port in enumerate(ports[:-1])
         ]
-        Web.hosts.append(
-            {"host": "origin", "dial": f"{HOST}:{ports[-1]}", "class": "origin", **plain}
+        FakeHttpServer.hosts.append(
+            {"host": "origin", "dial": f"{HOST}:{ports[-1]}", "class": "origin", **common}
         )
-        pipe.send((ports[-1], Web.hosts))
+        pipe.send((ports[-1], FakeHttpServer.hosts))
         await asyncio.Event().wait()
 
     asyncio.run(run())
 
 
-class Asker(asyncio.Protocol):
-    """One client connection; RPCs in order."""
+class ClientConnection(asyncio.Protocol):
+    """One client connection, whose RPCs are answered in order."""
 
     def __init__(self, load: Load) -> None:
-        self.load, self.data, self.due = load, b"", []
+        self.load, self.data, self.in_flight = load, b"", []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Store the transport."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Match the complete answers with the RPCs in flight."""
         self.data += data
-        while self.due:
+        while self.in_flight:
             if self.data.startswith(b"$"):
                 head, found, rest = self.data.partition(b"\r\n")
                 length = int(head[1:]) + 2 if found else 0
                 if not found or len(rest) < length:
                     return
-                self.data, how = rest[length:], "completed"
+                self.data, result = rest[length:], "completed"
             else:
                 line, found, rest = self.data.partition(b"\r\n")
                 if not found:
                     return
-                self.data, how = rest, "exhausted" if line.startswith(b"-BUSY") else "errored"
-            self.load.ended(self, self.due.pop(0), how)
+                self.data, result = rest, "exhausted" if line.startswith(b"-BUSY") else "errored"
+            self.load.rpc_finished(self, self.in_flight.pop(0), result)
 
-    def connection_lost(self, fault: Exception | None) -> None:
-        for rpc in self.due:
-            self.load.ended(self, rpc, "lost")
-        self.due = []
+    def connection_lost(self, reason: Exception | None) -> None:
+        """Finish the RPCs in flight as lost."""
+        for rpc in self.in_flight:
+            self.load.rpc_finished(self, rpc, "lost")
+        self.in_flight = []
 
 
 class Load:
+    """The clients of one process: sends RPCs at random times and counts their results."""
+
     def __init__(self, address: tuple[str, int], args: argparse.Namespace, seed: int) -> None:
         self.address, self.args, self.rng = address, args, random.Random(seed)
-        self.free: list[Asker] = []
-        self.ends: dict[str, int] = {}
-        self.took: list[float] = []
-        self.by_method: dict[str, list[int]] = {m["name"]: [0, 0] for m in METHODS}
-        self.count, self.behind, self.open = 0, 0.0, 0
+        self.idle_connections: list[ClientConnection] = []
+        self.results: dict[str, int] = {}
+        self.latencies_s: list[float] = []
+        # RPCs due, and RPCs completed within 0.25 s, by method.
+        self.by_method: dict[str, list[int]] = {method["name"]: [0, 0] for method in METHODS}
+        self.sent_count, self.max_lateness_s, self.open_connections = 0, 0.0, 0
 
     async def run(self) -> None:
-        begun = time.monotonic()
-        due = begun
-        while due < begun + self.args.seconds:
+        """Send RPCs for the configured time, then wait 2 s for the last answers."""
+        started = time.monotonic()
+        due = started
+        while due < started + self.args.seconds:
             due += self.rng.expovariate(self.args.rate / self.args.loaders)
-            if (pause := due - time.monotonic()) > 0:
-                await asyncio.sleep(pause)
-            self.behind = max(self.behind, time.monotonic() - due)
+            if (delay_s := due - time.monotonic()) > 0:
+                await asyncio.sleep(delay_s)
+            self.max_lateness_s = max(self.max_lateness_s, time.monotonic() - due)
             method = "quote" if self.rng.random() < 0.2 else "read"
             self.by_method[method][0] += 1
-            asyncio.ensure_future(self.ask((due, method, 0)))
+            asyncio.ensure_future(self.send_rpc((due, method, 0)))
         await asyncio.sleep(2.0)
 
-    async def ask(self, rpc: tuple[float, str, int]) -> None:
-        due, method, tries = rpc
-        if tries and self.args.storm or not self.free:
-            if self.open >= self.args.connections / self.args.loaders:
-                return self.ended(None, rpc, "no connection left at the client")
-            self.open += 1
+    async def send_rpc(self, rpc: tuple[float, str, int]) -> None:
+        """Send an RPC, given as its due time, method and number of earlier attempts."""
+        due, method, attempts = rpc
+        if attempts and self.args.storm or not self.idle_connections:
+            if self.open_connections >= self.args.connections / self.args.loaders:
+                return self.rpc_finished(None, rpc, "no connection left at the client")
+            self.open_connections += 1
             try:
                 loop = asyncio.get_running_loop()
-                _, asker = await loop.create_connection(lambda: Asker(self), *self.address)
+                _, connection = await loop.create_connection(
+                    lambda: ClientConnection(self), *self.address
+                )
             except OSError:
-                self.open -= 1
-                return self.ended(None, rpc, "refused")
-            sock = asker.transport.get_extra_info("socket")
+                self.open_connections -= 1
+                return self.rpc_finished(None, rpc, "refused")
+            sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         else:
-            asker = self.free.pop()
-        self.count += 1
-        key, id = (
+            connection = self.idle_connections.pop()
+        self.sent_count += 1
+        key, rpc_id = (
             b"key%d" % (int(self.rng.paretovariate(0.6)) % 5000),
             b"%016x" % self.rng.getrandbits(62),
         )
-        words = (b"OBJ.GET", key, id, b"c=%b,d=%d" % (method.encode(), 800))
-        asker.due.append((time.monotonic(), *rpc))
-        asker.transport.write(b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
+        words = (b"OBJ.GET", key, rpc_id, b"c=%b,d=%d" % (method.encode(), 800))
+        connection.in_flight.append((time.monotonic(), *rpc))
+        connection.transport.write(
+            b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
+        )
         if self.args.storm:
-            asyncio.get_running_loop().call_later(0.8, self.give_up, asker, asker.due[-1])
-
-    def give_up(self, asker: Asker, rpc: tuple) -> None:
-        if rpc in asker.due:
-            self.ends["given up by the client"] = self.ends.get("given up by the client", 0) + 1
-            asker.due = []
-            asker.transport.abort()
-            self.open -= 1
-            self.again(rpc[1:])
-
-    def again(self, rpc: tuple[float, str, int]) -> None:
+            asyncio.get_running_loop().call_later(
+                0.8, self.give_up, connection, connection.in_flight[-1]
+            )
+        return None
+
+    def give_up(self, connection: ClientConnection, rpc: tuple) -> None:
+        """Abort the connection and retry, if the RPC is still in flight."""
+        if rpc in connection.in_flight:
+            self.results["given up by the client"] = (
+                self.results.get("given up by the client", 0) + 1
+            )
+            connection.in_flight = []
+            connection.transport.abort()
+            self.open_connections -= 1
+            self.retry(rpc[1:])
+
+    def retry(self, rpc: tuple[float, str, int]) -> None:
+        """Retry an RPC up to three times if `--storm` is set."""
         if self.args.storm and rpc[2] < 3:
-            asyncio.ensure_future(self.ask((rpc[0], rpc[1], rpc[2] + 1)))
+            asyncio.ensure_future(self.send_rpc((rpc[0], rpc[1], rpc[2] + 1)))
 
-    def ended(self, asker: Asker | None, rpc: tuple, how: str) -> None:
-        self.ends[how] = self.ends.get(how, 0) + 1
-        *sent, due, method, tries = rpc
+    def rpc_finished(self, connection: ClientConnection | None, rpc: tuple, result: str) -> None:
+        """Count the result of an RPC, retry it if it failed, and release its connection."""
+        self.results[result] = self.results.get(result, 0) + 1
+        *sent, due, method, attempts = rpc
         now = time.monotonic()
         if sent and now - sent[0] > 0.85:
-            self.ends["answered late"] = self.ends.get("answered late", 0) + 1
-        if how == "completed":
-            self.took.append(now - due)
+            self.results["answered late"] = self.results.get("answered late", 0) + 1
+        if result == "completed":
+            self.latencies_s.append(now - due)
             if now - due <= 0.25:
                 self.by_method[method][1] += 1
         else:
-            self.again((due, method, tries))
-        if asker is not None and how == "lost":
-            self.open -= 1
-        elif asker is not None:
-            self.free.append(asker)
-
-
-def load(address: tuple[str, int], args: argparse.Namespace, seed: int, pipe) -> None:  # noqa: ANN001
-    work = Load(address, args, seed)
-    asyncio.run(work.run())
-    took = sorted(work.took) or [0.0]
-    at = {
-        q: round(1000 * took[min(len(took) - 1, int(q / 100 * len(took)))], 1)
-        for q in (50, 99, 99.9)
+            self.retry((due, method, attempts))
+        if connection is not None and result == "lost":
+            self.open_connections -= 1
+        elif connection is not None:
+            self.idle_connections.append(connection)
+
+
+def run_clients(address: tuple[str, int], args: argparse.Namespace, seed: int, pipe) -> None:  # noqa: ANN001
+    """Run the clients of one process and send their figures to `pipe`."""
+    load = Load(address, args, seed)
+    asyncio.run(load.run())
+    latencies_s = sorted(load.latencies_s) or [0.0]
+    ms_at = {
+        percentile: round(
+            1000 * latencies_s[min(len(latencies_s) - 1, int(percentile / 100 * len(latencies_s)))],
+            1,
+        )
+        for percentile in (50, 99, 99.9)
+    }
+    in_time = {
+        method: round(completed / max(1, due), 3)
+        for method, (due, completed) in load.by_method.items()
     }
-    in_time = {m: round(b / max(1, a), 3) for m, (a, b) in work.by_method.items()}
-    behind = round(1000 * work.behind)
+    behind_ms = round(1000 * load.max_lateness_s)
     pipe.send(
         {
-            "sent": work.count,
-            "ends": work.ends,
-            "ms_at": at,
+            "sent": load.sent_count,
+            "ends": load.results,
+            "ms_at": ms_at,
             "in_time": in_time,
-            "behind_ms": behind,
+            "behind_ms": behind_ms,
         }
     )
 
 
-def merged(figures: list[dict]) -> dict:
-    """Counts are added, latencies and lateness the worst of all, parts in time the mean."""
+def merge_figures(figures: list[dict]) -> dict:
+    """Merge the figures of several client processes.
+
+    Counts are added. Latencies and lateness are the maximum of all processes, and the fractions
+    of RPCs completed in time are the mean.
+    """
     first, *rest = figures
     for other in rest:
         first["sent"] += other["sent"]
-        for how, count in other["ends"].items():
-            first["ends"][how] = first["ends"].get(how, 0) + count
-        first["ms_at"] = {q: max(ms, other["ms_at"][q]) for q, ms in first["ms_at"].items()}
+        for result, count in other["ends"].items():
+            first["ends"][result] = first["ends"].get(result, 0) + count
+        first["ms_at"] = {
+            percentile: max(ms, other["ms_at"][percentile])
+            for percentile, ms in first["ms_at"].items()
+        }
         first["behind_ms"] = max(first["behind_ms"], other["behind_ms"])
-        first["in_time"] = {m: part + other["in_time"][m] for m, part in first["in_time"].items()}
-    first["in_time"] = {m: round(part / len(figures), 3) for m, part in first["in_time"].items()}
+        first["in_time"] = {
+            method: fraction + other["in_time"][method]
+            for method, fraction in first["in_time"].items()
+        }
+    first["in_time"] = {
+        method: round(fraction / len(figures), 3) for method, fraction in first["in_time"].items()
+    }
     return first
 
 
-def cpu(pid: int) -> tuple[float, float]:
-    """Seconds in user and in system mode."""
+def read_cpu_times(pid: int) -> tuple[float, float]:
+    """Return the seconds that a process has spent in user mode and in system mode."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return int(fields[11]) / TICKS, int(fields[12]) / TICKS  # utime and stime, proc(5)
+    return int(fields[11]) / TICKS_PER_S, int(fields[12]) / TICKS_PER_S  # utime and stime, proc(5)
 
 
-def hold(pid: int, args: argparse.Namespace, until: float) -> None:
-    """Stop the node for its part of the time."""
+def throttle(pid: int, args: argparse.Namespace, until: float) -> None:
+    """Stop and continue the node in turn, according to `--gap` or `--duty`."""
     while time.monotonic() < until:
         if args.gap:
             time.sleep(0.7)
@@ -257,25 +304,28 @@
         os.kill(pid, signal.SIGCONT)
 
 
-def once(root: str, args: argparse.Namespace, seed: int) -> dict[str, object]:
+def measure(root: str, args: argparse.Namespace, seed: int) -> dict[str, object]:
+    """Run the build at `root` under load once and return its figures."""
     context = multiprocessing.get_context("spawn")
-    ours, theirs = context.Pipe()
-    parts, hosts, discovery = [], [], 0
-    for n in range(args.loaders):
-        parts.append(context.Process(target=fleet, args=(theirs, n), daemon=True))
-        parts[-1].start()
-        discovery, some = ours.recv()
-        hosts += some if n == args.loaders - 1 else some[:-1]
+    parent_pipe, child_pipe = context.Pipe()
+    processes, hosts, discovery = [], [], 0
+    for server_index in range(args.loaders):
+        processes.append(
+            context.Process(target=run_servers, args=(child_pipe, server_index), daemon=True)
+        )
+        processes[-1].start()
+        discovery, listed = parent_pipe.recv()
+        hosts += listed if server_index == args.loaders - 1 else listed[:-1]
     with socket.socket() as free:
         free.bind((HOST, 0))
         port = free.getsockname()[1]
-    base = json.loads((Path(__file__).parent.parent / "examples" / "node.json").read_text())
-    base |= {"listen": f"{HOST}:{port}", "discovery": f"{HOST}:{discovery}"}
-    base["known"] = {"seq": 1, "whole": True, "hosts": hosts}
-    base["limits"] = {"cores": args.duty, "memory_mb": 128, "sockets": args.sockets}
-    base["settings"]["methods"] = METHODS
+    config = json.loads((Path(__file__).parent.parent / "examples" / "node.json").read_text())
+    config |= {"listen": f"{HOST}:{port}", "discovery": f"{HOST}:{discovery}"}
+    config["known"] = {"seq": 1, "whole": True, "hosts": hosts}
+    config["limits"] = {"cores": args.duty, "memory_mb": 128, "sockets": args.sockets}
+    config["settings"]["methods"] = METHODS
     with tempfile.TemporaryDirectory() as folder:
-        Path(folder, "node.json").write_text(json.dumps(base))
+        Path(folder, "node.json").write_text(json.dumps(config))
         with open(Path(folder, "log"), "w+") as log:
             environment = os.environ | {"PROXY_CONFIG": f"{folder}/node.json"}
             profile = ["-m", "cProfile", "-o", args.profile] if args.profile else []
@@ -283,36 +333,44 @@
             node = subprocess.Popen(command, cwd=root, env=environment, stderr=log)
             try:
                 time.sleep(1.5)
-                begun = cpu(node.pid)
-                for part in range(args.loaders):
-                    words = ((HOST, port), args, seed * 100 + part, theirs)
-                    parts.append(context.Process(target=load, args=words, daemon=True))
-                    parts[-1].start()
+                cpu_before = read_cpu_times(node.pid)
+                for client_index in range(args.loaders):
+                    client_args = ((HOST, port), args, seed * 100 + client_index, child_pipe)
+                    processes.append(
+                        context.Process(target=run_clients, args=client_args, daemon=True)
+                    )
+                    processes[-1].start()
                 if args.duty < 1 or args.gap:
-                    hold(node.pid, args, time.monotonic() + args.seconds + 0.5)
-                figures = merged([ours.recv() for _ in range(args.loaders)])
-                used = [b - a for a, b in zip(begun, cpu(node.pid), strict=True)]
+                    throttle(node.pid, args, time.monotonic() + args.seconds + 0.5)
+                figures = merge_figures([parent_pipe.recv() for _ in range(args.loaders)])
+                cpu_used = [
+                    after - before
+                    for before, after in zip(cpu_before, read_cpu_times(node.pid), strict=True)
+                ]
                 node.send_signal(signal.SIGTERM)
                 node.wait(10)
                 log.seek(0)
                 lines = [json.loads(line) for line in log]
-                left = lines[-1] if lines else {}
+                counters = lines[-1] if lines else {}
             finally:
                 node.kill()
-                for part in parts:
-                    part.kill()
-    # An older build that is compared with has the second form.
+                for process in processes:
+                    process.kill()
+    # Older builds log the second form; they may be named with --against.
     ejections = ("backend_ejected", "off the path")
-    figures["ejections"] = sum(any(e in line["event"] for e in ejections) for line in lines)
-    figures["broken"] = {k: v for k, v in left.items() if k.startswith(("broken", "faults"))}
-    figures["us_a_sent_rpc"] = round(1e6 * sum(used) / max(1, figures["sent"]))
-    figures["user_s"], figures["sys_s"] = round(used[0], 2), round(used[1], 2)
+    figures["ejections"] = sum(any(text in line["event"] for text in ejections) for line in lines)
+    figures["broken"] = {
+        name: count for name, count in counters.items() if name.startswith(("broken", "faults"))
+    }
+    figures["us_a_sent_rpc"] = round(1e6 * sum(cpu_used) / max(1, figures["sent"]))
+    figures["user_s"], figures["sys_s"] = round(cpu_used[0], 2), round(cpu_used[1], 2)
     if args.counters:
-        figures["counters"] = left
+        figures["counters"] = counters
     return figures
 
 
 def main() -> None:
+    """Measure each build in every round and print one line of JSON for each measurement."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n", 1)[0])
     parser.add_argument("--root", default=".")
     parser.add_argument("--against")
@@ -323,16 +381,16 @@
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--duty", type=float, default=1.0)
     parser.add_argument(
-        "--loaders", type=int, default=1, help="processes of clients, and of servers"
+        "--loaders", type=int, default=1, help="number of processes of clients, and of servers"
     )
     parser.add_argument("--gap", action="store_true")
     parser.add_argument("--storm", action="store_true")
-    parser.add_argument("--profile", help="write a profile of the node there")
+    parser.add_argument("--profile", help="write a profile of the node to this file")
     parser.add_argument("--counters", action="store_true")
     args = parser.parse_args()
-    for n in range(args.rounds):
+    for round_number in range(args.rounds):
         for root in [args.root] + ([args.against] if args.against else []):
-            print(root, json.dumps(once(root, args, n + 1)), flush=True)
+            print(root, json.dumps(measure(root, args, round_number + 1)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -1,10 +1,10 @@
-"""What a relay adds to a round trip, and how many round trips a second it carries.
+"""Measure the time that a relay adds to a round trip, and the round trips a second it carries.
 
-`python benchmarks/relay_cost.py`. One request and one answer of 100 bytes on each connection at a
-time,
-straight and through a relay process; server and clients are processes of their own. On loopback,
-bounded in
-time.
+    python benchmarks/relay_cost.py
+
+Each connection has one request and one answer of 100 bytes in flight at a time, either directly or
+through a relay process. The server and the clients are processes of their own on loopback. Each
+measurement takes `DURATION_S`.
 """
 
 from __future__ import annotations
@@ -20,68 +20,76 @@
 import time
 from pathlib import Path
 
-NET, PORT = "127.9", 29200
-STRAIGHT, THROUGH = (f"{NET}.2.1", PORT), (f"{NET}.1.1", PORT)
-SIZE, SECONDS = 100, 3.0
+NETWORK, PORT = "127.9", 29200
+SERVER_ADDRESS, RELAY_ADDRESS = (f"{NETWORK}.2.1", PORT), (f"{NETWORK}.1.1", PORT)
+MESSAGE_BYTES, DURATION_S = 100, 3.0
 
 
 def serve(ready: multiprocessing.Event) -> None:
-    """Answers each 100 bytes with as many."""
-    chooser = selectors.DefaultSelector()
-    listener = socket.create_server(STRAIGHT, backlog=512)
-    chooser.register(listener, selectors.EVENT_READ)
+    """Echo all received data, and set `ready` once the server listens."""
+    selector = selectors.DefaultSelector()
+    listener = socket.create_server(SERVER_ADDRESS, backlog=512)
+    selector.register(listener, selectors.EVENT_READ)
     ready.set()
     while True:
-        for key, _ in chooser.select():
+        for key, _ in selector.select():
             if key.fileobj is listener:
-                chooser.register(listener.accept()[0], selectors.EVENT_READ)
+                selector.register(listener.accept()[0], selectors.EVENT_READ)
                 continue
             try:
                 data = key.fileobj.recv(65536)
                 key.fileobj.sendall(data)
-            except OSError:  # a client that has measured enough
+            except OSError:  # the client has finished its measurement
                 data = b""
             if not data:
-                chooser.unregister(key.fileobj)
+                selector.unregister(key.fileobj)
                 key.fileobj.close()
 
 
-def ask(at: tuple[str, int], connections: int, out: multiprocessing.Queue) -> None:
-    """Round trips on so many connections for `SECONDS`: their times, in ms."""
-    peers = [socket.create_connection(at) for _ in range(connections)]
-    chooser, since, took = selectors.DefaultSelector(), {}, []
-    for peer in peers:
-        peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        chooser.register(peer, selectors.EVENT_READ)
-        since[peer] = time.perf_counter()
-        peer.sendall(b"x" * SIZE)
-    end = time.perf_counter() + SECONDS
+def run_clients(address: tuple[str, int], connections: int, results: multiprocessing.Queue) -> None:
+    """Repeat round trips on the connections for `DURATION_S` and put their times in ms."""
+    clients = [socket.create_connection(address) for _ in range(connections)]
+    selector, sent_at, times_ms = selectors.DefaultSelector(), {}, []
+    for client in clients:
+        client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        selector.register(client, selectors.EVENT_READ)
+        sent_at[client] = time.perf_counter()
+        client.sendall(b"x" * MESSAGE_BYTES)
+    end = time.perf_counter() + DURATION_S
     while time.perf_counter() < end:
-        for key, _ in chooser.select(0.1):
+        for key, _ in selector.select(0.1):
             key.fileobj.recv(65536)
             now = time.perf_counter()
-            took.append((now - since[key.fileobj]) * 1000)
-            since[key.fileobj] = now
-            key.fileobj.sendall(b"x" * SIZE)
-    out.put(took)
+            times_ms.append((now - sent_at[key.fileobj]) * 1000)
+            sent_at[key.fileobj] = now
+            key.fileobj.sendall(b"x" * MESSAGE_BYTES)
+    results.put(times_ms)
 
 
-def measured(at: tuple[str, int], connections: int, processes: int) -> tuple[float, float, float]:
-    """Round trips a second, median and 99th percentile in ms."""
-    out: multiprocessing.Queue = multiprocessing.Queue()
-    poll_schedule = [
-        multiprocessing.Process(target=ask, args=(at, connections, out)) for _ in range(processes)
+def measure(
+    address: tuple[str, int], connections: int, processes: int
+) -> tuple[float, float, float]:
+    """Return the round trips a second, and their median and 99th percentile in ms."""
+    results: multiprocessing.Queue = multiprocessing.Queue()
+    clients = [
+        multiprocessing.Process(target=run_clients, args=(address, connections, results))
+        for _ in range(processes)
     ]
-    for one in poll_schedule:
-        one.start()
-    took = [ms for _ in poll_schedule for ms in out.get(timeout=60)]
-    for one in poll_schedule:
-        one.join()
-    took.sort()
-    return len(took) / SECONDS, statistics.median(took), took[int(0.99 * len(took))]
+    for client in clients:
+        client.start()
+    times_ms = [ms for _ in clients for ms in results.get(timeout=60)]
+    for client in clients:
+        client.join()
+    times_ms.sort()
+    return (
+        len(times_ms) / DURATION_S,
+        statistics.median(times_ms),
+        times_ms[int(0.99 * len(times_ms))],
+    )
 
 
 def main() -> None:
+    """Start a server and a relay, and print the measurements with and without the relay."""
     ready = multiprocessing.Event()
     server = multiprocessing.Process(target=serve, args=(ready,), daemon=True)
     server.start()
@@ -90,7 +98,7 @@
         control = socket.socket(socket.AF_UNIX)
         control.bind(f"{folder}/control")
         control.listen()
-        given = {
+        settings = {
             "name": "relay0",
             "control": f"{folder}/control",
             "begun": time.monotonic(),
@@ -98,20 +106,26 @@
             "nodes": ["n0"],
             "history": f"{folder}/history",
             "udp": [],
-            "tcp": [["n0", "s0", THROUGH, STRAIGHT, f"{NET}.9.9"]],
+            "tcp": [["n0", "s0", RELAY_ADDRESS, SERVER_ADDRESS, f"{NETWORK}.9.9"]],
         }
-        Path(f"{folder}/given").write_text(json.dumps(given))
+        Path(f"{folder}/given").write_text(json.dumps(settings))
         relay = subprocess.Popen(
             [sys.executable, "-m", "hookpitch.testbed.relay", f"{folder}/given"]
         )
-        line = control.accept()[0].makefile()
-        assert [json.loads(line.readline())[0] for _ in range(2)] == ["hello", "ready"]
+        control_file = control.accept()[0].makefile()
+        assert [json.loads(control_file.readline())[0] for _ in range(2)] == ["hello", "ready"]
         try:
-            for name, connections, processes in (("one at a time", 1, 1), ("as many as go", 16, 3)):
-                for where, at in (("straight", STRAIGHT), ("through a relay", THROUGH)):
-                    rate, median, worst = measured(at, connections, processes)
-                    times = f"median {median:.3f} ms, p99 {worst:.3f} ms"
-                    print(f"{name:15} {where:16} {rate:8.0f} a second, {times}")
+            for name, connections, processes in (
+                ("one connection", 1, 1),
+                ("48 connections", 16, 3),
+            ):
+                for path, address in (
+                    ("direct", SERVER_ADDRESS),
+                    ("through a relay", RELAY_ADDRESS),
+                ):
+                    rate, median, p99 = measure(address, connections, processes)
+                    times = f"median {median:.3f} ms, p99 {p99:.3f} ms"
+                    print(f"{name:15} {path:16} {rate:8.0f} a second, {times}")
         finally:
             relay.kill()
             relay.wait()
