--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -1,9 +1,9 @@
 """The router: accepts inputs, and hands one decision per call to its host.
 
-State: RPCs that are open, and the times of the next rate update, round and wake-up; everything
-else belongs to the module that maintains it. Inputs update what is known and append to
-`PendingWork`; `decide` is called until it returns False. Times are float milliseconds of the
-host's clock. One router is one instance: it shares nothing with any other.
+State: the open RPCs, and the times of the next rate update, rebalancing round and wake-up; all
+other state belongs to the module that maintains it. Inputs update state and append to
+`PendingWork`; the host calls `decide` until it returns False. Times are milliseconds (float) of the
+host's clock. Each router is one instance, which shares nothing with any other.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 from hookpitch.balancer.method_load import MethodLoad
 from hookpitch.balancer.pending import PendingWork
 from hookpitch.balancer.placement import BUCKETS, Bucket, Placement
-from hookpitch.balancer.queueing import BackendQueues, drop_finished
+from hookpitch.balancer.queueing import BackendQueues, drop_stale_entries
 from hookpitch.balancer.quotas import Quotas
-from hookpitch.balancer.rebalancing import ROUND_MS, Rebalancer
+from hookpitch.balancer.rebalancing import ROUND_INTERVAL_MS, Rebalancer
 from hookpitch.balancer.retries import RetryPolicy
 from hookpitch.balancer.ring import HashRing
 from hookpitch.balancer.rpc import Attempt, Rpc
@@ -48,7 +48,7 @@
 
 
 class Router:
-    """Decides which backend each RPC is sent to, and what becomes of it otherwise."""
+    """Decides which backend each RPC is sent to, or how the RPC is answered without one."""
 
     def __init__(self, now: float, deployment: Deployment) -> None:
         self.now = now
@@ -59,19 +59,19 @@
         self.work = work = PendingWork(draws)
         self.table = table = BackendTable()
         self.backends = table.backends
-        self._compose(now, draws, work, table)
+        self._create_components(now, draws, work, table)
         self._wakeup_at = FOREVER
         self._rates_updated_at = now
         self._rate_window_ms = DEFAULT_RATE_WINDOW_MS
         self._tick_ms = DEFAULT_TICK_MS
         self.reconfigured(now, deployment)
         self.next_rate_update = now + self._rate_window_ms
-        self.next_rebalance = now + ROUND_MS * (1 + draws.fraction())
+        self.next_rebalance = now + ROUND_INTERVAL_MS * (1 + draws.fraction())
 
-    def _compose(
+    def _create_components(
         self, now: float, draws: DrawSequence, work: PendingWork, table: BackendTable
     ) -> None:
-        """Make the objects that hold one concern each; each knows only those made before it."""
+        """Create the objects that hold one concern each; each knows only those created before."""
         self.ring = ring = HashRing()
         self.method_load = method_load = MethodLoad()
         self.placement = placement = Placement(self._seed, table, ring, method_load)
@@ -98,23 +98,23 @@
 
     @property
     def origin(self) -> Backend | None:
-        """The origin, where caches are beside it and it is listed."""
+        """The origin, or None if it is not listed or caches fetch from it themselves."""
         return self.table.origin
 
     @property
     def caches(self) -> list[Backend]:
-        """The caches on the ring, ready or not."""
+        """The caches on the ring, whether they are ready or not."""
         return self.ring.caches
 
     @property
     def bans(self) -> dict[str, None]:
-        """The ids an operator has banned, in the order of the bans."""
+        """The ids that an operator has banned, in the order of the bans."""
         return self.endpoints.banned
 
-    # ---- inputs: they update what is known, nothing else
+    # ---- inputs: they update state and decide nothing
 
     def reconfigured(self, now: float, deployment: Deployment) -> None:
-        """Apply new settings. RPCs in flight keep their deadlines; what was learned stays."""
+        """Apply new settings; RPCs in flight keep their deadlines, and learned values stay."""
         self.now = now
         self.methods = {method.name: method for method in deployment.methods}
         self._tick_ms = deployment.tick_ms or DEFAULT_TICK_MS
@@ -142,16 +142,16 @@
         self.endpoints.update(kind, endpoints, now)
 
     def set_banned(self, now: float, id: str, banned: bool) -> None:
-        """Ban a backend for an operator, or lift the ban; it outlives endpoint updates."""
+        """Ban a backend for an operator, or lift the ban; a ban outlives endpoint updates."""
         self.now = now
         self.endpoints.set_banned(id, banned, now)
 
     def set_process_count(self, now: float, processes: float) -> None:
         """Divide the node's quotas and budgets by the number of its processes."""
         self.now = now
-        share_before = self.quotas.process_share
+        previous_share = self.quotas.process_share
         share = 1 / processes
-        self.concurrency.scale_origin(share / share_before)
+        self.concurrency.scale_origin(share / previous_share)
         self.slow_start.process_share = share
         self.quotas.set_process_share(now, share)
 
@@ -160,46 +160,57 @@
         now: float,
         id: str,
         key: str,
-        method: str,
+        method_name: str,
         tenant: str,
         write: bool,
-        grace: float,
-        age: float = 0.0,
-        work: float = 0.0,
+        client_wait_ms: float,
+        age_ms: float = 0.0,
+        work_ms: float = 0.0,
     ) -> None:
         """Accept an RPC.
 
-        `grace` is the time its client waits, `age` the time it waited to be read, `work` the work
-        it states (0: none), all in ms.
+        `client_wait_ms` is how long the client waits for the answer, `age_ms` how long the RPC
+        waited before this node read it, and `work_ms` the work that the RPC states (0: none).
         """
         self.now = now
         if id in self.rpcs:
             return
-        known = self.methods.get(method) or Method(
-            method, grace, grace, 0.0, 0.0, Idempotency.NON_IDEMPOTENT
+        method_settings = self.methods.get(method_name) or Method(
+            method_name, client_wait_ms, client_wait_ms, 0.0, 0.0, Idempotency.NON_IDEMPOTENT
         )
-        bucket = self._bucket_of(key, known)
+        bucket = self._bucket_of(key, method_settings)
         if key:
             self.rebalancer.keys.record(key, bucket)
-        self.method_load.record(method, work)
+        self.method_load.record(method_name, work_ms)
         self.placement.track_hot_bucket(bucket)
-        bucket.count += 1
-        rpc = Rpc(self._draws.next_number(), id, bucket, known, write)
-        useful = grace if known.late_gain > 0 else min(grace, known.soft_ms)
+        bucket.request_count += 1
+        rpc = Rpc(self._draws.next_number(), id, bucket, method_settings, write)
+        useful_ms = (
+            client_wait_ms
+            if method_settings.late_gain > 0
+            else min(client_wait_ms, method_settings.soft_ms)
+        )
         margin_ms = self.retries.margin_ms
-        rpc.deadline = now + useful - age - margin_ms
-        rpc.objective = now + known.soft_ms - age - margin_ms
+        rpc.deadline = now + useful_ms - age_ms - margin_ms
+        rpc.objective = now + method_settings.soft_ms - age_ms - margin_ms
         has_quota = self.quotas.charge(rpc, tenant, now)
         self.load_shedder.admit(rpc, has_quota)
         self.rpcs[id] = rpc
         self.work.rpcs.append(rpc)
 
     def attempt_ended(
-        self, now: float, id: str, n: int, outcome: Outcome, last: bool, took: float, report: Report
+        self,
+        now: float,
+        id: str,
+        attempt_number: int,
+        outcome: Outcome,
+        is_last: bool,
+        took_ms: float,
+        report: Report,
     ) -> None:
-        """Record the end of attempt `n` of an RPC after `took` ms; `last`: the RPC ends with it."""
+        """Record how an attempt of an RPC ended; `is_last`: the RPC ends with this attempt."""
         self.now = now
-        attempt = self._open_attempt(id, n)
+        attempt = self._open_attempt(id, attempt_number)
         if attempt is None:
             return
         rpc = attempt.rpc
@@ -209,21 +220,21 @@
             self.load_shedder.record_rejected()
         if report and self.endpoints.nominal_sizes is None:
             backend.record_report(report)
-        self.outcomes.record(attempt, outcome, took, now)
-        self.concurrency.pause(backend, rpc.method, outcome, took, now)
+        self.outcomes.record(attempt, outcome, took_ms, now)
+        self.concurrency.pause(backend, rpc.method, outcome, took_ms, now)
         if backend.fresh_queue or backend.retry_queue:
             self.work.freed_backends.append(backend)
         if outcome == Outcome.MISS:
             rpc.missed = True
-        if last or rpc.closed:
+        if is_last or rpc.closed:
             self._close(rpc)
         else:
             self.work.rpcs.append(rpc)
 
-    def stream_started(self, now: float, id: str, n: int) -> None:
-        """Record the first bytes of an answer; other attempts of its RPC are cancelled."""
+    def stream_started(self, now: float, id: str, attempt_number: int) -> None:
+        """Record the first bytes of an answer, and cancel the other attempts of the RPC."""
         self.now = now
-        attempt = self._open_attempt(id, n)
+        attempt = self._open_attempt(id, attempt_number)
         if attempt is None:
             return
         attempt.start_stream()
@@ -240,29 +251,29 @@
             self._close(rpc)
 
     def timer_fired(self, now: float) -> None:
-        """Record that a wake-up asked for by `schedule_wakeup` is due."""
+        """Record that the wake-up requested by `schedule_wakeup` is due."""
         self.now = now
 
     def overload_measured(self, now: float, overload: float, read_delay_ms: float = 0.0) -> None:
-        """Record the fraction of arrivals above this node's capacity, and their read delay."""
+        """Record the fraction of arrivals above this node's capacity, and the read delay."""
         self.now = now
         self.local_delay.read_delay_ms = read_delay_ms
         self.load_shedder.overload_measured(overload)
 
     def event_loop_stalled(self, now: float) -> None:
-        """Record a stall of this process: attempts in flight then count against no backend."""
+        """Record a stall of this process; attempts in flight then count against no backend."""
         self.now = now
         self.local_delay.stalled_at = now
 
-    def shed_delay(self, now: float, method: str, tenant: str, age: float) -> float:
-        """Return the ms after which a client may retry; under 0 where its RPC is admitted."""
+    def shed_delay(self, now: float, method_name: str, tenant: str, age_ms: float) -> float:
+        """Return the ms after which a client may retry an RPC; below 0 if the RPC is admitted."""
         self.now = now
-        return self.load_shedder.shed_delay(now, method, tenant, age)
+        return self.load_shedder.shed_delay(now, method_name, tenant, age_ms)
 
     # ---- decisions, one per call
 
     def decide(self, now: float, host: RouterHost) -> bool:
-        """Hand at most one decision to the host; return False when there is none left."""
+        """Hand at most one decision to the host; return False if none is left."""
         self.now = now
         work = self.work
         self._run_due()
@@ -308,32 +319,33 @@
         return False
 
     def _dequeue_one(self, host: RouterHost) -> bool:
-        freed = self.work.freed_backends
-        while freed:
-            backend = freed[0]
+        freed_backends = self.work.freed_backends
+        while freed_backends:
+            backend = freed_backends[0]
             if self.concurrency.has_capacity(backend, self.now):
                 rpc = self.queues.pop(backend, self.now)
                 if rpc is not None:
                     self._send(rpc, backend, host)
                     return True
-            freed.popleft()
+            freed_backends.popleft()
         return False
 
     def _schedule_wakeup(self, host: RouterHost) -> bool:
         timers = self.work.timers
-        due = min(
+        due_at = min(
             timers[0].at_ms if timers else FOREVER, self.next_rate_update, self.next_rebalance
         )
-        due = max(due, self.now + self._tick_ms / 2)
-        # A wake-up that is late, or rounded to just before its time, must cost no RPC its answer.
-        earlier = due < self._wakeup_at - self._tick_ms / 4
-        if not earlier and self._wakeup_at > self.now + self._tick_ms / 4:
+        due_at = max(due_at, self.now + self._tick_ms / 2)
+        # A new wake-up is requested when the pending one is due: a wake-up that came late, or was
+        # rounded to just before its time, must not leave an RPC without an answer.
+        is_earlier = due_at < self._wakeup_at - self._tick_ms / 4
+        if not is_earlier and self._wakeup_at > self.now + self._tick_ms / 4:
             return False
-        self._wakeup_at = due
-        host.schedule_wakeup(due)
+        self._wakeup_at = due_at
+        host.schedule_wakeup(due_at)
         return True
 
-    # ---- what is due
+    # ---- timers and periodic updates
 
     def _run_due(self) -> None:
         now = self.now
@@ -347,7 +359,7 @@
         if now >= self.next_rate_update:
             self._update_rates()
         if now >= self.next_rebalance:
-            self.next_rebalance = now + ROUND_MS
+            self.next_rebalance = now + ROUND_INTERVAL_MS
             self.rebalancer.rebalance(now)
 
     def _update_rates(self) -> None:
@@ -359,24 +371,25 @@
         self.idle_connections.grow()
         for backend in self.backends.values():
             backend.update_send_rate(span_ms)
-            drop_finished(backend)
+            drop_stale_entries(backend)
             if self.idle_connections.is_idle(backend, now):
                 backend.connected = False
                 self.work.idle_to_close.append(backend)
             backend.update_availability(now)
         self.slow_start.update_warm_rate(arrivals, span_ms)
 
-    # ---- one RPC; each returns True where the host was handed a decision
+    # ---- routing: `_route`, `_send_or_enqueue` and `reject` return True if they handed the host a
+    # decision
 
     def _route(self, rpc: Rpc, host: RouterHost) -> bool:
-        if self._is_hopeless(rpc):
+        if self._must_be_rejected(rpc):
             return self.reject(rpc, host)
         if self.table.origin_kind >= 0 and self._needs_origin(rpc):
             return self._send_or_enqueue(rpc, self.table.origin, host)
         backend = rpc.bucket.assigned
         if (
             rpc.attempts
-            or rpc.overflowed
+            or rpc.queue_timed_out
             or backend is None
             or not backend.available
             or not self.concurrency.has_capacity(backend, self.now)
@@ -386,8 +399,8 @@
                 return self.reject(rpc, host)
         return self._send_or_enqueue(rpc, backend, host)
 
-    def _is_hopeless(self, rpc: Rpc) -> bool:
-        """Return whether no further attempt is to be made."""
+    def _must_be_rejected(self, rpc: Rpc) -> bool:
+        """Return whether no further attempt may be made."""
         return (
             rpc.rejected
             or rpc.unservable
@@ -396,7 +409,7 @@
         )
 
     def _needs_origin(self, rpc: Rpc) -> bool:
-        """Return whether only the origin will do: a write, a miss, a hedge, a last attempt."""
+        """Return whether the RPC goes to the origin: a write, miss, hedge or last attempt."""
         if rpc.write or rpc.missed or rpc.hedgeable_count:
             return True
         return 0 < len(rpc.attempts) == self.retries.max_attempts - 1
@@ -427,12 +440,12 @@
 
     def _send(self, rpc: Rpc, backend: Backend, host: RouterHost) -> None:
         now = self.now
-        start_by = self.retries.retry_deadline(rpc)  # before this attempt counts as one
+        start_deadline = self.retries.retry_deadline(rpc)  # computed before this attempt is added
         attempt = Attempt(rpc, backend, len(rpc.attempts), now)
-        if self.idle_connections.may_be_dropped(backend, now):
+        if self.idle_connections.may_be_stale(backend, now):
             host.close_idle(backend.id)
         if rpc.suspect is not None:
-            self.outliers.spend_second_opinion()
+            self.outliers.spend_confirmation_token()
         rpc.in_flight += 1
         rpc.attempts.append(attempt)
         backend.in_flight[attempt] = None
@@ -442,17 +455,18 @@
         if now < backend.warmup_until:
             backend.warmup_tokens -= 1
         self.attempt_timers.start(attempt, now)
-        host.send(rpc.id, backend.id, rpc.deadline - now, start_by - now)
+        host.send(rpc.id, backend.id, rpc.deadline - now, start_deadline - now)
 
     def reject(self, rpc: Rpc, host: RouterHost) -> bool:
-        """Give an RPC its final answer, unless an attempt in flight may still do so."""
+        """Give an RPC its final answer, unless an attempt in flight may still answer it."""
         if rpc.in_flight:
             rpc.rejected = False
             return False
-        if self._counts_as_rejected(rpc):
+        if self._indicates_overload(rpc):
             self.load_shedder.record_rejected()
         if rpc.unservable and rpc.token_bucket:
-            rpc.token_bucket.tokens += 1  # a tenant does not pay for what no backend can serve
+            # Tenants are not charged for RPCs that no backend can serve.
+            rpc.token_bucket.tokens += 1
         if self.retries.may_be_repeated_by_client(rpc):
             host.reject(rpc.id, self.load_shedder.retry_after_ms(rpc.method))
         else:
@@ -460,13 +474,13 @@
         self._close(rpc)
         return True
 
-    def _counts_as_rejected(self, rpc: Rpc) -> bool:
-        """Return whether a rejection is a sign of an overloaded fleet.
+    def _indicates_overload(self, rpc: Rpc) -> bool:
+        """Return whether rejecting an RPC indicates that the fleet is overloaded.
 
-        One from a slow cache's queue, while others have spare capacity, is not.
+        A rejection from the queue of a slow cache does not, while other caches have spare capacity.
         """
-        elsewhere = rpc.rejected and self.failover.count_spare(rpc) > 1
-        if elsewhere or rpc.over_quota or rpc.missed or rpc.unservable:
+        others_have_capacity = rpc.rejected and self.failover.count_with_spare_capacity(rpc) > 1
+        if others_have_capacity or rpc.over_quota or rpc.missed or rpc.unservable:
             return False
         return rpc.rejected or (bool(rpc.attempts) and not rpc.attempts[-1].may_have_run)
 
@@ -477,12 +491,12 @@
             self.rpcs.pop(rpc.id, None)
         self.work.cancellations.extend(attempt for attempt in rpc.attempts if not attempt.done)
 
-    # ---- what inputs have in common
+    # ---- helpers of the inputs
 
     def _bucket_of(self, key: str, method: Method) -> Bucket:
-        """Return the bucket of a key; one without a key goes to any."""
-        hashed = key.encode() or b"%d/%d" % (self._seed, self._draws.next_number())
-        return self.placement.bucket(crc32(hashed) % BUCKETS, method.kinds, method.zones)
+        """Return the bucket of a key, or a random bucket for an RPC without a key."""
+        hash_input = key.encode() or b"%d/%d" % (self._seed, self._draws.next_number())
+        return self.placement.bucket(crc32(hash_input) % BUCKETS, method.kinds, method.zones)
 
     def _open_attempt(self, id: str, number: int) -> Attempt | None:
         rpc = self.rpcs.get(id)
