--- a/tests/memory_network.py
+++ b/tests/memory_network.py
@@ -20,131 +20,136 @@
 
 
 class MemoryConnection(FakeTransport):
-    """One connection of the node, from the peer's side.
+    """One connection of the node, seen from the peer's side.
 
-    `got`: what the node wrote. `reads`: whether the peer reads on. `pending`: what stands unread in
-    the kernel. `aged`: for how many milliseconds what is said next has stood there. Losing the
-    connection is notified a moment later, as by a reactor.
+    `output`: the bytes that the node wrote and the peer has not received. `is_reading`: whether the
+    peer reads. `unread_input`: the bytes in the kernel that the node has not read.
+    `ms_since_receive`: how long the data that is sent next has waited in the kernel. As with a real
+    reactor, the protocol is notified of a lost connection in a later call.
     """
 
     def __init__(
-        self, network: MemoryNetwork, protocol: Protocol, port: int, pending: bytes = b""
+        self, network: MemoryNetwork, protocol: Protocol, port: int, unread_input: bytes = b""
     ) -> None:
         super().__init__(protocol, True)
         self.network = network
         self.port = port
-        self.got = b""
-        self.reads = True
-        self.ended = False
-        self.paused = False
-        self.pending = pending
+        self.output = b""
+        self.is_reading = True
+        self.is_closed = False
+        self.is_paused = False
+        self.unread_input = unread_input
         self.socket = self
-        self.aged = 0.0
+        self.ms_since_receive = 0.0
         protocol.makeConnection(self)
 
     # ---- what the node calls
 
     def write(self, data: bytes) -> None:
         """Keep what the node writes."""
-        if self.ended or self.disconnecting:
+        if self.is_closed or self.disconnecting:
             return
-        self.got += data
-        if self.network.watcher is not None:
-            self.network.watcher(self, data)
+        self.output += data
+        if self.network.on_write is not None:
+            self.network.on_write(self, data)
 
     def getsockopt(self, level: int, option: int, size: int) -> bytes:
         """TCP_INFO, of which only the last field is filled."""
-        return struct.pack(TCP_INFO_FORMAT, *[0] * 13, int(self.aged))
+        return struct.pack(TCP_INFO_FORMAT, *[0] * 13, int(self.ms_since_receive))
 
     def recv(self, count: int, flags: int) -> bytes:
         """Peek at what stands in the kernel."""
-        if not self.pending:
+        if not self.unread_input:
             raise BlockingIOError
-        return self.pending[:count]
+        return self.unread_input[:count]
 
     def pauseProducing(self) -> None:
         """The node reads no more for now."""
-        self.paused = True
+        self.is_paused = True
 
     def resumeProducing(self) -> None:
         """The node reads on."""
-        self.paused = False
+        self.is_paused = False
 
     def loseConnection(self) -> None:
         """The node closes the connection."""
         if not self.disconnecting:
             self.disconnecting = True
-            self.network.callLater(0, self.end)
+            self.network.callLater(0, self.close)
 
     abortConnection = loseConnection  # noqa: N815 - Twisted's name
 
     # ---- what the test calls
 
-    def take(self) -> bytes:
+    def receive(self) -> bytes:
         """All that the node has written, the peer reading on."""
-        while self.producer is not None and self.reads and not self.ended:
+        while self.producer is not None and self.is_reading and not self.is_closed:
             self.producer.resumeProducing()
-        got = self.got
-        self.got = b""
+        got = self.output
+        self.output = b""
         return got
 
     def doRead(self) -> None:
         """What stands in the kernel reaches the node."""
-        data = self.pending
-        self.pending = b""
+        data = self.unread_input
+        self.unread_input = b""
         if data:
-            self.say(data)
+            self.send(data)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """The peer sends data, which reaches the node at once."""
-        if not self.ended and not self.disconnecting:
+        if not self.is_closed and not self.disconnecting:
             self.protocol.dataReceived(data)
 
-    def end(self) -> None:
+    def close(self) -> None:
         """The connection ends."""
-        if not self.ended:
-            self.ended = True
+        if not self.is_closed:
+            self.is_closed = True
             self.protocol.connectionLost(Failure(ConnectionDone()))
 
 
 class MemoryDial:
-    """One dial of the node; `over` once it has come up or failed."""
+    """One dial of the node; `is_finished` once it has come up or failed."""
 
     def __init__(self, network: MemoryNetwork, port: int, factory: ClientFactory) -> None:
         self.network = network
         self.port = port
         self.factory = factory
-        self.over = False
+        self.is_finished = False
 
     def disconnect(self, fault: Exception | None = None) -> None:
         """The dial fails, or the node gives it up."""
-        if not self.over:
-            self.over = True
+        if not self.is_finished:
+            self.is_finished = True
             self.factory.clientConnectionFailed(self, Failure(fault or UserError()))
 
-    def no_descriptor(self) -> None:
+    def fail_without_descriptor(self) -> None:
         """The dial fails as no descriptor is free."""
         self.disconnect(ConnectBindError(errno.EMFILE, "too many open files"))
 
-    def up(self) -> MemoryConnection:
+    def complete(self) -> MemoryConnection:
         """The dial comes up."""
-        self.over = True
+        self.is_finished = True
         connection = MemoryConnection(self.network, self.factory.buildProtocol(None), self.port)
-        self.network.lines.append(connection)
+        self.network.connections.append(connection)
         return connection
 
 
 class MemoryNetwork(MemoryReactorClock):
-    """The reactor. `ways` has by port how dials end: 'up' or 'refused' at once, 'silent', or
-    without a free 'descriptor'."""
+    """A reactor whose connections exist in memory only.
+
+    `dial_outcomes`: by port, how dials end: 'up' (connected at once), 'refused' (at once), 'silent'
+    (neither connected nor refused) or 'descriptor' (no free descriptor). `on_write`: called with a
+    connection and the bytes that the node writes to it.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.running = True
-        self.ways: dict[int, str] = {}
+        self.dial_outcomes: dict[int, str] = {}
         self.dials: list[MemoryDial] = []
-        self.lines: list[MemoryConnection] = []
-        self.watcher: Callable[[MemoryConnection, bytes], None] | None = None
+        self.connections: list[MemoryConnection] = []
+        self.on_write: Callable[[MemoryConnection, bytes], None] | None = None
 
     def connectTCP(
         self,
@@ -157,13 +162,13 @@
         """The node dials."""
         dial = MemoryDial(self, port, factory)
         self.dials.append(dial)
-        way = self.ways.get(port, "up")
+        way = self.dial_outcomes.get(port, "up")
         if way != "silent":
-            ends = {"up": dial.up, "descriptor": dial.no_descriptor}
+            ends = {"up": dial.complete, "descriptor": dial.fail_without_descriptor}
             end = ends.get(way, dial.disconnect)
-            self.callLater(0, lambda: dial.over or end())
+            self.callLater(0, lambda: dial.is_finished or end())
         return dial
 
-    def to(self, port: int) -> list[MemoryConnection]:
+    def connections_to(self, port: int) -> list[MemoryConnection]:
         """The open connections to a port."""
-        return [line for line in self.lines if line.port == port and not line.ended]
+        return [line for line in self.connections if line.port == port and not line.is_closed]
--- a/tests/random_faults.py
+++ b/tests/random_faults.py
@@ -10,7 +10,7 @@
 import random
 
 from memory_network import MemoryConnection
-from socket_node import DISCOVERY, ORIGIN_PORT, Sockets, get, listed_host
+from socket_node import DISCOVERY_PORT, ORIGIN_PORT, NodeOnMemoryNetwork, get_command, listed_host
 
 from hookpitch.core.resp import NEED_DATA, ErrorReply, Parser, command
 from hookpitch.core.ring import Ring
@@ -34,9 +34,9 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.sockets = Sockets(len(CACHE_PORTS))
+        self.sockets = NodeOnMemoryNetwork(len(CACHE_PORTS))
         self.network = self.sockets.network
-        self.network.watcher = self.written
+        self.network.on_write = self.written
         self.count = 0
         self.clients: list[MemoryConnection] = []
         self.asked: dict[int, list[str]] = {}
@@ -56,7 +56,7 @@
 
     def written(self, line: MemoryConnection, data: bytes) -> None:
         """The node has written to a connection."""
-        if line.port == DISCOVERY:
+        if line.port == DISCOVERY_PORT:
             return
         if line.port == ORIGIN_PORT:
             for head in data.split(b"X-Request-Id: ")[1:]:
@@ -75,7 +75,7 @@
         over = rpc in self.answers or rpc not in self.due or self.now > self.due[rpc]
         assert not over, "rule 1: sent for an RPC that is over"
         before = self.out.get(rpc)
-        assert before is None or before.ended or before.disconnecting, "two out at once"
+        assert before is None or before.is_closed or before.disconnecting, "two out at once"
         assert not self.once.get(rpc, False), "rule 2: it may have run before"
         assert self.now <= self.not_ready.get(line.port, self.now) + REMOVAL_MS, "rule 3"
         self.out[rpc] = line
@@ -108,24 +108,24 @@
             self.discovery()
         elif act < 0.83 and self.clients:
             line = self.rng.choice(self.clients)
-            line.reads = not line.reads
+            line.is_reading = not line.is_reading
         elif act < 0.86:
             self.complete_silent_dials()
-        elif act < 0.88 and self.network.lines:
-            self.rng.choice(self.network.lines).end()
+        elif act < 0.88 and self.network.connections:
+            self.rng.choice(self.network.connections).close()
         else:
             self.sockets.pass_time(self.rng.choice([1, 5, 30, 100, 300]))
         self.settle()
 
     def settle(self) -> None:
         """All peers that read take what was written; no RPC may be late."""
-        for line in self.network.lines + self.clients:
-            line.take()
+        for line in self.network.connections + self.clients:
+            line.receive()
         for line in self.clients:
             # RPCs of a client are answered in order: the others wait behind the first.
             heads = [self.due[rpc] for rpc in self.asked[id(line)][:1]]
             overdue = any(self.now > at + ANSWER_GRACE_MS for at in heads)
-            late = line.reads and not line.paused and overdue
+            late = line.is_reading and not line.is_paused and overdue
             assert not late, "rule 1: not answered before the hard deadline"
         for line in [line for line in self.clients if line.disconnecting]:
             assert not self.asked[id(line)], "a client's connection was closed with an RPC open"
@@ -134,20 +134,20 @@
     def change_dials(self) -> None:
         """From now on dials to some backend come up, fail or hang."""
         port = self.rng.choice([*CACHE_PORTS, ORIGIN_PORT])
-        self.network.ways[port] = self.rng.choice(["up"] * 6 + ["refused", "silent"])
+        self.network.dial_outcomes[port] = self.rng.choice(["up"] * 6 + ["refused", "silent"])
 
     def complete_silent_dials(self) -> None:
         """Some dials that hang come up late."""
         for dial in self.network.dials:
-            if not dial.over and self.rng.random() < 0.3:
-                dial.up()
+            if not dial.is_finished and self.rng.random() < 0.3:
+                dial.complete()
 
     def disconnect_client(self) -> None:
         """A client's connection ends, or only its sending side."""
         line = self.rng.choice(self.clients)
         if self.rng.random() < 0.5:
             self.forget_client(line)
-            line.end()
+            line.close()
         else:
             line.protocol.readConnectionLost()
             self.forget_client(line)
@@ -162,14 +162,14 @@
         """A client, an old or a new one, sends commands, cut anywhere."""
         rng = self.rng
         if not self.clients or rng.random() < 0.15:
-            line = self.sockets.client()
+            line = self.sockets.connect_client()
             self.clients.append(line)
             self.asked[id(line)] = []
         line = rng.choice(self.clients)
         data = b"".join(self.random_command(line) for _ in range(rng.choice([1, 1, 1, 8])))
         while data:
             piece = rng.choice([len(data), len(data), rng.randint(1, len(data))])
-            line.say(data[:piece])
+            line.send(data[:piece])
             data = data[piece:]
 
     def random_command(self, line: MemoryConnection) -> bytes:
@@ -187,12 +187,12 @@
             value = rng.randbytes(rng.choice([0, 10, 65536]))
             extras = f"c={method},d={wait},size={len(value)}"
             return command(b"OBJ.SET", b"key", rpc.encode(), extras.encode(), value)
-        return get(rpc, f"key{rng.randrange(40)}", method, wait)
+        return get_command(rpc, f"key{rng.randrange(40)}", method, wait)
 
     def reply(self, rpc: str, line: MemoryConnection) -> None:
         """A backend answers, well or badly, its reply cut anywhere, or stays silent."""
         rng = self.rng
-        if line.ended or line.disconnecting:
+        if line.is_closed or line.disconnecting:
             return
         value = f"{rpc}:".encode() + rng.randbytes(rng.choice([3, 3, 65000]))
         kind = rng.choice(REPLY_KINDS)
@@ -206,18 +206,20 @@
         if not_executed and rpc in self.once:
             self.once[rpc] = False
         cut = rng.randint(0, len(data))
-        line.say(data[:cut])
+        line.send(data[:cut])
         if kind == "break":
-            line.end()
+            line.close()
         else:
-            line.say(data[cut:])
+            line.send(data[cut:])
 
     def discovery(self) -> None:
         """Discovery sends a change, a heartbeat or rubbish, and may end the watch."""
         rng = self.rng
-        for line in self.network.to(DISCOVERY):
-            line.say(b"" if line.got else b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            line.got = b"called"
+        for line in self.network.connections_to(DISCOVERY_PORT):
+            line.send(
+                b"" if line.output else b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            )
+            line.output = b"called"
             port = rng.choice(CACHE_PORTS)
             health = rng.choice(["in_service"] * 8 + ["terminating", "terminated"])
             change = {
@@ -226,13 +228,13 @@
                 "hosts": [listed_host(f"s{port - CACHE_PORTS[0]}", port, health=health)],
             }
             text = rng.choice([json.dumps(change).encode()] * 4 + [b"", b"{"]) + b"\n"
-            line.say(b"%x\r\n%b\r\n" % (len(text), text))
+            line.send(b"%x\r\n%b\r\n" % (len(text), text))
             if len(text) > 5 and not line.disconnecting:
                 self.not_ready.pop(port, None)
                 if health != "in_service":
                     self.not_ready[port] = self.now
             if rng.random() < 0.1:
-                line.end()
+                line.close()
 
 
 def _reply(kind: str, value: bytes, from_origin: bool) -> bytes:
--- a/tests/socket_node.py
+++ b/tests/socket_node.py
@@ -16,7 +16,7 @@
 from hookpitch.net.node import SocketNode
 from hookpitch.net.node_config import NodeConfig
 
-DISCOVERY = 8500
+DISCOVERY_PORT = 8500
 ORIGIN_PORT = 8080
 
 SETTINGS = {
@@ -64,15 +64,18 @@
     return parse_deployment(7, settings)
 
 
-def get(id: str, key: str = "91f03b7c55d20a64", method: str = "read", wait: int = 900) -> bytes:
+def get_command(
+    id: str, key: str = "91f03b7c55d20a64", method: str = "read", wait: int = 900
+) -> bytes:
     """The command that reads a key."""
     return command(b"OBJ.GET", key.encode(), id.encode(), f"c={method},d={wait}".encode())
 
 
-class Sockets:
-    """A node with its network; caches listen on the ports from 7000 on.
+class NodeOnMemoryNetwork:
+    """A node and its network in memory; caches listen on the ports from 7000 on.
 
-    `logs`: the events that the node logged. `cpu`: the CPU time that it sees, in seconds.
+    `logged_events`: the names of the events that the node logged. `cpu_seconds`: the CPU time that
+    the node is told it has used.
     """
 
     def __init__(self, caches: int = 2, shared: str = "", **limits: int) -> None:
@@ -87,7 +90,7 @@
         self.config = NodeConfig(
             "n0",
             ("127.0.0.1", 6379),
-            ("127.0.0.1", DISCOVERY),
+            ("127.0.0.1", DISCOVERY_PORT),
             limits.get("sockets", 256),
             limits.get("memory_mb", 64),
             replace(deployment_from(SETTINGS), polling_required=True),
@@ -99,21 +102,23 @@
             shared,
         )
         self.counters = Counters()
-        self.logs: list[str] = []
-        self.cpu = 0.0
-        self.node = SocketNode(
-            self.network, self.clock, self.config, self.counters, self, lambda: self.cpu
+        self.logged_events: list[str] = []
+        self.cpu_seconds = 0.0
+        self.socket_node = SocketNode(
+            self.network, self.clock, self.config, self.counters, self, lambda: self.cpu_seconds
         )
-        self.node.start()
+        self.socket_node.start()
         self.pass_time(0)
 
     def info(self, event: str, **values: object) -> None:
         """The node's logger."""
-        self.logs.append(event)
+        self.logged_events.append(event)
 
-    def client(self, pending: bytes = b"") -> MemoryConnection:
-        """A client that connects; `pending` stands unread in the kernel."""
-        return MemoryConnection(self.network, self.node.clients.buildProtocol(None), 0, pending)
+    def connect_client(self, unread_input: bytes = b"") -> MemoryConnection:
+        """A client that connects; `unread_input` stands unread in the kernel."""
+        return MemoryConnection(
+            self.network, self.socket_node.clients.buildProtocol(None), 0, unread_input
+        )
 
     def pass_time(self, ms: float) -> None:
         """Let time pass, a millisecond a step."""
@@ -121,20 +126,20 @@
             self.network.advance(0.001 if ms else 0)
             self.network.advance(0)
 
-    def pause(self, ms: float, *lines: MemoryConnection) -> None:
+    def suspend_process(self, ms: float, *lines: MemoryConnection) -> None:
         """Suspend the process; what is pending on the connections reaches it afterwards."""
         for line in lines:
-            line.aged = ms
+            line.ms_since_receive = ms
         self.network.advance(ms / 1000)
         for line in lines:
             line.doRead()
-            line.aged = 0.0
+            line.ms_since_receive = 0.0
         self.network.advance(0)
 
-    def request(self, port: int) -> list[bytes] | None:
+    def receive_request(self, port: int) -> list[bytes] | None:
         """The newest command that was written to a cache, taken off its connection."""
-        for line in self.network.to(port):
-            data = line.take()
+        for line in self.network.connections_to(port):
+            data = line.receive()
             if data:
                 ring = Ring()
                 ring.write(data)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 
 import pytest
 from fleet import Fleet, deployment, entry
-from socket_node import ORIGIN_PORT, Sockets, get
+from socket_node import ORIGIN_PORT, NodeOnMemoryNetwork, get_command
 from test_sockets import VALUE, serve
 from test_start import NODE_FILE
 
@@ -107,8 +107,8 @@
 
 
 def test_the_start_and_the_end_of_an_overload_are_logged_once_each() -> None:
-    s = Sockets()
-    host, now = s.node.host, s.clock.now()
+    s = NodeOnMemoryNetwork()
+    host, now = s.socket_node.host, s.clock.now()
     for _ in range(3):
         for _ in range(100):
             host.admission.record_arrival(1000.0)
@@ -118,7 +118,10 @@
     while host.admission.shed_fraction > 0:
         now += 50.0
         host.end_window(now, 0.0, 0.0)
-    assert [line for line in s.logs if "overload" in line] == ["overload_started", "overload_ended"]
+    assert [line for line in s.logged_events if "overload" in line] == [
+        "overload_started",
+        "overload_ended",
+    ]
 
 
 METHODS = (Method("low", 400.0, 1000.0, 1.0), Method("high", 400.0, 1000.0, 5.0))
@@ -165,116 +168,122 @@
 
 
 def test_answers_that_came_during_a_pause_are_read_before_deadlines_are_run() -> None:
-    s, c = Sockets(), None
+    s, c = NodeOnMemoryNetwork(), None
     for n in range(4):  # as many as are sent at once
-        c = s.client()
-        c.say(get(f"r{n}", f"key{n}"))
+        c = s.connect_client()
+        c.send(get_command(f"r{n}", f"key{n}"))
     s.pass_time(1)
-    lines = [line for port in (7000, 7001) for line in s.network.to(port) if line.take()]
+    lines = [
+        line for port in (7000, 7001) for line in s.network.connections_to(port) if line.receive()
+    ]
     for line in lines:
-        line.pending = VALUE
+        line.unread_input = VALUE
     sent = s.counters.counts["tx.sent"]
-    s.pause(600, *lines)  # past the wait for each of them, before their hard deadlines
+    s.suspend_process(600, *lines)  # past the wait for each of them, before their hard deadlines
     s.pass_time(1)
     assert s.counters.counts["rpcs.completed"] == 4 and s.counters.counts["node.away"] == 1
     assert s.counters.counts["tx.sent"] == sent and not any(
-        "backend_ejected" in text for text in s.logs
+        "backend_ejected" in text for text in s.logged_events
     )
 
 
 def test_the_time_an_rpc_waited_unread_counts_against_its_deadlines() -> None:
-    s = Sockets()
-    c = s.client()
-    c.aged = 150.0
-    c.say(get("r1", wait=900))
+    s = NodeOnMemoryNetwork()
+    c = s.connect_client()
+    c.ms_since_receive = 150.0
+    c.send(get_command("r1", wait=900))
     s.pass_time(1)
-    (words,) = filter(None, (s.request(port) for port in (7000, 7001)))
+    (words,) = filter(None, (s.receive_request(port) for port in (7000, 7001)))
     assert 240 < int(words[3].partition(b"d=")[2]) <= 250, (
         "of the 400 ms in which it is of use, 250 are left"
     )
     s.pass_time(251)
-    assert c.take() in (b"-BUSY\r\n", b"-ERR failed\r\n")
-    c.aged, sent = 950.0, s.counters.counts["tx.sent"]
-    c.say(get("r2", wait=900))
-    assert c.take() == b"-BUSY\r\n" and s.counters.counts["tx.sent"] == sent, (
+    assert c.receive() in (b"-BUSY\r\n", b"-ERR failed\r\n")
+    c.ms_since_receive, sent = 950.0, s.counters.counts["tx.sent"]
+    c.send(get_command("r2", wait=900))
+    assert c.receive() == b"-BUSY\r\n" and s.counters.counts["tx.sent"] == sent, (
         "over when it was read"
     )
 
 
 def test_a_shed_rpc_leaves_no_state_behind() -> None:
-    s = Sockets()
-    s.node.host.router.load_shedder.overload = 1.0
+    s = NodeOnMemoryNetwork()
+    s.socket_node.host.router.load_shedder.overload = 1.0
     before = len(s.clock.deadlines)
-    c = s.client()
+    c = s.connect_client()
     for n in range(20):
-        c.say(get(f"r{n}"))
-    assert c.take() == 20 * b"-BUSY\r\n" and s.counters.counts["rpcs.turned_away"] == 20
-    assert not len(s.node.host.rpcs) and not s.node.host.rpcs.ids and not s.node.host.router.rpcs
+        c.send(get_command(f"r{n}"))
+    assert c.receive() == 20 * b"-BUSY\r\n" and s.counters.counts["rpcs.turned_away"] == 20
+    assert (
+        not len(s.socket_node.host.rpcs)
+        and not s.socket_node.host.rpcs.ids
+        and not s.socket_node.host.router.rpcs
+    )
     assert len(s.clock.deadlines) == before
 
 
 def test_a_connect_without_a_file_descriptor_counts_no_failure() -> None:
-    s = Sockets()
-    s.network.ways |= dict.fromkeys((7000, 7001, ORIGIN_PORT), "descriptor")
-    c = s.client()
+    s = NodeOnMemoryNetwork()
+    s.network.dial_outcomes |= dict.fromkeys((7000, 7001, ORIGIN_PORT), "descriptor")
+    c = s.connect_client()
     for n in range(12):
-        c.say(get(f"r{n}", f"key{n}"))
+        c.send(get_command(f"r{n}", f"key{n}"))
         s.pass_time(2)
     assert (
         s.counters.counts["dials.no_descriptor"] > 5 and s.counters.counts["rpcs.exhausted"] == 12
     )
-    assert not any("backend_ejected" in text for text in s.logs)
-    s.network.ways.clear()
+    assert not any("backend_ejected" in text for text in s.logged_events)
+    s.network.dial_outcomes.clear()
     s.pass_time(500)
-    c.take()
-    c.say(get("r99"))
-    assert serve(s) and b"v" in c.take()
+    c.receive()
+    c.send(get_command("r99"))
+    assert serve(s) and b"v" in c.receive()
 
 
 def test_at_the_connection_limit_new_clients_are_rejected_and_backends_can_be_reached() -> None:
-    s = Sockets(sockets=64)
-    s.network.ways |= {7000: "silent", 7001: "silent"}
-    held = [s.client() for _ in range(s.node.clients.max_connections)]
+    s = NodeOnMemoryNetwork(sockets=64)
+    s.network.dial_outcomes |= {7000: "silent", 7001: "silent"}
+    held = [s.connect_client() for _ in range(s.socket_node.clients.max_connections)]
     for n, line in enumerate(held):
-        line.say(get(f"r{n}", f"key{n}"))
-    late = [s.client(get(f"l{n}", f"key{n}")) for n in range(40)]
-    assert all(line.take() == b"-BUSY\r\n" for line in late)
-    quiet = [s.client() for _ in range(8)]
+        line.send(get_command(f"r{n}", f"key{n}"))
+    late = [s.connect_client(get_command(f"l{n}", f"key{n}")) for n in range(40)]
+    assert all(line.receive() == b"-BUSY\r\n" for line in late)
+    quiet = [s.connect_client() for _ in range(8)]
     s.pass_time(120)
-    assert all(line.ended for line in late + quiet) and not any(line.ended for line in held)
-    s.network.ways.clear()
+    assert all(line.is_closed for line in late + quiet) and not any(line.is_closed for line in held)
+    s.network.dial_outcomes.clear()
     assert s.network.dials, "room for servers is kept apart"
     s.pass_time(1000)
-    answers = [line.take() for line in held]
-    assert all(answers) and len(answers) == s.node.clients.max_connections, (
+    answers = [line.receive() for line in held]
+    assert all(answers) and len(answers) == s.socket_node.clients.max_connections, (
         "one final answer to each"
     )
-    held[0].say(get("again"))
-    assert serve(s) and b"v" in held[0].take()
+    held[0].send(get_command("again"))
+    assert serve(s) and b"v" in held[0].receive()
 
 
 def test_a_graceful_shutdown_serves_what_the_kernel_has_accepted() -> None:
-    s, late = Sockets(), []
+    s, late = NodeOnMemoryNetwork(), []
 
     class Port:
         sessionno = 0
 
         def doRead(self) -> None:  # noqa: N802
             if len(late) < 40:
-                late.append(s.client())
-                late[-1].pending = get(f"late{len(late)}", f"key{len(late)}")
+                late.append(s.connect_client())
+                late[-1].unread_input = get_command(f"late{len(late)}", f"key{len(late)}")
                 self.sessionno += 1
 
         def stopListening(self) -> None:  # noqa: N802
             pass
 
-    s.node.lifecycle.listening_port = Port()
-    s.node.shut_down()
+    s.socket_node.lifecycle.listening_port = Port()
+    s.socket_node.shut_down()
     s.pass_time(501)
     for _ in range(20):
         serve(s)
     s.pass_time(1200)
-    assert len(late) == 40 and all(line.take() and line.ended for line in late)
+    assert len(late) == 40 and all(line.receive() and line.is_closed for line in late)
 
 
 class Selectable:
@@ -340,7 +349,7 @@
         assert any('"serving"' in line for line in node.stderr)
         for n in range(150):  # the kernel accepts them all
             lines.append(socket.create_connection(("127.0.0.1", port), timeout=10))
-            lines[-1].sendall(get(f"r{n}", f"key{n}"))
+            lines[-1].sendall(get_command(f"r{n}", f"key{n}"))
         answers = [line.recv(100) for line in lines]
         assert all(a.startswith((b"-BUSY", b"-ERR")) for a in answers), answers.count(b"")
     finally:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -7,7 +7,7 @@
 
 import pytest
 from peers import MISS, VALUE, Line, Real, method
-from socket_node import get
+from socket_node import get_command
 
 from hookpitch.core.resp import ErrorReply, SimpleString, command
 
@@ -33,7 +33,7 @@
 def asks_next(r: Real, line: Line, id: str) -> None:
     """Whatever was asked before, the next command on that connection is this one."""
     client = r.client()
-    client.say(get(id, wait=5000))
+    client.say(get_command(id, wait=5000))
     assert line.value()[2] == id.encode()
     line.say(VALUE)
     assert client.value() == b"v"
@@ -42,7 +42,7 @@
 def warm(r: Real) -> Line:
     """A connection to the cache, idle."""
     client = r.client()
-    client.say(get("warm", wait=5000))
+    client.say(get_command("warm", wait=5000))
     line = r.caches[0].accept()
     line.value()
     line.say(VALUE)
@@ -66,7 +66,7 @@
         line, client = warm(r), r.client()
         knows(r, client)
         r.stop()
-        client.say(get("r1", wait=5000))
+        client.say(get_command("r1", wait=5000))
         getattr(client, how)()
         time.sleep(GONE_S)  # so long the node is held still: it has gone, whatever the node knows
         r.go_on()
@@ -81,7 +81,7 @@
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
         knows(r, client)
-        client.say(get("r1", wait=5000))
+        client.say(get_command("r1", wait=5000))
         client.fin()
         assert line.value()[2] == b"r1"
         line.say(VALUE)
@@ -95,7 +95,7 @@
 ) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
-        client.say(get("r1", wait=5000))
+        client.say(get_command("r1", wait=5000))
         assert line.value()[2] == b"r1"
         r.stop()  # both stand in the kernel; the node reads servers before clients
         for what in (("miss", how), (how, "miss"))[order == "close first"]:
@@ -114,7 +114,7 @@
 ) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
-        client.say(get("r1", wait=5000))
+        client.say(get_command("r1", wait=5000))
         assert line.value()[2] == b"r1"
         client.say(
             PING * 4200
@@ -135,10 +135,10 @@
 ) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
-        client.say(get("r1", wait=5000) + last)
+        client.say(get_command("r1", wait=5000) + last)
         assert line.value()[2] == b"r1"
         r.stop()
-        client.say(get("r2", wait=5000) * 3000)  # more than one look takes
+        client.say(get_command("r2", wait=5000) * 3000)  # more than one look takes
         line.say(VALUE)
         r.go_on()
         assert client.value() == b"v" and type(client.value()) is (
@@ -154,16 +154,16 @@
 ) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
-        client.say(get("r1", wait=5000))
+        client.say(get_command("r1", wait=5000))
         assert line.value()[2] == b"r1"
         if sent == "before":  # taken: it is owed an answer
-            client.say(get("r2", wait=5000))
+            client.say(get_command("r2", wait=5000))
             line2 = r.caches[0].accept()
             assert line2.value()[2] == b"r2"
         r.signal(signal.SIGTERM)
         r.until(lambda: not listens(r))
         if sent == "after":  # not read: the client sends it once more, elsewhere
-            client.say(get("r2", wait=5000))
+            client.say(get_command("r2", wait=5000))
         else:
             line2.say(VALUE)
         line.say(VALUE)
@@ -179,7 +179,7 @@
 
 def test_a_partly_received_command_at_a_shutdown_is_served(tmp_path: Path) -> None:
     with real(tmp_path) as r:
-        line, client, text = warm(r), r.client(), get("r1", wait=5000)
+        line, client, text = warm(r), r.client(), get_command("r1", wait=5000)
         client.say(text[:30])
         r.signal(signal.SIGTERM)
         r.until(lambda: not listens(r))
@@ -192,7 +192,7 @@
 
 def test_an_rpc_in_flight_at_the_end_of_a_shutdown_is_answered(tmp_path: Path) -> None:
     with Real(tmp_path, 1, methods=METHODS[2:]) as r:
-        client, text = r.client(), get("r1", method="short", wait=1000)
+        client, text = r.client(), get_command("r1", method="short", wait=1000)
         client.say(text[:30])
         began = time.monotonic()
         r.signal(signal.SIGTERM)
@@ -216,14 +216,14 @@
         r.signal(signal.SIGTERM)
         if before:
             r.stop()  # held still while it serves on
-            client.say(get("r1", wait=5000))
+            client.say(get_command("r1", wait=5000))
             r.go_on()
             assert line.value()[2] == b"r1"
             line.say(VALUE)
             assert client.value() == b"v"
         assert client.ended() == "fin"
         if not before:
-            client.say(get("r1", wait=5000))
+            client.say(get_command("r1", wait=5000))
             assert r.left() == 0
             assert line.ended() in ("fin", "reset"), "read after the shutdown and sent on"
 
@@ -231,7 +231,7 @@
 def test_commands_received_one_byte_at_a_time_are_served(tmp_path: Path) -> None:
     with real(tmp_path) as r:
         line, client = warm(r), r.client()
-        for byte in get("r1", wait=5000):
+        for byte in get_command("r1", wait=5000):
             client.say(bytes([byte]))
         assert line.value()[2] == b"r1"
         for n in range(len(VALUE)):
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 from peers import MISS, VALUE, Line, Real, method
-from socket_node import get
+from socket_node import get_command
 
 from hookpitch.core.resp import ErrorReply
 
@@ -33,7 +33,7 @@
 
 def asked(r: Real, name: str) -> tuple[Line, Line]:
     client = r.client()
-    client.say(get("r1", method=name, wait=5000))
+    client.say(get_command("r1", method=name, wait=5000))
     line = r.caches[0].accept()
     assert line.value()[2] == b"r1"
     return client, line
@@ -48,9 +48,9 @@
         assert b"X-Request-Id: r1\r\n" in origin.head()
         origin.say(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
         assert client.value() == b"v"
-        client.say(get("r2", method="read"))  # nobody knows it any more
+        client.say(get_command("r2", method="read"))  # nobody knows it any more
         assert isinstance(client.value(), ErrorReply)
-        client.say(get("r3", method="other", wait=5000))
+        client.say(get_command("r3", method="other", wait=5000))
         assert line.value()[2] == b"r3"
         line.say(VALUE)
         assert client.value() == b"v"
@@ -69,7 +69,7 @@
 ) -> None:
     with real(tmp_path, 2) as r:
         client = r.client()
-        client.say(get("r1", method="known", wait=5000))
+        client.say(get_command("r1", method="known", wait=5000))
         n, line = r.asked()
         assert line.value()[2] == b"r1"
         r.hosts[1 - n]["block"], r.hosts[2]["block"] = (
@@ -154,7 +154,7 @@
         line = None
         for n in range(3):
             client = r.client()
-            client.say(get(f"a{n}", method="read", wait=5000))
+            client.say(get_command(f"a{n}", method="read", wait=5000))
             line = line or r.caches[0].accept()
             assert line.value()[2] == b"a%d" % n
             line.say(VALUE)
@@ -171,7 +171,7 @@
         )
         assert r.count("completed.read") == counted == 3 and r.count("completed.first") == 0
         client = r.client()
-        client.say(get("b1", method="first", wait=5000))
+        client.say(get_command("b1", method="first", wait=5000))
         assert line.value()[2] == b"b1"  # the origin is still the origin, the cache a cache
         line.say(VALUE)
         assert client.value() == b"v" and r.count("completed.first") == 1
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -10,7 +10,7 @@
 
 import pytest
 from peers import MISS, VALUE, Line, Real, Settings, method, tell
-from socket_node import get
+from socket_node import get_command
 
 from hookpitch.core.resp import ErrorReply, command
 
@@ -40,7 +40,7 @@
 
 def ask(r: Real, id: str, name: str = "read", wait: int = 5500) -> Line:
     line = r.client()
-    line.say(get(id, method=name, wait=wait))
+    line.say(get_command(id, method=name, wait=wait))
     return line
 
 
@@ -174,14 +174,14 @@
     with Real(tmp_path, 1, methods=METHODS) as r:
         for id, end in (("r2", "fin"), ("r3", "close"), ("r4", "reset")):
             client = r.client()
-            client.say(get(id + "0"))
+            client.say(get_command(id + "0"))
             line = r.caches[0].accept()
             line.value()
             line.say(VALUE)
             assert client.value() == b"v"  # the connection is idle now
             r.stop()
             getattr(line, end)()
-            client.say(get(id, method="once"))  # one that may not be sent twice
+            client.say(get_command(id, method="once"))  # one that may not be sent twice
             r.go_on()
             line = r.caches[0].accept()
             assert line.value()[2] == id.encode()
@@ -194,12 +194,12 @@
     with Real(tmp_path, 1, methods=METHODS) as r:
         for end in ("close", "reset"):
             client = r.client()
-            client.say(get(f"{end}1", method="once"))
+            client.say(get_command(f"{end}1", method="once"))
             line = r.caches[0].accept()
             line.value()
             getattr(line, end)()
             assert client.value() == ErrorReply(b"ERR failed")
-            client.say(get(f"{end}2"))
+            client.say(get_command(f"{end}2"))
             line = r.caches[0].accept()
             line.value()
             getattr(line, end)()
@@ -276,7 +276,7 @@
             cache.say(MISS)
             assert isinstance(client.value(), ErrorReply)
             n, failed = n + 1, r.count("tx.connect_failed")
-            client.say(get(f"r{n}", wait=900))
+            client.say(get_command(f"r{n}", wait=900))
         r.origin.listener = socket.create_server(at)  # it is back just now
         began = time.monotonic()
         while True:
@@ -287,7 +287,7 @@
             assert isinstance(client.value(), ErrorReply)
             assert time.monotonic() - began < 1.0, "it rests, and the origin is well"
             n += 1
-            client.say(get(f"r{n}", wait=900))
+            client.say(get_command(f"r{n}", wait=900))
         origin = r.origin.accept()
         origin.head()
         origin.say(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from peers import VALUE, Line, Real, method, tell
-from socket_node import get
+from socket_node import get_command
 from test_members_properties import SAME
 
 from hookpitch.core.resp import ErrorReply
@@ -375,7 +375,7 @@
 def served(r: Real, id: str) -> int:
     """Which cache it goes to."""
     client = r.client()
-    client.say(get(id, wait=5000))
+    client.say(get_command(id, wait=5000))
     n, line = r.asked()
     assert line.value()[2] == id.encode()
     line.say(VALUE)
@@ -483,5 +483,5 @@
         for _ in range(3):
             assert member.wish() == (5, b"", 15)
         client: Line = r.client()
-        client.say(get("r1", wait=300))
+        client.say(get_command("r1", wait=300))
         assert isinstance(client.value(), ErrorReply)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,7 +14,7 @@
 
 import pytest
 from click.testing import CliRunner
-from socket_node import Sockets
+from socket_node import NodeOnMemoryNetwork
 
 from hookpitch.cli import main
 from hookpitch.members.anti_entropy import AntiEntropy
@@ -758,12 +758,12 @@
 
 
 def test_the_admin_endpoint_lists_the_members_where_the_node_is_one() -> None:
-    s = Sockets(1)
-    assert s.node.admin_server.answer(b"MEMBERS") == b"NO no members here"
-    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
+    s = NodeOnMemoryNetwork(1)
+    assert s.socket_node.admin_server.answer(b"MEMBERS") == b"NO no members here"
+    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.socket_node)
     suspect = Record("n2", ("10.0.0.2", 7946), 3, MemberState.SUSPECTED, "n9")
-    port.membership.members["n2"] = Member(suspect, s.node.clock.now())
-    lines = s.node.admin_server.answer(b"MEMBERS").decode().splitlines()
+    port.membership.members["n2"] = Member(suspect, s.socket_node.clock.now())
+    lines = s.socket_node.admin_server.answer(b"MEMBERS").decode().splitlines()
     assert lines[0].startswith("view=0 members=1")
     assert lines[-1] == "END"
     assert any(line.startswith("n2 suspected for=") and line.endswith("by=n9") for line in lines)
@@ -784,14 +784,14 @@
 
 
 def test_floods_and_foreign_datagrams_are_bounded_and_raise_nothing() -> None:
-    s = Sockets(1)
-    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.node)
+    s = NodeOnMemoryNetwork(1)
+    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.socket_node)
     for n in range(5000):
         port.datagramReceived(b"HKM" + bytes([n % 7]) * 40, ("10.0.0.9", 1))
     counts = s.counters.counts
     assert counts["members.foreign"] <= 2000
     assert counts["members.flood"] >= 3000
-    assert list(port.membership.members) == [s.node.config.name]
+    assert list(port.membership.members) == [s.socket_node.config.name]
 
 
 # ---- nodes, with faults between them, in both clocks
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -7,7 +7,7 @@
 import pytest
 from fleet import Fleet, deployment, entry
 from memory_network import MemoryConnection
-from socket_node import Sockets, get, listed_host
+from socket_node import NodeOnMemoryNetwork, get_command, listed_host
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, MAX_CLOSING
@@ -16,18 +16,20 @@
 from hookpitch.net.shared_state import Command, SharedState, Verb, decode_command, encode_command
 
 
-def command(sockets: Sockets, line: bytes) -> bytes:
+def command(sockets: NodeOnMemoryNetwork, line: bytes) -> bytes:
     """The admin server's answer to bytes on a new connection, which it then closes."""
-    connection = MemoryConnection(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
-    connection.say(line)
-    answer = connection.take()
+    connection = MemoryConnection(
+        sockets.network, sockets.socket_node.admin_server.buildProtocol(None), 0
+    )
+    connection.send(line)
+    answer = connection.receive()
     sockets.pass_time(0)
-    assert connection.ended
-    assert connection.protocol not in sockets.node.admin_server.waiting
+    assert connection.is_closed
+    assert connection.protocol not in sockets.socket_node.admin_server.waiting
     return answer
 
 
-def metrics(sockets: Sockets) -> dict[str, int]:
+def metrics(sockets: NodeOnMemoryNetwork) -> dict[str, int]:
     lines = command(sockets, b"METRICS\n").decode().splitlines()
     assert lines.pop() == "END"
     assert all(line.startswith("svc.") for line in lines)
@@ -59,56 +61,56 @@
 def test_each_command_has_one_answer_and_the_connection_is_closed(
     line: bytes, answer: bytes
 ) -> None:
-    assert command(Sockets(), line) == answer
+    assert command(NodeOnMemoryNetwork(), line) == answer
 
 
 @pytest.mark.parametrize(
     "line", [b"\n", b"status\n", b"\x00\xff\n", b"GET / HTTP/1.1\r\n", b"x" * 100_000]
 )
 def test_an_unknown_command_is_refused(line: bytes) -> None:
-    assert command(Sockets(), line).startswith(b"NO ")
+    assert command(NodeOnMemoryNetwork(), line).startswith(b"NO ")
 
 
 def test_silent_admin_connections_are_bounded_and_delay_no_other() -> None:
-    sockets = Sockets()
+    sockets = NodeOnMemoryNetwork()
     mute = [
-        MemoryConnection(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
+        MemoryConnection(sockets.network, sockets.socket_node.admin_server.buildProtocol(None), 0)
         for _ in range(MAX_CALLERS)
     ]
-    mute[0].say(b"STAT")
+    mute[0].send(b"STAT")
     assert command(sockets, b"STATUS\n") == b"YES\n"
-    assert sockets.node.admin_server.connections == MAX_CALLERS - 1
-    while (protocol := sockets.node.admin_server.buildProtocol(None)) is not None:
+    assert sockets.socket_node.admin_server.connections == MAX_CALLERS - 1
+    while (protocol := sockets.socket_node.admin_server.buildProtocol(None)) is not None:
         MemoryConnection(sockets.network, protocol, 0)
-    assert sockets.node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
+    assert sockets.socket_node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
     sockets.pass_time(CALL_TIMEOUT_MS + 1)
-    assert sockets.node.admin_server.connections == 0
-    assert not sockets.node.admin_server.waiting
+    assert sockets.socket_node.admin_server.connections == 0
+    assert not sockets.socket_node.admin_server.waiting
 
 
 # ---- metrics
 
 
 def test_metrics_count_final_responses_by_method_and_completely_written_attempts() -> None:
-    sockets = Sockets()
-    client = sockets.client()
-    client.say(get("a"))
+    sockets = NodeOnMemoryNetwork()
+    client = sockets.connect_client()
+    client.send(get_command("a"))
     sockets.pass_time(1)
     assert metrics(sockets)["upstream_requests"] == 0  # nothing is written whole yet
-    assert sockets.request(7000) or sockets.request(7001)
+    assert sockets.receive_request(7000) or sockets.receive_request(7001)
     figures = metrics(sockets)
     assert figures["pending"] == 1
     assert figures["members"] == 2
     assert figures["members_unavailable"] == 0
     assert figures["upstream_requests"] == 1
     assert figures["completed.read"] == 0
-    line = next(line for port in (7000, 7001) for line in sockets.network.to(port))
-    line.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+    line = next(line for port in (7000, 7001) for line in sockets.network.connections_to(port))
+    line.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
     figures = metrics(sockets)
     assert figures["pending"] == 0
     assert figures["completed.read"] == 1
-    assert client.take() == b"$1\r\nv\r\n"
-    client.say(get("b", wait=40))
+    assert client.receive() == b"$1\r\nv\r\n"
+    client.send(get_command("b", wait=40))
     sockets.pass_time(50)
     figures = metrics(sockets)
     assert figures["rejected.read"] + figures["failed.read"] == 1
@@ -116,10 +118,10 @@
 
 
 def test_metrics_count_backends_that_are_banned_or_draining_as_unavailable() -> None:
-    sockets = Sockets(3)
+    sockets = NodeOnMemoryNetwork(3)
     command(sockets, b"SUSPEND s1\n")
     assert (metrics(sockets)["members"], metrics(sockets)["members_unavailable"]) == (3, 1)
-    sockets.node.discovery.list_received(
+    sockets.socket_node.discovery.list_received(
         b'{"seq":6,"whole":false,"hosts":[%s]}'
         % (str(listed_host("s2", 7002, health="terminating")).replace("'", '"').encode())
     )
@@ -199,50 +201,50 @@
 
 
 def test_a_draining_node_fails_health_checks_serves_requests_and_closes_idle_connections() -> None:
-    sockets = Sockets()
-    idle, busy, late = sockets.client(), sockets.client(), sockets.client()
-    idle.say(b"PING\r\n".join([b"*1\r\n$4\r\n", b""]))
-    assert idle.take() == b"+PONG\r\n"
-    late.pending = get("b")  # stands unread in the kernel
+    sockets = NodeOnMemoryNetwork()
+    idle, busy, late = sockets.connect_client(), sockets.connect_client(), sockets.connect_client()
+    idle.send(b"PING\r\n".join([b"*1\r\n$4\r\n", b""]))
+    assert idle.receive() == b"+PONG\r\n"
+    late.unread_input = get_command("b")  # stands unread in the kernel
     assert command(sockets, b"PAUSE\n") == b"YES\n"
     assert command(sockets, b"STATUS\n") == b"NO draining\n"
-    front = sockets.client()
-    front.say(b"*1\r\n$4\r\nPING\r\n")
-    assert front.take().startswith(b"-")
+    front = sockets.connect_client()
+    front.send(b"*1\r\n$4\r\nPING\r\n")
+    assert front.receive().startswith(b"-")
     sockets.pass_time(400)
-    busy.say(get("a"))  # still served
+    busy.send(get_command("a"))  # still served
     sockets.pass_time(105)
-    assert idle.ended
-    assert not busy.ended
-    assert not late.ended
-    for cache in sockets.network.to(7000) + sockets.network.to(7001):
-        cache.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+    assert idle.is_closed
+    assert not busy.is_closed
+    assert not late.is_closed
+    for cache in sockets.network.connections_to(7000) + sockets.network.connections_to(7001):
+        cache.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
     sockets.pass_time(1)
-    assert busy.take() == late.take() == b"$1\r\nv\r\n"
-    assert busy.ended
-    assert late.ended
-    mute = sockets.client()
+    assert busy.receive() == late.receive() == b"$1\r\nv\r\n"
+    assert busy.is_closed
+    assert late.is_closed
+    mute = sockets.connect_client()
     sockets.pass_time(1500)
-    assert mute.ended
-    assert sockets.node.lifecycle.state is State.SERVING
+    assert mute.is_closed
+    assert sockets.socket_node.lifecycle.state is State.SERVING
     assert command(sockets, b"RESUME\n") == b"YES\n"
-    back = sockets.client()
-    back.say(b"*1\r\n$4\r\nPING\r\n")
+    back = sockets.connect_client()
+    back.send(b"*1\r\n$4\r\nPING\r\n")
     sockets.pass_time(1500)
-    assert back.take() == b"+PONG\r\n"
-    assert not back.ended
+    assert back.receive() == b"+PONG\r\n"
+    assert not back.is_closed
     assert command(sockets, b"STATUS\n") == b"YES\n"
 
 
 def test_a_drain_that_is_resumed_at_once_closes_nothing() -> None:
-    sockets = Sockets()
-    client = sockets.client()
-    client.say(b"*1\r\n$4\r\nPING\r\n")
+    sockets = NodeOnMemoryNetwork()
+    client = sockets.connect_client()
+    client.send(b"*1\r\n$4\r\nPING\r\n")
     for line in (b"PAUSE\n", b"PAUSE\n", b"RESUME\n", b"RESUME\n"):
         assert command(sockets, line) == b"YES\n"
     sockets.pass_time(1500)
-    assert not client.ended
-    assert client.take() == b"+PONG\r\n"
+    assert not client.is_closed
+    assert client.receive() == b"+PONG\r\n"
 
 
 # ---- hot restart
@@ -313,26 +315,29 @@
 def test_two_processes_share_the_capacity_of_one_and_the_last_gets_all_of_it(
     tmp_path: Path,
 ) -> None:
-    sockets = Sockets(shared=str(tmp_path), sockets=384)
+    sockets = NodeOnMemoryNetwork(shared=str(tmp_path), sockets=384)
     sockets.pass_time(300)
-    servers, room = sockets.node.pools.max_descriptors, sockets.node.clients.max_connections
-    other = SharedState(str(tmp_path), "n0", sockets.logs.append, "2")
+    servers, room = (
+        sockets.socket_node.pools.max_descriptors,
+        sockets.socket_node.clients.max_connections,
+    )
+    other = SharedState(str(tmp_path), "n0", sockets.logged_events.append, "2")
     other.append(Command(Verb.SUSPEND, "s1"))
     sockets.pass_time(250)
-    assert sockets.node.hot_restart.process_count == 2
-    assert sockets.node.pools.max_descriptors == servers // 2
-    assert sockets.node.clients.max_connections == room // 2
-    assert sockets.node.host.router.quotas.process_share == 0.5
+    assert sockets.socket_node.hot_restart.process_count == 2
+    assert sockets.socket_node.pools.max_descriptors == servers // 2
+    assert sockets.socket_node.clients.max_connections == room // 2
+    assert sockets.socket_node.host.router.quotas.process_share == 0.5
     assert metrics(sockets)["members_unavailable"] == 1
     command(sockets, b"PAUSE\n")
     command(sockets, b"RESTORE s1\n")
     assert [verb for verb, _ in other.read_new()][-3:] == ["SUSPEND", "PAUSE", "RESTORE"]
     other.close()
     sockets.pass_time(250)
-    assert sockets.node.hot_restart.process_count == 1
-    assert sockets.node.pools.max_descriptors == servers
-    assert sockets.node.host.router.quotas.process_share == 1.0
-    sockets.node.hot_restart.shared_state.close()
+    assert sockets.socket_node.hot_restart.process_count == 1
+    assert sockets.socket_node.pools.max_descriptors == servers
+    assert sockets.socket_node.host.router.quotas.process_share == 1.0
+    sockets.socket_node.hot_restart.shared_state.close()
 
 
 def test_a_second_process_takes_over_bans_and_drain_and_one_that_starts_alone_only_bans(
@@ -341,16 +346,16 @@
     other = SharedState(str(tmp_path), "n0", print, "2")
     other.append(Command(Verb.SUSPEND, "s1"))
     other.append(Command(Verb.PAUSE))
-    beside = Sockets(shared=str(tmp_path))
+    beside = NodeOnMemoryNetwork(shared=str(tmp_path))
     assert command(beside, b"STATUS\n") == b"NO draining\n"
     assert metrics(beside)["members_unavailable"] == 1
-    beside.node.hot_restart.shared_state.close()
-    beside.node.hot_restart.shared_state = None
+    beside.socket_node.hot_restart.shared_state.close()
+    beside.socket_node.hot_restart.shared_state = None
     other.close()
-    alone = Sockets(shared=str(tmp_path))
+    alone = NodeOnMemoryNetwork(shared=str(tmp_path))
     assert command(alone, b"STATUS\n") == b"YES\n"
     assert metrics(alone)["members_unavailable"] == 1
-    alone.node.hot_restart.shared_state.close()
+    alone.socket_node.hot_restart.shared_state.close()
 
 
 # ---- the inherited socket
@@ -380,56 +385,56 @@
 
 
 def test_among_many_connections_the_longest_silent_is_closed_and_a_slow_request_is_kept() -> None:
-    sockets = Sockets(sockets=128)
-    honest, busy = sockets.client(), sockets.client()
-    busy.say(get("busy"))
-    data, served = get("slow"), 0
+    sockets = NodeOnMemoryNetwork(sockets=128)
+    honest, busy = sockets.connect_client(), sockets.connect_client()
+    busy.send(get_command("busy"))
+    data, served = get_command("slow"), 0
     for n in range(400):
-        half = sockets.client()
-        half.say(get(f"h{n}")[: n % 40])
+        half = sockets.connect_client()
+        half.send(get_command(f"h{n}")[: n % 40])
         if n % 24 == 0 and n < 240:  # two seconds for one head
-            honest.say(data[n * len(data) // 240 : (n + 24) * len(data) // 240])
-        true = sockets.client()
-        true.say(get(f"t{n}"))
+            honest.send(data[n * len(data) // 240 : (n + 24) * len(data) // 240])
+        true = sockets.connect_client()
+        true.send(get_command(f"t{n}"))
         sockets.pass_time(8)
-        for cache in sockets.network.to(7000) + sockets.network.to(7001):
-            if b"t%d" % n in cache.take():
-                cache.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-        served += true.take() == b"$1\r\nv\r\n"  # and it stays
+        for cache in sockets.network.connections_to(7000) + sockets.network.connections_to(7001):
+            if b"t%d" % n in cache.receive():
+                cache.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+        served += true.receive() == b"$1\r\nv\r\n"  # and it stays
     sockets.pass_time(1)
     assert served == 400
-    assert honest.take()
+    assert honest.receive()
     assert sockets.counters.counts["rpcs.taken"] == 402
     assert sockets.counters.counts.get("clients.guests", 0) == 0
 
 
 def test_the_admin_server_answers_among_many_connections() -> None:
-    sockets = Sockets(sockets=96)
+    sockets = NodeOnMemoryNetwork(sockets=96)
     for n in range(300):
-        sockets.client().say(get(f"h{n}")[:30])
+        sockets.connect_client().send(get_command(f"h{n}")[:30])
     assert command(sockets, b"STATUS\n") == b"YES\n"
     assert metrics(sockets)["pending"] == 0
 
 
 def test_a_replaced_process_closes_idle_connections_gradually_and_serves_requests() -> None:
     # Clients that see hundreds of closes at once still write to some of those connections.
-    sockets = Sockets()
+    sockets = NodeOnMemoryNetwork()
     done = []
-    idle = [sockets.client() for _ in range(20)]
+    idle = [sockets.connect_client() for _ in range(20)]
     for client in idle:
-        client.say(b"*1\r\n$4\r\nPING\r\n")
-        assert client.take() == b"+PONG\r\n"
-    sockets.node.clients.shut_down(lambda: done.append(1), 400.0)
+        client.send(b"*1\r\n$4\r\nPING\r\n")
+        assert client.receive() == b"+PONG\r\n"
+    sockets.socket_node.clients.shut_down(lambda: done.append(1), 400.0)
     sockets.pass_time(100)
-    assert 3 <= sum(client.ended for client in idle) <= 7
-    late = next(client for client in reversed(idle) if not client.ended)
-    late.say(get("a"))
+    assert 3 <= sum(client.is_closed for client in idle) <= 7
+    late = next(client for client in reversed(idle) if not client.is_closed)
+    late.send(get_command("a"))
     sockets.pass_time(350)
-    assert [client for client in idle if not client.ended] == [late]
+    assert [client for client in idle if not client.is_closed] == [late]
     assert not done
-    for cache in sockets.network.to(7000) + sockets.network.to(7001):
-        cache.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+    for cache in sockets.network.connections_to(7000) + sockets.network.connections_to(7001):
+        cache.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
     sockets.pass_time(1)
-    assert late.take() == b"$1\r\nv\r\n"
-    assert late.ended
+    assert late.receive() == b"$1\r\nv\r\n"
+    assert late.is_closed
     assert done
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -1,7 +1,7 @@
 """The phases of a start: each with its condition and its timeout; a node serves in all of them."""
 
 import pytest
-from socket_node import DISCOVERY, Sockets, get
+from socket_node import DISCOVERY_PORT, NodeOnMemoryNetwork, get_command
 from test_sockets import serve, watch
 
 from hookpitch.startup.phases import (
@@ -60,39 +60,39 @@
 
 
 def test_a_node_serves_from_the_first_phase_on_and_reports_each() -> None:
-    s = Sockets(1)
-    c = s.client()
-    c.say(get("r1"))
+    s = NodeOnMemoryNetwork(1)
+    c = s.connect_client()
+    c.send(get_command("r1"))
     serve(s)
-    assert c.take()
+    assert c.receive()
     assert s.counters.counts.get("start.phase", 0) == 0
-    figures = dict(s.node.commands.metrics())
+    figures = dict(s.socket_node.commands.metrics())
     assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS
-    assert s.node.commands.not_ready_reason() == ""
+    assert s.socket_node.commands.not_ready_reason() == ""
     s.pass_time(300)
     watch(s, {"seq": 6, "whole": True, "hosts": s.hosts})
     for n in range(40):
-        c.say(get(f"q{n}", key=f"k{n}"))
+        c.send(get_command(f"q{n}", key=f"k{n}"))
         serve(s)
         s.pass_time(300)
         if n % 6 == 5:
             watch(s, b"")
-    assert dict(s.node.commands.metrics())["start_phase"] == Phase.STEADY
+    assert dict(s.socket_node.commands.metrics())["start_phase"] == Phase.STEADY
     assert s.counters.counts["start.listed_ms"] < 1000
 
 
 def test_a_node_whose_discovery_is_silent_moves_on_and_counts_it() -> None:
-    s = Sockets(1)
-    s.network.ways[DISCOVERY] = "silent"
+    s = NodeOnMemoryNetwork(1)
+    s.network.dial_outcomes[DISCOVERY_PORT] = "silent"
     s.pass_time(ENDPOINTS_TIMEOUT_MS + CONNECT_TIMEOUT_MS + WARMUP_TIMEOUT_MS + 2000)
-    assert dict(s.node.commands.metrics())["start_phase"] == Phase.STEADY
+    assert dict(s.socket_node.commands.metrics())["start_phase"] == Phase.STEADY
     assert s.counters.counts["start.unlisted"] == 1
     assert "start.unanswered" not in s.counters.counts
 
 
 def test_a_node_without_endpoints_reports_that_it_is_not_ready() -> None:
-    s = Sockets(1)
-    s.node.host.router.backends.clear()  # it was told none
-    assert s.node.commands.not_ready_reason() == "no list of servers yet"
-    watch(s, {"seq": 6, "whole": True, "hosts": Sockets(1).hosts})
-    assert s.node.commands.not_ready_reason() == ""
+    s = NodeOnMemoryNetwork(1)
+    s.socket_node.host.router.backends.clear()  # it was told none
+    assert s.socket_node.commands.not_ready_reason() == "no list of servers yet"
+    watch(s, {"seq": 6, "whole": True, "hosts": NodeOnMemoryNetwork(1).hosts})
+    assert s.socket_node.commands.not_ready_reason() == ""
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -7,7 +7,7 @@
 from fleet import ORIGIN, Fleet, deployment, entry
 from memory_network import MemoryConnection
 from random_faults import RandomFaults
-from socket_node import SETTINGS, Sockets, deployment_from
+from socket_node import SETTINGS, NodeOnMemoryNetwork, deployment_from
 
 from hookpitch.balancer.interface import EndpointUpdate, Idempotency, Method, Outcome, Tenant
 from hookpitch.net.node_config import ReloadedConfig
@@ -23,12 +23,12 @@
     """A storm in which the settings change back and forth; copies are allowed half of the time."""
 
     def sent(self, line: MemoryConnection, rpc: str) -> None:
-        if self.sockets.node.host.deployment.hedging_allowed and rpc not in self.once:
+        if self.sockets.socket_node.host.deployment.hedging_allowed and rpc not in self.once:
             self.out.pop(rpc, None)  # a second one beside it is in order
         super().sent(line, rpc)
 
     def step(self) -> None:
-        host = self.sockets.node.host
+        host = self.sockets.socket_node.host
         if self.rng.random() < 0.06:
             back = host.deployment.hedging_allowed
             host.reconfigured(
@@ -51,11 +51,11 @@
     for _ in range(500):
         storm.step()
     for line in storm.clients:
-        line.reads = True
+        line.is_reading = True
     storm.sockets.pass_time(1100)
     storm.settle()
     assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
-    host, counts = storm.sockets.node.host, storm.sockets.counters.counts
+    host, counts = storm.sockets.socket_node.host, storm.sockets.counters.counts
     assert not len(host.rpcs) and not host.router.rpcs, "records outlive their RPCs"
     assert (
         not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
@@ -137,10 +137,10 @@
 
 
 def test_how_late_counts_as_away_goes_by_the_new_deadlines() -> None:
-    s = Sockets()
+    s = NodeOnMemoryNetwork()
     before = s.clock.late_threshold_ms
     methods = [m | {"soft_deadline_s": 0.1} for m in SETTINGS["methods"]]
-    s.node.reload(
+    s.socket_node.reload(
         lambda: ReloadedConfig(
             s.config.discovery_address, deployment_from(SETTINGS | {"methods": methods}), {}
         )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 import pytest
 from fleet import ORIGIN, Fleet, entry, random_deployment
 from random_faults import RandomFaults
-from socket_node import DISCOVERY
+from socket_node import DISCOVERY_PORT
 
 from hookpitch.balancer.interface import EndpointUpdate
 
@@ -46,18 +46,18 @@
     for _ in range(500):
         storm.step()
     for line in storm.clients:
-        line.reads = True
+        line.is_reading = True
     storm.sockets.pass_time(1100)
     storm.settle()
     assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
-    host, counts = storm.sockets.node.host, storm.sockets.counters.counts
+    host, counts = storm.sockets.socket_node.host, storm.sockets.counters.counts
     assert not len(host.rpcs), "records outlive their RPCs"
     assert (
         not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
     )
-    held = [x for x in storm.network.lines if not x.ended] + [
-        d for d in storm.network.dials if not d.over
+    held = [x for x in storm.network.connections if not x.is_closed] + [
+        d for d in storm.network.dials if not d.is_finished
     ]
-    assert storm.sockets.node.pools.descriptors_used == sum(x.port != DISCOVERY for x in held), (
-        "descriptors are counted wrong"
-    )
+    assert storm.sockets.socket_node.pools.descriptors_used == sum(
+        x.port != DISCOVERY_PORT for x in held
+    ), "descriptors are counted wrong"
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 from fleet import ORIGIN, Fleet, deployment, entry
-from socket_node import Sockets, get
+from socket_node import NodeOnMemoryNetwork, get_command
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
@@ -212,14 +212,14 @@
 # ---- on a disk
 
 
-def node(path: Path, **told: object) -> Sockets:
+def node(path: Path, **told: object) -> NodeOnMemoryNetwork:
     """A node that is up, with its snapshot there."""
-    s = Sockets(1)
+    s = NodeOnMemoryNetwork(1)
     kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **told})
-    s.node.snapshot_store = snapshot_store.SnapshotStore(
-        kept, s.node, lambda work, then: then(snapshot_store.failure_of(work))
+    s.socket_node.snapshot_store = snapshot_store.SnapshotStore(
+        kept, s.socket_node, lambda work, then: then(snapshot_store.failure_of(work))
     )
-    s.node.snapshot_store.restore()
+    s.socket_node.snapshot_store.restore()
     return s
 
 
@@ -255,15 +255,15 @@
     path = tmp_path / "n.snapshot"
     s = node(path)
     assert s.counters.counts["snapshot.none"] == 1
-    s.node.discovery.version = 77
+    s.socket_node.discovery.version = 77
     s.pass_time(11000)
     assert s.counters.counts["snapshot.written"] >= 1
     assert snapshot_store.load_snapshot(str(path)).version == 77
     again = node(path)
     assert again.counters.counts["snapshot.recalled"] == 1
-    assert again.node.discovery.version == 77
-    c = again.client()
-    c.say(get("r1"))
+    assert again.socket_node.discovery.version == 77
+    c = again.connect_client()
+    c.send(get_command("r1"))
     again.pass_time(1)
     assert again.counters.counts["tx.sent"] == 1
 
@@ -284,24 +284,26 @@
     before = b""
     if told != "":
         s = node(path)
-        s.node.snapshot_store.save()
+        s.socket_node.snapshot_store.save()
         before = path.read_bytes()
         before = before[:-1] if told is None else before
         path.write_bytes(before)
-    s = Sockets(1)
+    s = NodeOnMemoryNetwork(1)
     lines: list[str] = []
-    s.node.logger = type(
+    s.socket_node.logger = type(
         "Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")}
     )()
     kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **(told or {})})
-    s.node.snapshot_store = snapshot_store.SnapshotStore(kept, s.node, lambda *_: None)
+    s.socket_node.snapshot_store = snapshot_store.SnapshotStore(
+        kept, s.socket_node, lambda *_: None
+    )
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
-    s.node.snapshot_store.restore()
+    s.socket_node.snapshot_store.restore()
     assert len(lines) == 1
     assert said in lines[0]
     assert not before or path.read_bytes() == before
-    assert s.node.host.router.backends["s0"].state == EndpointState.READY
+    assert s.socket_node.host.router.backends["s0"].state == EndpointState.READY
 
 
 def test_a_disk_that_fails_or_stalls_blocks_nothing_and_is_reported_once(tmp_path: Path) -> None:
@@ -309,9 +311,9 @@
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
     s = node(tmp_path / "n.snapshot", every_s=0.5)
-    s.node.snapshot_store.run_elsewhere = lambda work, then: None  # it never answers
+    s.socket_node.snapshot_store.run_elsewhere = lambda work, then: None  # it never answers
     s.pass_time(5000)
-    s.node.shut_down()
+    s.socket_node.shut_down()
     s.pass_time(3000)
     assert s.network.hasStopped  # the node ends nevertheless
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,7 +14,7 @@
 
 import pytest
 from memory_network import MemoryConnection
-from socket_node import DISCOVERY, SETTINGS, Sockets, get, listed_host
+from socket_node import DISCOVERY_PORT, SETTINGS, NodeOnMemoryNetwork, get_command, listed_host
 
 from hookpitch.balancer.interface import EndpointState
 from hookpitch.net.node_config import NodeConfig, load_node_config, load_reloaded_config
@@ -58,10 +58,12 @@
     )
 
 
-def reloader(sockets: Sockets, node_file: Path, **environment: str) -> Callable[[], None]:
+def reloader(
+    sockets: NodeOnMemoryNetwork, node_file: Path, **environment: str
+) -> Callable[[], None]:
     """What SIGHUP does."""
     read_config = partial(load_reloaded_config, {"PROXY_CONFIG": str(node_file)} | environment)
-    return partial(sockets.node.reload, read_config)
+    return partial(sockets.socket_node.reload, read_config)
 
 
 def test_the_file_and_the_environment_are_read(node_file: Path) -> None:
@@ -154,7 +156,7 @@
 
 
 def test_a_reload_changes_the_discovery_address_and_accepts_lower_versions(node_file: Path) -> None:
-    sockets = Sockets()
+    sockets = NodeOnMemoryNetwork()
     events = []
     sockets.info = lambda event, **fields: events.append(event)
     reload = reloader(sockets, node_file, PROXY_DISCOVERY="h:1")
@@ -163,37 +165,37 @@
         reload()
         assert events.pop() == "reload_failed", bad
         assert not events, bad
-        assert sockets.network.to(DISCOVERY), bad
+        assert sockets.network.connections_to(DISCOVERY_PORT), bad
     node_file.write_text(json.dumps({"discovery": "127.0.0.3:8600"}))
     reload()
     sockets.pass_time(1)
-    assert not sockets.network.to(DISCOVERY)
-    assert b"since=0 " in (line := sockets.network.to(8600)[0]).take()
+    assert not sockets.network.connections_to(DISCOVERY_PORT)
+    assert b"since=0 " in (line := sockets.network.connections_to(8600)[0]).receive()
     # Version 5 is held.
     answer = json.dumps({"seq": 2, "whole": True, "hosts": sockets.hosts[1:]}).encode() + b"\n"
-    line.say(
+    line.send(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(answer), answer)
     )
-    assert sockets.node.discovery.version == 2
-    assert sockets.node.host.router.backends["s0"].state == EndpointState.REMOVED
+    assert sockets.socket_node.discovery.version == 2
+    assert sockets.socket_node.host.router.backends["s0"].state == EndpointState.REMOVED
     reload()  # the same again: the watch goes on
     sockets.pass_time(1)
-    assert sockets.network.to(8600) == [line]
-    line.end()
+    assert sockets.network.connections_to(8600) == [line]
+    line.close()
     sockets.pass_time(2000)
-    assert b"since=2 " in sockets.network.to(8600)[0].take()
+    assert b"since=2 " in sockets.network.connections_to(8600)[0].receive()
 
 
 def test_a_reload_logs_changed_settings_those_that_need_a_restart_and_a_missing_file(
     node_file: Path,
 ) -> None:
-    sockets = Sockets()
+    sockets = NodeOnMemoryNetwork()
     events: list[tuple[str, str]] = []
     sockets.info = lambda event, **fields: events.append(
         (event, str(fields.get("changed") or fields.get("setting")))
     )
     reload = reloader(sockets, node_file)
-    content = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": deepcopy(SETTINGS)}
+    content = {"discovery": f"127.0.0.1:{DISCOVERY_PORT}", "settings": deepcopy(SETTINGS)}
     reload()
     assert [event for event, _ in events] == ["reload_failed"]
     assert sockets.counters.counts["config_reload_errors"] == 1
@@ -207,8 +209,8 @@
     ignored = [name for event, name in events if event == "change_requires_restart"]
     assert sorted(ignored) == ["listen", "name", "seed"]
     assert events[-1] == ("reloaded", "hedging_allowed")
-    assert sockets.node.host.deployment.seed == sockets.config.deployment.seed
-    assert sockets.node.config.listen_address[1] == 6379
+    assert sockets.socket_node.host.deployment.seed == sockets.config.deployment.seed
+    assert sockets.socket_node.config.listen_address[1] == 6379
     reload()
     assert events[-1] == ("reloaded", "nothing")
     assert sockets.counters.counts["config_changes"] == 1
@@ -254,19 +256,19 @@
 def test_reloads_switch_settings_back_and_forth_and_a_wrong_file_changes_nothing(
     node_file: Path,
 ) -> None:
-    sockets = Sockets()
+    sockets = NodeOnMemoryNetwork()
     reload = reloader(sockets, node_file)
-    old = {"discovery": f"127.0.0.1:{DISCOVERY}", "settings": SETTINGS}
+    old = {"discovery": f"127.0.0.1:{DISCOVERY_PORT}", "settings": SETTINGS}
     new = deepcopy(old)
     new["settings"]["weights"] = "live"
     new["settings"]["limits"]["second_copies"] = True
-    client = sockets.client()
+    client = sockets.connect_client()
 
     def connections() -> list[MemoryConnection]:
-        return sockets.network.to(7000) + sockets.network.to(7001)
+        return sockets.network.connections_to(7000) + sockets.network.connections_to(7001)
 
     for step, content in enumerate((new, "{", old, new)):
-        client.say(get(f"r{step}"))
+        client.send(get_command(f"r{step}"))
         sockets.pass_time(1)
         if content == "{":
             wrong = (
@@ -278,21 +280,21 @@
             for value in ({}, 7, *(SETTINGS | change for change in wrong)):
                 node_file.write_text(json.dumps(old | {"settings": value}))
                 reload()
-                assert sockets.logs[-1] == "reload_failed", value
-                assert sockets.node.host.router.retries.hedging_allowed, value
+                assert sockets.logged_events[-1] == "reload_failed", value
+                assert sockets.socket_node.host.router.retries.hedging_allowed, value
         else:
             node_file.write_text(json.dumps(content))
             reload()
-            assert sockets.node.host.router.retries.hedging_allowed == (content is new)
-            assert (sockets.node.host.router.endpoints.nominal_sizes is not None) == (
+            assert sockets.socket_node.host.router.retries.hedging_allowed == (content is new)
+            assert (sockets.socket_node.host.router.endpoints.nominal_sizes is not None) == (
                 content is new
             )
-        asked = [data.split(b"\r\n")[6] for line in connections() if (data := line.take())]
+        asked = [data.split(b"\r\n")[6] for line in connections() if (data := line.receive())]
         assert asked == [b"r%d" % step]  # sent once, and not again
         for line in connections():
-            line.say(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\noutstanding=1\r\n")
+            line.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\noutstanding=1\r\n")
         sockets.pass_time(1)
-        assert client.take() == b"$1\r\nv\r\n"
+        assert client.receive() == b"$1\r\nv\r\n"
     assert sockets.counters.counts["config_changes"] == 3
     assert sockets.counters.counts["config_reload_errors"] == 6
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -5,7 +5,7 @@
 import h11
 import pytest
 from memory_network import MemoryConnection
-from socket_node import ORIGIN_PORT, Sockets, get
+from socket_node import ORIGIN_PORT, NodeOnMemoryNetwork, get_command
 
 from hookpitch.core.resp import NEED_DATA, Parser, bulk, command
 from hookpitch.core.ring import Ring
@@ -18,21 +18,23 @@
 
 
 def begun(
-    sockets: Sockets | None = None, id: str = "a"
-) -> tuple[Sockets, MemoryConnection, MemoryConnection]:
+    sockets: NodeOnMemoryNetwork | None = None, id: str = "a"
+) -> tuple[NodeOnMemoryNetwork, MemoryConnection, MemoryConnection]:
     """A client that asked, and the connection on which its RPC is out."""
-    s = sockets or Sockets()
-    client = s.client()
-    client.say(get(id))
+    s = sockets or NodeOnMemoryNetwork()
+    client = s.connect_client()
+    client.send(get_command(id))
     s.pass_time(1)
     server = next(
-        line for line in s.network.to(7000) + s.network.to(7001) if id.encode() in line.take()
+        line
+        for line in s.network.connections_to(7000) + s.network.connections_to(7001)
+        if id.encode() in line.receive()
     )
     return s, client, server
 
 
 def heads(server: MemoryConnection, length: int = LARGE) -> None:
-    server.say(b"*3\r\n$%d\r\n" % length)
+    server.send(b"*3\r\n$%d\r\n" % length)
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000, 65536, LARGE])
@@ -41,126 +43,134 @@
     reply = b"*3\r\n" + bulk(VALUE) + REST
     got = b""
     for at in range(0, len(reply), size if size > 1 else 997):
-        server.say(reply[at : at + (size if size > 1 else 997)])
-        got += client.take()
-    assert got == bulk(VALUE) and not client.ended and not server.ended
-    client.say(get("b"))  # both connections serve on
+        server.send(reply[at : at + (size if size > 1 else 997)])
+        got += client.receive()
+    assert got == bulk(VALUE) and not client.is_closed and not server.is_closed
+    client.send(get_command("b"))  # both connections serve on
     s.pass_time(1)
-    assert s.request(server.port) and s.counters.counts["completed.read"] == 1
+    assert s.receive_request(server.port) and s.counters.counts["completed.read"] == 1
 
 
 def test_a_stream_starts_at_once_and_its_tail_waits_for_the_complete_reply() -> None:
     s, client, server = begun()
     heads(server)
-    server.say(VALUE[:1000])
-    assert client.take() == b"$%d\r\n" % LARGE + VALUE[:1000]
-    server.say(VALUE[1000:])
-    assert client.take() == VALUE[1000:-TAIL_BYTES]
-    server.say(b"\r\n" + REST[:-1])
-    assert not client.take()
-    server.say(REST[-1:])
-    assert client.take() == VALUE[-TAIL_BYTES:] + b"\r\n"
+    server.send(VALUE[:1000])
+    assert client.receive() == b"$%d\r\n" % LARGE + VALUE[:1000]
+    server.send(VALUE[1000:])
+    assert client.receive() == VALUE[1000:-TAIL_BYTES]
+    server.send(b"\r\n" + REST[:-1])
+    assert not client.receive()
+    server.send(REST[-1:])
+    assert client.receive() == VALUE[-TAIL_BYTES:] + b"\r\n"
 
 
 @pytest.mark.parametrize("end", [b"xx" + REST, b"\r\n!what\r\n", b"\r\n$9\r\nhit", None])
 def test_a_malformed_reply_is_never_completed_and_the_client_can_tell(end: bytes | None) -> None:
     s, client, server = begun()
     heads(server)
-    server.say(VALUE)
+    server.send(VALUE)
     if end is not None:
-        server.say(end)
-    server.end()
+        server.send(end)
+    server.close()
     s.pass_time(1)
-    assert len(client.take()) < len(bulk(VALUE))
+    assert len(client.receive()) < len(bulk(VALUE))
     s.pass_time(1)
-    assert client.ended
+    assert client.is_closed
     counts = s.counters.counts
-    assert counts["failed.read"] == 1 and counts["tx.sent"] == 1 and not s.node.host.rpcs.pending
+    assert (
+        counts["failed.read"] == 1
+        and counts["tx.sent"] == 1
+        and not s.socket_node.host.rpcs.pending
+    )
 
 
 def test_a_stream_is_ended_by_silence_and_by_no_deadline() -> None:
     s, client, server = begun()
     heads(server)
     for at in range(0, 10_000, 1000):
-        server.say(VALUE[at : at + 1000])
+        server.send(VALUE[at : at + 1000])
         s.pass_time(900)
-    assert not client.ended and len(client.take()) > 10_000
+    assert not client.is_closed and len(client.receive()) > 10_000
     s.pass_time(1100)
-    assert client.ended and server.ended and s.counters.counts["streams.silent"] == 1
+    assert client.is_closed and server.is_closed and s.counters.counts["streams.silent"] == 1
 
 
 def test_a_slow_reader_pauses_the_backend_and_one_that_stops_is_dropped() -> None:
     s, client, server = begun()
-    client.reads = False
+    client.is_reading = False
     heads(server, MAX_STREAMED_BYTES)
     sent = 0
-    while not server.paused and sent < MAX_STREAMED_BYTES:
-        server.say(bytes(65536))
+    while not server.is_paused and sent < MAX_STREAMED_BYTES:
+        server.send(bytes(65536))
         sent += 65536
-    room = s.node.clients.stream_buffer_bytes
-    assert server.paused and sent <= room + 2 * 65536
-    client.reads = True
-    client.take()
-    assert not server.paused
-    client.reads = False
-    while not server.paused:
-        server.say(bytes(65536))
+    room = s.socket_node.clients.stream_buffer_bytes
+    assert server.is_paused and sent <= room + 2 * 65536
+    client.is_reading = True
+    client.receive()
+    assert not server.is_paused
+    client.is_reading = False
+    while not server.is_paused:
+        server.send(bytes(65536))
     s.pass_time(1100)
-    assert server.ended and s.counters.counts["failed.read"] == 1
+    assert server.is_closed and s.counters.counts["failed.read"] == 1
     s.pass_time(6000)
-    assert client.ended
+    assert client.is_closed
 
 
 def test_many_streams_share_the_unsent_bytes_allowed() -> None:
-    s = Sockets()
-    alone = s.node.clients.stream_buffer_bytes
-    s.node.clients.active_streams = 200
-    assert s.node.clients.stream_buffer_bytes < alone
-    s.node.clients.active_streams = 0
+    s = NodeOnMemoryNetwork()
+    alone = s.socket_node.clients.stream_buffer_bytes
+    s.socket_node.clients.active_streams = 200
+    assert s.socket_node.clients.stream_buffer_bytes < alone
+    s.socket_node.clients.active_streams = 0
 
 
 def test_a_streamed_reply_waits_for_the_replies_before_it() -> None:
-    s = Sockets()
-    client = s.client()
-    client.say(get("a") + get("b", "other"))
+    s = NodeOnMemoryNetwork()
+    client = s.connect_client()
+    client.send(get_command("a") + get_command("b", "other"))
     s.pass_time(1)
     lines = {
         (b"b" if b"other" in data else b"a"): line
-        for line in s.network.to(7000) + s.network.to(7001)
-        if (data := line.take())
+        for line in s.network.connections_to(7000) + s.network.connections_to(7001)
+        if (data := line.receive())
     }
     heads(lines[b"b"])
-    assert lines[b"b"].paused and not client.take()
-    lines[b"a"].say(b"*3\r\n$1\r\nv\r\n" + REST)
-    assert not lines[b"b"].paused
-    lines[b"b"].say(VALUE + b"\r\n" + REST)
-    assert client.take() == bulk(b"v") + bulk(VALUE)
+    assert lines[b"b"].is_paused and not client.receive()
+    lines[b"a"].send(b"*3\r\n$1\r\nv\r\n" + REST)
+    assert not lines[b"b"].is_paused
+    lines[b"b"].send(VALUE + b"\r\n" + REST)
+    assert client.receive() == bulk(b"v") + bulk(VALUE)
 
 
 def test_a_client_that_disconnects_during_a_stream_frees_its_backend() -> None:
     s, client, server = begun()
     heads(server)
-    client.end()
+    client.close()
     s.pass_time(1)
-    assert server.ended and not s.node.host.rpcs.pending and not s.node.clients.active_streams
+    assert (
+        server.is_closed
+        and not s.socket_node.host.rpcs.pending
+        and not s.socket_node.clients.active_streams
+    )
 
 
 def test_a_large_body_of_the_origin_is_streamed_and_a_truncated_one_is_aborted() -> None:
     for whole in (True, False):
         s, client, server = begun()
-        server.say(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
+        server.send(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
         s.pass_time(1)
-        (o,) = s.network.to(ORIGIN_PORT)
-        o.take()
-        o.say(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % LARGE + VALUE[:5000])
-        assert client.take().endswith(VALUE[:5000])
-        o.say(VALUE[5000:] if whole else VALUE[5000:-1])
+        (o,) = s.network.connections_to(ORIGIN_PORT)
+        o.receive()
+        o.send(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % LARGE + VALUE[:5000])
+        assert client.receive().endswith(VALUE[:5000])
+        o.send(VALUE[5000:] if whole else VALUE[5000:-1])
         if not whole:
-            o.end()
+            o.close()
         s.pass_time(1)
-        assert len(client.take()) == LARGE - 5000 + (2 if whole else -TAIL_BYTES)
+        assert len(client.receive()) == LARGE - 5000 + (2 if whole else -TAIL_BYTES)
         s.pass_time(1)
-        assert client.ended is not whole
+        assert client.is_closed is not whole
 
 
 # ---- writes
@@ -171,49 +181,49 @@
 
 
 def test_a_large_write_reaches_the_origin_and_its_memory_is_released() -> None:
-    s = Sockets()
-    client = s.client()
+    s = NodeOnMemoryNetwork()
+    client = s.connect_client()
     data = write("a", VALUE)
     for at in range(0, len(data), 3000):
-        client.say(data[at : at + 3000])
+        client.send(data[at : at + 3000])
     s.pass_time(1)
-    assert s.node.host.value_budget.used == LARGE
-    (o,) = s.network.to(ORIGIN_PORT)
+    assert s.socket_node.host.value_budget.used == LARGE
+    (o,) = s.network.connections_to(ORIGIN_PORT)
     server = h11.Connection(h11.SERVER)
-    server.receive_data(o.take())
+    server.receive_data(o.receive())
     assert isinstance(server.next_event(), h11.Request)
     body = b""
     while isinstance(event := server.next_event(), h11.Data):
         body += bytes(event.data)
     assert body == VALUE and isinstance(event, h11.EndOfMessage)
-    o.say(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
-    assert client.take() == bulk(b"ok") and s.node.host.value_budget.used == 0
+    o.send(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
+    assert client.receive() == bulk(b"ok") and s.socket_node.host.value_budget.used == 0
 
 
 def test_large_writes_over_the_memory_budget_are_rejected() -> None:
-    s = Sockets(memory_mb=32)
-    clients = [s.client() for _ in range(6)]
+    s = NodeOnMemoryNetwork(memory_mb=32)
+    clients = [s.connect_client() for _ in range(6)]
     for n, client in enumerate(clients):
-        client.say(write(f"w{n}", bytes(MAX_STREAMED_BYTES)))
+        client.send(write(f"w{n}", bytes(MAX_STREAMED_BYTES)))
     s.pass_time(1)
-    said = [client.take() for client in clients]
+    said = [client.receive() for client in clients]
     assert said.count(b"-BUSY\r\n") == 4 and s.counters.counts["rejected.read"] == 4
     for client in clients:
-        client.end()
+        client.close()
     s.pass_time(1)
-    assert s.node.host.value_budget.used == 0
+    assert s.socket_node.host.value_budget.used == 0
 
 
 def test_a_slow_large_write_keeps_its_connection_and_a_stalled_one_does_not() -> None:
-    s = Sockets()
-    client = s.client()
+    s = NodeOnMemoryNetwork()
+    client = s.connect_client()
     data = write("a", VALUE)
     for at in range(0, 50_000, 5000):
-        client.say(data[at : at + 5000])
+        client.send(data[at : at + 5000])
         s.pass_time(1000)
-    assert not client.ended
+    assert not client.is_closed
     s.pass_time(3000)
-    assert client.ended and s.node.host.value_budget.used == 0
+    assert client.is_closed and s.socket_node.host.value_budget.used == 0
 
 
 @pytest.mark.parametrize(
@@ -227,12 +237,12 @@
     ],
 )
 def test_only_a_value_may_exceed_the_bulk_limit(said: bytes) -> None:
-    s = Sockets()
-    client = s.client()
-    client.say(said)
-    assert client.take().startswith(b"-ERR")
+    s = NodeOnMemoryNetwork()
+    client = s.connect_client()
+    client.send(said)
+    assert client.receive().startswith(b"-ERR")
     s.pass_time(1)
-    assert client.ended and s.node.host.value_budget.used == 0
+    assert client.is_closed and s.socket_node.host.value_budget.used == 0
 
 
 def test_what_a_stream_passes_on_plus_its_tail_is_what_it_was_fed() -> None:
@@ -266,14 +276,14 @@
 def test_of_two_hedged_attempts_only_the_first_to_start_is_streamed(
     first: str, cancelling: bool
 ) -> None:
-    s = Sockets()
-    d = s.node.host.deployment
-    s.node.host.reconfigured(
+    s = NodeOnMemoryNetwork()
+    d = s.socket_node.host.deployment
+    s.socket_node.host.reconfigured(
         s.clock.now(), replace(d, hedging_allowed=True, cancellation_enabled=cancelling)
     )
     s, client, cache = begun(s)
     s.pass_time(300)  # silent for the patience: a copy goes to the origin
-    (origin,) = s.network.to(ORIGIN_PORT)
+    (origin,) = s.network.connections_to(ORIGIN_PORT)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE
     parts = {
         "cache": (cache, b"*3\r\n$%d\r\n" % LARGE, b"\r\n" + REST),
@@ -283,13 +293,13 @@
         parts[first],
         parts["origin" if first == "cache" else "cache"],
     )
-    one.say(begin + VALUE[:1000])
+    one.send(begin + VALUE[:1000])
     s.pass_time(1)
-    assert (other.ended or other.disconnecting) == cancelling
+    assert (other.is_closed or other.disconnecting) == cancelling
     if not cancelling:
-        other.say(late + VALUE[:500])  # it begins, too
-    one.say(VALUE[1000:] + end)
+        other.send(late + VALUE[:500])  # it begins, too
+    one.send(VALUE[1000:] + end)
     s.pass_time(1)
-    assert client.take() == bulk(VALUE) and not client.ended
+    assert client.receive() == bulk(VALUE) and not client.is_closed
     assert s.counters.counts["completed.read"] == 1 and s.counters.counts["streams"] == 1
-    assert not len(s.node.host.rpcs)
+    assert not len(s.socket_node.host.rpcs)
