--- a/tests/peers.py
+++ b/tests/peers.py
@@ -37,7 +37,7 @@
 Settings = dict[str, Any]
 
 
-class Line:
+class PeerConnection:
     """One connection, from the peer's side."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -46,11 +46,11 @@
         sock.settimeout(WAIT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Send."""
         self.sock.sendall(data)
 
-    def value(self) -> Value:
+    def receive_value(self) -> Value:
         """The next value or command.
 
         Raises EOFError at the connection's end, ConnectionResetError at its reset.
@@ -64,7 +64,7 @@
                 raise EOFError
             self.parser.ring.write(data)
 
-    def head(self) -> bytes:
+    def receive_head(self) -> bytes:
         """An HTTP head, with its empty line."""
         data = b""
         while not data.endswith(b"\r\n\r\n"):
@@ -74,11 +74,11 @@
             data += byte
         return data
 
-    def silent(self, seconds: float) -> bool:
+    def is_silent(self, seconds: float) -> bool:
         """Whether nothing comes for so long."""
         return not select.select([self.sock], [], [], seconds)[0]
 
-    def ended(self, seconds: float = WAIT_S) -> str:
+    def wait_for_close(self, seconds: float = WAIT_S) -> str:
         """How the connection ends: 'fin' or 'reset'; '' where something else comes, or nothing."""
         self.sock.settimeout(seconds)
         try:
@@ -102,7 +102,7 @@
         self.sock.close()
 
 
-class Peer:
+class PeerServer:
     """A server that accepts when it is told to."""
 
     def __init__(self, backlog: int = 64) -> None:
@@ -111,48 +111,48 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(backlog)
         self.port: int = self.listener.getsockname()[1]
-        self.filler = socket.socket()
-        self.lines: list[Line] = []
+        self.backlog_connection = socket.socket()
+        self.connections: list[PeerConnection] = []
 
-    def accept(self, seconds: float = WAIT_S) -> Line:
+    def accept(self, seconds: float = WAIT_S) -> PeerConnection:
         """The next connection."""
         self.listener.settimeout(seconds)
-        line = Line(self.listener.accept()[0])
-        self.lines.append(line)
+        line = PeerConnection(self.listener.accept()[0])
+        self.connections.append(line)
         return line
 
-    def dialled(self, seconds: float) -> bool:
+    def has_pending_connection(self, seconds: float) -> bool:
         """Whether a connection waits to be accepted, within so long."""
         return bool(select.select([self.listener], [], [], seconds)[0])
 
-    def fill(self) -> None:
+    def fill_backlog(self) -> None:
         """From now on dials do not come up: its backlog (0) is full."""
-        self.filler = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S)
+        self.backlog_connection = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S)
 
-    def syn_sent(self) -> bool:
+    def has_connect_in_progress(self) -> bool:
         """Whether a dial is under way that has not come up."""
         lines = Path("/proc/net/tcp").read_text().splitlines()[1:]
         return any(
             w[2].endswith(f":{self.port:04X}") and w[3] == "02" for w in map(str.split, lines)
         )
 
-    def empty(self) -> None:
+    def empty_backlog(self) -> None:
         """Dials come up again, when their next SYN is sent."""
         self.listener.settimeout(WAIT_S)
         sock, address = self.listener.accept()
-        assert address == self.filler.getsockname()
+        assert address == self.backlog_connection.getsockname()
         sock.close()
-        self.filler.close()
+        self.backlog_connection.close()
 
     def close(self) -> None:
         """Close all that is open."""
-        for line in self.lines:
+        for line in self.connections:
             line.close()
-        self.filler.close()
+        self.backlog_connection.close()
         self.listener.close()
 
 
-class Real:
+class NodeProcess:
     """One node's process, with caches, the origin and discovery as peers; used as a context."""
 
     def __init__(
@@ -166,15 +166,15 @@
         """`limits`: the node's. `settings`: in place of those that tests use by default."""
         self.path = folder / "node.json"
         self.logs: list[dict[str, Any]] = []
-        self.caches = [Peer(backlog) for _ in range(caches)]
-        self.origin = Peer()
-        self.discovery = Peer()
+        self.caches = [PeerServer(backlog) for _ in range(caches)]
+        self.origin = PeerServer()
+        self.discovery = PeerServer()
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port: int = free.getsockname()[1]
         self.hosts = [listed_host(f"s{n}", peer.port) for n, peer in enumerate(self.caches)]
         self.hosts.append(listed_host("o1", self.origin.port, **{"class": "origin"}))
         self.settings = deepcopy(SETTINGS) | settings
-        self.told: Settings = {
+        self.configuration: Settings = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
             "seed": 7,
@@ -183,19 +183,19 @@
             "known": {"seq": 5, "whole": True, "hosts": self.hosts},
             "settings": self.settings,
         }
-        self.write()
+        self.write_configuration()
         self.environment = {"PROXY_CONFIG": str(self.path)}
-        self.clients: list[Line] = []
-        self._came = threading.Condition()
+        self.clients: list[PeerConnection] = []
+        self._log_changed = threading.Condition()
 
-    def write(self) -> None:
+    def write_configuration(self) -> None:
         """Put the configuration in place, by one rename."""
         beside = self.path.with_suffix(".new")
-        beside.write_text(json.dumps(self.told))
+        beside.write_text(json.dumps(self.configuration))
         os.replace(beside, self.path)
 
-    def __enter__(self) -> Real:
-        self.popen = subprocess.Popen(
+    def __enter__(self) -> NodeProcess:
+        self.process = subprocess.Popen(
             [sys.executable, "-O", "-m", "hookpitch"],
             cwd=ROOT,
             text=True,
@@ -203,23 +203,26 @@
             stderr=subprocess.PIPE,
         )
         threading.Thread(target=self._read, daemon=True).start()
-        self.log("serving")
+        self.wait_for_log("serving")
         return self
 
     def _read(self) -> None:
-        for text in self.popen.stderr:
-            with self._came:
+        for text in self.process.stderr:
+            with self._log_changed:
                 self.logs.append(json.loads(text) if text.startswith("{") else {"event": text})
-                self._came.notify_all()
+                self._log_changed.notify_all()
 
-    def log(self, event: str, count: int = 1) -> dict[str, Any]:
+    def wait_for_log(self, event: str, count: int = 1) -> dict[str, Any]:
         """The `count`-th log line whose event begins so, as soon as it is there."""
 
         def found() -> list[dict[str, Any]]:
             return [line for line in self.logs if line["event"].startswith(event)]
 
-        with self._came:
-            assert self._came.wait_for(lambda: len(found()) >= count, WAIT_S), (event, self.logs)
+        with self._log_changed:
+            assert self._log_changed.wait_for(lambda: len(found()) >= count, WAIT_S), (
+                event,
+                self.logs,
+            )
             return found()[count - 1]
 
     def __exit__(
@@ -228,10 +231,10 @@
         fault: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        if self.popen.poll() is None:
-            self.popen.send_signal(signal.SIGCONT)
-            self.popen.kill()
-        self.popen.wait()
+        if self.process.poll() is None:
+            self.process.send_signal(signal.SIGCONT)
+            self.process.kill()
+        self.process.wait()
         for line in self.clients:
             line.close()
         for peer in (*self.caches, self.origin, self.discovery):
@@ -241,86 +244,91 @@
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal to the process."""
-        self.popen.send_signal(number)
+        self.process.send_signal(number)
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
         """Suspend the process; what comes meanwhile stands unread in the kernel."""
         self.signal(signal.SIGSTOP)
-        stat = Path(f"/proc/{self.popen.pid}/stat")
-        self.until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
+        stat = Path(f"/proc/{self.process.pid}/stat")
+        self.wait_until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume the process."""
         self.signal(signal.SIGCONT)
 
-    def until(self, holds: Callable[[], bool]) -> None:
+    def wait_until(self, holds: Callable[[], bool]) -> None:
         """Wait until the condition holds."""
         end = time.monotonic() + WAIT_S
         while not holds():
             assert time.monotonic() < end, "it never came to be"
             time.sleep(POLL_S)
 
-    def left(self) -> int:
+    def wait_for_exit(self) -> int:
         """The exit code, once the process has ended."""
-        return self.popen.wait(WAIT_S)
+        return self.process.wait(WAIT_S)
 
-    def memory_kb(self) -> int:
+    def peak_memory_kb(self) -> int:
         """The most that the process has held."""
-        status = Path(f"/proc/{self.popen.pid}/status").read_text()
+        status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(
             next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1]
         )
 
     # ---- clients
 
-    def client(self) -> Line:
+    def connect_client(self) -> PeerConnection:
         """A client that connects."""
-        line = Line(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S))
+        line = PeerConnection(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S))
         self.clients.append(line)
         return line
 
-    def info(self) -> dict[str, int]:
+    def read_info(self) -> dict[str, int]:
         """The answer to INFO."""
-        line = self.client()
-        line.say(b"*1\r\n$4\r\nINFO\r\n")
-        text = line.value()
+        line = self.connect_client()
+        line.send(b"*1\r\n$4\r\nINFO\r\n")
+        text = line.receive_value()
         line.close()
         return {
             name: int(n) for name, _, n in (pair.partition(":") for pair in text.decode().split())
         }
 
-    def count(self, name: str) -> int:
+    def counter(self, name: str) -> int:
         """One counter of INFO; 0 where it has not counted yet."""
-        return self.info().get(name, 0)
+        return self.read_info().get(name, 0)
 
     # ---- servers
 
-    def asked(self, seconds: float = WAIT_S) -> tuple[int, Line]:
+    def accept_from_any_cache(self, seconds: float = WAIT_S) -> tuple[int, PeerConnection]:
         """The number of the cache that is dialled next, and the connection."""
         ready = select.select([peer.listener for peer in self.caches], [], [], seconds)[0]
         assert ready, "no cache was dialled"
         n = next(n for n, peer in enumerate(self.caches) if peer.listener is ready[0])
         return n, self.caches[n].accept()
 
-    def watch(self, *told: Settings) -> Line:
+    def answer_poll(self, *told: Settings) -> PeerConnection:
         """Discovery accepts the next poll, and answers it with these changes."""
         line = self.discovery.accept()
-        self.since = line.head()
-        line.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self.poll_head = line.receive_head()
+        line.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for change in told:
-            tell(line, change)
+            send_change(line, change)
         return line
 
-    def change(self, seq: int, n: int, **what: Any) -> Settings:  # noqa: ANN401 - JSON values
+    def endpoint_change(
+        self,
+        seq: int,
+        index: int,
+        **fields: Any,  # noqa: ANN401 - JSON values
+    ) -> Settings:
         """A change to the n-th backend, as discovery sends it."""
-        return {"seq": seq, "whole": False, "hosts": [self.hosts[n] | what]}
+        return {"seq": seq, "whole": False, "hosts": [self.hosts[index] | fields]}
 
 
 VALUE = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 
 
-def method(
+def method_settings(
     name: str,
     idempotency: str = "retryable",
     soft_s: float = 5.0,
@@ -336,11 +344,13 @@
     return plain | more
 
 
-def chunk(data: bytes) -> bytes:
+def http_chunk(data: bytes) -> bytes:
     """A chunk of an HTTP body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def tell(line: Line, change: Settings | bytes) -> None:
+def send_change(line: PeerConnection, change: Settings | bytes) -> None:
     """Discovery sends a change, or raw bytes, on a watch."""
-    line.say(chunk(change if isinstance(change, bytes) else json.dumps(change).encode() + b"\n"))
+    line.send(
+        http_chunk(change if isinstance(change, bytes) else json.dumps(change).encode() + b"\n")
+    )
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import VALUE, Line, Real, method, tell
+from peers import VALUE, NodeProcess, PeerConnection, method_settings, send_change
 from socket_node import get_command
 from test_members_properties import SAME
 
@@ -354,12 +354,15 @@
             self.sock.sendto(self.codec.write(message), self.node)
 
 
-def real(folder: Path, caches: int = 2, first: str = "list") -> tuple[Real, Member]:
+def real(folder: Path, caches: int = 2, first: str = "list") -> tuple[NodeProcess, Member]:
     """`first`: a member's list before the call to discovery is due (4 s after the start), or the
     call."""
     nodes = 400 if first == "list" else 1
-    r, member = Real(folder, caches, methods=[method("read")], balancers=nodes), Member()
-    r.told["seed"] = SEED
+    r, member = (
+        NodeProcess(folder, caches, methods=[method_settings("read")], balancers=nodes),
+        Member(),
+    )
+    r.configuration["seed"] = SEED
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
         own = f"127.0.0.1:{free.getsockname()[1]}"
@@ -367,28 +370,28 @@
         f'[members]\nlisten = "{own}"\nfleet = "f"\nseeds = ["{member.at}"]\n'
     )
     r.environment["HOOKPITCH_CONFIG"] = str(folder / "own.toml")
-    r.told["known"] = {"seq": 5, "whole": True, "hosts": []}
-    r.write()
+    r.configuration["known"] = {"seq": 5, "whole": True, "hosts": []}
+    r.write_configuration()
     return r, member
 
 
-def served(r: Real, id: str) -> int:
+def served(r: NodeProcess, id: str) -> int:
     """Which cache it goes to."""
-    client = r.client()
-    client.say(get_command(id, wait=5000))
-    n, line = r.asked()
-    assert line.value()[2] == id.encode()
-    line.say(VALUE)
-    assert client.value() == b"v"
+    client = r.connect_client()
+    client.send(get_command(id, wait=5000))
+    n, line = r.accept_from_any_cache()
+    assert line.receive_value()[2] == id.encode()
+    line.send(VALUE)
+    assert client.receive_value() == b"v"
     line.close()
     return n
 
 
-def since(r: Real) -> bytes:
-    return r.since.partition(b"since=")[2].split()[0]
+def since(r: NodeProcess) -> bytes:
+    return r.poll_head.partition(b"since=")[2].split()[0]
 
 
-def told(r: Real, seq: int, *without: int, **health: str) -> dict:
+def told(r: NodeProcess, seq: int, *without: int, **health: str) -> dict:
     some = [h for n, h in enumerate(r.hosts) if n not in without]
     hosts = [h | {"health": health.get(h["host"], h["health"])} for h in some]
     return {"seq": seq, "whole": True, "hosts": hosts}
@@ -401,20 +404,20 @@
     with r:
         assert member.wish()[0] == 5
         member.tell(told(r, 9, 1))
-        assert r.log("endpoint_list_accepted")["version"] == 9
-        r.until(lambda: r.count("lists.cached") == 2)
+        assert r.wait_for_log("endpoint_list_accepted")["version"] == 9
+        r.wait_until(lambda: r.counter("lists.cached") == 2)
         assert served(r, "r1") == 0  # discovery has said nothing yet; the list has one cache alone
-        watch = r.watch(
+        watch = r.answer_poll(
             told(r, 7, 0)
         )  # an older version, of which it is told by discovery: that goes first
         assert since(r) == b"0"
-        r.until(lambda: r.count("lists.full") == 1)
+        r.wait_until(lambda: r.counter("lists.full") == 1)
         assert served(r, "r2") == 1
         member.tell(told(r, 99, 1))
-        tell(watch, r.change(8, 1))
-        r.until(lambda: r.count("lists.delta") == 1)
+        send_change(watch, r.endpoint_change(8, 1))
+        r.wait_until(lambda: r.counter("lists.delta") == 1)
         assert served(r, "r3") == 1
-        assert r.count("members.lists_taken") == 1
+        assert r.counter("members.lists_taken") == 1
         member.ask(3)
         version, _, whole, n, count, part = member.part()
         text = zlib.decompress(part)
@@ -432,19 +435,19 @@
             first == "call"
         ):  # its changes are since what was held before: they may not be put on this list
             line = r.discovery.accept()
-            assert b"since=5" in line.head()
+            assert b"since=5" in line.receive_head()
             member.wish()
             member.tell(told(r, 9, 1))
-            r.until(lambda: r.count("members.lists_taken") == 1)
-            assert r.count("lists.cached") == 1
+            r.wait_until(lambda: r.counter("members.lists_taken") == 1)
+            assert r.counter("lists.cached") == 1
             line.reset()
-            r.until(lambda: r.count("lists.cached") == 2)
+            r.wait_until(lambda: r.counter("lists.cached") == 2)
         else:
             member.wish()
             member.tell(told(r, 9, 1))
-            r.until(lambda: r.count("lists.cached") == 2)
+            r.wait_until(lambda: r.counter("lists.cached") == 2)
         assert served(r, "r1") == 0
-        r.watch(told(r, 9))
+        r.answer_poll(told(r, 9))
         assert since(r) == b"0"
 
 
@@ -455,23 +458,23 @@
         member.tell(
             told(r, (1 << 61), 0, s1="terminating")
         )  # nobody is ready in it: no list to begin with
-        r.until(lambda: r.count("members.lists_wrong") == 1)
+        r.wait_until(lambda: r.counter("members.lists_wrong") == 1)
         member.wish()
         member.tell(told(r, (1 << 61), 1))
-        r.until(lambda: r.count("lists.cached") == 2)
-        r.watch(told(r, 6, 0))  # discovery's count, far below the one that was told
-        r.until(lambda: r.count("lists.full") == 1)
+        r.wait_until(lambda: r.counter("lists.cached") == 2)
+        r.answer_poll(told(r, 6, 0))  # discovery's count, far below the one that was told
+        r.wait_until(lambda: r.counter("lists.full") == 1)
         assert served(r, "r1") == 1
 
 
 def test_a_drain_in_a_members_list_takes_effect_at_once(tmp_path: Path) -> None:
     r, member = real(tmp_path)
-    r.told["known"] = {"seq": 5, "whole": True, "hosts": r.hosts}
-    r.write()
+    r.configuration["known"] = {"seq": 5, "whole": True, "hosts": r.hosts}
+    r.write_configuration()
     with r:
         member.wish()
         member.tell(told(r, 9, s0="terminating"))
-        r.until(lambda: r.count("lists.cached") == 2)
+        r.wait_until(lambda: r.counter("lists.cached") == 2)
         assert {served(r, f"r{n}") for n in range(6)} == {
             1
         }  # its grace is for what is sent already
@@ -482,6 +485,6 @@
     with r:
         for _ in range(3):
             assert member.wish() == (5, b"", 15)
-        client: Line = r.client()
-        client.say(get_command("r1", wait=300))
-        assert isinstance(client.value(), ErrorReply)
+        client: PeerConnection = r.connect_client()
+        client.send(get_command("r1", wait=300))
+        assert isinstance(client.receive_value(), ErrorReply)
