--- a/hookpitch/cli/__init__.py
+++ b/hookpitch/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: `hookpitch ...`, one file a command."""
+"""The command line `hookpitch ...`: each command has its own file."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A router for fleets of cache servers, and the tools around it."""
+    """Run a client-side router for fleets of cache servers, or one of its tools."""
 
 
 for command in (node, check, members, snapshot, standin, lab):
--- a/hookpitch/cli/__main__.py
+++ b/hookpitch/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m hookpitch.cli`."""
+"""Entry point of `python -m hookpitch.cli`."""
 
 from hookpitch.cli import main
 
--- a/hookpitch/cli/check.py
+++ b/hookpitch/cli/check.py
@@ -1,4 +1,4 @@
-"""`hookpitch check FILE`."""
+"""The command `hookpitch check FILE`, which validates a file without running it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def _describe(path: Path) -> str:
-    """What the file holds, once it has been checked. Raises ValueError or OSError."""
+    """Check the file and return a summary of it. Raise ValueError or OSError if it is invalid."""
     if path.suffix == ".json":
         return _describe_node(path)
     text = path.read_text(encoding="utf-8")
--- a/hookpitch/cli/errors.py
+++ b/hookpitch/cli/errors.py
@@ -1,4 +1,4 @@
-"""How commands end where something is wrong: one line on standard error, and exit code 2."""
+"""How a command ends after an error: with one line on standard error and exit code 2."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 import click
 
-EXIT_WRONG_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 
 def fail(text: str) -> NoReturn:
-    """Print the text and exit."""
+    """Print the text to standard error and exit."""
     click.echo(text, err=True)
-    sys.exit(EXIT_WRONG_INPUT)
+    sys.exit(EXIT_INVALID_INPUT)
 
 
 @contextmanager
 def exit_on(*errors: type[Exception]) -> Iterator[None]:
-    """Print such an error's text and exit."""
+    """Print the text of an error of one of these types, and exit."""
     try:
         yield
     except errors as error:
--- a/hookpitch/cli/lab/__init__.py
+++ b/hookpitch/cli/lab/__init__.py
@@ -1,4 +1,4 @@
-"""`hookpitch lab ...`: experiments."""
+"""The commands `hookpitch lab ...`, which run experiments."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @click.group()
 def lab() -> None:
-    """Experiments: the real node among stand-ins, under faults, judged."""
+    """Run the real node among fake servers, inject faults, and check the results."""
 
 
 for command in (list_experiments, run, compare, fuzz):
--- a/hookpitch/cli/lab/compare.py
+++ b/hookpitch/cli/lab/compare.py
@@ -1,4 +1,4 @@
-"""`hookpitch lab compare`."""
+"""The command `hookpitch lab compare`, which compares the results of two experiments."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @click.argument("a", type=click.Path(exists=True, path_type=Path))
 @click.argument("b", type=click.Path(exists=True, path_type=Path))
 def compare(a: Path, b: Path) -> None:
-    """Two files of figures side by side."""
+    """Print the figures of two result files side by side."""
     for first, second in zip(_read_figures(a), _read_figures(b), strict=False):
         _print_comparison(first, second)
 
--- a/hookpitch/cli/lab/fuzz.py
+++ b/hookpitch/cli/lab/fuzz.py
@@ -1,4 +1,4 @@
-"""`hookpitch lab fuzz`."""
+"""The command `hookpitch lab fuzz`, which searches for experiments that break a rule."""
 
 from __future__ import annotations
 
@@ -15,15 +15,22 @@
 @click.option("--runs", type=int, default=100, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--keep", type=click.Path(path_type=Path), help="Write what is found there, as experiments."
+    "--keep",
+    type=click.Path(path_type=Path),
+    help="Write the findings to this directory, as experiment files.",
+)
+@click.option(
+    "--only",
+    help="Only these kinds of faults, separated by commas; `links` and `processes` are groups.",
 )
-@click.option("--only", help="Kinds of faults, with commas; `links` and `processes` are theirs.")
 @click.option(
     "--clock", type=click.Choice(["virtual", "wall"]), default="virtual", show_default=True
 )
 def fuzz(runs: int, seed: int, keep: Path | None, only: str | None, clock: str) -> None:
-    """Draw experiments, run them, and shrink those that break a rule (on loopback they stay as
-    they are)."""
+    """Run random experiments, and reduce those that break a rule.
+
+    With --clock wall, experiments are not reduced.
+    """
     kinds = _fault_kinds(only)
     if clock == "wall":
         found_any = _fuzz_on_processes(runs, seed, keep, kinds)
@@ -33,7 +40,7 @@
 
 
 def _fault_kinds(only: str | None) -> Sequence[str]:
-    """The kinds that the option names, or all."""
+    """Return the kinds of faults that the option names, or all kinds."""
     from hookpitch.testbed.experiment_schema import LINK_FAULTS, PROCESS_FAULTS
     from hookpitch.testbed.fuzz_draw import KINDS
 
@@ -42,7 +49,7 @@
     kinds = [kind for word in words for kind in groups.get(word, (word,))]
     for kind in kinds:
         if kind not in KINDS:
-            fail(f"--only: '{kind}' is none of links, processes, {', '.join(KINDS)}")
+            fail(f"--only: unknown kind '{kind}', expected links, processes, {', '.join(KINDS)}")
     return kinds or KINDS
 
 
@@ -58,11 +65,11 @@
     from hookpitch.testbed import fuzz as fuzzing
     from hookpitch.testbed.fuzz_draw import experiment_text
 
-    found = fuzzing.fuzz(runs, seed, lambda text: click.echo(text, err=True), kinds)
-    for finding in found:
+    findings = fuzzing.fuzz(runs, seed, lambda text: click.echo(text, err=True), kinds)
+    for finding in findings:
         click.echo(f"seed {finding.seed}: {', '.join(finding.broken)}\n  {finding.first}")
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
             (keep / f"{finding.small.name}.toml").write_text(experiment_text(finding.small))
-    click.echo(f"{runs} runs, {len(found)} found")
-    return bool(found)
+    click.echo(f"{runs} runs, {len(findings)} found")
+    return bool(findings)
--- a/hookpitch/cli/lab/list_experiments.py
+++ b/hookpitch/cli/lab/list_experiments.py
@@ -1,4 +1,4 @@
-"""`hookpitch lab list`."""
+"""The command `hookpitch lab list`, which prints the known experiments."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @click.command("list")
 def list_experiments() -> None:
-    """The experiments at hand."""
+    """Print the known experiments."""
     from hookpitch.testbed.experiment import load
 
     for path in experiment_files():
--- a/hookpitch/cli/lab/run.py
+++ b/hookpitch/cli/lab/run.py
@@ -1,4 +1,4 @@
-"""`hookpitch lab run`."""
+"""The command `hookpitch lab run`, which runs experiments and reports their results."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from hookpitch.testbed.base_run import RunResult
     from hookpitch.testbed.experiment_schema import Experiment
 
-MAX_LINES = 5  # printed of each kind of finding
+MAX_LINES = 5  # printed for each kind of finding
 EXIT_BROKEN = 1
 EXIT_VOID = 3
 
@@ -26,13 +26,15 @@
 @click.option(
     "--clock", type=click.Choice(["virtual", "wall"]), default="virtual", show_default=True
 )
-@click.option("--seed", type=int, help="In place of the file's.")
+@click.option("--seed", type=int, help="Use this seed instead of the one in the file.")
 @click.option(
-    "--json", "json_path", type=click.Path(path_type=Path), help="Write the figures there."
+    "--json", "json_path", type=click.Path(path_type=Path), help="Write the figures to this file."
 )
-@click.option("--report", type=click.Path(path_type=Path), help="Write an HTML page there.")
+@click.option("--report", type=click.Path(path_type=Path), help="Write an HTML page to this file.")
 @click.option(
-    "--logs", type=click.Path(path_type=Path), help="Keep every process's log there (wall)."
+    "--logs",
+    type=click.Path(path_type=Path),
+    help="Write the logs of all processes to this directory (with --clock wall).",
 )
 def run(
     names: tuple[str, ...],
@@ -42,21 +44,24 @@
     report: Path | None,
     logs: Path | None,
 ) -> None:
-    """Run experiments. Exit 0: rules and expectations hold; 1: not; 2: a file is wrong, or a run
-    did not come about; 3: the rig fell behind, and nothing is judged."""
+    """Run experiments.
+
+    Exit code 0: all rules and expectations hold. 1: at least one does not hold. 2: a file is
+    invalid, or a run did not start. 3: the test environment fell behind, and the run is void.
+    """
     from hookpitch.testbed.metrics import summary
 
     if clock == "wall" and len(names) > 1:
-        fail("one experiment at a time with --clock wall: its reactor runs once")
+        fail("--clock wall runs only one experiment, because its reactor cannot be restarted")
     results: list[dict[str, Any]] = []
     for name in names:
         experiment = _load(name)
         run_seed = experiment.seed if seed is None else seed
         if clock == "virtual":
-            ended = _run_in_virtual_time(experiment, run_seed)
+            result = _run_in_virtual_time(experiment, run_seed)
         else:
-            ended = _run_on_processes(experiment, run_seed, logs)
-        figures = summary(ended)
+            result = _run_on_processes(experiment, run_seed, logs)
+        figures = summary(result)
         results.append(figures)
         _print_result(figures)
     if json_path is not None:
@@ -86,10 +91,10 @@
 
     show_progress = sys.stderr.isatty()
     with exit_on(ValueError):
-        ended = run_on_loopback(experiment, seed, logs, _progress if show_progress else None)
+        result = run_on_loopback(experiment, seed, logs, _progress if show_progress else None)
     if show_progress:
         click.echo(err=True)
-    return ended
+    return result
 
 
 def _progress(text: str) -> None:
@@ -103,7 +108,7 @@
 
 
 def _holds(figures: dict[str, Any]) -> bool:
-    """Whether no rule was broken, nothing raised, and every expectation holds."""
+    """Return whether no rule was broken, no error was raised, and every expectation holds."""
     return (
         not figures["broken"]
         and not figures["programs"]
@@ -115,7 +120,7 @@
     whole = figures["whole"]
     click.echo(
         f"{figures['name']}: served {whole['served']:.3f}, p99 {whole['p99_ms']:.0f} ms, "
-        f"{whole['transmissions']:.2f} transmissions an RPC, {figures['rpcs']} RPCs "
+        f"{whole['transmissions']:.2f} transmissions per RPC, {figures['rpcs']} RPCs "
         f"in {figures['real_s']:.1f} s, "
         f"digest {figures['digest'][:12]}"
     )
@@ -126,8 +131,8 @@
     if figures["rig"]:
         who, late_ms = max(figures["rig"].items(), key=lambda item: item[1])
         click.echo(
-            f"  the rig was {late_ms:.0f} ms late at the worst ({who}); "
-            "bounds are wider by twice that"
+            f"  the test environment was at most {late_ms:.0f} ms late ({who}); "
+            "bounds are extended by twice that"
         )
     for text in figures["broken"][:MAX_LINES]:
         click.echo(f"  broken: {text}")
--- a/hookpitch/cli/node.py
+++ b/hookpitch/cli/node.py
@@ -1,4 +1,4 @@
-"""`hookpitch node`."""
+"""The command `hookpitch node`, which runs one node."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     "--post",
     "node_file",
     type=click.Path(path_type=Path),
-    help="The node's JSON file; else PROXY_CONFIG.",
+    help="The node's JSON file; by default the path in PROXY_CONFIG.",
 )
 @click.option(
     "--config",
     "operator_file",
     type=click.Path(path_type=Path),
-    help="The operator's file; else HOOKPITCH_CONFIG.",
+    help="The operator's TOML file; by default the path in HOOKPITCH_CONFIG.",
 )
 def node(node_file: Path | None, operator_file: Path | None) -> None:
     """Run one node in the foreground, as `python -m hookpitch` does."""
@@ -28,7 +28,8 @@
         os.environ["PROXY_CONFIG"] = str(node_file)
     if operator_file is not None:
         os.environ["HOOKPITCH_CONFIG"] = str(operator_file)
-    # Imported once the environment is complete: it installs the process's reactor.
+    # This import follows the changes to the environment, because it installs the reactor of the
+    # process.
     from hookpitch.__main__ import main
 
     sys.exit(main())
--- a/hookpitch/cli/standin.py
+++ b/hookpitch/cli/standin.py
@@ -1,4 +1,4 @@
-"""`hookpitch standin fleet`: the stand-ins of an experiment as processes on loopback."""
+"""The command `hookpitch standin fleet`: runs the fakes of an experiment on loopback."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @click.group()
 def standin() -> None:
-    """Stand-ins of what a node meets."""
+    """Run fakes of the servers that a node talks to."""
 
 
 @standin.command()
@@ -20,11 +20,10 @@
     "--post",
     "node_file",
     type=click.Path(path_type=Path),
-    help="Write the JSON file of a node for them.",
+    help="Write the JSON file of a node that uses this fleet.",
 )
 def fleet(path: Path, node_file: Path | None) -> None:
-    """Cache servers, the origin and discovery of an experiment's file, on loopback until they are
-    ended."""
+    """Run the caches, the origin and discovery of an experiment file on loopback until stopped."""
     from hookpitch.testbed.experiment import load
     from hookpitch.testbed.process_run import serve_fleet
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -769,7 +769,7 @@
     assert any(line.startswith("n2 suspected for=") and line.endswith("by=n9") for line in lines)
     wrong = CliRunner().invoke(main, ["members", "nowhere"])
     assert wrong.exit_code == 2
-    assert "no address" in wrong.output
+    assert "'nowhere' is neither a file nor an address" in wrong.output
 
 
 def test_a_node_without_the_section_imports_nothing_of_members() -> None:
