--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -18,10 +18,10 @@
 )
 from hookpitch.balancer.router import Router
 
-ORIGIN = 9
+ORIGIN_KIND = 9
 
 
-def deployment(**changes: object) -> Deployment:
+def make_deployment(**changes: object) -> Deployment:
     """A plain deployment: caches aside, one retriable method, one node."""
     base: dict[str, object] = {
         "seed": 7,
@@ -29,7 +29,7 @@
         "methods": (Method("read", 400.0, 1000.0, 1.0),),
         "tenants": (),
         "polling_required": True,
-        "origin_kind": ORIGIN,
+        "origin_kind": ORIGIN_KIND,
         "tick_ms": 1.0,
         "max_attempts": 3,
         "hedging_allowed": False,
@@ -47,7 +47,7 @@
     return Deployment(**(base | changes))  # type: ignore[arg-type]
 
 
-def entry(
+def make_endpoint(
     id: str,
     state: EndpointState = EndpointState.READY,
     started: float = 0.0,
@@ -74,7 +74,7 @@
                 rng.choice([10.0, 300.0, 2000.0]),
             )
         )
-    plain = deployment(
+    plain = make_deployment(
         seed=rng.randrange(2**31),
         nodes=rng.choice([0, 1, 3, 5, 400]),
         connection_hold_cost=rng.choice([0.0, 0.03]),
@@ -84,7 +84,7 @@
             Tenant(f"c{i}", rng.choice([0.0, 5.0, 40.0])) for i in range(rng.randint(0, 3))
         ),
         polling_required=rng.random() < 0.7,
-        origin_kind=rng.choice([ORIGIN, -1]),
+        origin_kind=rng.choice([ORIGIN_KIND, -1]),
         max_attempts=rng.randint(1, 6),
         hedging_allowed=rng.random() < 0.3,
         cancellation_enabled=rng.random() < 0.7,
@@ -136,7 +136,7 @@
         self.methods = {method.name: method for method in deployment.methods}
         self.endpoints: dict[str, Endpoint] = {}  # as the router was last told of each
         self.draining_ids: set[str] = set()  # seen draining, and not ready since
-        self.open: dict[str, tuple[Method, float]] = {}  # RPC -> method, hard deadline
+        self.open_rpcs: dict[str, tuple[Method, float]] = {}  # RPC -> method, hard deadline
         self.attempts: dict[str, list[SentAttempt]] = {}
         self.in_flight: list[tuple[str, int]] = []  # RPC, number of its attempt
         self.answers: dict[str, str] = {}
@@ -145,15 +145,15 @@
         self.arrivals: list[float] = []
         self.sends_before_start: dict[str, int] = {}  # by backend: when its start was listed
         self.logs: list[str] = []
-        self.closed: list[str] = []
-        self.count = 0
+        self.closed_backends: list[str] = []
+        self.rpc_count = 0
         self.behaviors: dict[str, str] = {}  # by backend, drawn
 
     # the host's side
 
     def send(self, rpc_id: str, backend_id: str, timeout_ms: float, start_within_ms: float) -> None:
-        assert rpc_id in self.open, "rule 1: sent after the RPC's end"
-        method, deadline = self.open[rpc_id]
+        assert rpc_id in self.open_rpcs, "rule 1: sent after the RPC's end"
+        method, deadline = self.open_rpcs[rpc_id]
         earlier = self.attempts[rpc_id]
         assert start_within_ms > 0
         assert timeout_ms > 0 and self.now + timeout_ms <= deadline, (
@@ -186,11 +186,11 @@
                 "rule 2: outside group or window"
             )
         self.sends.append((self.now, backend_id, rpc_id))
-        self._check_cold(backend_id)
+        self._check_slow_start_limit(backend_id)
         earlier.append(SentAttempt(backend_id, self.now, self.now + timeout_ms))
         self.in_flight.append((rpc_id, len(earlier) - 1))
 
-    def _check_cold(self, backend_id: str) -> None:
+    def _check_slow_start_limit(self, backend_id: str) -> None:
         """Rule 4: in any window no more than the multiple of a warm server's load, cut by the
         warm-up."""
         e, d = self.endpoints[backend_id], self.deployment
@@ -224,14 +224,14 @@
         assert self.deployment.cancellation_enabled
         self.attempts[rpc_id][attempt].cancel(self.now)
 
-    def _final(self, rpc_id: str, answer: str) -> None:
-        assert rpc_id in self.open, "rule 1: a second final answer"
-        assert self.now <= self.open[rpc_id][1], "rule 1: answered past the hard deadline"
-        del self.open[rpc_id]
+    def _close_rpc(self, rpc_id: str, answer: str) -> None:
+        assert rpc_id in self.open_rpcs, "rule 1: a second final answer"
+        assert self.now <= self.open_rpcs[rpc_id][1], "rule 1: answered past the hard deadline"
+        del self.open_rpcs[rpc_id]
         self.answers[rpc_id] = answer
 
     def reject(self, rpc_id: str, retry_after_ms: float) -> None:
-        method = self.methods_of(rpc_id)
+        method = self.open_method(rpc_id)
         assert 0 <= retry_after_ms <= self.deployment.max_retry_after_ms
         if method.idempotency != Idempotency.IDEMPOTENT and any(
             t.may_have_run for t in self.attempts[rpc_id]
@@ -240,20 +240,20 @@
             assert deduped and method.dedup_scope == "all", (
                 "rule 2: exhausted though it may have run"
             )
-        self._final(rpc_id, "exhausted")
+        self._close_rpc(rpc_id, "exhausted")
 
-    def methods_of(self, rpc_id: str) -> Method:
-        assert rpc_id in self.open, "rule 1: a second final answer"
-        return self.open[rpc_id][0]
+    def open_method(self, rpc_id: str) -> Method:
+        assert rpc_id in self.open_rpcs, "rule 1: a second final answer"
+        return self.open_rpcs[rpc_id][0]
 
     def fail(self, rpc_id: str) -> None:
-        self._final(rpc_id, "errored")
+        self._close_rpc(rpc_id, "errored")
 
     def close_idle(self, backend_id: str) -> None:
         assert backend_id in self.endpoints and all(
             self.attempts[r][n].server != backend_id for r, n in self.in_flight
         )
-        self.closed.append(backend_id)
+        self.closed_backends.append(backend_id)
 
     def schedule_wakeup(self, at_ms: float) -> None:
         self.wakeups.append(at_ms)
@@ -267,16 +267,16 @@
 
     # what happens to the node
 
-    def settle(self) -> None:
+    def decide_until_idle(self) -> None:
         for _ in range(100000):
             if not self.router.decide(self.now, self):
                 break
         else:
             raise AssertionError("decisions without end")
-        for rpc_id, (_, deadline) in self.open.items():
+        for rpc_id, (_, deadline) in self.open_rpcs.items():
             assert self.now <= deadline, f"rule 1: {rpc_id} lost"
 
-    def listed(
+    def update_endpoints(
         self, entries: list[Endpoint], kind: EndpointUpdate = EndpointUpdate.SNAPSHOT
     ) -> None:
         if kind != EndpointUpdate.DELTA and kind != EndpointUpdate.FAILED:
@@ -294,7 +294,7 @@
                 self.draining_ids.discard(e.id)
         if kind != EndpointUpdate.FAILED:  # what was told before stands
             self.router.update_endpoints(self.now, kind, entries)
-        self.settle()
+        self.decide_until_idle()
 
     def arrive(
         self,
@@ -304,30 +304,30 @@
         write: bool = False,
         grace: float = 0.0,
     ) -> str:
-        self.count += 1
-        rpc_id, m = f"rpc{self.count}", self.methods[method or self.deployment.methods[0].name]
+        self.rpc_count += 1
+        rpc_id, m = f"rpc{self.rpc_count}", self.methods[method or self.deployment.methods[0].name]
         grace = grace or m.hard_ms
         self.arrivals.append(self.now)
-        self.open[rpc_id], self.attempts[rpc_id] = (m, self.now + grace), []
+        self.open_rpcs[rpc_id], self.attempts[rpc_id] = (m, self.now + grace), []
         self.router.rpc_arrived(self.now, rpc_id, key, m.name, tenant, write, grace)
-        self.settle()
+        self.decide_until_idle()
         return rpc_id
 
-    def ask_a_hot_key(self) -> None:
+    def request_hot_key(self) -> None:
         """A quarter of 200 RPCs is for one key; all are served at once."""
         for i in range(200):
-            self.end(self.arrive("hot" if i % 4 == 0 else f"k{i}"), Outcome.COMPLETED)
+            self.end_attempt(self.arrive("hot" if i % 4 == 0 else f"k{i}"), Outcome.COMPLETED)
 
-    def end(self, rpc_id: str, outcome: Outcome, n: int = -1) -> None:
+    def end_attempt(self, rpc_id: str, outcome: Outcome, n: int = -1) -> None:
         n = n if n >= 0 else len(self.attempts[rpc_id]) - 1
         tx = self.attempts[rpc_id][n]
         tx.done, tx.may_have_run = True, tx.may_have_run and outcome not in NOT_EXECUTED
         self.in_flight.remove((rpc_id, n))
-        if outcome == Outcome.COMPLETED and rpc_id in self.open:
-            self._final(rpc_id, "completed")
-        last = rpc_id not in self.open
+        if outcome == Outcome.COMPLETED and rpc_id in self.open_rpcs:
+            self._close_rpc(rpc_id, "completed")
+        last = rpc_id not in self.open_rpcs
         self.router.attempt_ended(self.now, rpc_id, n, outcome, last, self.now - tx.sent_at, {})
-        self.settle()
+        self.decide_until_idle()
 
     def pass_time(self, span: float) -> None:
         """Let time pass, with time-outs, cancels and wakes in their order."""
@@ -340,7 +340,7 @@
                 break
             self.now = max(self.now, min(at, wake))
             if at <= wake:
-                self.end(
+                self.end_attempt(
                     r,
                     Outcome.CANCELLED if self.attempts[r][n].cancelled else Outcome.TIMEOUT,
                     n,
@@ -348,7 +348,7 @@
             else:
                 self.wakeups.remove(wake)
                 self.router.timer_fired(self.now)
-                self.settle()
+                self.decide_until_idle()
         self.now = end
 
     def step(self) -> None:
@@ -379,7 +379,9 @@
                     last = bad.get(
                         mood, rng.choice([Outcome.ERROR, Outcome.CANCELLED, Outcome.OVERLOADED])
                     )
-                    self.end(r, rng.choices([Outcome.COMPLETED, Outcome.MISS, last], odds)[0], n)
+                    self.end_attempt(
+                        r, rng.choices([Outcome.COMPLETED, Outcome.MISS, last], odds)[0], n
+                    )
         elif act < 0.84 and self.endpoints:
             server = rng.choice(sorted(self.endpoints))
             self.behaviors[server] = rng.choice(["well", "silent", "full", "dead", "aside"])
@@ -400,17 +402,17 @@
                 else rng.choice([0, 1, -2])
             )
             changed = Endpoint(e.id, e.zone, e.cell, started, state, kind, e.size)
-            self.listed([changed], EndpointUpdate.DELTA)
+            self.update_endpoints([changed], EndpointUpdate.DELTA)
         elif act < 0.88:
-            self.listed([], EndpointUpdate.FAILED)
-        elif act < 0.89 and self.open:
-            rpc_id = rng.choice(sorted(self.open))
-            del self.open[rpc_id]
+            self.update_endpoints([], EndpointUpdate.FAILED)
+        elif act < 0.89 and self.open_rpcs:
+            rpc_id = rng.choice(sorted(self.open_rpcs))
+            del self.open_rpcs[rpc_id]
             self.router.client_disconnected(self.now, rpc_id)
-            self.settle()
+            self.decide_until_idle()
         elif act < 0.9:  # calls that cannot be
             self.router.attempt_ended(self.now, "nobody", 0, Outcome.COMPLETED, True, 1.0, {})
             self.router.client_disconnected(self.now, "nobody")
-            self.settle()
+            self.decide_until_idle()
         else:
             self.pass_time(rng.choice([1.0, 20.0, 200.0]))
--- a/tests/random_faults.py
+++ b/tests/random_faults.py
@@ -24,28 +24,28 @@
 
 
 class RandomFaults:
-    """One node, and all that is around it. Fails the test where the node breaks a rule.
+    """One node with its clients, servers and network. Fails the test if the node breaks a rule.
 
-    `asked`: by connection, the ids of RPCs in the order of their commands. `due`: the hard
-    deadlines of open RPCs. `once`: of RPCs that are not idempotent, whether they may have run.
-    `out`: the connections of attempts that wait for an answer. `not_ready`: ports of backends that
-    discovery listed as not ready, and since when.
+    `unanswered`: by connection, the ids of RPCs in the order of their commands. `deadlines`: the
+    hard deadlines of open RPCs. `non_idempotent`: for each RPC that is not idempotent, whether it
+    may have been executed. `in_flight`: the connections of attempts that wait for an answer.
+    `not_ready_since`: by port, when discovery listed the backend as not ready.
     """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.sockets = NodeOnMemoryNetwork(len(CACHE_PORTS))
-        self.network = self.sockets.network
-        self.network.on_write = self.written
-        self.count = 0
+        self.node = NodeOnMemoryNetwork(len(CACHE_PORTS))
+        self.network = self.node.network
+        self.network.on_write = self.output_written
+        self.rpc_count = 0
         self.clients: list[MemoryConnection] = []
-        self.asked: dict[int, list[str]] = {}
+        self.unanswered: dict[int, list[str]] = {}
         self.answers: dict[str, object] = {}
-        self.due: dict[str, float] = {}
-        self.once: dict[str, bool] = {}
-        self.out: dict[str, MemoryConnection] = {}
+        self.deadlines: dict[str, float] = {}
+        self.non_idempotent: dict[str, bool] = {}
+        self.in_flight: dict[str, MemoryConnection] = {}
         self.parsers: dict[int, Parser] = {}
-        self.not_ready: dict[int, float] = {}
+        self.not_ready_since: dict[int, float] = {}
 
     @property
     def now(self) -> float:
@@ -54,37 +54,37 @@
 
     # ---- what the node does
 
-    def written(self, line: MemoryConnection, data: bytes) -> None:
+    def output_written(self, line: MemoryConnection, data: bytes) -> None:
         """The node has written to a connection."""
         if line.port == DISCOVERY_PORT:
             return
         if line.port == ORIGIN_PORT:
             for head in data.split(b"X-Request-Id: ")[1:]:
-                self.sent(line, head.split(b"\r\n")[0].decode())
+                self.attempt_sent(line, head.split(b"\r\n")[0].decode())
             return
         parser = self.parsers.setdefault(id(line), Parser(Ring()))
         parser.ring.write(data)
         while (value := parser.next_value()) is not NEED_DATA:
             if line.port == 0:
-                self.answered(line, value)
+                self.reply_received(line, value)
             else:
-                self.sent(line, value[2].decode())
+                self.attempt_sent(line, value[2].decode())
 
-    def sent(self, line: MemoryConnection, rpc: str) -> None:
+    def attempt_sent(self, line: MemoryConnection, rpc: str) -> None:
         """An attempt has been sent to a backend."""
-        over = rpc in self.answers or rpc not in self.due or self.now > self.due[rpc]
+        over = rpc in self.answers or rpc not in self.deadlines or self.now > self.deadlines[rpc]
         assert not over, "rule 1: sent for an RPC that is over"
-        before = self.out.get(rpc)
+        before = self.in_flight.get(rpc)
         assert before is None or before.is_closed or before.disconnecting, "two out at once"
-        assert not self.once.get(rpc, False), "rule 2: it may have run before"
-        assert self.now <= self.not_ready.get(line.port, self.now) + REMOVAL_MS, "rule 3"
-        self.out[rpc] = line
-        if rpc in self.once:
-            self.once[rpc] = True
+        assert not self.non_idempotent.get(rpc, False), "rule 2: it may have run before"
+        assert self.now <= self.not_ready_since.get(line.port, self.now) + REMOVAL_MS, "rule 3"
+        self.in_flight[rpc] = line
+        if rpc in self.non_idempotent:
+            self.non_idempotent[rpc] = True
 
-    def answered(self, line: MemoryConnection, answer: object) -> None:
+    def reply_received(self, line: MemoryConnection, answer: object) -> None:
         """A client has got the answer to its oldest RPC."""
-        rpc = self.asked[id(line)].pop(0)
+        rpc = self.unanswered[id(line)].pop(0)
         assert rpc not in self.answers, "rule 1: a second answer"
         if isinstance(answer, bytes) and not isinstance(answer, ErrorReply):
             assert answer.startswith(f"{rpc}:".encode()), "a value made for another RPC"
@@ -96,16 +96,16 @@
         """One random event, and the check of the rules."""
         act = self.rng.random()
         if act < 0.25:
-            self.ask()
-        elif act < 0.7 and self.out:
-            for rpc in self.rng.sample(sorted(self.out), min(len(self.out), 9)):
-                self.reply(rpc, self.out.pop(rpc))
+            self.send_commands()
+        elif act < 0.7 and self.in_flight:
+            for rpc in self.rng.sample(sorted(self.in_flight), min(len(self.in_flight), 9)):
+                self.send_reply(rpc, self.in_flight.pop(rpc))
         elif act < 0.74:
             self.change_dials()
         elif act < 0.78 and self.clients:
             self.disconnect_client()
         elif act < 0.82:
-            self.discovery()
+            self.send_endpoint_change()
         elif act < 0.83 and self.clients:
             line = self.rng.choice(self.clients)
             line.is_reading = not line.is_reading
@@ -114,21 +114,23 @@
         elif act < 0.88 and self.network.connections:
             self.rng.choice(self.network.connections).close()
         else:
-            self.sockets.pass_time(self.rng.choice([1, 5, 30, 100, 300]))
-        self.settle()
+            self.node.pass_time(self.rng.choice([1, 5, 30, 100, 300]))
+        self.deliver_output()
 
-    def settle(self) -> None:
+    def deliver_output(self) -> None:
         """All peers that read take what was written; no RPC may be late."""
         for line in self.network.connections + self.clients:
             line.receive()
         for line in self.clients:
             # RPCs of a client are answered in order: the others wait behind the first.
-            heads = [self.due[rpc] for rpc in self.asked[id(line)][:1]]
+            heads = [self.deadlines[rpc] for rpc in self.unanswered[id(line)][:1]]
             overdue = any(self.now > at + ANSWER_GRACE_MS for at in heads)
             late = line.is_reading and not line.is_paused and overdue
             assert not late, "rule 1: not answered before the hard deadline"
         for line in [line for line in self.clients if line.disconnecting]:
-            assert not self.asked[id(line)], "a client's connection was closed with an RPC open"
+            assert not self.unanswered[id(line)], (
+                "a client's connection was closed with an RPC open"
+            )
             self.clients.remove(line)
 
     def change_dials(self) -> None:
@@ -154,17 +156,17 @@
 
     def forget_client(self, line: MemoryConnection) -> None:
         """From now on nothing may be sent for what the client asked."""
-        for rpc in self.asked[id(line)]:
-            del self.due[rpc]
+        for rpc in self.unanswered[id(line)]:
+            del self.deadlines[rpc]
         self.clients.remove(line)
 
-    def ask(self) -> None:
+    def send_commands(self) -> None:
         """A client, an old or a new one, sends commands, cut anywhere."""
         rng = self.rng
         if not self.clients or rng.random() < 0.15:
-            line = self.sockets.connect_client()
+            line = self.node.connect_client()
             self.clients.append(line)
-            self.asked[id(line)] = []
+            self.unanswered[id(line)] = []
         line = rng.choice(self.clients)
         data = b"".join(self.random_command(line) for _ in range(rng.choice([1, 1, 1, 8])))
         while data:
@@ -175,21 +177,21 @@
     def random_command(self, line: MemoryConnection) -> bytes:
         """A command of the client, which counts as asked."""
         rng = self.rng
-        self.count += 1
-        rpc = f"r{self.count}"
+        self.rpc_count += 1
+        rpc = f"r{self.rpc_count}"
         wait = rng.choice([30, 300, 900])
         method = rng.choice(["read", "once"])
         if method == "once":
-            self.once[rpc] = False
-        self.asked[id(line)].append(rpc)
-        self.due[rpc] = self.now + wait
+            self.non_idempotent[rpc] = False
+        self.unanswered[id(line)].append(rpc)
+        self.deadlines[rpc] = self.now + wait
         if rng.random() < 0.2:
             value = rng.randbytes(rng.choice([0, 10, 65536]))
             extras = f"c={method},d={wait},size={len(value)}"
             return command(b"OBJ.SET", b"key", rpc.encode(), extras.encode(), value)
         return get_command(rpc, f"key{rng.randrange(40)}", method, wait)
 
-    def reply(self, rpc: str, line: MemoryConnection) -> None:
+    def send_reply(self, rpc: str, line: MemoryConnection) -> None:
         """A backend answers, well or badly, its reply cut anywhere, or stays silent."""
         rng = self.rng
         if line.is_closed or line.disconnecting:
@@ -200,11 +202,11 @@
         if kind == "rubbish":
             data = rng.randbytes(20) + b"\r\n"
         if kind == "silence":
-            self.out[rpc] = line
+            self.in_flight[rpc] = line
             return
         not_executed = kind == "busy" or kind == "miss" and line.port != ORIGIN_PORT
-        if not_executed and rpc in self.once:
-            self.once[rpc] = False
+        if not_executed and rpc in self.non_idempotent:
+            self.non_idempotent[rpc] = False
         cut = rng.randint(0, len(data))
         line.send(data[:cut])
         if kind == "break":
@@ -212,7 +214,7 @@
         else:
             line.send(data[cut:])
 
-    def discovery(self) -> None:
+    def send_endpoint_change(self) -> None:
         """Discovery sends a change, a heartbeat or rubbish, and may end the watch."""
         rng = self.rng
         for line in self.network.connections_to(DISCOVERY_PORT):
@@ -230,9 +232,9 @@
             text = rng.choice([json.dumps(change).encode()] * 4 + [b"", b"{"]) + b"\n"
             line.send(b"%x\r\n%b\r\n" % (len(text), text))
             if len(text) > 5 and not line.disconnecting:
-                self.not_ready.pop(port, None)
+                self.not_ready_since.pop(port, None)
                 if health != "in_service":
-                    self.not_ready[port] = self.now
+                    self.not_ready_since[port] = self.now
             if rng.random() < 0.1:
                 line.close()
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from fleet import Fleet, deployment, entry
+from fleet import Fleet, make_deployment, make_endpoint
 from socket_node import ORIGIN_PORT, NodeOnMemoryNetwork, get_command
 from test_sockets import VALUE, serve
 from test_start import NODE_FILE
@@ -129,9 +129,9 @@
 
 def test_rpcs_of_the_least_gain_and_over_quota_are_shed_first() -> None:
     f = Fleet(
-        deployment(methods=METHODS, tenants=(Tenant("small", 1e-6),), max_retry_after_ms=300.0)
+        make_deployment(methods=METHODS, tenants=(Tenant("small", 1e-6),), max_retry_after_ms=300.0)
     )
-    f.listed([entry("s0")])
+    f.update_endpoints([make_endpoint("s0")])
     counts = {"low": 0, "high": 0, "small": 0}
     for n in range(4000):
         f.now += 1
@@ -155,8 +155,8 @@
 
 
 def test_a_pause_counts_no_failures_and_restarts_the_wait_for_silent_backends() -> None:
-    f = Fleet(deployment())
-    f.listed([entry(f"s{i}") for i in range(4)])
+    f = Fleet(make_deployment())
+    f.update_endpoints([make_endpoint(f"s{i}") for i in range(4)])
     for n in range(12):
         f.arrive(f"k{n}")
     f.now += 150.0
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,7 +3,7 @@
 from zlib import crc32
 
 import pytest
-from fleet import ORIGIN, Fleet, deployment, entry
+from fleet import ORIGIN_KIND, Fleet, make_deployment, make_endpoint
 
 from hookpitch.balancer.backend import Backend
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Method, Outcome, Tenant
@@ -12,9 +12,10 @@
 
 
 def fleet(servers: int = 4, **changes: object) -> Fleet:
-    f = Fleet(deployment(**changes))
-    f.listed(
-        [entry(f"s{i}") for i in range(servers)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED
+    f = Fleet(make_deployment(**changes))
+    f.update_endpoints(
+        [make_endpoint(f"s{i}") for i in range(servers)] + [make_endpoint("o1", kind=ORIGIN_KIND)],
+        EndpointUpdate.CACHED,
     )
     return f
 
@@ -54,11 +55,13 @@
         key = f"key{i % 40}"
         heavy = f.router.placement.bucket(crc32(key.encode()) % BUCKETS).primary.id == "s0"
         for _ in range(9 if heavy else 1):
-            f.end(f.arrive(key), Outcome.COMPLETED)
+            f.end_attempt(f.arrive(key), Outcome.COMPLETED)
         f.pass_time(10.0)
     moved = [b for b in f.router.placement.buckets.values() if b.assigned is not b.primary]
     assert moved and all(b.primary.id == "s0" for b in moved)
-    f.listed([entry(moved[0].assigned.id, EndpointState.DRAINING)], EndpointUpdate.DELTA)
+    f.update_endpoints(
+        [make_endpoint(moved[0].assigned.id, EndpointState.DRAINING)], EndpointUpdate.DELTA
+    )
     assert moved[0].assigned.state == EndpointState.READY  # buckets on a draining cache go home
 
 
@@ -66,7 +69,7 @@
     f = fleet(1)
     ids = [f.arrive(f"k{i}", grace=30.0) for i in range(50)]
     f.pass_time(31.0)
-    assert not f.open and set(ids) == set(f.answers)
+    assert not f.open_rpcs and set(ids) == set(f.answers)
 
 
 def test_consecutive_failures_eject_a_backend_and_a_response_recovers_it() -> None:
@@ -75,18 +78,18 @@
     for _ in range(2):  # after a reset the same server may be asked again
         while f.in_flight:
             rpc, n = f.in_flight[0]
-            f.end(
+            f.end_attempt(
                 rpc,
                 Outcome.RESET if f.attempts[rpc][n].server == victim else Outcome.COMPLETED,
                 n,
             )
         f.arrive("k")
-    f.end(f.in_flight[0][0], Outcome.COMPLETED)
+    f.end_attempt(f.in_flight[0][0], Outcome.COMPLETED)
     assert f.router.backends[victim].ejected and f.attempts[f.arrive("k")][0].server != victim
     for _ in range(100):
         f.pass_time(1000.0)
         rpc = f.arrive("k")
-        f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc, Outcome.COMPLETED)
         if f.attempts[rpc][0].server == victim:
             return
     raise AssertionError("shut out for good")
@@ -103,12 +106,12 @@
 def test_a_backend_in_slow_start_gets_little_at_first() -> None:
     f = fleet(3)
     for i in range(600):
-        f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    f.listed([entry("s4", started=f.now)], EndpointUpdate.DELTA)
+    f.update_endpoints([make_endpoint("s4", started=f.now)], EndpointUpdate.DELTA)
     begun = len(f.sends)
     for i in range(150):
-        f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(10.0)
     got = [to for _, to, _ in f.sends[begun:]]
     assert 0 < got.count("s4") <= 0.35 * len(got) / 4
@@ -128,9 +131,9 @@
         {"methods": (bare,), "slow_start_ms": 0.0, "overload_window_ms": 0.0},
         {"max_attempts": 0},
     ):
-        f = Fleet(deployment(poll_interval_ms=0.0, **changes))
+        f = Fleet(make_deployment(poll_interval_ms=0.0, **changes))
         assert f.answers[f.arrive("k")] == "exhausted"  # no list yet
-        f.listed([])
+        f.update_endpoints([])
         assert f.answers[f.arrive("")] == "exhausted"
 
 
@@ -140,20 +143,20 @@
     victim = f.attempts[f.arrive("k")][0].server
     for _ in range(4):  # a refused dial among good answers is a chance, too
         for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.COMPLETED):
-            f.end(f"rpc{f.count}", outcome)
-        f.end(rpc := f.arrive("k"), Outcome.COMPLETED)
+            f.end_attempt(f"rpc{f.rpc_count}", outcome)
+        f.end_attempt(rpc := f.arrive("k"), Outcome.COMPLETED)
         assert (
             f.attempts[rpc][0].server == victim and f.router.backends[victim].warmup_until < f.now
         )
         f.arrive("k")
     for _ in range(2):
-        f.end(f"rpc{f.count}", Outcome.RESET)
+        f.end_attempt(f"rpc{f.rpc_count}", Outcome.RESET)
     assert (
         f.router.backends[victim].consecutive_failures == 2
         and f.router.backends[victim].warmup_until < f.now
     )
-    f.end(f"rpc{f.count}", Outcome.COMPLETED)
-    f.end(
+    f.end_attempt(f"rpc{f.rpc_count}", Outcome.COMPLETED)
+    f.end_attempt(
         f.arrive("k"), Outcome.CONNECT_FAILED
     )  # refused as the third failure in a row: its process died
     assert f.router.backends[victim].warmup_until > f.now
@@ -162,17 +165,19 @@
 def test_single_failures_of_the_origin_do_not_cut_its_concurrency_limit() -> None:
     f = fleet(2)
     for i in range(40):
-        f.end(rpc := f.arrive(f"k{i}"), Outcome.MISS)
-        f.end(rpc, (Outcome.COMPLETED, Outcome.RESET, Outcome.COMPLETED, Outcome.ERROR)[i % 4])
-        while rpc in f.open:
-            f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc := f.arrive(f"k{i}"), Outcome.MISS)
+        f.end_attempt(
+            rpc, (Outcome.COMPLETED, Outcome.RESET, Outcome.COMPLETED, Outcome.ERROR)[i % 4]
+        )
+        while rpc in f.open_rpcs:
+            f.end_attempt(rpc, Outcome.COMPLETED)
         f.pass_time(20.0)
     assert f.router.backends["o1"].concurrency_limit >= 2.0
     for i in range(6):  # no good answer for longer than two soft deadlines: it has failed
         f.pass_time(900.0)
-        f.end(rpc := f.arrive(f"m{i}"), Outcome.MISS)
-        while rpc in f.open and f.in_flight:
-            f.end(rpc, Outcome.RESET)
+        f.end_attempt(rpc := f.arrive(f"m{i}"), Outcome.MISS)
+        while rpc in f.open_rpcs and f.in_flight:
+            f.end_attempt(rpc, Outcome.RESET)
     assert f.router.backends["o1"].concurrency_limit < 1.0
 
 
@@ -180,21 +185,21 @@
     f = fleet(4)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
-        while rpc in f.open and f.in_flight:
-            f.end(rpc, Outcome.CONNECT_FAILED)
+        while rpc in f.open_rpcs and f.in_flight:
+            f.end_attempt(rpc, Outcome.CONNECT_FAILED)
     caches = [s for s in f.router.backends.values() if s is not f.router.origin]
     assert sum(s.ejected for s in caches) >= 3 and sum(s.warmup_until > f.now for s in caches) <= 2
 
 
 def test_a_router_that_starts_with_only_warming_caches_serves_some_rpcs() -> None:
-    f = Fleet(deployment())
-    cold = [entry(f"s{i}", started=f.now - 1) for i in range(4)]
-    f.listed([*cold, entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
+    f = Fleet(make_deployment())
+    cold = [make_endpoint(f"s{i}", started=f.now - 1) for i in range(4)]
+    f.update_endpoints([*cold, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
     for i in range(100):
         rpc = f.arrive(f"k{i}")
         f.pass_time(120.0)  # not at once: the soft deadline is 400 ms
         if f.in_flight:
-            f.end(rpc, Outcome.COMPLETED)
+            f.end_attempt(rpc, Outcome.COMPLETED)
         f.pass_time(20.0)
     assert 20 < sum(a == "completed" for a in f.answers.values()) < 75
 
@@ -204,13 +209,13 @@
 ):
     for others, pressure, tries in ((True, 0.0, 2), (False, 0.0, 1), (True, 0.5, 1)):
         f = fleet(1)
-        f.end(f.arrive("k"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive("k"), Outcome.COMPLETED)
         f.router.load_shedder.pressure, f.router.next_rate_update = pressure, 1e9
         rpc = f.arrive("k")  # its answer never comes; the soft deadline is 400 ms
         f.pass_time(50.0)
         other = f.arrive("k2")
         if others:
-            f.end(other, Outcome.COMPLETED)
+            f.end_attempt(other, Outcome.COMPLETED)
         f.pass_time(200.0)
         assert len(f.attempts[rpc]) == tries and f.router.backends["s0"].consecutive_failures == (
             0 if others else 1
@@ -225,15 +230,17 @@
 def test_removed_backends_are_forgotten_and_an_id_that_returns_warms_up_as_new() -> None:
     f = fleet(2)
     for i in range(2, 40):  # each is replaced by one under a new id
-        f.listed([entry(f"s{i}", started=f.now - 1)], EndpointUpdate.DELTA)
-        f.listed([entry(f"s{i - 2}", EndpointState.REMOVED)], EndpointUpdate.DELTA)
+        f.update_endpoints([make_endpoint(f"s{i}", started=f.now - 1)], EndpointUpdate.DELTA)
+        f.update_endpoints(
+            [make_endpoint(f"s{i - 2}", EndpointState.REMOVED)], EndpointUpdate.DELTA
+        )
         for _ in range(5):
-            f.arrive(f"k{f.count}")
+            f.arrive(f"k{f.rpc_count}")
             while f.in_flight:
-                f.end(f.in_flight[0][0], Outcome.COMPLETED)
+                f.end_attempt(f.in_flight[0][0], Outcome.COMPLETED)
             f.pass_time(500.0)
     assert len(f.router.backends) <= 6 and len(f.router.caches) <= 5
-    f.listed([entry("s0", started=f.now - 1)], EndpointUpdate.DELTA)
+    f.update_endpoints([make_endpoint("s0", started=f.now - 1)], EndpointUpdate.DELTA)
     assert (
         f.router.backends["s0"].warmup_until > f.now and f.router.backends["s0"].response_count == 0
     )
@@ -243,8 +250,15 @@
 def test_rejections_from_one_slow_caches_queue_shed_nothing_while_others_have_spare_capacity(
     eased: bool,
 ) -> None:
-    fleet = Fleet(deployment(hedging_allowed=False))
-    fleet.listed([entry("s1"), entry("s2"), entry("s3"), entry("o1", kind=ORIGIN)])
+    fleet = Fleet(make_deployment(hedging_allowed=False))
+    fleet.update_endpoints(
+        [
+            make_endpoint("s1"),
+            make_endpoint("s2"),
+            make_endpoint("s3"),
+            make_endpoint("o1", kind=ORIGIN_KIND),
+        ]
+    )
     fleet.pass_time(10)
     node = fleet.router
     for s in node.backends.values():
@@ -268,12 +282,12 @@
 def test_fast_warming_backends_get_a_gain_and_an_overloaded_one_loses_it() -> None:
     f = fleet(4)
     for i in range(200):  # until warm ones have a rate
-        f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(20.0)
-    f.listed([entry("s1", started=f.now)], EndpointUpdate.DELTA)
+    f.update_endpoints([make_endpoint("s1", started=f.now)], EndpointUpdate.DELTA)
     s, sent = f.router.backends["s1"], len(f.sends)
     for i in range(600):
-        f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(10.0)
     assert (
         s.warmup_gain * f.router.slow_start.warmup_gain
@@ -281,21 +295,21 @@
         == 2.0
     )
     assert any(to == "s1" for _, to, _ in f.sends[sent:])
-    f.listed([entry("s2", started=f.now)], EndpointUpdate.DELTA)
+    f.update_endpoints([make_endpoint("s2", started=f.now)], EndpointUpdate.DELTA)
     assert (
         f.router.backends["s2"].warmup_gain * f.router.slow_start.warmup_gain == 2.0
     )  # what one tells holds for all that are cold
     for i in range(600):
         rpc = f.arrive(f"n{i}")
         if f.attempts[rpc][-1].server == "s1":
-            f.end(rpc, Outcome.OVERLOADED)
+            f.end_attempt(rpc, Outcome.OVERLOADED)
             assert (
                 s.warmup_gain * f.router.slow_start.warmup_gain
                 <= 1.0
                 == f.router.backends["s2"].warmup_gain
             )
             return
-        f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc, Outcome.COMPLETED)
         f.pass_time(10.0)
     raise AssertionError("nothing was sent there")
 
@@ -305,10 +319,10 @@
     f, done = fleet(4), 0
     for i in range(1200):
         rpc = f.arrive(f"k{i}")
-        while rpc in f.open:
+        while rpc in f.open_rpcs:
             at_cache = f.attempts[rpc][-1].server != "o1"
             done += at_cache and i % 6 == 0
-            f.end(rpc, Outcome.OVERLOADED if at_cache and i % 6 else Outcome.COMPLETED)
+            f.end_attempt(rpc, Outcome.OVERLOADED if at_cache and i % 6 else Outcome.COMPLETED)
         f.pass_time(10.0)
     assert 0 < f.router.slow_start.warm_rate < 2 * done / 12 / 4  # RPCs a second at each cache
 
@@ -318,7 +332,7 @@
     taken = set[str]()
     for seed in range(24):
         f = fleet(16, seed=seed)
-        f.ask_a_hot_key()
+        f.request_hot_key()
         heavy, light = (f.router.placement.bucket(crc32(key) % BUCKETS) for key in (b"hot", b"k1"))
         assert light.primary is next(f.router.placement.ready_from(light))
         assert heavy.primary is heavy.assigned
@@ -335,8 +349,8 @@
     assert len([out for out in f.in_flight if out[0] == rpc]) == 2  # the first is still out
     # The next cache along the ring would miss, and the origin be asked too late.
     assert f.attempts[rpc][1].server == "o1"
-    f.end(rpc, Outcome.COMPLETED, 1)
-    assert not f.open and f.attempts[rpc][0].cancelled
+    f.end_attempt(rpc, Outcome.COMPLETED, 1)
+    assert not f.open_rpcs and f.attempts[rpc][0].cancelled
 
 
 def test_a_few_requests_for_a_key_spread_nothing() -> None:
@@ -344,7 +358,7 @@
     # misses.
     f = fleet(16)
     for i in range(120):
-        f.end(f.arrive(f"k{i % 40}"), Outcome.COMPLETED)  # each key three times
+        f.end_attempt(f.arrive(f"k{i % 40}"), Outcome.COMPLETED)  # each key three times
     assert not any(
         b.spread_size for b in f.router.placement.buckets.values() if b.recent_requests < 4
     )
@@ -368,19 +382,19 @@
     f.router.load_shedder.pressure = 1.0
     for i in range(60):
         rpc = f.arrive(f"k{i}")
-        f.end(rpc, Outcome.MISS)
+        f.end_attempt(rpc, Outcome.MISS)
         f.pass_time(
             220.0 if i % 4 == 3 else 20.0
         )  # one in four over half of the soft deadline of 400
         f.router.load_shedder.pressure = 1.0
-        f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc, Outcome.COMPLETED)
         assert f.router.backends["o1"].concurrency_limit >= 2.0
     before = f.router.backends["o1"].concurrency_limit
     for i in range(60):  # and with a mean that is slow it is asked less
         rpc = f.arrive(f"m{i}")
-        f.end(rpc, Outcome.MISS)
+        f.end_attempt(rpc, Outcome.MISS)
         f.pass_time(220.0)
-        f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc, Outcome.COMPLETED)
     assert f.router.backends["o1"].concurrency_limit < before
 
 
@@ -391,7 +405,7 @@
     for i in range(400):
         rpc = f.arrive(f"k{i % 100}")
         f.pass_time(60.0 if f.attempts[rpc][0].server == "s0" else 5.0)
-        f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc, Outcome.COMPLETED)
     moved = [b for b in f.router.placement.buckets.values() if b.assigned is not b.primary]
     assert moved and all(b.primary.id == "s0" for b in moved)
 
@@ -404,8 +418,8 @@
     f.router.load_shedder.pressure = pressure
     for i in range(60):
         rpc = f.arrive(f"k{i}", tenant="small")
-        if rpc in f.open:
-            f.end(rpc, Outcome.COMPLETED)
+        if rpc in f.open_rpcs:
+            f.end_attempt(rpc, Outcome.COMPLETED)
     turned = list(f.answers.values()).count("exhausted")
     assert turned == 0 if pressure == 0 else turned > 30
 
@@ -418,7 +432,7 @@
     assert f.router.origin.concurrency_limit == limit
     rpc = f.arrive("w", write=True)
     f.pass_time(50.0)
-    f.end(rpc, Outcome.COMPLETED)
+    f.end_attempt(rpc, Outcome.COMPLETED)
     rest = f.router.origin.paused_until - f.now  # its limit has doubled where it was under one
     assert 25.0 <= rest < 75.0 if nodes == 256 else rest <= 0.0
 
@@ -438,7 +452,7 @@
             for rpc, n in list(f.in_flight):
                 lost = f.attempts[rpc][n].server == "o1"
                 tried += [f.now] if lost else []
-                f.end(rpc, Outcome.CONNECT_FAILED if lost else Outcome.MISS, n)
+                f.end_attempt(rpc, Outcome.CONNECT_FAILED if lost else Outcome.MISS, n)
             f.pass_time(10.0)
     rests = [b - a for a, b in zip(tried, tried[1:], strict=False)]
     assert max(rests) <= rest_ms and len(tried) * nodes / 120 < 50
@@ -461,7 +475,7 @@
         came[f.arrive(f"k{i}")] = f.now
     assert len(told) > 25  # more than the line holds in time
     assert all(at == came[rpc] and 0 < ms <= 400.0 for rpc, (at, ms) in told.items())
-    waiting, given_up = set(f.open) - {rpc for rpc, _ in f.in_flight}, f.router.reject
+    waiting, given_up = set(f.open_rpcs) - {rpc for rpc, _ in f.in_flight}, f.router.reject
     turns = dict[str, float]()
     f.router.reject = lambda rpc, host: (turns.setdefault(rpc.id, f.now), given_up(rpc, host))[1]
     f.pass_time(900.0)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,7 +2,7 @@
 so."""
 
 import pytest
-from fleet import ORIGIN, Fleet, deployment, entry
+from fleet import ORIGIN_KIND, Fleet, make_deployment, make_endpoint
 
 from hookpitch.balancer.interface import (
     EndpointState,
@@ -15,9 +15,10 @@
 
 
 def fleet(servers: int = 6, **changes: object) -> Fleet:
-    f = Fleet(deployment(**({"max_attempts": 5} | changes)))
-    f.listed(
-        [entry(f"s{i}") for i in range(servers)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED
+    f = Fleet(make_deployment(**({"max_attempts": 5} | changes)))
+    f.update_endpoints(
+        [make_endpoint(f"s{i}") for i in range(servers)] + [make_endpoint("o1", kind=ORIGIN_KIND)],
+        EndpointUpdate.CACHED,
     )
     return f
 
@@ -28,8 +29,8 @@
 
 def fail(f: Fleet, rpc: str, outcome: Outcome = Outcome.ERROR) -> int:
     """Every transmission of the RPC ends so; how many there were."""
-    while rpc in f.open:
-        f.end(rpc, outcome)
+    while rpc in f.open_rpcs:
+        f.end_attempt(rpc, outcome)
     return len(f.attempts[rpc])
 
 
@@ -39,7 +40,7 @@
 ) -> None:
     f = fleet()
     for i in range(300):  # two in five fail, as many as were seen
-        f.end(f.arrive(f"good{i}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"good{i}"), Outcome.COMPLETED)
         if i % 3:
             assert fail(f, f.arrive(key or f"bad{i}")) <= 2
     assert not any(s.ejected or s.consecutive_failures for s in f.router.backends.values())
@@ -53,7 +54,7 @@
     twice = sum(fail(f, f.arrive(f"bad{i}")) - 1 for i in range(100))
     assert twice == 10
     for i in range(200):
-        f.end(f.arrive(f"good{i}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"good{i}"), Outcome.COMPLETED)
     assert sum(fail(f, f.arrive(f"bad{i}")) - 1 for i in range(100)) == 10
 
 
@@ -61,9 +62,9 @@
     f = fleet()
     for i in range(60):
         rpc = f.arrive(f"k{i}")
-        f.end(rpc, Outcome.ERROR if last(f, rpc) == "s2" else Outcome.COMPLETED)
-        if rpc in f.open:
-            f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc, Outcome.ERROR if last(f, rpc) == "s2" else Outcome.COMPLETED)
+        if rpc in f.open_rpcs:
+            f.end_attempt(rpc, Outcome.COMPLETED)
     assert (
         f.router.backends["s2"].ejected and sum(s.ejected for s in f.router.backends.values()) == 1
     )
@@ -74,36 +75,36 @@
     share = f.router.quotas.token_buckets["c"]
     tokens = share.tokens
     rpc = f.arrive("bad", tenant="c")
-    f.end(rpc, Outcome.ERROR)
-    f.end(rpc, Outcome.ERROR)
+    f.end_attempt(rpc, Outcome.ERROR)
+    f.end_attempt(rpc, Outcome.ERROR)
     assert f.answers[rpc] == "exhausted" and share.tokens == pytest.approx(tokens)
 
 
 def test_a_write_that_the_origin_fails_is_attempted_twice_at_most() -> None:
     f = fleet()
-    f.end(f.arrive("w", write=True), Outcome.COMPLETED)  # the origin is well
+    f.end_attempt(f.arrive("w", write=True), Outcome.COMPLETED)  # the origin is well
     assert fail(f, f.arrive("w", write=True)) == 2
 
 
 def test_removal_is_advisory_where_configured_and_draining_binds() -> None:
     f = fleet(2, removal_is_advisory=True)
     f.pass_time(5000.0)
-    f.listed(
-        [entry("s0", EndpointState.REMOVED), entry("s1", EndpointState.REMOVED)],
+    f.update_endpoints(
+        [make_endpoint("s0", EndpointState.REMOVED), make_endpoint("s1", EndpointState.REMOVED)],
         EndpointUpdate.DELTA,
     )
     assert all(f.router.backends[s].ejected for s in ("s0", "s1"))  # off the path, to be tried
     f.pass_time(2000.0)
     rpc = f.arrive("k")
-    assert rpc in f.open and len(f.sends) == 1  # with one RPC at a time
-    f.end(rpc, Outcome.COMPLETED)
+    assert rpc in f.open_rpcs and len(f.sends) == 1  # with one RPC at a time
+    f.end_attempt(rpc, Outcome.COMPLETED)
     assert not f.router.backends[f.sends[0][1]].ejected
-    f.listed(
-        [entry("s0", EndpointState.DRAINING), entry("s1", EndpointState.DRAINING)],
+    f.update_endpoints(
+        [make_endpoint("s0", EndpointState.DRAINING), make_endpoint("s1", EndpointState.DRAINING)],
         EndpointUpdate.DELTA,
     )
-    f.listed(
-        [entry("s0", EndpointState.REMOVED), entry("s1", EndpointState.REMOVED)],
+    f.update_endpoints(
+        [make_endpoint("s0", EndpointState.REMOVED), make_endpoint("s1", EndpointState.REMOVED)],
         EndpointUpdate.DELTA,
     )
     f.arrive("k")
@@ -113,10 +114,10 @@
 def test_a_removed_backend_that_answered_lately_is_not_ejected() -> None:
     for advice in (True, False):
         f = fleet(1, removal_is_advisory=advice)
-        f.end(f.arrive("k"), Outcome.COMPLETED)
-        f.listed([entry("o1", kind=ORIGIN)])  # left out of a full list
+        f.end_attempt(f.arrive("k"), Outcome.COMPLETED)
+        f.update_endpoints([make_endpoint("o1", kind=ORIGIN_KIND)])  # left out of a full list
         rpc = f.arrive("k")
-        assert (rpc in f.open) == advice and len(f.sends) == 1 + advice
+        assert (rpc in f.open_rpcs) == advice and len(f.sends) == 1 + advice
 
 
 def test_a_backend_that_relapses_is_ejected_at_one_failure_and_forgiven_later() -> None:
@@ -127,14 +128,14 @@
         f.router.outliers.record_failure(s, f.router.now)
     assert s.ejected
     f.pass_time(s.ejection_ms + 1)
-    f.end(f.arrive("k"), Outcome.COMPLETED)
+    f.end_attempt(f.arrive("k"), Outcome.COMPLETED)
     assert not s.ejected
     f.router.outliers.record_failure(s, f.router.now)
     assert (
         s.ejected and s.ejection_ms > f.router.outliers.base_ejection_ms
     )  # the pause before it counts on
     f.pass_time(s.ejection_ms + 1)
-    f.end(f.arrive("k"), Outcome.COMPLETED)
+    f.end_attempt(f.arrive("k"), Outcome.COMPLETED)
     f.pass_time(8 * f.router.outliers.base_ejection_ms + 2000.0)
     f.router.outliers.record_failure(s, f.router.now)
     assert not s.ejected
@@ -146,10 +147,10 @@
     before, at_origin = s.concurrency_limit, o.concurrency_limit
     rpc = f.arrive("k")
     f.pass_time(100.0)
-    f.end(rpc, Outcome.MISS)
+    f.end_attempt(rpc, Outcome.MISS)
     assert s.concurrency_limit < before
     f.pass_time(100.0)
-    f.end(rpc, Outcome.COMPLETED)
+    f.end_attempt(rpc, Outcome.COMPLETED)
     assert o.concurrency_limit >= at_origin
 
 
@@ -159,12 +160,12 @@
     s, n = last(f, rpc), len(f.attempts[rpc]) - 1
     f.pass_time(took.get(s, 4.0))
     f.in_flight.remove((rpc, n))
-    f._final(rpc, "completed")
+    f._close_rpc(rpc, "completed")
     report = {"inflight": told.get(s, 0.5)}
     f.router.attempt_ended(
         f.now, rpc, n, Outcome.COMPLETED, True, f.now - f.attempts[rpc][n].sent_at, report
     )
-    f.settle()
+    f.decide_until_idle()
 
 
 @pytest.mark.parametrize("errors", [False, True])
@@ -192,7 +193,7 @@
     for i in range(200):
         assert fail(f, f.arrive(f"b{i}", tenant="bad")) <= 2
         rpc = f.arrive(f"g{i}", tenant="good")
-        f.end(rpc, Outcome.COMPLETED)
+        f.end_attempt(rpc, Outcome.COMPLETED)
         assert f.answers[rpc] == "completed"
         f.pass_time(5.0)
     assert not any(s.ejected or s.consecutive_failures for s in f.router.backends.values())
@@ -209,7 +210,7 @@
             while (rpc, n := len(f.attempts[rpc]) - 1) in f.in_flight:
                 down = last(f, rpc) in rack
                 tried += down
-                f.end(rpc, Outcome.CONNECT_FAILED if down else Outcome.COMPLETED, n)
+                f.end_attempt(rpc, Outcome.CONNECT_FAILED if down else Outcome.COMPLETED, n)
             f.pass_time(10.0)
         wasted.append(tried)
         assert all(
@@ -220,7 +221,7 @@
         )  # the rest is not blamed
         sent = len(f.sends)
         for i in range(150):  # up for 1.5 s, cold, unannounced
-            f.end(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
+            f.end_attempt(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
             f.pass_time(10.0)
         back = [to for _, to, _ in f.sends[sent:]]
         # Less than half of a warm one's part, at each return: each is the beginning of another cold
@@ -228,7 +229,7 @@
         assert all(back.count(s) < 0.5 * len(back) / 6 for s in rack), turn
     assert max(wasted[1:]) <= wasted[0] // 2  # one RPC a server and turn, three at first
     for i in range(4000):  # the turns are over: nobody is marked for good
-        f.end(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"k{i % 200}"), Outcome.COMPLETED)
         f.pass_time(10.0)
     assert all(f.router.backends[s].available for s in rack)
 
@@ -243,13 +244,13 @@
         dedup_window_ms=300.0,
     )
     f = fleet(2, methods=(method,))
-    f.end(f.arrive("k", write=True), Outcome.COMPLETED)
+    f.end_attempt(f.arrive("k", write=True), Outcome.COMPLETED)
     rpc, other = f.arrive("k", write=True), f.arrive("j", write=True)
     f.pass_time(200.0)
-    f.end(other, Outcome.COMPLETED)  # the origin answers, so the first looks lost
+    f.end_attempt(other, Outcome.COMPLETED)  # the origin answers, so the first looks lost
     f.pass_time(500.0)
-    assert not f.attempts[rpc][0].cancelled and rpc in f.open
-    f.end(rpc, Outcome.COMPLETED)
+    assert not f.attempts[rpc][0].cancelled and rpc in f.open_rpcs
+    f.end_attempt(rpc, Outcome.COMPLETED)
     assert f.answers[rpc] == "completed"
 
 
@@ -279,9 +280,9 @@
     )
     waits = f.arrive("k")
     assert not f.attempts[waits]
-    f.end(blocker, Outcome.COMPLETED)
+    f.end_attempt(blocker, Outcome.COMPLETED)
     f.pass_time(150.0)
-    assert waits in f.open and f.attempts[waits] and last(f, waits) == other.id
+    assert waits in f.open_rpcs and f.attempts[waits] and last(f, waits) == other.id
 
 
 def test_constrained_methods_reserve_capacity_on_their_backends() -> None:
@@ -289,8 +290,8 @@
         Method("page", 400.0, 1000.0, 1.0),
         Method("status", 400.0, 1000.0, 1.0, kinds=("std",)),
     )
-    f = Fleet(deployment(methods=method, kinds=("fast", "std")))
-    f.listed([entry(f"s{i}", kind=i % 2) for i in range(6)])
+    f = Fleet(make_deployment(methods=method, kinds=("fast", "std")))
+    f.update_endpoints([make_endpoint(f"s{i}", kind=i % 2) for i in range(6)])
     free = {s.kind: s.unconstrained_fraction for s in f.router.caches}
     assert free[0] == 1.0 and free[1] == 0.5
     homes = [f.router.placement.bucket(n).primary.kind for n in range(400)]
@@ -306,7 +307,7 @@
         for i in range(30):
             rpc = f.arrive(f"k{i}", write=write)
             if not write:
-                f.end(rpc, Outcome.MISS)
+                f.end_attempt(rpc, Outcome.MISS)
             f.pass_time(230.0)  # of a soft deadline of 400
-            f.end(rpc, Outcome.COMPLETED)
+            f.end_attempt(rpc, Outcome.COMPLETED)
         assert (o.concurrency_limit >= before) == write
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from fleet import Fleet, deployment, entry
+from fleet import Fleet, make_deployment, make_endpoint
 from memory_network import MemoryConnection
 from socket_node import NodeOnMemoryNetwork, get_command, listed_host
 
@@ -136,30 +136,32 @@
     before = len(fleet.sends)
     for n in range(count):
         rpc = fleet.arrive(key=f"k{n}")
-        if rpc in fleet.open and fleet.attempts[rpc]:
-            fleet.end(rpc, Outcome.COMPLETED)
+        if rpc in fleet.open_rpcs and fleet.attempts[rpc]:
+            fleet.end_attempt(rpc, Outcome.COMPLETED)
         fleet.pass_time(5)
     return {server for _, server, _ in fleet.sends[before:]}
 
 
 def banned_fleet() -> Fleet:
-    fleet = Fleet(deployment(hedging_allowed=False))
-    fleet.listed([entry("s1"), entry("s2"), entry("s3")])
+    fleet = Fleet(make_deployment(hedging_allowed=False))
+    fleet.update_endpoints([make_endpoint("s1"), make_endpoint("s2"), make_endpoint("s3")])
     assert asked(fleet) == {"s1", "s2", "s3"}
     fleet.router.set_banned(fleet.now, "s2", True)
-    fleet.settle()
+    fleet.decide_until_idle()
     return fleet
 
 
 def test_a_ban_outlasts_snapshots_deltas_and_a_return_under_the_same_id() -> None:
     fleet = banned_fleet()
     assert "s2" not in asked(fleet)
-    fleet.listed([entry("s1"), entry("s2", started=fleet.now), entry("s3")])
+    fleet.update_endpoints(
+        [make_endpoint("s1"), make_endpoint("s2", started=fleet.now), make_endpoint("s3")]
+    )
     assert "s2" not in asked(fleet)
-    fleet.listed([entry("s2", EndpointState.REMOVED)], EndpointUpdate.DELTA)
-    fleet.listed([entry("s2")], EndpointUpdate.DELTA)
-    fleet.listed([entry("s1"), entry("s3")])
-    fleet.listed([entry("s1"), entry("s2"), entry("s3")])
+    fleet.update_endpoints([make_endpoint("s2", EndpointState.REMOVED)], EndpointUpdate.DELTA)
+    fleet.update_endpoints([make_endpoint("s2")], EndpointUpdate.DELTA)
+    fleet.update_endpoints([make_endpoint("s1"), make_endpoint("s3")])
+    fleet.update_endpoints([make_endpoint("s1"), make_endpoint("s2"), make_endpoint("s3")])
     assert "s2" not in asked(fleet)
     assert fleet.router.backends["s2"].state != EndpointState.READY
 
@@ -183,15 +185,15 @@
 
 
 def test_the_queue_of_a_banned_backend_is_rerouted_and_the_last_cache_may_be_banned() -> None:
-    fleet = Fleet(deployment(hedging_allowed=False))
-    fleet.listed([entry("s1")])
+    fleet = Fleet(make_deployment(hedging_allowed=False))
+    fleet.update_endpoints([make_endpoint("s1")])
     for n in range(30):
         fleet.arrive(key=f"k{n}")
-    fleet.settle()
+    fleet.decide_until_idle()
     backend = fleet.router.backends["s1"]
     assert backend.fresh_queue
     fleet.router.set_banned(fleet.now, "s1", True)
-    fleet.settle()
+    fleet.decide_until_idle()
     assert not backend.fresh_queue
     assert not backend.retry_queue
     assert not [rpc for rpc in fleet.router.rpcs.values() if not rpc.in_flight and not rpc.closed]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 from zlib import crc32
 
 import pytest
-from fleet import ORIGIN, Fleet, deployment, entry
+from fleet import ORIGIN_KIND, Fleet, make_deployment, make_endpoint
 
 from hookpitch.balancer.deployment import parse_deployment as read
 from hookpitch.balancer.errors import SettingsError
@@ -22,9 +22,9 @@
 def fleet(servers: int = 6, method: Method = ON_STD, **changes: object) -> Fleet:
     """Caches of odd numbers are of kind std; the helper fails a test whose RPC strays."""
     methods = (method, Method("page", 400.0, 1000.0, 1.0))
-    f = Fleet(deployment(methods=methods, kinds=("fast", "std"), **changes))
-    caches = [entry(f"s{i}", kind=i % 2) for i in range(servers)]
-    f.listed([*caches, entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
+    f = Fleet(make_deployment(methods=methods, kinds=("fast", "std"), **changes))
+    caches = [make_endpoint(f"s{i}", kind=i % 2) for i in range(servers)]
+    f.update_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
     return f
 
 
@@ -32,8 +32,8 @@
     f = fleet(max_attempts=5)
     for i in range(60):
         rpc = f.arrive(f"k{i}")
-        while rpc in f.open and f.attempts[rpc] and not f.attempts[rpc][-1].done:
-            f.end(rpc, Outcome.OVERLOADED if len(f.attempts[rpc]) % 2 else Outcome.RESET)
+        while rpc in f.open_rpcs and f.attempts[rpc] and not f.attempts[rpc][-1].done:
+            f.end_attempt(rpc, Outcome.OVERLOADED if len(f.attempts[rpc]) % 2 else Outcome.RESET)
     assert {to for _, to, _ in f.sends} <= {"s1", "s3", "s5", "o1"}
 
 
@@ -44,7 +44,7 @@
         f.arrive(f"k{i % 9}")
         f.pass_time(3.0)
     f.pass_time(2000.0)
-    assert {to for _, to, _ in f.sends} <= {"s1", "s3", "s5", "o1"} and not f.open
+    assert {to for _, to, _ in f.sends} <= {"s1", "s3", "s5", "o1"} and not f.open_rpcs
 
 
 class Walked(list):
@@ -63,7 +63,9 @@
         f.arrive(f"k{i}", "status")
     ring = f.router.ring.points = Walked(f.router.ring.points)
     for i in range(1, 12, 2):  # those of kind std drain, one after the other
-        f.listed([entry(f"s{i}", EndpointState.DRAINING, kind=1)], EndpointUpdate.DELTA)
+        f.update_endpoints(
+            [make_endpoint(f"s{i}", EndpointState.DRAINING, kind=1)], EndpointUpdate.DELTA
+        )
     assert not [b.primary for b in f.router.placement.buckets.values() if b.kinds and b.primary]
     assert ring.looks < 40 * len(f.router.placement.buckets) * 6 < len(ring) * 60
 
@@ -72,7 +74,7 @@
     taken = set[str]()
     for seed in range(12):
         f = fleet(16, seed=seed)
-        f.ask_a_hot_key()
+        f.request_hot_key()
         taken.add(f.router.placement.bucket(crc32(b"hot") % BUCKETS, ("std",)).primary.id)
     assert len(taken) > 1 and all(int(id[1:]) % 2 for id in taken)
 
@@ -80,8 +82,8 @@
 def test_rebalancing_moves_no_bucket_to_a_backend_that_is_not_allowed() -> None:
     f = fleet(4)
     for i in range(900):  # s0 and s2 get nothing at all
-        f.end(f.arrive(f"key{i % 40}"), Outcome.COMPLETED)
-        f.end(f.arrive(f"page{i % 7}", "page"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"key{i % 40}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"page{i % 7}", "page"), Outcome.COMPLETED)
         f.pass_time(10.0)
     bound = [b for b in f.router.placement.buckets.values() if b.kinds]
     assert bound and all(b.assigned.kind == 1 for b in bound)
@@ -89,29 +91,32 @@
 
 def test_a_backend_of_another_kind_that_alone_is_ready_gets_nothing() -> None:
     f = fleet(6)
-    f.listed(
-        [entry(f"s{i}", EndpointState.REMOVED, kind=1) for i in (1, 3, 5)], EndpointUpdate.DELTA
+    f.update_endpoints(
+        [make_endpoint(f"s{i}", EndpointState.REMOVED, kind=1) for i in (1, 3, 5)],
+        EndpointUpdate.DELTA,
     )
     rpc = f.arrive("k")
     assert f.answers[rpc] == "exhausted" and not f.sends
-    assert f.arrive("k", "page") in f.open and f.sends  # what is bound to nothing goes on
+    assert f.arrive("k", "page") in f.open_rpcs and f.sends  # what is bound to nothing goes on
 
 
 def test_a_backend_without_kind_or_zone_gets_unconstrained_methods_only() -> None:
     f = fleet(0, Method("status", 400.0, 1000.0, 1.0, zones=("zone1",)))
-    f.listed([entry("s1", kind=-2)])
+    f.update_endpoints([make_endpoint("s1", kind=-2)])
     f.router.backends["s1"].zone = ""
     f.router.endpoints.rebuild_ring([])
     assert f.answers[f.arrive("k")] == "exhausted" and not f.sends
-    assert f.arrive("k", "page") in f.open
+    assert f.arrive("k", "page") in f.open_rpcs
 
 
 def test_a_backend_listed_as_another_kind_loses_constrained_methods() -> None:
     f = fleet(2)
     rpc = f.arrive("k")
     assert f.attempts[rpc][0].server == "s1"
-    f.end(rpc, Outcome.COMPLETED)
-    f.listed([entry("s1", kind=0), entry("s0", kind=1)], EndpointUpdate.DELTA)
+    f.end_attempt(rpc, Outcome.COMPLETED)
+    f.update_endpoints(
+        [make_endpoint("s1", kind=0), make_endpoint("s0", kind=1)], EndpointUpdate.DELTA
+    )
     f.arrive("k")
     assert f.sends[-1][1] == "s0"
 
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from fleet import ORIGIN, Fleet, deployment, entry
+from fleet import ORIGIN_KIND, Fleet, make_deployment, make_endpoint
 from memory_network import MemoryConnection
 from random_faults import RandomFaults
 from socket_node import SETTINGS, NodeOnMemoryNetwork, deployment_from
@@ -22,13 +22,13 @@
 class Switching(RandomFaults):
     """A storm in which the settings change back and forth; copies are allowed half of the time."""
 
-    def sent(self, line: MemoryConnection, rpc: str) -> None:
-        if self.sockets.socket_node.host.deployment.hedging_allowed and rpc not in self.once:
-            self.out.pop(rpc, None)  # a second one beside it is in order
-        super().sent(line, rpc)
+    def attempt_sent(self, line: MemoryConnection, rpc: str) -> None:
+        if self.node.socket_node.host.deployment.hedging_allowed and rpc not in self.non_idempotent:
+            self.in_flight.pop(rpc, None)  # a second one beside it is in order
+        super().attempt_sent(line, rpc)
 
     def step(self) -> None:
-        host = self.sockets.socket_node.host
+        host = self.node.socket_node.host
         if self.rng.random() < 0.06:
             back = host.deployment.hedging_allowed
             host.reconfigured(
@@ -52,10 +52,10 @@
         storm.step()
     for line in storm.clients:
         line.is_reading = True
-    storm.sockets.pass_time(1100)
-    storm.settle()
-    assert not any(storm.asked[id(line)] for line in storm.clients), "an RPC was lost"
-    host, counts = storm.sockets.socket_node.host, storm.sockets.counters.counts
+    storm.node.pass_time(1100)
+    storm.deliver_output()
+    assert not any(storm.unanswered[id(line)] for line in storm.clients), "an RPC was lost"
+    host, counts = storm.node.socket_node.host, storm.node.counters.counts
     assert not len(host.rpcs) and not host.router.rpcs, "records outlive their RPCs"
     assert (
         not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
@@ -68,12 +68,15 @@
         Method("once", 400.0, 1000.0, 1.0, 0.0, Idempotency.NON_IDEMPOTENT),
     )
     small, kinds = (Tenant("small", 1.0),), ("std", "origin")
-    d = deployment(methods=methods, tenants=small, kinds=kinds, origin_kind=1)
+    d = make_deployment(methods=methods, tenants=small, kinds=kinds, origin_kind=1)
     f = Fleet(d)
-    f.listed([entry(f"s{i}") for i in range(6)] + [entry("o1", kind=1)], EndpointUpdate.CACHED)
+    f.update_endpoints(
+        [make_endpoint(f"s{i}") for i in range(6)] + [make_endpoint("o1", kind=1)],
+        EndpointUpdate.CACHED,
+    )
     node = f.router
     for i in range(200):
-        f.end(f.arrive(f"k{i}"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
     node.set_banned(f.now, "s0", True)
     sick, cold = node.backends["s1"], node.backends["s2"]
     sick.consecutive_failures, sick.ejected, sick.ejected_until, sick.concurrency_limit = (
@@ -84,7 +87,7 @@
     )
     node.slow_start.start_warmup(cold, f.now, f.now)
     for _ in range(3):
-        f.end(f.arrive("k1", tenant="small"), Outcome.COMPLETED)
+        f.end_attempt(f.arrive("k1", tenant="small"), Outcome.COMPLETED)
     tokens, cold_tokens = node.quotas.token_buckets["small"].tokens, cold.warmup_tokens
     homes = {number: b.primary.id for number, b in node.placement.buckets.items()}
     out = f.arrive("k5", method="once")
@@ -114,7 +117,7 @@
         assert rpc.method == methods[1] and rpc.deadline > f.now + 390  # as it came
     node.reconfigured(f.now, new)
     # Sizes that move with load: the same list, cut by load, moves nothing either.
-    node.update_endpoints(f.now, EndpointUpdate.DELTA, [entry("s3", size=0.25, kind=1)])
+    node.update_endpoints(f.now, EndpointUpdate.DELTA, [make_endpoint("s3", size=0.25, kind=1)])
     assert (
         node.backends["s3"].reported_load == 3.0
         and {n: b.primary.id for n, b in node.placement.buckets.items()} == homes
@@ -124,15 +127,18 @@
 
 
 def test_hedged_requests_in_flight_are_cancelled_once_hedging_is_forbidden() -> None:
-    d = deployment(hedging_allowed=True)
+    d = make_deployment(hedging_allowed=True)
     f = Fleet(d)
-    f.listed([entry(f"s{i}") for i in range(4)] + [entry("o1", kind=ORIGIN)], EndpointUpdate.CACHED)
+    f.update_endpoints(
+        [make_endpoint(f"s{i}") for i in range(4)] + [make_endpoint("o1", kind=ORIGIN_KIND)],
+        EndpointUpdate.CACHED,
+    )
     f.router.placement.recent_requests = 1e6
     rpc = f.arrive("k")
     f.pass_time(f.router.methods["read"].soft_ms * 0.7)
     assert len(f.attempts[rpc]) == 2 and not f.attempts[rpc][0].cancelled
     f.router.reconfigured(f.now, replace(d, hedging_allowed=False))
-    f.settle()
+    f.decide_until_idle()
     assert f.attempts[rpc][0].cancelled and not f.attempts[rpc][1].cancelled
 
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from fleet import ORIGIN, Fleet, deployment, entry
+from fleet import ORIGIN_KIND, Fleet, make_deployment, make_endpoint
 from socket_node import NodeOnMemoryNetwork, get_command
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
@@ -30,13 +30,13 @@
 from hookpitch.testbed.experiment import read as read_experiment
 from hookpitch.testbed.run import Run
 
-SERVERS = [entry(f"s{i}") for i in range(6)] + [entry("o1", kind=ORIGIN)]
+SERVERS = [make_endpoint(f"s{i}") for i in range(6)] + [make_endpoint("o1", kind=ORIGIN_KIND)]
 DIALS = {e.id: f"127.0.0.1:{7000 + n}" for n, e in enumerate(SERVERS)}
 
 
 def fleet(**changes: object) -> Fleet:
-    f = Fleet(deployment(nodes=1, slow_start_ms=20000.0, **changes))
-    f.listed(SERVERS, EndpointUpdate.SNAPSHOT)
+    f = Fleet(make_deployment(nodes=1, slow_start_ms=20000.0, **changes))
+    f.update_endpoints(SERVERS, EndpointUpdate.SNAPSHOT)
     return f
 
 
@@ -46,7 +46,9 @@
     for i in range(600):
         rpc = f.arrive("heavy" if rng.random() < 0.3 else f"k{rng.randrange(300)}")
         while (rpc, n := len(f.attempts[rpc]) - 1) in f.in_flight:
-            f.end(rpc, Outcome.RESET if f.attempts[rpc][n].server == "s2" else Outcome.COMPLETED, n)
+            f.end_attempt(
+                rpc, Outcome.RESET if f.attempts[rpc][n].server == "s2" else Outcome.COMPLETED, n
+            )
         if i % 10 == 0:
             f.pass_time(20.0)
     assert f.router.backends["s2"].ejected
@@ -60,10 +62,10 @@
 
 def begun(x: Snapshot, later_ms: float, servers: list = SERVERS) -> Fleet:
     """A node that starts so much later and recalls it."""
-    f = Fleet(deployment(nodes=1, slow_start_ms=20000.0))
+    f = Fleet(make_deployment(nodes=1, slow_start_ms=20000.0))
     f.now = x.written_at_ms + later_ms
     f.router = type(f.router)(f.now, f.deployment)
-    f.listed(servers, EndpointUpdate.CACHED)
+    f.update_endpoints(servers, EndpointUpdate.CACHED)
     restore(f.router, f.now, x)
     return f
 
@@ -105,7 +107,7 @@
     )
     new = begun(learned(f, backends=known), 100.0)
     assert not any(s.ejected for s in new.router.caches)
-    alone = [entry("s3"), entry("o1", kind=ORIGIN)]
+    alone = [make_endpoint("s3"), make_endpoint("o1", kind=ORIGIN_KIND)]
     new = begun(learned(f, backends=known), 100.0, alone)
     assert not new.router.backends["s3"].ejected
     assert new.attempts[new.arrive("k")]
