--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -1,9 +1,8 @@
 """The admin server: an operator's connection carries one line, one answer, and ends.
 
-Invariants: at most `MAX_CALLERS` connections wait for their line at once, each for at most
-`CALL_TIMEOUT_MS` and `MAX_LINE_BYTES`; no command's cost grows with open RPCs or
-clients. The
-commands and their answers are specified on the operators' page.
+Invariants: at most `MAX_WAITING_CONNECTIONS` connections wait for their line at once, each for at
+most `CONNECTION_TIMEOUT_MS` and `MAX_LINE_BYTES`; no command's cost grows with open RPCs or
+clients. The commands and their answers are specified on the operators' page.
 """
 
 from __future__ import annotations
@@ -18,9 +17,9 @@
 from hookpitch.core.deadlines import Deadline
 from hookpitch.net.clock import Clock
 
-MAX_CALLERS = 8  # waiting at once; with one more, the oldest is closed
-MAX_CLOSING = 4  # further connections, whose answer is still being read
-CALL_TIMEOUT_MS = 3000.0  # from the connection's start until it is aborted
+MAX_WAITING_CONNECTIONS = 8  # waiting at once; with one more, the oldest is closed
+MAX_CLOSING_CONNECTIONS = 4  # further connections, whose answer is still being read
+CONNECTION_TIMEOUT_MS = 3000.0  # from the connection's start until it is aborted
 MAX_LINE_BYTES = 512
 YES = b"YES"
 NO = b"NO "
@@ -116,7 +115,7 @@
 
     def buildProtocol(self, addr: Any) -> AdminConnection | None:  # noqa: ANN401 - Twisted's own type
         """None, which closes the connection, where callers that read nothing hold all places."""
-        if self.connections >= MAX_CALLERS + MAX_CLOSING:
+        if self.connections >= MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS:
             return None
         return AdminConnection(self)
 
@@ -124,12 +123,13 @@
         """Wait for its line; where too many wait, the oldest is aborted."""
         self.connections += 1
         self.waiting[connection] = None
-        if len(self.waiting) > MAX_CALLERS:
+        if len(self.waiting) > MAX_WAITING_CONNECTIONS:
             oldest = next(iter(self.waiting))
             del self.waiting[oldest]
             oldest.transport.abortConnection()
         connection.deadline = self._clock.deadlines.add(
-            self._clock.now() + CALL_TIMEOUT_MS, lambda _: connection.transport.abortConnection()
+            self._clock.now() + CONNECTION_TIMEOUT_MS,
+            lambda _: connection.transport.abortConnection(),
         )
 
     def connection_closed(self, connection: AdminConnection) -> None:
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -223,14 +223,14 @@
 
     # ---- draining
 
-    def shut_down(self, on_all_closed: Callable[[], None], over_ms: float = 0.0) -> None:
+    def shut_down(self, on_all_closed: Callable[[], None], spread_ms: float = 0.0) -> None:
         """Drains, also connections that have sent nothing; calls back when all are closed."""
         self.on_all_closed = on_all_closed
-        self.drain(include_unused=True, over_ms=over_ms)
+        self.drain(include_unused=True, spread_ms=spread_ms)
         self.check_all_closed()
 
-    def drain(self, include_unused: bool = False, over_ms: float = 0.0) -> None:
-        """Closes idle connections, spread over `over_ms`, and the others once they are idle.
+    def drain(self, include_unused: bool = False, spread_ms: float = 0.0) -> None:
+        """Closes idle connections, spread over `spread_ms`, and the others once they are idle.
 
         Clients that see hundreds of closes at once would still write to some of those connections.
         """
@@ -240,9 +240,9 @@
         for place, client in enumerate(clients):
             if include_unused:
                 client.has_sent_command = True
-            if over_ms and place and client.is_idle:
+            if spread_ms and place and client.is_idle:
                 client.close_scheduled = True
-                at = now + over_ms * place / len(clients)
+                at = now + spread_ms * place / len(clients)
                 self.clock.deadlines.add(at, client.drain_now)
             else:
                 client.advance()
--- a/hookpitch/net/lifecycle.py
+++ b/hookpitch/net/lifecycle.py
@@ -17,7 +17,7 @@
 
 from hookpitch.balancer.interface import Endpoint
 from hookpitch.core.host import Host
-from hookpitch.net.admin import MAX_CALLERS, AdminServer
+from hookpitch.net.admin import MAX_WAITING_CONNECTIONS, AdminServer
 from hookpitch.net.client_registry import ClientRegistry
 from hookpitch.net.clock import Clock
 from hookpitch.net.discovery import Discovery
@@ -130,7 +130,7 @@
         # An operator's command must not wait behind hundreds of clients.
         listen = getattr(node.reactor, "listen_prioritized", node.reactor.listenTCP)
         address, port = node.config.admin_address
-        self._admin_port = listen(port, node.admin_server, MAX_CALLERS, address)
+        self._admin_port = listen(port, node.admin_server, MAX_WAITING_CONNECTIONS, address)
 
     def _serve_after_first_list(self) -> None:
         """The initial endpoints may be outdated and clients connect at once, so discovery's first
--- a/hookpitch/net/resource_budget.py
+++ b/hookpitch/net/resource_budget.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from hookpitch.net.admin import MAX_CALLERS, MAX_CLOSING
+from hookpitch.net.admin import MAX_CLOSING_CONNECTIONS, MAX_WAITING_CONNECTIONS
 from hookpitch.net.node_config import NodeConfig
 
 # Standard input, output and error, the poller's, discovery's two, and Twisted's reserve.
 PROCESS_DESCRIPTORS = 14
 # The admin server's, the inherited socket's and the shared files'.
-ADMIN_DESCRIPTORS = MAX_CALLERS + MAX_CLOSING + 4
+ADMIN_DESCRIPTORS = MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS + 4
 MIN_REJECTED_CLIENTS = 4
 
 
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -149,13 +149,13 @@
     from threading import Thread
 
     def work_and_report() -> None:
-        reactor.callFromThread(then, failure_of(work))
+        reactor.callFromThread(then, run_and_return_error(work))
 
     # A daemon thread: a disk that does not respond must not keep the process from ending.
     Thread(target=work_and_report, name="snapshot", daemon=True).start()
 
 
-def failure_of(work: Callable[[], None]) -> str:
+def run_and_return_error(work: Callable[[], None]) -> str:
     """Do the work. Returns why it failed, or ''."""
     try:
         work()
@@ -194,13 +194,13 @@
         self,
         settings: SnapshotSettings,
         node: SnapshotNode,
-        run_elsewhere: Callable[[Callable[[], None], Callable[[str], None]], None],
+        run_in_background: Callable[[Callable[[], None], Callable[[str], None]], None],
     ) -> None:
-        """`run_elsewhere(work, then)` does the work without blocking, and calls `then` in the
+        """`run_in_background(work, then)` does the work without blocking, and calls `then` in the
         reactor's thread with why it failed, or ''."""
         self._settings = settings
         self._node = node
-        self.run_elsewhere = run_elsewhere
+        self.run_in_background = run_in_background
         self.path = settings.path.replace("{name}", quote(node.config.name, safe=""))
         self.writing = False
         self._failing = False  # whether the last write failed
@@ -269,7 +269,7 @@
         )
         data = encode(snapshot)
         self.writing = True
-        self.run_elsewhere(lambda: replace_file(self.path, data), self._on_written)
+        self.run_in_background(lambda: replace_file(self.path, data), self._on_written)
 
     def _on_written(self, failure: str) -> None:
         self.writing = False
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -16,7 +16,7 @@
 from hookpitch.net.lifecycle import LISTEN_BACKLOG
 from hookpitch.net.node import SocketNode
 from hookpitch.net.node_config import load_reloaded_config, parse_node_config
-from hookpitch.net.snapshot_store import SnapshotSettings, SnapshotStore, failure_of
+from hookpitch.net.snapshot_store import SnapshotSettings, SnapshotStore, run_and_return_error
 from hookpitch.testbed.base_run import NODE_PORT, BaseRun
 from hookpitch.testbed.simulation import Machine
 
@@ -111,7 +111,7 @@
     @staticmethod
     def _away(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:
         # A disk that takes a moment: what is killed meanwhile has written nothing.
-        reactor.callLater(DISK_S, lambda: then(failure_of(work)))
+        reactor.callLater(DISK_S, lambda: then(run_and_return_error(work)))
 
     def upgrade(self) -> None:
         """A second process beside the first, which gets SIGTERM once the new one says yes."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -267,7 +267,7 @@
 """
 
 
-def leaves_its_clients(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
+def leaves_its_clients(self: ClientRegistry, done: object, spread_ms: float = 0.0) -> None:
     for client in list(self.connections):
         client.transport.abortConnection()
 
@@ -307,9 +307,9 @@
 ) -> None:
     spans, leave = list[float](), ClientRegistry.shut_down
 
-    def seen(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
-        spans.append(over_ms)
-        leave(self, done, over_ms)
+    def seen(self: ClientRegistry, done: object, spread_ms: float = 0.0) -> None:
+        spans.append(spread_ms)
+        leave(self, done, spread_ms)
 
     monkeypatch.setattr(ClientRegistry, "shut_down", seen)
     alone = UPGRADE.replace("node_upgrade", "node_leave").replace("suspend", "flush")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,7 +10,11 @@
 from socket_node import Sockets, get, listed_host
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
-from hookpitch.net.admin import CALL_TIMEOUT_MS, MAX_CALLERS, MAX_CLOSING
+from hookpitch.net.admin import (
+    CONNECTION_TIMEOUT_MS,
+    MAX_CLOSING_CONNECTIONS,
+    MAX_WAITING_CONNECTIONS,
+)
 from hookpitch.net.lifecycle import State
 from hookpitch.net.node_config import check_inherited_descriptor
 from hookpitch.net.shared_state import Command, SharedState, Verb, decode_command, encode_command
@@ -73,15 +77,17 @@
     sockets = Sockets()
     mute = [
         MemoryConnection(sockets.network, sockets.node.admin_server.buildProtocol(None), 0)
-        for _ in range(MAX_CALLERS)
+        for _ in range(MAX_WAITING_CONNECTIONS)
     ]
     mute[0].say(b"STAT")
     assert command(sockets, b"STATUS\n") == b"YES\n"
-    assert sockets.node.admin_server.connections == MAX_CALLERS - 1
+    assert sockets.node.admin_server.connections == MAX_WAITING_CONNECTIONS - 1
     while (protocol := sockets.node.admin_server.buildProtocol(None)) is not None:
         MemoryConnection(sockets.network, protocol, 0)
-    assert sockets.node.admin_server.connections == MAX_CALLERS + MAX_CLOSING
-    sockets.pass_time(CALL_TIMEOUT_MS + 1)
+    assert (
+        sockets.node.admin_server.connections == MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS
+    )
+    sockets.pass_time(CONNECTION_TIMEOUT_MS + 1)
     assert sockets.node.admin_server.connections == 0
     assert not sockets.node.admin_server.waiting
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -216,7 +216,7 @@
     s = Sockets(1)
     kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **told})
     s.node.snapshot_store = snapshot_store.SnapshotStore(
-        kept, s.node, lambda work, then: then(snapshot_store.failure_of(work))
+        kept, s.node, lambda work, then: then(snapshot_store.run_and_return_error(work))
     )
     s.node.snapshot_store.restore()
     return s
@@ -308,7 +308,7 @@
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
     s = node(tmp_path / "n.snapshot", every_s=0.5)
-    s.node.snapshot_store.run_elsewhere = lambda work, then: None  # it never answers
+    s.node.snapshot_store.run_in_background = lambda work, then: None  # it never answers
     s.pass_time(5000)
     s.node.shut_down()
     s.pass_time(3000)
