--- a/hookpitch/net/__init__.py
+++ b/hookpitch/net/__init__.py
@@ -1,2 +1,4 @@
-"""The node's sockets, on Twisted. Each file has one job; what is decided comes from the core's
-host."""
+"""The node's network layer, on Twisted.
+
+Each module has one responsibility. All decisions about RPCs are made by the core's host.
+"""
--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -39,10 +39,10 @@
     def membership_lines(self) -> list[str]:
         """The members of the fleet; none where the node is no member."""
 
-    def suspend(self, server_id: str) -> str:
+    def suspend(self, backend_id: str) -> str:
         """Ban a backend; the reason where that is refused."""
 
-    def restore(self, server_id: str) -> str:
+    def restore(self, backend_id: str) -> str:
         """End a backend's ban; the reason where that is refused."""
 
     def pause(self) -> str:
@@ -153,10 +153,10 @@
             if len(arguments) != 1:
                 return f"{name.decode()} takes one id"
             try:
-                server_id = arguments[0].decode()
+                backend_id = arguments[0].decode()
             except UnicodeDecodeError:
                 return "the id cannot be read"
-            return self._commands_with_id[name](server_id)
+            return self._commands_with_id[name](backend_id)
         if name in self._commands and not arguments:
             return self._commands[name]()
         if name in self._commands or name == b"METRICS":
--- a/hookpitch/net/backend_connection.py
+++ b/hookpitch/net/backend_connection.py
@@ -1,8 +1,9 @@
-"""Connections to servers: what all kinds share, and the cache servers' protocol, RESP2.
+"""Connections to backends: the part that all kinds share, and the caches' protocol, RESP2.
 
-A connection carries at most one attempt at a time. Invariants: it goes back to its pool only once
-the response has come whole with nothing behind it and the request has left whole; every attempt
-that was begun ends by exactly one of `finish`, `connectionLost`, or a cancellation by the pools.
+A connection carries at most one attempt at a time. Invariants: a connection returns to its pool
+only when the request was written completely and the response was received completely, with no bytes
+after it; every attempt that was started ends by exactly one of `finish`, `connectionLost`, or a
+cancellation by `BackendPools`.
 """
 
 from __future__ import annotations
@@ -26,20 +27,20 @@
 
 
 class BackendConnection(BufferedProtocol):
-    """One connection to a server; subclasses write a request and read its response."""
+    """One connection to a backend; subclasses encode a request and read its response."""
 
     def __init__(self, pool: BackendPool) -> None:
         super().__init__()
         self.pool = pool
         self.host = pool.host
         self.clock = pool.clock
-        self.number = -1  # of its slot among the host's connections
+        self.number = -1  # the connection's slot in the host's connection table
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
         self.lost = False
 
     def connectionMade(self) -> None:
-        """Offers itself to its pool."""
+        """Register the connection and hand it to its pool."""
         super().connectionMade()
         self.number = self.host.connections.add(self)
         self.pool.connection_made(self)
@@ -47,7 +48,7 @@
     # ---- the request
 
     def begin(self, attempt: Attempt) -> None:
-        """Sends the request of an attempt."""
+        """Send the request of an attempt."""
         self.attempt = attempt
         attempt.carrier = self
         attempt.written = True
@@ -59,31 +60,31 @@
             self._request_written()
 
     def encode_request(self, attempt: Attempt) -> Sequence[bytes]:
-        """What is sent: a head, and large pieces after it."""
+        """Return the bytes to send: a head, and then the chunks of a large value."""
         raise NotImplementedError
 
     def _request_written(self) -> None:
         self.host.counters.add("upstream_requests")
 
     def all_written(self) -> None:
-        """A request that did not fit into the kernel at once has left whole."""
+        """Count a request whose buffered part has now been written completely."""
         if self.attempt is not None:
             self._request_written()
 
     # ---- a streamed response (core.stream.Source)
 
     def pause(self) -> None:
-        """Reads no more for now."""
+        """Stop reading until `resume` is called."""
         if not self.paused and not self.lost:
             self.pauseProducing()
 
     def resume(self) -> None:
-        """Reads on."""
+        """Continue reading."""
         if self.paused and not self.lost:
             self.resumeProducing()
 
     def start_stream(self, length: int) -> bool:
-        """A value begins that is passed on in pieces; False where nobody waits for it any more."""
+        """Begin to forward a value in chunks; return False where no client waits for the value."""
         attempt = self.attempt
         if attempt is None:
             self.fail_malformed("unsolicited response")
@@ -98,9 +99,9 @@
     def finish(
         self, outcome: Outcome, value: bytes | None = None, load: str = "", reuse: bool = True
     ) -> None:
-        """Ends the attempt; with `reuse` the connection is free for the next.
+        """End the attempt; with `reuse`, return the connection to its pool.
 
-        `load` is the server's load report as it wrote it; empty where it gave none.
+        `load` is the text of the backend's load report; empty where the response has none.
         """
         attempt = self.attempt
         self.attempt = None
@@ -108,7 +109,8 @@
         if reuse and not self.has_unsent_bytes:
             self.pool.release(self)
         else:
-            # A response without an end would stay open beside the next copy of its request.
+            # Without the reset, a response that never ends would stay open while the next attempt
+            # of the same RPC runs.
             self.reset_now()
         if attempt is None:
             return
@@ -122,13 +124,13 @@
         self.host.attempt_finished(now, attempt, outcome, value, values, age_ms)
 
     def fail_malformed(self, reason: str) -> None:
-        """What came can't be read: the RPC may have run, and the connection is of no more use."""
+        """End the attempt after a malformed response; the RPC may have been executed."""
         if self.attempt is not None:
             self.host.record_malformed("answers", reason)
         self.finish(Outcome.MALFORMED, reuse=False)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Ends the attempt that was on it."""
+        """End the attempt that the connection carried."""
         self.lost = True
         attempt = self.attempt
         self.attempt = None
@@ -136,27 +138,28 @@
         self.pool.connection_lost(self)
         if attempt is None:
             return
-        # Taken for not executed, an RPC that did run would run twice. Only what still stands in our
-        # own buffer was surely not written whole.
+        # An RPC that ran must not be reported as not executed, or it would run twice. Unless part of
+        # the request is still in the output buffer, the backend may have received all of it.
         if self.has_unsent_bytes:
             outcome = Outcome.CONNECT_FAILED
         else:
-            # A machine that was cut off resets all connections from before, RPC after RPC.
+            # A backend that was unreachable for a time may reset every older connection at its next
+            # use, which would fail one RPC per connection.
             self.pool.close_idle()
             outcome = Outcome.RESET
         self.host.attempt_finished(self.clock.now(), attempt, outcome)
 
 
 class CacheConnection(BackendConnection):
-    """RESP2 to a cache server: a command, then an array of value, state and load report."""
+    """RESP2 to a cache: sends a command and reads an array of value, state and load report."""
 
     def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
         self.parser = Parser(self.input_buffer, max_value_bytes=MAX_STREAMED_BYTES)
-        self.streaming = False  # the response's value is being passed on in pieces
+        self.streaming = False  # the response's value is being forwarded in chunks
 
     def encode_request(self, attempt: Attempt) -> Sequence[bytes]:
-        """The command; a large value goes after it as it was received."""
+        """Return the command; a large value follows it in the chunks in which it was received."""
         rpc = attempt.rpc
         words = (rpc.command, rpc.key, rpc.id, attempt.extras(self.clock.now()))
         if rpc.value is None:
@@ -167,10 +170,10 @@
         return (command(*words, rpc.value),)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """A large value goes past the ring."""
+        """Store the received bytes; a large value bypasses the ring buffer."""
         attempt = self.attempt
-        is_past_ring = self.streaming and not len(self.input_buffer) and not self.paused
-        if is_past_ring and attempt is not None:
+        bypasses_ring = self.streaming and not len(self.input_buffer) and not self.paused
+        if bypasses_ring and attempt is not None:
             remaining = self.parser.body_remaining
             part = data if len(data) <= remaining else data[:remaining]
             self.parser.body_remaining -= len(part)
@@ -181,16 +184,17 @@
         super().rawDataReceived(data)
 
     def bytes_received(self) -> None:
-        """Reads the response as far as it has come."""
+        """Read the part of the response that has been received."""
         while not self.paused:
             try:
                 reply = self.parser.next_value()
-            except ProtocolError as fault:
-                self.fail_malformed(str(fault))
+            except ProtocolError as error:
+                self.fail_malformed(str(error))
                 return
             if reply is not NEED_DATA:
                 self.streaming = False
-                # What comes behind a response would answer the next RPC. The response is good.
+                # Bytes after a response would be taken for the response to the next RPC, so the
+                # connection is not reused; the response itself is valid.
                 self._handle_reply(reply, self.attempt is not None and self.parser.at_boundary)
                 return
             if not self.parser.body_remaining:
--- a/hookpitch/net/backend_pool.py
+++ b/hookpitch/net/backend_pool.py
@@ -1,8 +1,8 @@
-"""The connections to one server: idle ones, connects under way, and the attempts that wait for one.
+"""The connections to one backend: idle connections, connects in progress, and waiting attempts.
 
-Invariants: at most one attempt on a connection; every attempt that waits has a connect of its own,
-so that none waits for nothing; what may no longer be sent is not begun, however late a connection
-comes up.
+Invariants: a connection carries at most one attempt; every waiting attempt has a connect of its
+own, so that no attempt waits forever; an attempt that may no longer be sent is not started, however
+late a connection is established.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class _Connect(ClientFactory):
-    """One connect under way."""
+    """One connect in progress."""
 
     noisy = False
 
@@ -36,21 +36,22 @@
         self.connection: BackendConnection | None = None
         self.connector: Any = None
         self.deadline: Deadline | None = None
-        self.abandoned = False  # nothing is to be sent there any more
+        self.abandoned = False  # the pool has stopped sending and does not want the connection
 
     def buildProtocol(self, addr: Any) -> BackendConnection:  # noqa: ANN401 - Twisted's address types
         self.connection = self.pool.connection_type(self.pool)
         return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401 - Twisted's connector types
-        # No descriptor or port left here, taken for the server's fault, would eject all in turn.
+        # A lack of descriptors or ports on this machine is no fault of the backend: counted as a
+        # failure, it would get all backends ejected one after the other.
         is_own_fault = reason.check(ConnectBindError) is not None
         outcome = Outcome.OBSOLETE if is_own_fault else Outcome.CONNECT_FAILED
         self.pool.connect_failed(self, outcome)
 
 
 class BackendPool:
-    """The connections to one server at one address."""
+    """The connections to one backend at one address."""
 
     def __init__(
         self, pools: BackendPools, address: tuple[str, int], connection_type: ConnectionType
@@ -60,17 +61,17 @@
         self.clock = pools.clock
         self.address = address
         self.connection_type = connection_type
-        self.idle: list[BackendConnection] = []  # the latest used last
+        self.idle: list[BackendConnection] = []  # the most recently used last
         self.waiting: deque[Attempt] = deque()
         self.connects: dict[_Connect, None] = {}
         self.expiry: Deadline | None = None
-        self.server_started_ms = 0.0  # of the server's process, in Unix ms
-        self.retired = False  # the server moved, drains or was removed: nothing is kept for it
+        self.backend_started_ms = 0.0  # when the backend's process started, in Unix ms
+        self.retired = False  # backend moved, draining or removed: no idle connection is kept
 
     # ---- attempts
 
     def dispatch(self, attempt: Attempt) -> bool:
-        """Begins an attempt or lets it wait for a connect; False where none can be had."""
+        """Start an attempt or queue it for a connect; return False where neither is possible."""
         while self.idle:
             connection = self.idle.pop()
             if self._is_clean(connection):
@@ -83,7 +84,10 @@
         return True
 
     def _is_clean(self, connection: BackendConnection) -> bool:
-        """Whether nothing came since the last response: it would answer the next RPC."""
+        """Return whether a connection has no unread bytes, and abort it if it has some.
+
+        Bytes that arrived after the last response would be taken for the response to the next RPC.
+        """
         if connection.has_unread_bytes():
             self.host.counters.add("connections.unclean")
             connection.transport.abortConnection()
@@ -91,20 +95,21 @@
         return True
 
     def _begin_first(self, connection: BackendConnection) -> None:
-        """Begins the first waiting attempt that may still be sent."""
+        """Start the first waiting attempt that may still be sent."""
         now = self.clock.now()
         while self.waiting:
             attempt = self.waiting.popleft()
             if now < attempt.start_by:
                 connection.begin(attempt)
                 return
-            # Rule 2: when it was decided on, its servers would still have recognized a repeat.
+            # Rule 2: when the router chose this attempt, the backends still recognized a duplicate
+            # of its RPC; by now they may have forgotten it.
             self.host.counters.add("tx.begun_too_late")
             self.host.attempt_finished(now, attempt, Outcome.OBSOLETE)
         self.release(connection)
 
-    def _fail_unserved(self, outcome: Outcome) -> None:
-        """Ends what waits without a connect of its own, the first of it first."""
+    def _fail_attempts_without_connect(self, outcome: Outcome) -> None:
+        """End attempts, the oldest first, until every waiting attempt has a connect."""
         while len(self.waiting) > len(self.connects):
             self.host.attempt_finished(self.clock.now(), self.waiting.popleft(), outcome)
 
@@ -123,13 +128,13 @@
         connect.deadline = self.clock.deadlines.add(until, lambda _: connect.connector.disconnect())
         return True
 
-    def _forget_connect(self, connect: _Connect) -> None:
+    def _remove_connect(self, connect: _Connect) -> None:
         self.connects.pop(connect, None)
         self.clock.deadlines.cancel(connect.deadline)
 
     def connect_failed(self, connect: _Connect, outcome: Outcome) -> None:
-        """A connect has failed, was abandoned, or (OBSOLETE) had no descriptor here."""
-        self._forget_connect(connect)
+        """Handle a connect that failed, was abandoned, or (OBSOLETE) had no local descriptor."""
+        self._remove_connect(connect)
         self.pools.descriptors_used -= 1
         if connect.abandoned:
             counter = "dials.given_up"
@@ -138,24 +143,27 @@
         else:
             counter = "dials.failed"
         self.host.counters.add(counter)
-        self._fail_unserved(outcome)
+        self._fail_attempts_without_connect(outcome)
 
     def connection_made(self, connection: BackendConnection) -> None:
-        """A connect has succeeded."""
-        self._forget_connect(next(c for c in self.connects if c.connection is connection))
+        """Handle a connect that succeeded."""
+        self._remove_connect(
+            next(connect for connect in self.connects if connect.connection is connection)
+        )
         self.release(connection)
 
     # ---- connections
 
     def release(self, connection: BackendConnection) -> None:
-        """A connection is free: for what waits, or idle."""
+        """Give a free connection to a waiting attempt, or keep the connection as idle."""
         if connection.lost:
             return
-        if self.waiting:  # what waits has a connect of its own, too
+        if self.waiting:  # a waiting attempt need not wait for a connect of its own
             if self._is_clean(connection):
                 self._begin_first(connection)
-            # What waits for a connection that came up with bytes on it would wait for nothing.
-            self._fail_unserved(Outcome.CONNECT_FAILED)
+            # Where this connection was aborted for its unread bytes, one waiting attempt has no
+            # connect left.
+            self._fail_attempts_without_connect(Outcome.CONNECT_FAILED)
         elif self.retired:
             connection.transport.loseConnection()
         else:
@@ -164,13 +172,16 @@
             self._schedule_expiry()
 
     def connection_lost(self, connection: BackendConnection) -> None:
-        """A connection has closed, at whichever end."""
+        """Remove a connection that was closed by either end."""
         self.pools.descriptors_used -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
     def _schedule_expiry(self) -> None:
-        """One deadline for all that are idle: that of the longest idle one."""
+        """Schedule the expiry of the connection that has been idle for longest.
+
+        One deadline serves all idle connections.
+        """
         if self.expiry is None and self.idle:
             until = self.idle[0].idle_since + self.pools.idle_timeout_ms
             self.expiry = self.clock.deadlines.add(until, self._expire)
@@ -182,7 +193,7 @@
         self._schedule_expiry()
 
     def close(self, connection: BackendConnection, at_once: bool = False) -> None:
-        """Closes a connection if it is idle; `at_once`: in this very turn of the loop."""
+        """Close a connection if it is idle; with `at_once`, in this turn of the event loop."""
         if connection in self.idle:
             self.idle.remove(connection)
             if at_once:
@@ -191,14 +202,15 @@
                 connection.transport.loseConnection()
 
     def close_idle(self) -> None:
-        """Closes all idle connections."""
+        """Close all idle connections."""
         for connection in list(self.idle):
             self.close(connection)
 
     def stop(self) -> None:
-        """Nothing new may be sent: what waits is decided again, connects and idle ones end.
+        """Stop sending to the backend: return waiting attempts to the host, end unused connections.
 
-        Rules 3 and 4: a connect may come up late, when its server drains, is removed or is cold.
+        Rules 3 and 4: a connect that succeeds late may find its backend draining, removed or
+        warming up.
         """
         waiting = self.waiting
         self.waiting = deque()
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -1,7 +1,8 @@
-"""All pools of connections to servers, by endpoint, and the bound on their descriptors.
+"""All pools of connections to backends, by endpoint id, and the limit on their descriptors.
 
-It is the host's transport. Invariant: `descriptors_used` counts every connection and every connect
-under way, and a new connect is begun only while it is below `max_descriptors`.
+`BackendPools` is the host's transport. Invariant: `descriptors_used` counts every connection and
+every connect in progress, and a new connect is started only while `descriptors_used` is below
+`max_descriptors`.
 """
 
 from __future__ import annotations
@@ -16,16 +17,17 @@
 from hookpitch.net.backend_pool import BackendPool, ConnectionType
 from hookpitch.net.clock import Clock
 
-# Of the time after which a server closes an idle connection: later it is not used again.
+# An idle connection is closed after this fraction of the time after which the backend would close
+# it, so that no request meets the backend's close.
 IDLE_TIMEOUT_FRACTION = 0.9
 
 
 class BackendPools:
-    """The pools, and what the host asks of them."""
+    """Creates the pools and carries out the host's calls on them."""
 
     def __init__(
         self,
-        reactor: Any,  # noqa: ANN401 - real or simulated, without a common type
+        reactor: Any,  # noqa: ANN401 - Twisted's and the simulation's reactors have no common type
         clock: Clock,
         host: Host,
         max_descriptors: int,
@@ -41,7 +43,7 @@
         self.reconfigured()
 
     def reconfigured(self) -> None:
-        """Takes over the settings' times, for connects and idle connections from now on."""
+        """Apply the timeouts of the current settings to connects and idle connections."""
         deployment = self.host.deployment
         self.connect_timeout_ms = deployment.connect_timeout_ms
         self.idle_timeout_ms = IDLE_TIMEOUT_FRACTION * deployment.connection_idle_timeout_ms
@@ -49,12 +51,12 @@
     # ---- attempts
 
     def dispatch(self, now: float, attempt: Attempt) -> bool:
-        """Sends an attempt to its server; False where no connection can be had."""
+        """Send an attempt to its backend; return False where no connection is available."""
         pool = self.by_backend.get(attempt.backend_id)
         return pool is not None and pool.dispatch(attempt)
 
     def cancel(self, now: float, attempt: Attempt) -> None:
-        """Withdraws an attempt: its connection is reset, or it waits no longer."""
+        """Cancel an attempt: reset its connection, or remove it from its pool's queue."""
         carrier = attempt.carrier
         if isinstance(carrier, BackendConnection) and carrier.attempt is attempt:
             carrier.attempt = None
@@ -63,17 +65,17 @@
             carrier.waiting.remove(attempt)
 
     def has_unread_response(self, attempt: Attempt) -> bool:
-        """Reads what stands unread for an attempt; whether that has ended it."""
+        """Read the unread response of an attempt; return whether the attempt has ended."""
         carrier = attempt.carrier
         is_sent = isinstance(carrier, BackendConnection) and carrier.attempt is attempt
         if is_sent and carrier.has_kernel_bytes():
             carrier.read_now()
         return attempt.done
 
-    # ---- servers
+    # ---- backends
 
     def addresses(self) -> dict[str, str]:
-        """The "host:port" of each server, by endpoint id."""
+        """Return the "host:port" of each backend, by endpoint id."""
         result = dict[str, str]()
         for backend_id, pool in self.by_backend.items():
             host, port = pool.address
@@ -81,26 +83,27 @@
         return result
 
     def stop_sending(self, backend_id: str) -> None:
-        """Nothing new may be sent to it, by an operator's command."""
+        """Stop sending to a backend that an operator has banned."""
         if backend_id in self.by_backend:
             self.by_backend[backend_id].stop()
 
     def close_idle(self, backend_id: str) -> None:
-        """Closes the idle connections to a server."""
+        """Close the idle connections to a backend."""
         if backend_id in self.by_backend:
             self.by_backend[backend_id].close_idle()
 
     def reserve_descriptor(self) -> bool:
-        """Whether one more descriptor may be used; where need be an idle connection is closed.
+        """Return whether one more descriptor may be used, closing an idle connection if needed.
 
-        A node without descriptors could accept no clients.
+        A node that ran out of descriptors could not accept clients.
         """
         if self.descriptors_used < self.max_descriptors:
             return True
         for pool in self.by_backend.values():
             for connection in pool.idle:
                 if not connection.reading:
-                    # A turn later it would hold a descriptor beside the one that takes its place.
+                    # If closed in a later turn, the connection would still hold its descriptor when
+                    # the new connect takes another one.
                     pool.close(connection, at_once=True)
                     return True
         return self.descriptors_used < self.max_descriptors
@@ -108,23 +111,23 @@
     def update_endpoints(
         self, kind: EndpointUpdate, entries: Sequence[Endpoint], addresses: Mapping[str, str]
     ) -> None:
-        """Follows the endpoint list; `addresses` has the "host:port" of each entry by its id."""
+        """Apply endpoint updates; `addresses` has the "host:port" of each entry by endpoint id."""
         for endpoint in entries:
             self._update_endpoint(endpoint, addresses[endpoint.id])
         if kind != EndpointUpdate.DELTA:
             listed = {endpoint.id for endpoint in entries}
             for backend_id in [known for known in self.by_backend if known not in listed]:
-                self._forget(backend_id)
+                self._remove_pool(backend_id)
 
-    def _update_endpoint(self, endpoint: Endpoint, text: str) -> None:
+    def _update_endpoint(self, endpoint: Endpoint, address_text: str) -> None:
         pool = self.by_backend.get(endpoint.id)
-        host, _, port = text.rpartition(":")
+        host, _, port = address_text.rpartition(":")
         address = (host.strip("[]"), int(port))
         if endpoint.state != EndpointState.READY:
             if pool is not None:
                 _retire(pool)
                 if endpoint.state == EndpointState.REMOVED:
-                    self._forget(endpoint.id)
+                    self._remove_pool(endpoint.id)
             return
         if pool is None or pool.address != address:
             is_origin = endpoint.kind == self.host.deployment.origin_kind
@@ -133,14 +136,18 @@
             if pool is not None:
                 _retire(pool)
             self.by_backend[endpoint.id] = replacement
-        elif pool.server_started_ms != endpoint.started_ms:
-            # Connections to the process before: they fall silent if its machine vanished.
+        elif pool.backend_started_ms != endpoint.started_ms:
+            # The connections lead to the previous process of the backend. If its machine has
+            # vanished, they never get a response.
             pool.stop()
-        self.by_backend[endpoint.id].server_started_ms = endpoint.started_ms
+        self.by_backend[endpoint.id].backend_started_ms = endpoint.started_ms
         self.by_backend[endpoint.id].retired = False
 
-    def _forget(self, backend_id: str) -> None:
-        """Removes a pool: with ever new servers they would pile up. What is out ends by itself."""
+    def _remove_pool(self, backend_id: str) -> None:
+        """Remove the pool of a backend that is no longer listed.
+
+        Otherwise pools would accumulate as backends are replaced. Open attempts run to their end.
+        """
         _retire(self.by_backend.pop(backend_id))
 
 
--- a/hookpitch/net/buffered_protocol.py
+++ b/hookpitch/net/buffered_protocol.py
@@ -1,9 +1,10 @@
 """The base of every connection: a LineReceiver in raw mode with one ring buffer per direction.
 
-Received bytes go into `input_buffer`, and `bytes_received` is called. Bytes to send go straight to
-the socket where the kernel takes them at once, and otherwise into `output_buffer`, from which the
-transport pulls them as fast as the peer reads. Invariants: bytes leave in the order of the calls of
-`send` and `send_chunks`; `all_written` is called each time after buffered output has left.
+Received bytes are written to `input_buffer`, and `bytes_received` is called. Bytes to send are
+written directly to the socket if the kernel accepts them at once, and otherwise to `output_buffer`,
+from which the transport pulls them as fast as the peer reads. Invariants: bytes are sent in the
+order of the calls of `send` and `send_chunks`; `all_written` is called each time after all buffered
+output has been written.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 from hookpitch.core.ring import Ring
 
-WRITE_CHUNK_BYTES = 65536  # given to the transport at a time, once it has written those before
+WRITE_CHUNK_BYTES = 65536  # passed to the transport at a time, once the previous bytes are written
 
-# Linux' struct tcp_info (linux/tcp.h). Its first byte is the connection's state.
+# Linux's struct tcp_info (linux/tcp.h). The first byte is the connection's state.
 TCP_INFO_BYTES = 56
 LAST_DATA_RECEIVED_OFFSET = 52  # tcpi_last_data_recv, in ms
 PEER_ENDED_STATES = (6, 7, 8, 9, 11)  # TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING
 
 
 class _OutputProducer:
-    """Feeds the transport from a protocol's output whenever it can write more."""
+    """Passes a protocol's buffered output to the transport whenever the transport can write."""
 
     def __init__(self, protocol: BufferedProtocol) -> None:
         self._protocol = protocol
@@ -45,18 +46,18 @@
 class BufferedProtocol(LineReceiver):
     """A connection with buffered input and output; subclasses define `bytes_received`."""
 
-    line_mode = 0  # RESP2's lines are cut by the core's parser, straight from the ring
+    line_mode = 0  # raw mode: the core's parser splits RESP2 lines directly in the ring buffer
 
     def __init__(self) -> None:
         self.input_buffer = Ring()
         self.output_buffer = Ring()
         self.write_pending = False  # a producer is registered: output waits for the transport
         self.reading = False  # received bytes are being handled further up the call stack
-        self._chunks = deque[bytes]()  # large pieces, sent uncopied after the output buffer
-        self._plain_transport: Any = None  # set where bytes can go straight to the socket
+        self._chunks = deque[bytes]()  # large chunks, sent without a copy after the output buffer
+        self._plain_transport: Any = None  # the transport, where its socket may be used directly
 
     def connectionMade(self) -> None:
-        """Prepares the transport."""
+        """Prepare the transport."""
         transport = self.transport
         if isinstance(transport, TcpConnection) and not transport.TLS:
             self._plain_transport = transport
@@ -66,7 +67,7 @@
     # ---- receiving
 
     def dataReceived(self, data: bytes) -> None:
-        """Past LineReceiver's own buffer, which would be a second copy of the ring's content."""
+        """Bypass LineReceiver's own buffer, which would copy the ring buffer's content again."""
         self.reading = True
         try:
             self.rawDataReceived(data)
@@ -74,16 +75,16 @@
             self.reading = False
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Buffers what came."""
+        """Buffer the received bytes."""
         self.input_buffer.write(data)
         self.bytes_received()
 
     def bytes_received(self) -> None:
-        """Called when the input buffer has grown."""
+        """Handle new bytes in the input buffer."""
         raise NotImplementedError
 
     def unread_age_ms(self) -> float:
-        """Milliseconds since the newest byte reached this machine; 0 where that is not known."""
+        """Return the milliseconds since the newest byte reached this machine; 0 where unknown."""
         socket = getattr(self.transport, "socket", None)
         if socket is None:
             return 0.0
@@ -93,8 +94,11 @@
         except (OSError, ValueError):
             return 0.0
 
-    def peer_ended(self) -> bool:
-        """Whether the peer has ended its sending or has reset, also behind bytes still unread."""
+    def peer_has_closed(self) -> bool:
+        """Return whether the peer has closed its sending side or reset the connection.
+
+        Bytes that are still unread make no difference.
+        """
         socket = getattr(self.transport, "socket", None)
         if socket is None:
             return False
@@ -107,11 +111,11 @@
             return True
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes of the peer, or its end, are unread in the input buffer or the kernel."""
+        """Return whether the input buffer or the kernel holds unread bytes or an end of stream."""
         return len(self.input_buffer) > 0 or self.has_kernel_bytes()
 
     def has_kernel_bytes(self) -> bool:
-        """Whether bytes of the peer, or its end, are unread in the kernel."""
+        """Return whether the kernel holds unread bytes or an end of stream."""
         socket = getattr(self.transport, "socket", None)
         if socket is None:
             return False
@@ -124,21 +128,21 @@
         return True
 
     def read_now(self) -> None:
-        """Reads what the kernel has, without waiting for the loop's next turn."""
+        """Read the bytes in the kernel without waiting for the event loop's next turn."""
         getattr(self.transport, "doRead", lambda: None)()
 
     # ---- sending
 
     def send(self, data: bytes) -> None:
-        """Sends at once what the kernel takes, and buffers the rest."""
+        """Send the bytes that the kernel accepts at once, and buffer the rest."""
         if not self.write_pending:
             plain = self._plain_transport
             if plain is not None and plain.connected and not plain.disconnecting:
-                # What the kernel takes at once costs no turn of the loop and no poll for
+                # A direct write needs no further turn of the event loop and no poll for
                 # writability.
                 try:
                     sent = plain.socket.send(data)
-                except OSError:  # the transport finds out why
+                except OSError:  # the transport reports the cause when it writes
                     sent = 0
                 if sent == len(data):
                     return
@@ -148,18 +152,18 @@
             self._start_writing()
 
     def send_chunks(self, chunks: Iterable[bytes]) -> None:
-        """Sends large pieces without a copy. Nothing else may be sent until they have left."""
+        """Send large chunks without a copy; `send` may be called again once they are written."""
         self._chunks.extend(chunks)
         if not self.write_pending:
             self._start_writing()
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether output still waits here for the transport."""
+        """Whether buffered output still waits for the transport."""
         return len(self.output_buffer) > 0 or len(self._chunks) > 0
 
     def resume_writing(self) -> None:
-        """Gives the transport its next piece; called by it whenever it has written the last."""
+        """Pass the next chunk to the transport, which calls this after it has written the last."""
         if len(self.output_buffer):
             self.transport.write(self.output_buffer.read(WRITE_CHUNK_BYTES))
         elif self._chunks:
@@ -174,20 +178,20 @@
         self.transport.registerProducer(_OutputProducer(self), False)
 
     def all_written(self) -> None:
-        """Called once all buffered output has been written."""
+        """Handle the end of writing: all buffered output has been written."""
 
     # ---- ending
 
     @property
     def can_end_now(self) -> bool:
-        """Whether nothing waits that a direct close or shutdown of the socket would cut off."""
+        """Whether the socket may be closed or shut down directly, without losing output."""
         plain = self._plain_transport
         return plain is not None and plain.connected and not self.write_pending
 
     def close_now(self) -> None:
-        """Closes in this very turn of the loop; not to be called while the transport is read.
+        """Close in this turn of the event loop; not to be called while the transport is being read.
 
-        Twisted closes in a later turn, and what comes in between is lost with the connection.
+        Twisted closes in a later turn, and bytes that arrive in between are lost.
         """
         if self.can_end_now:
             self._plain_transport.connectionLost(Failure(ConnectionDone()))
@@ -195,7 +199,7 @@
             self.transport.loseConnection()
 
     def shutdown_write(self) -> bool:
-        """Ends our sending in this very turn and stops reading; False where it can't be done."""
+        """Shut down the sending side at once and stop reading; return False where that fails."""
         if not self.can_end_now:
             return False
         try:
@@ -206,10 +210,10 @@
         return True
 
     def reset_now(self) -> None:
-        """Resets in this very turn. A transport in the middle of a read sees that it is over.
+        """Reset the connection in this turn of the event loop, even while it is being read.
 
-        Twisted resets in a later turn, and a request sent elsewhere before that would be a second
-        copy of one that may still run here.
+        Twisted resets in a later turn. A retry that is sent elsewhere before that could run while
+        the backend still executes the first request.
         """
         self.transport.abortConnection()
         connection_lost = getattr(self.transport, "connectionLost", None)
--- a/hookpitch/net/client_connection.py
+++ b/hookpitch/net/client_connection.py
@@ -1,9 +1,9 @@
-"""One client's connection: RESP2 commands in, one reply to each in the order of the commands.
+"""One client's connection: reads RESP2 commands and replies to each in the order of the commands.
 
-State: a parser, a queue with a slot for each command's reply, the RPCs that are open, and the
-answers that are streamed rather than held. Invariants: replies leave in the order of the commands;
-of several streamed answers only the one at the head of the queue is being sent; nothing is read
-while `closing`. A command that stands unread in the kernel counts as received: its time runs.
+State: a parser, a queue with one slot for each command's reply, the open RPCs, and the responses
+that are streamed instead of buffered. Invariants: replies are sent in the order of the commands; of
+several streamed responses only the one at the head of the queue is being sent; nothing is read
+while `closing`. A command that is still unread in the kernel counts as received: its deadlines run.
 """
 
 from __future__ import annotations
@@ -29,16 +29,17 @@
 
 RPC_WORDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
 
-# What a client sends while it is not read waits in the kernel, its time runs, and it would be sent
-# on after its deadline. So these two bounds lie far beyond what a client has out in earnest.
+# While reading is paused, a client's commands wait in the kernel while their deadlines run, and may
+# be forwarded after their deadlines. These two bounds are therefore far above what a well-behaved
+# client has in flight.
 MAX_UNREAD_REPLY_BYTES = 1 << 23
 MAX_PENDING_COMMANDS = 4096
 
-COMMANDS_PER_TURN = 32  # then other connections have their turn
-VALUE_PROGRESS_BYTES = 4096  # of a large value, after which its client counts as active
-LINGER_MS = 100.0  # between the end of sending and the close, for the last reply to arrive
-STALE_READ_MS = 50.0  # a command read later than this may be of a client that has left since
-REFUSED_VALUE = ChunkedValue()  # stands for a large value for which there is no memory
+COMMANDS_PER_TURN = 32  # commands of one connection per turn of the event loop
+VALUE_PROGRESS_BYTES = 4096  # bytes of a large value after which its client counts as active
+LINGER_MS = 100.0  # from the shutdown of sending until the close, so that the last reply arrives
+STALE_READ_MS = 50.0  # the client of a command read later than this may have disconnected
+REFUSED_VALUE = ChunkedValue()  # placeholder for a large value that exceeds the memory budget
 
 FAILED = b"-ERR failed\r\n"
 BUSY = b"-BUSY\r\n"
@@ -46,7 +47,7 @@
 
 @implementer(IHalfCloseableProtocol)
 class ClientConnection(BufferedProtocol):
-    """Reads commands, hands RPCs to the host and sends its answers; times are Unix ms."""
+    """Reads commands, passes RPCs to the host and sends its responses; times are Unix ms."""
 
     def __init__(self, registry: ClientRegistry) -> None:
         super().__init__()
@@ -56,29 +57,29 @@
         self.parser = Parser(
             self.input_buffer, commands_only=True, max_value_bytes=MAX_STREAMED_BYTES
         )
-        self.number = -1  # of its slot among the host's connections
+        self.number = -1  # the connection's slot in the host's connection table
 
         self.pending_replies: deque[ReplySlot] = deque()  # one for each command, in order
-        self.rpcs: dict[ReplySlot, Rpc] = {}  # open ones
-        self.streams: dict[ReplySlot, Stream] = {}  # answers whose first bytes have come
-        self.current_stream: Stream | None = None  # the one that is being sent
-        self.value: ChunkedValue | None = None  # a large value of a command, as it arrives
+        self.rpcs: dict[ReplySlot, Rpc] = {}  # open RPCs
+        self.streams: dict[ReplySlot, Stream] = {}  # responses whose first bytes have arrived
+        self.current_stream: Stream | None = None  # the stream that is being sent
+        self.value: ChunkedValue | None = None  # the large value of a command, while it arrives
 
         self.closing = False  # nothing more is read
-        self.lost = False
-        self.over_limit = False  # answered that there is no room, then closed
-        self.has_sent_command = False  # a complete one
-        self.close_scheduled = False  # as one of many in a drain
-        self.sender_left = False  # the client had ended its sending as its commands were read
-        self.peer_finished = False  # the client has ended its sending, and all of it was read
-        self._finished = False  # our sending has ended, or is about to
+        self.lost = False  # the connection has closed
+        self.is_over_limit = False  # answered with -BUSY, then closed
+        self.has_sent_command = False  # at least one complete command
+        self.close_scheduled = False  # a drain closes this connection at a later time
+        self.client_has_left = False  # the client had stopped sending when its commands were read
+        self.peer_half_closed = False  # the client has stopped sending, and all bytes were read
+        self._finished = False  # the sending side is shut down, or the connection is being closed
         self._parsing = False
 
-        self.active_at = 0.0  # the last reply, or a command's first byte; at first the connect
+        self.active_at = 0.0  # time of the connect, the last reply or a command's first byte
         self.last_byte_at = 0.0
 
     def connectionMade(self) -> None:
-        """Registers the connection, which may close another for it."""
+        """Register the connection; the registry may close another connection for it."""
         super().connectionMade()
         self.number = self.host.connections.add(self)
         self.active_at = self.last_byte_at = self.clock.now()
@@ -86,7 +87,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no command is in work and no part of one has come."""
+        """Whether no command is in progress and no part of a command has arrived."""
         return (
             not self.pending_replies
             and not len(self.output_buffer)
@@ -96,13 +97,13 @@
 
     @property
     def is_between_commands(self) -> bool:
-        """Whether a complete command has come at some time and no part of another since."""
+        """Whether a complete command has arrived, and no part of another one since."""
         return self.has_sent_command and self.parser.at_boundary
 
     # ---- commands
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Large values go past the ring."""
+        """Store the received bytes; large values bypass the ring buffer."""
         self.last_byte_at = self.clock.now()
         if self.has_sent_command and self.parser.at_boundary:
             self.active_at = self.last_byte_at
@@ -126,28 +127,28 @@
             before = self.value.length // VALUE_PROGRESS_BYTES
             self.value.append(data)
             if self.value.length // VALUE_PROGRESS_BYTES > before:
-                # A large value that comes slowly must not look like a client that says nothing.
+                # A client that sends a large value slowly must not be taken for a silent one.
                 self.active_at = self.clock.now()
 
     def _release_value(self) -> None:
-        """Gives back the memory of a large value that no RPC has taken over."""
+        """Release the memory of a large value that no RPC has taken over."""
         if self.value is not None and self.value is not REFUSED_VALUE:
             self.host.value_budget.release(self.value.length + self.parser.body_remaining)
         self.value = None
 
     def bytes_received(self) -> None:
-        """Runs what commands are complete, a batch at a time."""
+        """Run the complete commands, `COMMANDS_PER_TURN` at a time."""
         if self._parsing or self.lost:
             return
         self._parsing = True
         try:
             age_ms = self.unread_age_ms()
-            # What was read too late would be sent for a client that has left.
-            self.sender_left = age_ms > STALE_READ_MS and self.peer_ended()
+            # An RPC that was read too late would be forwarded for a client that has disconnected.
+            self.client_has_left = age_ms > STALE_READ_MS and self.peer_has_closed()
             self._run_commands(age_ms)
-        except ProtocolError as fault:
+        except ProtocolError as error:
             self.host.counters.add("clients.malformed")
-            self._reply(b"-ERR %b\r\n" % str(fault).encode())
+            self._reply(b"-ERR %b\r\n" % str(error).encode())
             self.closing = True
         finally:
             self._parsing = False
@@ -173,8 +174,8 @@
                 if len(self.pending_replies) >= MAX_PENDING_COMMANDS:
                     self.host.counters.add("clients.paused")
                     self.pauseProducing()
-        # Hundreds of commands that came at once would keep all deadlines waiting until each was
-        # decided.
+        # The remaining commands run in the next turn: hundreds of pipelined commands handled in one
+        # turn would delay all deadlines.
         self.clock.deadlines.add(self.clock.now(), lambda _: self.bytes_received())
 
     def _run_command(self, words: list[bytes], age_ms: float) -> None:
@@ -186,11 +187,11 @@
     def _handle_rpc(self, words: list[bytes], age_ms: float) -> None:
         slot = ReplySlot()
         self.pending_replies.append(slot)
-        if self.sender_left or self.registry.fails_new_requests:
+        if self.client_has_left or self.registry.fails_new_requests:
             self.host.counters.add("rpcs.client_left")
             slot.answer = FAILED
             return
-        if self.over_limit:
+        if self.is_over_limit:
             self._reject_rpc(slot, words, "rpcs.no_room")
             self.closing = True
             return
@@ -203,7 +204,7 @@
                 words[4] = self.value
             rpc = self.host.accept(self.clock.now(), self, slot, words, age_ms)
             if rpc is not None:
-                self.value = None  # it is the RPC's now
+                self.value = None  # the RPC owns the value now
         if slot.answer is not None:
             return
         if rpc is None:
@@ -229,7 +230,7 @@
         self._reply(bulk(self.registry.info()))
 
     def _handle_ignored(self, _words: list[bytes], _: float) -> None:
-        """Commands that client libraries send first and that mean nothing here."""
+        """Accept a command that client libraries send after connecting and that has no effect."""
         self._reply(b"+OK\r\n")
 
     def _handle_quit(self, _words: list[bytes], _: float) -> None:
@@ -246,17 +247,17 @@
         self.pending_replies.append(ReplySlot(answer))
 
     def reply(self, slot: ReplySlot, answer: bytes) -> None:
-        """The host's final answer to the RPC of a slot."""
+        """Set the final response to the RPC of a slot."""
         slot.answer = answer
         self.rpcs.pop(slot, None)
         if self.streams.pop(slot, None) is not None:
             self.registry.active_streams -= 1
-            self.current_stream = None  # `answer` is the rest of it
+            self.current_stream = None  # `answer` holds the rest of the stream
         if not self.lost:
             self._send_replies()
 
     def _send_replies(self) -> None:
-        """Sends the replies that are known, up to the first that is not."""
+        """Send the available replies, up to the first command that has no reply yet."""
         while self.pending_replies and self.pending_replies[0].answer is not None:
             self.send(self.pending_replies.popleft().answer)
             self.registry.mark_active(self)
@@ -273,14 +274,14 @@
             self.update_eviction_order()
         self._close_if_done()
 
-    # ---- streamed answers
+    # ---- streamed responses
 
     def stream_started(self, slot: ReplySlot, stream: Stream) -> None:
-        """The answer to the RPC of a slot has begun to arrive in pieces."""
+        """Register a stream: the response to the RPC of a slot has begun to arrive in chunks."""
         self.streams[slot] = stream
         self.registry.active_streams += 1
         if self.lost or self.pending_replies[0] is not slot:
-            stream.source.pause()  # the replies before it go first
+            stream.source.pause()  # replies to earlier commands are sent first
         else:
             self._start_stream(stream)
 
@@ -290,15 +291,16 @@
         stream.source.resume()
 
     def stream_chunk(self, slot: ReplySlot, data: bytes) -> None:
-        """More of the answer that is being sent."""
+        """Send the next chunk of the current stream."""
         self.send(data)
-        # Where a server gives faster than the client reads, the value would be held here.
+        # Without the pause, a backend that is faster than the client would fill this buffer with
+        # the whole value.
         buffered = len(self.output_buffer)
         if buffered > self.registry.stream_buffer_bytes and self.current_stream is not None:
             self.current_stream.source.pause()
 
     def resume_writing(self) -> None:
-        """The client has read: a held stream may go on."""
+        """Write more output, and resume a paused stream once enough of it has been read."""
         super().resume_writing()
         if self.current_stream is not None:
             self.current_stream.last_progress = self.clock.now()
@@ -306,15 +308,15 @@
                 self.current_stream.source.resume()
 
     def stream_aborted(self, slot: ReplySlot) -> None:
-        """The rest of a streamed answer will not come."""
+        """Fail a streamed response whose remaining chunks will not arrive."""
         self.rpcs.pop(slot, None)
         stream = self.streams.pop(slot, None)
         if stream is not None:
             self.registry.active_streams -= 1
         if self.current_stream is not stream:
-            slot.answer = FAILED  # nothing of it was sent
+            slot.answer = FAILED  # no chunk of this stream was sent
         else:
-            # The client can't be told: it would take what comes next for the rest of the value.
+            # No error can be sent: the client would read it as part of the value.
             self.current_stream = None
             self.closing = True
             self.pending_replies.clear()
@@ -330,11 +332,11 @@
         )
         if self.paused and has_eased and not self.closing and not self.lost:
             self.resumeProducing()
-            self.bytes_received()  # what was read before the pause
+            self.bytes_received()  # commands that were buffered before the pause
 
     def update_eviction_order(self) -> None:
-        """Moves to the end of the line of those that may be closed to make room, or out of it."""
-        self.registry.forget_eviction(self)
+        """Move to the end of the registry's queue of eviction candidates, or leave that queue."""
+        self.registry.remove_eviction_candidate(self)
         if (
             not self.pending_replies
             and not self.closing
@@ -344,10 +346,10 @@
             self.registry.add_eviction_candidate(self)
 
     def _stop_reading_if_draining(self) -> None:
-        """In a drain nothing is read any more once no command stands in part.
+        """Stop reading in a drain, once no command is partially received.
 
-        A pipeline that never rests would otherwise never end, and what is read after the end of
-        sending is lost.
+        Otherwise a client that pipelines without a pause would keep its connection open forever,
+        and commands read after the sending side is shut down would get no reply.
         """
         if (
             self.registry.draining
@@ -360,13 +362,13 @@
             self.pauseProducing()
 
     def all_written(self) -> None:
-        """The client has read all replies."""
+        """Continue once all buffered replies have been written."""
         self.advance()
 
     def advance(self) -> None:
-        """Takes the next step that is due: read on, drain or close."""
+        """Take the next step that is due: resume reading, drain or close."""
         if self.registry.draining and not self.lost and not self.closing:
-            self.read_now()  # a command that stands unread in the kernel counts as received
+            self.read_now()  # a command that is unread in the kernel counts as received
             if not self.lost:
                 self._stop_reading_if_draining()
         self._resume_reading()
@@ -374,18 +376,22 @@
         self._close_if_done()
 
     def drain_now(self, now: float) -> None:
-        """Closes an idle connection; one that is in use is closed once all is answered."""
+        """Close an idle connection, or a busy one once all its commands are answered."""
         self.close_scheduled = False
         self.advance()
 
     # ---- ending
 
     def disconnected(self) -> bool:
-        """Whether the client has closed its connection or ended its sending, read or not."""
-        return self.lost or self.peer_ended()
+        """Return whether the client has closed its connection or its sending side.
+
+        Bytes that are still unread make no difference.
+        """
+        return self.lost or self.peer_has_closed()
 
     def _close_if_done(self) -> None:
-        # A command that has come in part is a client that waits: a draining node reads it first.
+        # A client that has sent part of a command waits for its reply, so a draining node reads the
+        # rest of the command before it closes the connection.
         if self.lost:
             return
         if self.closing and not self.pending_replies and not len(self.output_buffer):
@@ -402,43 +408,43 @@
     def _close_if_idle(self, now: float) -> None:
         self.close_scheduled = False
         if not self.lost and self.is_idle and self.registry.draining:
-            # An RPC that comes between the last look and the close would be lost.
+            # An RPC that arrived since the last read would be lost with the connection.
             if self.has_kernel_bytes():
                 self.read_now()
             if not self.lost and self.is_idle:
                 self.finish()
 
     def finish(self) -> None:
-        """Ends our sending in this very turn, and closes the connection a moment later.
+        """Shut down the sending side at once, and close the connection `LINGER_MS` later.
 
-        A close over unread bytes resets the connection, and the last reply is lost with it.
+        Closing a socket that has unread bytes resets the connection, which loses the last reply.
         """
         self.closing = True
         if self._finished or (self.write_pending and self._plain_transport is not None):
-            return  # what waits to be written goes first
+            return  # buffered output is written first
         self._finished = True
-        if not self.peer_finished and self.shutdown_write():
+        if not self.peer_half_closed and self.shutdown_write():
             until = self.clock.now() + LINGER_MS
             self.clock.deadlines.add(until, lambda _: self.lost or self.close_now())
         else:
             self.transport.loseConnection()
 
     def readConnectionLost(self) -> None:
-        """The client has ended its sending and may still read."""
+        """Handle a half-close: the client has stopped sending and may still read."""
         self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=True)
-        self.peer_finished = True
+        self.peer_half_closed = True
         with suppress(ProtocolError):
-            # Commands not begun yet fail: nothing is sent to servers any more.
+            # Commands that have not started fail, as nothing more is sent to backends.
             while not self.closing and self.parser.next_value() is not NEED_DATA:
                 self._reply(FAILED)
         self.closing = True
         self._send_replies()
 
     def writeConnectionLost(self) -> None:
-        """Our own end of sending; nothing is left to do."""
+        """Ignore the shutdown of this node's own sending side."""
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Releases all that the connection held, and lets the host drop its RPCs."""
+        """Release the connection's resources, and let the host drop its RPCs."""
         self.lost = True
         self._release_value()
         self.host.connections.free(self.number)
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -1,9 +1,9 @@
-"""Discovery: follows the endpoint list by watches that stay open, and polls when they end.
+"""Discovery: follows the endpoint list through long-lived watches, and polls when a watch ends.
 
-State: the version that is held, the current watch, and what has come with versions lower than the
-one held. Invariants: at most one watch at a time; the version never falls, except for another
-discovery or one that was heard with lower versions more than `MAX_OLDER_VERSIONS` times in a row,
-heartbeats included.
+State: the current version, the current watch, and the updates with a version lower than the current
+one ("older" versions). Invariants: there is at most one watch at a time; the version never
+decreases, except when the discovery service changes, or after more than `MAX_OLDER_VERSIONS`
+updates and heartbeats in a row with an older version.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from hookpitch.startup.poll_schedule import NEVER, PollSchedule, WatchLoss
 
 DEFAULT_POLL_INTERVAL_MS = 10000.0
-CONNECT_TIMEOUT_FACTOR = 4  # times the timeout of a connect to a server
-MAX_OBJECT_BYTES = 1 << 22  # of one list or change, where nothing else is said
-MAX_OLDER_VERSIONS = 3  # in a row, heartbeats included, before a lower version is taken over
+CONNECT_TIMEOUT_FACTOR = 4  # multiple of the timeout of a connect to a backend
+MAX_OBJECT_BYTES = 1 << 22  # default size limit of one list or change
+MAX_OLDER_VERSIONS = 3  # updates and heartbeats in a row that do not lower the current version
 NO_VERSION = -1
 
 
@@ -35,18 +35,21 @@
 
 
 class Discovery:
-    """The source of endpoint lists; it hands each update to the host."""
+    """Receives endpoint lists and changes, and passes them to the host."""
 
     def __init__(
         self,
-        reactor: Any,  # noqa: ANN401 - real or simulated, without a common type
+        reactor: Any,  # noqa: ANN401 - Twisted's and the simulation's reactors have no common type
         clock: Clock,
         host: Host,
         address: tuple[str, int],
         version: int,
         max_object_bytes: int = MAX_OBJECT_BYTES,
     ) -> None:
-        """`version`: of the list that is held at the start; `max_object_bytes`: of one object."""
+        """Create the discovery client.
+
+        `version` is that of the initial endpoint list; `max_object_bytes` limits one JSON object.
+        """
         self.reactor = reactor
         self.clock = clock
         self.host = host
@@ -54,7 +57,7 @@
         self.version = version
         self.max_object_bytes = max_object_bytes
         self.current_watch: Watch | None = None
-        self.on_first_list: Callable[[], None] | None = None  # called once a list has come
+        self.on_first_list: Callable[[], None] | None = None  # called on the first list
         deployment = host.deployment
         self.poll_schedule = PollSchedule(
             clock.now(),
@@ -64,15 +67,15 @@
             not deployment.polling_required,
         )
         self._next_poll: Deadline | None = None
-        self._older_count = 0  # how often in a row discovery was heard with lower versions
-        self._older_version = NO_VERSION  # the last lower one on this watch
-        # The complete list with that version; None where only changes have come.
+        self._older_count = 0  # updates and heartbeats in a row with an older version
+        self._older_version = NO_VERSION  # the latest older version on this watch
+        # The complete list of that version; None where only changes have been received.
         self._older_list: dict[str, ListedEndpoint] | None = None
 
     # ---- polls and watches
 
     def schedule_poll(self) -> None:
-        """Sets the next poll to when the schedule wants it."""
+        """Set the timer of the next poll to the schedule's due time."""
         self.clock.deadlines.cancel(self._next_poll)
         self._next_poll = None
         if self.poll_schedule.due_at < NEVER:
@@ -85,7 +88,7 @@
             self.schedule_poll()
 
     def reconfigured(self) -> None:
-        """Takes over the settings for polls."""
+        """Apply the current settings to the poll schedule."""
         deployment = self.host.deployment
         interval_ms = deployment.poll_interval_ms or DEFAULT_POLL_INTERVAL_MS
         self.poll_schedule.reconfigure(
@@ -93,7 +96,7 @@
         )
 
     def start_watch(self, now: float) -> None:
-        """Opens a watch, in place of the one there is."""
+        """Open a watch, which replaces the current one."""
         self.host.counters.add("lists.asked")
         self.poll_schedule.poll_started(now)
         self.schedule_poll()
@@ -105,11 +108,12 @@
         watch.set_silence_timeout(CONNECT_TIMEOUT_FACTOR * self.host.deployment.connect_timeout_ms)
 
     def watch_lost(self, watch: Watch, cause: WatchLoss, retry_after: float) -> None:
-        """A watch has ended by itself; `retry_after`: ms for which discovery wants no poll."""
+        """Handle the loss of a watch; `retry_after` is the shortest time in ms until a poll."""
         if watch is not self.current_watch:
             return
         self.current_watch = None
-        # How often lower versions came stays counted; their list may be another's by now.
+        # The count of older versions stays. Their list is dropped, as the next watch may reach
+        # another discovery server with another list.
         self._older_list = None
         self._older_version = NO_VERSION
         now = self.clock.now()
@@ -120,9 +124,10 @@
         self.schedule_poll()
 
     def change_address(self, address: tuple[str, int], reset_version: bool = False) -> None:
-        """Watches discovery at an address, from version 0 where the address is another.
+        """Watch discovery at an address, from version 0 if the address has changed.
 
-        `reset_version`: also at the same address, as the list that is held means something else.
+        `reset_version` starts from version 0 also at the same address; it is set when new settings
+        change the meaning of the current list.
         """
         is_reset = reset_version or address != self.address
         if not is_reset and self.current_watch is not None:
@@ -130,33 +135,33 @@
         if is_reset:
             self.address = address
             self.version = 0
-            self._forget_older()
+            self._discard_older_version()
         self.start_watch(self.clock.now())
 
-    # ---- what a watch hands on
+    # ---- events of a watch
 
     def list_received(self, text: bytes) -> None:
-        """A list or a change has come. Raises EndpointListError where it can't be used."""
+        """Handle a list or a change. Raises EndpointListError where `text` is not usable."""
         update = parse_endpoint_list(text, self.host.deployment.kinds)
         if update.complete and not update.endpoints:
-            # A discovery that has lost its data would empty the list of every node.
-            raise EndpointListError("a whole list without servers")
+            # A discovery service that has lost its data would empty the list of every node.
+            raise EndpointListError(f"whole list of version {update.version} is without servers")
         self.poll_schedule.endpoints_received()
         self.schedule_poll()
         if update.version < self.version:
-            self._older_received(update)
+            self._older_version_received(update)
             return
         self.version = update.version
-        self._forget_older()
+        self._discard_older_version()
         kind = EndpointUpdate.SNAPSHOT if update.complete else EndpointUpdate.DELTA
         self.host.update_endpoints(self.clock.now(), kind, update.endpoints, update.addresses)
         if self.on_first_list is not None:
             self.on_first_list()
 
     def heartbeat_received(self) -> None:
-        """Discovery was heard and has nothing newer than is held.
+        """Handle a heartbeat, or another sign that discovery has nothing newer.
 
-        A watch on which nothing has changed is no poll without an answer.
+        The heartbeat counts as a response to the poll.
         """
         self.poll_schedule.endpoints_received()
         self.schedule_poll()
@@ -164,39 +169,42 @@
             return
         self._older_count += 1
         if self._older_count > MAX_OLDER_VERSIONS:
-            self._accept_older()
+            self._accept_older_version()
 
-    # ---- versions lower than the one held
+    # ---- versions older than the current one
 
-    def _forget_older(self) -> None:
+    def _discard_older_version(self) -> None:
         self._older_count = 0
         self._older_version = NO_VERSION
         self._older_list = None
 
-    def _older_received(self, update: EndpointList) -> None:
-        """Discovery lags, or has begun to count from the start.
+    def _older_version_received(self, update: EndpointList) -> None:
+        """Handle an older version: discovery lags, or has restarted its version count.
 
-        One that lags would bring back servers removed long ago, so its list waits until discovery
-        has been heard some times; meanwhile the watch stays open, as hundreds of nodes would poll
-        again each time.
+        The list of a discovery service that lags could bring back backends removed long ago, so an
+        older list is accepted only after `MAX_OLDER_VERSIONS` updates and heartbeats. Until then
+        the watch stays open: if it were closed, hundreds of nodes would poll again each time.
         """
         if update.complete:
             self._older_list = {}
         if self._older_list is not None:
-            self._apply_to_older(update, self._older_list)
+            self._apply_to_older_list(update, self._older_list)
         self._older_version = update.version
         self.host.record_malformed(
-            "versions", f"discovery has version {update.version}, {self.version} is held"
+            "versions", f"received version {update.version} is older than version {self.version}"
         )
-        # Rule 3: what it removes may be sent nothing from now on, whatever its version.
-        unavailable = [e for e in update.endpoints if e.state != EndpointState.READY]
+        # Rule 3: nothing new may be sent to an endpoint that is draining or removed, whatever the
+        # version of the update.
+        unavailable = [
+            endpoint for endpoint in update.endpoints if endpoint.state != EndpointState.READY
+        ]
         if unavailable:
             self.host.update_endpoints(
                 self.clock.now(), EndpointUpdate.DELTA, unavailable, update.addresses
             )
         self.heartbeat_received()
 
-    def _apply_to_older(self, update: EndpointList, listed: dict[str, ListedEndpoint]) -> None:
+    def _apply_to_older_list(self, update: EndpointList, listed: dict[str, ListedEndpoint]) -> None:
         for endpoint in update.endpoints:
             if endpoint.state != EndpointState.REMOVED:
                 address = update.addresses[endpoint.id]
@@ -205,14 +213,16 @@
             if endpoint.state == EndpointState.REMOVED:
                 listed.pop(endpoint.id, None)
 
-    def _accept_older(self) -> None:
-        """Takes over the lower version and its list."""
+    def _accept_older_version(self) -> None:
+        """Make the older version and its list the current ones."""
         listed = self._older_list
         self.version = self._older_version
-        self._forget_older()
-        if listed is None:  # changes alone: of which list, only the complete one tells
+        self._discard_older_version()
+        if listed is None:  # changes alone do not give the list; the next watch requests all of it
             self.version = 0
-            raise EndpointListError("versions are counted anew")
+            raise EndpointListError(
+                "discovery restarted its version count and sent changes without a complete list"
+            )
         endpoints = [entry.endpoint for entry in listed.values()]
         addresses = {backend_id: entry.address for backend_id, entry in listed.items()}
         self.host.update_endpoints(self.clock.now(), EndpointUpdate.SNAPSHOT, endpoints, addresses)
--- a/hookpitch/net/discovery_watch.py
+++ b/hookpitch/net/discovery_watch.py
@@ -1,8 +1,8 @@
 """One watch on discovery: an HTTP/1.1 response that stays open, with JSON objects and heartbeats.
 
-The watch ends once: by its connection, a response that can't be read, a silence, or because another
-replaces it. Silence is put off by complete objects and heartbeats, and by progress within a long
-object, but not by a byte now and then.
+A watch ends exactly once: when its connection closes, on an invalid response, after a silence
+timeout, or when another watch replaces it. Complete objects, heartbeats and progress within a long
+object restart the silence timeout; a few bytes now and then do not.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 if TYPE_CHECKING:
     from hookpitch.net.discovery import Discovery
 
-PROGRESS_BYTES = 512  # of a long object, which put its watch's silence off
+PROGRESS_BYTES = 512  # bytes of a long object that restart the silence timeout
 MAX_RETRY_AFTER_S = 3600.0
-MAX_REASON_CHARACTERS = 200  # in a log line
+MAX_REASON_CHARACTERS = 200  # of an error message in a log line
 
 
 def retry_after_ms(headers: Iterable[tuple[bytes, bytes]]) -> float:
-    """An HTTP response's Retry-After, in ms; 0 where it has none that is given in seconds."""
+    """Return an HTTP response's Retry-After in ms; 0 where absent or not given in seconds."""
     values = (value for name, value in headers if name.lower() == b"retry-after")
     value = next(values, b"")
     if not value.isdigit() or len(value) >= 10:
@@ -37,7 +37,7 @@
 
 
 class Watch(BufferedProtocol):
-    """The connection of one watch; it hands each object to its Discovery."""
+    """The connection of one watch; passes each JSON object to its Discovery."""
 
     def __init__(self, discovery: Discovery) -> None:
         super().__init__()
@@ -46,13 +46,15 @@
         self.ended = False
         self._http = h11.Connection(h11.CLIENT)
         self._objects = JsonStream(discovery.max_object_bytes)
-        self._bytes_seen = 0  # of an incomplete object, when the silence was last put off
-        self._silence: Deadline | None = None
+        self._bytes_at_restart = (
+            0  # of an incomplete object, when the silence timeout last restarted
+        )
+        self._silence_deadline: Deadline | None = None
 
     def connectionMade(self) -> None:
-        """Asks for all changes since the version that is held."""
+        """Request all changes since the current version."""
         super().connectionMade()
-        # A discovery that was cut off never answers, and its watch would hang for good.
+        # A discovery service that is unreachable never responds, and the watch would hang forever.
         self.set_silence_timeout(self.discovery.poll_schedule.response_timeout_ms)
         host, port = self.discovery.address
         target = f"/v1/servers?follow=1&since={self.discovery.version}"
@@ -61,12 +63,12 @@
         self.send(request + self._http.send(h11.EndOfMessage()))
 
     def bytes_received(self) -> None:
-        """Reads the response as far as it has come."""
+        """Read the part of the response that has been received."""
         self._http.receive_data(self.input_buffer.read(len(self.input_buffer)))
         try:
             self._read_events()
-        except (h11.RemoteProtocolError, ValueError) as fault:
-            reason = str(fault)[:MAX_REASON_CHARACTERS]
+        except (h11.RemoteProtocolError, ValueError) as error:
+            reason = str(error)[:MAX_REASON_CHARACTERS]
             self.discovery.host.logger.info("discovery_response_invalid", reason=reason)
             self.end(WatchLoss.ENDED)
 
@@ -91,43 +93,44 @@
                 self.discovery.list_received(text)
             else:
                 self.discovery.heartbeat_received()
-        # Half an object, or a byte now and then, tells nothing and would put silence off for good.
-        if count or abs(len(self._objects) - self._bytes_seen) >= PROGRESS_BYTES:
-            self._bytes_seen = len(self._objects)
+        # A partial object, or a few bytes now and then, is no update and must not postpone the
+        # silence timeout forever.
+        if count or abs(len(self._objects) - self._bytes_at_restart) >= PROGRESS_BYTES:
+            self._bytes_at_restart = len(self._objects)
             self.set_silence_timeout(SILENCE_TIMEOUT_MS)
 
     def set_silence_timeout(self, timeout_ms: float) -> None:
-        """How long the watch may be silent from now on."""
+        """Restart the silence timeout with the given duration."""
         clock = self.discovery.clock
-        clock.deadlines.cancel(self._silence)
+        clock.deadlines.cancel(self._silence_deadline)
         until = clock.now() + timeout_ms
-        self._silence = clock.deadlines.add(until, lambda _: self.end(WatchLoss.SILENT))
+        self._silence_deadline = clock.deadlines.add(until, lambda _: self.end(WatchLoss.SILENT))
 
     def end(self, cause: WatchLoss, retry_after: float = 0.0) -> None:
-        """The watch is lost. `retry_after`: ms before which discovery wants no further poll."""
+        """End the watch as lost; `retry_after` is the time in ms before which not to poll again."""
         if self.ended:
             return
         self.close()
         self.discovery.watch_lost(self, cause, retry_after)
 
     def close(self) -> None:
-        """Ends the watch without a loss, as another replaces it."""
+        """End the watch without reporting a loss, as another watch replaces this one."""
         if self.ended:
             return
         self.ended = True
-        self.discovery.clock.deadlines.cancel(self._silence)
+        self.discovery.clock.deadlines.cancel(self._silence_deadline)
         if self.transport is not None:
             self.transport.abortConnection()
         elif self.connector is not None:
-            self.connector.disconnect()  # it still connects
+            self.connector.disconnect()  # the connect is still in progress
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The watch is lost, if it had not ended before."""
+        """End the watch as lost, if it has not ended before."""
         self.end(WatchLoss.ENDED)
 
 
 class WatchFactory(ClientFactory):
-    """The connect of one watch."""
+    """Connects one watch to discovery."""
 
     noisy = False
 
@@ -135,9 +138,9 @@
         self._watch = watch
 
     def buildProtocol(self, addr: Any) -> Watch:  # noqa: ANN401 - Twisted's address types
-        """The watch that asked for the connect."""
+        """Return the watch, which is the protocol of the connection."""
         return self._watch
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401 - Twisted's connector types
-        """The watch is lost before it began."""
+        """End the watch as lost, as the connect has failed."""
         self._watch.end(WatchLoss.ENDED)
--- a/hookpitch/net/endpoint_list.py
+++ b/hookpitch/net/endpoint_list.py
@@ -1,7 +1,7 @@
 """Discovery's wire format: one JSON object with the version of the endpoint list and its endpoints.
 
-Stateless. Every reader of an endpoint list uses it: the discovery watch, the configuration file's
-list of known servers, and the lists that members of a fleet exchange.
+The module is stateless and parses every endpoint list: those of discovery, the list `known` of the
+configuration file, and the lists that members of a fleet exchange.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-UNKNOWN_KIND = -2  # of an endpoint whose class is not among the deployment's kinds
+UNKNOWN_KIND = -2  # the kind of an endpoint whose class the deployment does not name
 
 
 class EndpointListError(InputError):
-    """An object of discovery's that cannot be read as an endpoint list."""
+    """A JSON object that is not a valid endpoint list."""
 
 
 class EndpointList(NamedTuple):
-    """One object as discovery wrote it."""
+    """One complete endpoint list, or the changes to one."""
 
     version: int
-    complete: bool  # the whole list; otherwise the endpoints that changed
+    complete: bool  # all endpoints; otherwise only those that changed
     endpoints: list[Endpoint]
     addresses: dict[str, str]  # "host:port" to connect to, by endpoint id
 
@@ -37,10 +37,10 @@
 def parse_endpoint_list(
     text: bytes | str | Mapping[str, Any], kinds: Sequence[str]
 ) -> EndpointList:
-    """The endpoint list in a JSON text, or in an object that was parsed before.
+    """Parse an endpoint list from a JSON text, or from an object that is already parsed.
 
-    `kinds` are the deployment's names of the kinds of servers, in their order. Raises
-    EndpointListError.
+    `kinds` holds the deployment's names of the kinds of backends, in order. Raises
+    EndpointListError where the list is not valid.
     """
     try:
         top = text if isinstance(text, Mapping) else json.loads(text)
@@ -58,8 +58,8 @@
         AttributeError,
         RecursionError,
         OverflowError,
-    ) as fault:
-        raise EndpointListError(f"a bad list of servers: {fault!r}") from None
+    ) as error:
+        raise EndpointListError(f"invalid list of servers: {error!r:.300}") from None
 
 
 def _parse_endpoint(entry: Any, kinds: Sequence[str]) -> Endpoint:  # noqa: ANN401 - untyped JSON
@@ -75,5 +75,8 @@
     host, _, port = str(entry["dial"]).rpartition(":")
     finite = abs(endpoint.started_ms + endpoint.size) < float("inf")
     if not host or not 0 < int(port) < 65536 or not finite:
-        raise ValueError("a bad entry")
+        raise ValueError(
+            f"host {endpoint.id!r:.40} has dial {entry['dial']!r:.60}, share {endpoint.size:g}, "
+            f"born_ms {endpoint.started_ms:g}; expected host:port, finite numbers"
+        )
     return endpoint
--- a/hookpitch/net/hot_restart.py
+++ b/hookpitch/net/hot_restart.py
@@ -26,7 +26,7 @@
     def apply(self, command: Command) -> None:
         """Carry out one command."""
 
-    def in_force(self) -> list[Command]:
+    def active_commands(self) -> list[Command]:
         """The commands that still act."""
 
 
@@ -96,9 +96,9 @@
             return
         self._apply_new_commands()
         if self._count_processes:
-            self._share_capacity(1 + len(self.shared_state.find_other_processes()))
+            self._divide_capacity(1 + len(self.shared_state.find_other_processes()))
             self._count_processes = self.process_count > 1
-        self.shared_state.compact(self._node.commands.in_force())
+        self.shared_state.compact(self._node.commands.active_commands())
         self._node.clock.deadlines.add(now + POLL_INTERVAL_MS, self._poll)
 
     def _apply_new_commands(self) -> None:
@@ -110,7 +110,7 @@
             else:
                 self._node.commands.apply(command)
 
-    def _share_capacity(self, process_count: int) -> None:
+    def _divide_capacity(self, process_count: int) -> None:
         """Divide what one process may hold among so many."""
         if process_count == self.process_count:
             return
--- a/hookpitch/net/lifecycle.py
+++ b/hookpitch/net/lifecycle.py
@@ -218,7 +218,7 @@
             # not delay the end for long.
             self._final_snapshot_begun = True
             store.save()
-            wait_ms = FINAL_SNAPSHOT_MS if store.writing else 0.0
+            wait_ms = FINAL_SNAPSHOT_MS if store.is_writing else 0.0
             node.clock.deadlines.add(node.clock.now() + wait_ms, lambda _: self._end())
             return
         node.hot_restart.stop()
--- a/hookpitch/net/node.py
+++ b/hookpitch/net/node.py
@@ -1,8 +1,9 @@
-"""One node on sockets: its parts, made and joined.
+"""One node on sockets: creates its components and connects them to each other.
 
-`lifecycle` starts and stops them, `commands` are the operators', `hot_restart` keeps two processes
-of one node in step, `startup_monitor` observes the phases of the start. `membership` and
-`snapshot_store` are attached after construction where the operator's file asks for them.
+`lifecycle` starts and stops the components, `commands` carries out operators' commands,
+`hot_restart` synchronizes the processes of one node, and `startup_monitor` observes the phases of
+the start. `membership` and `snapshot_store` are attached after construction where the operator's
+settings file turns them on.
 """
 
 from __future__ import annotations
@@ -34,24 +35,24 @@
 
 
 class SocketNode:
-    """A node's parts, by name."""
+    """Holds the components of one node."""
 
     def __init__(
         self,
-        reactor: Any,  # noqa: ANN401 - Twisted's and the simulation's have no common type
+        reactor: Any,  # noqa: ANN401 - Twisted's and the simulation's reactors have no common type
         clock: Clock,
         config: NodeConfig,
         counters: Counters,
-        logger: Any,  # noqa: ANN401 - structlog's loggers are made at run time
+        logger: Any,  # noqa: ANN401 - structlog's logger types are created at run time
         cpu_time: Callable[[], float] = time.process_time,
     ) -> None:
-        """`cpu_time` returns the CPU seconds that this process has used."""
+        """Create the components; `cpu_time` returns the CPU seconds this process has used."""
         self.reactor = reactor
         self.clock = clock
         self.config = config
         self.logger = logger
-        descriptors = DescriptorBudget.of(config)
-        memory = MemoryBudgets.of(config)
+        descriptors = DescriptorBudget.from_config(config)
+        memory = MemoryBudgets.from_config(config)
         self.host = Host(clock.now(), config.deployment, clock.deadlines, counters, logger)
         self.host.value_budget.limit = memory.value_bytes
         self.pools = BackendPools(reactor, clock, self.host, descriptors.backends, OriginConnection)
@@ -69,22 +70,27 @@
         self.snapshot_store: SnapshotStore | None = None
 
     def start(self) -> None:
-        """Listen and serve. Raises CannotListenError, after which it may be called again."""
+        """Listen and serve clients.
+
+        Raises CannotListenError where the address is in use; the call may then be repeated.
+        """
         self.lifecycle.start()
 
     def shut_down(self) -> None:
-        """Begin a graceful shutdown, which ends with the reactor stopped."""
+        """Begin a graceful shutdown, at the end of which the reactor is stopped."""
         self.lifecycle.shut_down()
 
     def reload(self, read_config: Callable[[], ReloadedConfig]) -> None:
-        """Apply the configuration that `read_config` returns; where it raises ValueError, nothing
-        changes."""
+        """Apply the configuration that `read_config` returns.
+
+        Where `read_config` raises ValueError, the configuration stays as it is.
+        """
         reload_config(self, read_config)
 
     def apply_cached_endpoints(
         self, version: int, endpoints: list[Endpoint], addresses: Mapping[str, str]
     ) -> None:
-        """Serve by these endpoints until discovery sends a list; `addresses` by endpoint id."""
+        """Use these endpoints until discovery sends a list; `addresses` is keyed by endpoint id."""
         self.discovery.version = version
         self.host.update_endpoints(self.clock.now(), EndpointUpdate.CACHED, endpoints, addresses)
 
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -88,13 +88,13 @@
 
     # ---- commands
 
-    def suspend(self, server_id: str) -> str:
+    def suspend(self, backend_id: str) -> str:
         """Ban a backend."""
-        return self._change_ban(Verb.SUSPEND, server_id)
+        return self._change_ban(Verb.SUSPEND, backend_id)
 
-    def restore(self, server_id: str) -> str:
+    def restore(self, backend_id: str) -> str:
         """End a backend's ban."""
-        return self._change_ban(Verb.RESTORE, server_id)
+        return self._change_ban(Verb.RESTORE, backend_id)
 
     def pause(self) -> str:
         """Drain this node."""
@@ -104,10 +104,10 @@
         """End the drain."""
         return self._change_drain(Verb.RESUME)
 
-    def _change_ban(self, verb: Verb, server_id: str) -> str:
-        if not self._node.host.bannable(server_id):
+    def _change_ban(self, verb: Verb, backend_id: str) -> str:
+        if not self._node.host.bannable(backend_id):
             return NO_SUCH_SERVER
-        self._node.hot_restart.publish(Command(verb, server_id))
+        self._node.hot_restart.publish(Command(verb, backend_id))
         return ""
 
     def _change_drain(self, verb: Verb) -> str:
@@ -125,9 +125,9 @@
         elif command.verb in (Verb.PAUSE, Verb.RESUME):
             self._apply_drain(command)
 
-    def in_force(self) -> list[Command]:
+    def active_commands(self) -> list[Command]:
         """The commands that would bring a new process to this one's bans and drain."""
-        commands = [Command(Verb.SUSPEND, server_id) for server_id in self._node.host.router.bans]
+        commands = [Command(Verb.SUSPEND, backend_id) for backend_id in self._node.host.router.bans]
         if self.draining:
             commands.append(Command(Verb.PAUSE))
         return commands
--- a/hookpitch/net/reload.py
+++ b/hookpitch/net/reload.py
@@ -21,7 +21,7 @@
 # Settings by which discovery's list is read: where one changes, the whole list is read again.
 LIST_SETTINGS = frozenset({"kinds", "origin_kind", "weights_reflect_load"})
 # With another seed, draws and with them the caches of all keys would move.
-KEPT_SETTING = "seed"
+RESTART_ONLY_SETTING = "seed"
 
 
 class ReloadableNode(Protocol):
@@ -64,7 +64,8 @@
     return [
         field.name
         for field in fields(after)
-        if field.name != KEPT_SETTING and getattr(after, field.name) != getattr(before, field.name)
+        if field.name != RESTART_ONLY_SETTING
+        and getattr(after, field.name) != getattr(before, field.name)
     ]
 
 
--- a/hookpitch/net/resource_budget.py
+++ b/hookpitch/net/resource_budget.py
@@ -24,7 +24,7 @@
     rejected_clients: int  # connections beyond `clients`, open until an error is sent
 
     @classmethod
-    def of(cls, config: NodeConfig) -> DescriptorBudget:
+    def from_config(cls, config: NodeConfig) -> DescriptorBudget:
         """Half of the limit for backends, the rest for clients, after the process's own."""
         limit = config.descriptor_limit
         own = PROCESS_DESCRIPTORS
@@ -50,7 +50,7 @@
     endpoint_list_bytes: int  # one list or change of discovery's
 
     @classmethod
-    def of(cls, config: NodeConfig) -> MemoryBudgets:
+    def from_config(cls, config: NodeConfig) -> MemoryBudgets:
         """A half, a quarter and a thirty-second of the node's memory."""
         memory_bytes = config.memory_mb << 20
         return cls(
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -142,12 +142,12 @@
         if os.write(self._file, data) != len(data):
             raise SharedStateError("no room")
 
-    def compact(self, in_force: list[Command]) -> None:
+    def compact(self, active_commands: list[Command]) -> None:
         """Replace a long file with the commands in force, if no other process reads it."""
         with contextlib.suppress(OSError), _locked(self._file):
             if os.fstat(self._file).st_size <= COMPACT_BYTES or self.find_other_processes():
                 return
-            data = b"".join(encode_command(command) for command in in_force)
+            data = b"".join(encode_command(command) for command in active_commands)
             os.ftruncate(self._file, 0)
             os.write(self._file, data)
             self._read_bytes = len(data)
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -202,8 +202,8 @@
         self._node = node
         self.run_in_background = run_in_background
         self.path = settings.path.replace("{name}", quote(node.config.name, safe=""))
-        self.writing = False
-        self._failing = False  # whether the last write failed
+        self.is_writing = False
+        self._last_write_failed = False  # whether the last write failed
         self._random = seeded_random(node.config.deployment.seed, "keep")
 
     def restore(self) -> None:
@@ -257,7 +257,7 @@
         from hookpitch.startup.snapshot_state import capture
 
         node = self._node
-        if self.writing or not node.host.router.backends:
+        if self.is_writing or not node.host.router.backends:
             return
         snapshot = capture(
             node.host.router,
@@ -268,15 +268,17 @@
             node.pools.addresses(),
         )
         data = encode(snapshot)
-        self.writing = True
+        self.is_writing = True
         self.run_in_background(lambda: replace_file(self.path, data), self._on_written)
 
     def _on_written(self, failure: str) -> None:
-        self.writing = False
+        self.is_writing = False
         self._node.host.counters.add("snapshot.failed" if failure else "snapshot.written")
-        if bool(failure) == self._failing:  # a full disk is logged once, not at each write
+        if (
+            bool(failure) == self._last_write_failed
+        ):  # a full disk is logged once, not at each write
             return
-        self._failing = bool(failure)
+        self._last_write_failed = bool(failure)
         if failure:
             self._node.logger.info("snapshot_write_failed", path=self.path, reason=failure)
         else:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -20,9 +20,17 @@
 @pytest.mark.parametrize(
     ("change", "message"),
     [
-        ({"health": "unwell"}, "a bad list of servers: KeyError('unwell')"),
-        ({"dial": "127.0.0.1:0"}, "a bad list of servers: ValueError('a bad entry')"),
-        ({"share": float("inf")}, "a bad list of servers: ValueError('a bad entry')"),
+        ({"health": "unwell"}, "invalid list of servers: KeyError('unwell')"),
+        (
+            {"dial": "127.0.0.1:0"},
+            "invalid list of servers: ValueError(\"host 's0' has dial '127.0.0.1:0', share 1, "
+            'born_ms 0; expected host:port, finite numbers")',
+        ),
+        (
+            {"share": float("inf")},
+            "invalid list of servers: ValueError(\"host 's0' has dial '127.0.0.1:7000', share inf, "
+            'born_ms 0; expected host:port, finite numbers")',
+        ),
     ],
 )
 def test_an_invalid_endpoint_raises_a_value_error_that_names_the_cause(
