--- a/hookpitch/__main__.py
+++ b/hookpitch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m hookpitch`: one node on sockets, as a process."""
+"""The entry point of `python -m hookpitch`, which runs one node on sockets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 def main() -> int:
     """Run a node until it has shut down; return the exit code."""
-    # Before the node's modules are imported, which takes a while: SIGHUP would end the process.
+    # SIGHUP is ignored before the node's modules are imported: the import takes a while, and during
+    # it the signal would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from hookpitch.service import run
 
--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -1,8 +1,8 @@
-"""The admin server: an operator's connection carries one line, one answer, and ends.
+"""The admin server: each connection of an operator carries one command line and one answer.
 
-Invariants: at most `MAX_WAITING_CONNECTIONS` connections wait for their line at once, each for at
-most `CONNECTION_TIMEOUT_MS` and `MAX_LINE_BYTES`; no command's cost grows with open RPCs or
-clients. The commands and their answers are specified on the operators' page.
+Invariants: at most `MAX_WAITING_CONNECTIONS` connections wait for their line at the same time, each
+for at most `CONNECTION_TIMEOUT_MS` and `MAX_LINE_BYTES`; the cost of a command does not grow with
+the number of open RPCs or clients. The operators' page specifies the commands and their answers.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from hookpitch.core.deadlines import Deadline
 from hookpitch.net.clock import Clock
 
-MAX_WAITING_CONNECTIONS = 8  # waiting at once; with one more, the oldest is closed
-MAX_CLOSING_CONNECTIONS = 4  # further connections, whose answer is still being read
-CONNECTION_TIMEOUT_MS = 3000.0  # from the connection's start until it is aborted
+MAX_WAITING_CONNECTIONS = 8  # one more closes the one that has waited longest
+MAX_CLOSING_CONNECTIONS = 4  # further connections, whose answers are still being read
+CONNECTION_TIMEOUT_MS = 3000.0  # from the accept of a connection until it is aborted
 MAX_LINE_BYTES = 512
 YES = b"YES"
 NO = b"NO "
@@ -28,28 +28,28 @@
 
 
 class AdminTarget(Protocol):
-    """What operators' commands act on. Where an answer is a reason, '' means success."""
+    """Carries out operators' commands; methods that return a reason return '' on success."""
 
     def not_ready_reason(self) -> str:
-        """Why health checks should fail."""
+        """Return why health checks should fail."""
 
     def metrics(self) -> list[tuple[str, int]]:
-        """Names and values, in the order in which they are sent."""
+        """Return names and values, in the order in which they are sent."""
 
     def membership_lines(self) -> list[str]:
-        """The members of the fleet; none where the node is no member."""
+        """Return one line per member of the fleet; none where the node is not a member."""
 
     def suspend(self, backend_id: str) -> str:
-        """Ban a backend; the reason where that is refused."""
+        """Ban a backend, or return why the command is rejected."""
 
     def restore(self, backend_id: str) -> str:
-        """End a backend's ban; the reason where that is refused."""
+        """End a backend's ban, or return why the command is rejected."""
 
     def pause(self) -> str:
-        """Drain the node; the reason where that is refused."""
+        """Drain the node, or return why the command is rejected."""
 
     def resume(self) -> str:
-        """End the drain; the reason where that is refused."""
+        """End the drain, or return why the command is rejected."""
 
 
 class AdminConnection(LineOnlyReceiver):
@@ -63,28 +63,28 @@
         self.deadline: Deadline | None = None
 
     def connectionMade(self) -> None:
-        """Count against the limits."""
+        """Register the connection, which counts towards the limits."""
         self._server.connection_opened(self)
 
     def lineReceived(self, line: bytes) -> None:
-        """Answer the first line; further ones are ignored."""
+        """Answer the first line and ignore further lines."""
         if self in self._server.waiting:
             self._server.count("door.calls")
             self._answer_and_close(self._server.answer(line.removesuffix(b"\r")))
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Refuse the line."""
+        """Reject a line that is too long."""
         if self in self._server.waiting:
             self._answer_and_close(NO + b"a line has at most %d bytes" % MAX_LINE_BYTES)
 
     def _answer_and_close(self, answer: bytes) -> None:
-        """What the caller has not read at its deadline is discarded with the connection."""
+        """Send an answer and close; bytes that are unread at the deadline are discarded."""
         self._server.waiting.pop(self, None)
         self.transport.write(answer + b"\n")
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Give the place back."""
+        """Remove the connection from the server."""
         self._server.connection_closed(self)
 
 
@@ -97,8 +97,10 @@
         self._clock = clock
         self._target = target
         self.count = count
-        self.waiting: dict[AdminConnection, None] = {}  # for their line, the oldest first
-        self.connections = 0  # including those whose answer is still being written
+        self.waiting: dict[
+            AdminConnection, None
+        ] = {}  # connections without a line yet, the oldest first
+        self.connections = 0  # all open ones, also those whose answer is being written
         self._commands: dict[bytes, Callable[[], str]] = {
             b"STATUS": target.not_ready_reason,
             b"PAUSE": target.pause,
@@ -114,13 +116,13 @@
         }
 
     def buildProtocol(self, addr: Any) -> AdminConnection | None:  # noqa: ANN401 - Twisted's own type
-        """None, which closes the connection, where callers that read nothing hold all places."""
+        """Return a protocol, or None to close the connection where too many are open."""
         if self.connections >= MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS:
             return None
         return AdminConnection(self)
 
     def connection_opened(self, connection: AdminConnection) -> None:
-        """Wait for its line; where too many wait, the oldest is aborted."""
+        """Wait for a connection's line; abort the oldest one where too many wait."""
         self.connections += 1
         self.waiting[connection] = None
         if len(self.waiting) > MAX_WAITING_CONNECTIONS:
@@ -133,13 +135,13 @@
         )
 
     def connection_closed(self, connection: AdminConnection) -> None:
-        """Forget it."""
+        """Remove a closed connection."""
         self.waiting.pop(connection, None)
         self.connections -= 1
         self._clock.deadlines.cancel(connection.deadline)
 
     def answer(self, line: bytes) -> bytes:
-        """The answer to one line; neither has its line end."""
+        """Return the answer to one line, both without a line end."""
         words = line.split()
         name = words[0] if words else b""
         if name in self._listings and len(words) == 1:
@@ -148,7 +150,7 @@
         return NO + reason.encode() if reason else YES
 
     def _run(self, name: bytes, arguments: list[bytes]) -> str:
-        """Run one command. Returns why it was refused, or ''."""
+        """Run one command; return why it was rejected, or ''."""
         if name in self._commands_with_id:
             if len(arguments) != 1:
                 return f"{name.decode()} takes one id"
--- a/hookpitch/net/backend_connection.py
+++ b/hookpitch/net/backend_connection.py
@@ -138,8 +138,8 @@
         self.pool.connection_lost(self)
         if attempt is None:
             return
-        # An RPC that ran must not be reported as not executed, or it would run twice. Unless part of
-        # the request is still in the output buffer, the backend may have received all of it.
+        # An RPC that ran must not be reported as not executed, or it would run twice. The backend
+        # may have received the whole request unless part of it is still in the output buffer.
         if self.has_unsent_bytes:
             outcome = Outcome.CONNECT_FAILED
         else:
--- a/hookpitch/net/clock.py
+++ b/hookpitch/net/clock.py
@@ -1,6 +1,6 @@
-"""The node's clock: Unix time in milliseconds that never jumps, and the wake-up of its deadlines.
+"""The node's clock: Unix time in milliseconds that never jumps, and the timer of all deadlines.
 
-The offset of the monotonic clock to Unix time is taken once, at construction.
+The offset between the monotonic clock and Unix time is determined once, at construction.
 """
 
 from __future__ import annotations
@@ -13,26 +13,27 @@
 
 
 class Clock:
-    """Returns the time, and runs the deadlines by one timer of the reactor's."""
+    """Returns the time, and runs all deadlines with one timer of the reactor."""
 
     def __init__(
         self,
-        reactor: Any,  # noqa: ANN401 - Twisted's and the simulation's have no common type
+        reactor: Any,  # noqa: ANN401 - Twisted's and the simulation's reactors have no common type
         monotonic: Callable[[], float] = time.monotonic,
         unix: Callable[[], float] = time.time,
     ) -> None:
-        """`monotonic` and `unix` return seconds."""
+        """Create a clock; `monotonic` and `unix` return seconds."""
         self._reactor = reactor
         self._monotonic = monotonic
         self._offset_s = unix() - monotonic()
         self._timer: Any = None
         self.deadlines = Deadlines(self._arm)
-        # Called with the time and the delay before deadlines that are later than the threshold run.
+        # Called with the time and the delay, before deadlines run that are late by more than the
+        # threshold.
         self.on_late: Callable[[float, float], None] | None = None
         self.late_threshold_ms = float("inf")
 
     def now(self) -> float:
-        """Milliseconds of Unix time."""
+        """Return the Unix time in milliseconds."""
         return (self._monotonic() + self._offset_s) * 1000
 
     def _arm(self, at: float) -> None:
@@ -47,8 +48,8 @@
         now = self.now()
         late_ms = now - self.deadlines.next_due
         if late_ms > self.late_threshold_ms and self.on_late is not None:
-            # After a stall, responses that came in time are still unread: they are read first, and
-            # the deadlines run in the next turn.
+            # After a stall, responses that arrived in time may still be unread. They are read
+            # first, and the deadlines run in the next turn of the event loop.
             self.on_late(now, late_ms)
             self._timer = self._reactor.callLater(0, self._run_due)
             return
--- a/hookpitch/net/config_error.py
+++ b/hookpitch/net/config_error.py
@@ -1,7 +1,7 @@
-"""The error of all that reads configuration."""
+"""The exception that all readers of configuration raise."""
 
 from __future__ import annotations
 
 
 class ConfigError(ValueError):
-    """A configuration is missing or wrong; the text says in one line where, and what."""
+    """A configuration value is missing or wrong; the message names it in one line."""
--- a/hookpitch/net/hot_restart.py
+++ b/hookpitch/net/hot_restart.py
@@ -1,8 +1,9 @@
-"""Hot restart: two processes that are one node for as long as both live.
+"""Hot restart: two processes that act as one node while both are running.
 
-They inherit one listening socket and share one file of operators' commands (`shared_state.py`).
-Each applies every command in the file's order, and together they hold no more connections and
-memory than one process may. Invariant: while no file is shared, commands act in this process alone.
+The processes inherit one listening socket and share one file of operators' commands
+(`shared_state.py`). Each process applies every command in the file's order, and together they use
+no more connections and memory than one process may. Invariant: without a shared file, commands act
+in this process only.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from hookpitch.net.node_config import NodeConfig
 from hookpitch.net.shared_state import Command, SharedState, Verb
 
-POLL_INTERVAL_MS = 200.0  # between two reads of the shared file
+POLL_INTERVAL_MS = 200.0  # between reads of the shared file
 
 
 class CommandTarget(Protocol):
-    """What carries commands out in this process."""
+    """Carries out commands in this process."""
 
     def apply(self, command: Command) -> None:
         """Carry out one command."""
 
     def active_commands(self) -> list[Command]:
-        """The commands that still act."""
+        """Return the commands that are in effect."""
 
 
 class HotRestartNode(Protocol):
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessCapacity:
-    """What one process may hold while it is the only one."""
+    """The capacity of one process while it is the only process of its node."""
 
     backend_connections: int
     client_connections: int
@@ -52,17 +53,17 @@
 
 
 class HotRestart:
-    """This process's side of a hot restart."""
+    """Synchronizes this process with the other processes of its node."""
 
     def __init__(self, node: HotRestartNode, capacity: ProcessCapacity) -> None:
         self._node = node
         self._capacity = capacity
         self.shared_state: SharedState | None = None
-        self.process_count = 1  # as last seen
-        self._count_processes = False  # whether the number may have changed
+        self.process_count = 1  # at the last count
+        self._count_processes = False  # whether the number of processes may have changed
 
     def start(self) -> None:
-        """Open the shared file and follow it."""
+        """Open the shared file and begin to poll it."""
         node = self._node
         config = node.config
         try:
@@ -70,22 +71,22 @@
                 config.shared_directory, config.name, self._log_damage, config.process_id
             )
         except OSError as error:
-            # Bans do not outlast this process then, but it serves.
+            # The node serves without a shared file, but bans end with this process.
             node.logger.info("hot_restart_unavailable", reason=str(error))
             return
         if not self.shared_state.other_processes:
-            # A drain belongs to the processes that were told; bans stay.
+            # A drain ends with the processes that were drained; bans outlast them.
             self.shared_state.append(Command(Verb.RESUME))
         self._poll(node.clock.now())
 
     def stop(self) -> None:
-        """Let go of the shared file."""
+        """Close the shared file."""
         if self.shared_state is not None:
             self.shared_state.close()
             self.shared_state = None
 
     def publish(self, command: Command) -> None:
-        """Carry a command out in every process of this node; in this one before it returns."""
+        """Carry out a command in every process of this node, and in this one before returning."""
         if self.shared_state is not None and self.shared_state.append(command):
             self._apply_new_commands()
         else:
@@ -111,7 +112,7 @@
                 self._node.commands.apply(command)
 
     def _divide_capacity(self, process_count: int) -> None:
-        """Divide what one process may hold among so many."""
+        """Divide the capacity of one process among `process_count` processes."""
         if process_count == self.process_count:
             return
         self.process_count = process_count
@@ -119,8 +120,8 @@
         capacity = self._capacity
         node.logger.info("process_count_changed", count=process_count)
         node.host.router.set_process_count(node.clock.now(), process_count)
-        # Open connections stay, or clients would be rejected unread; their number only grows no
-        # more.
+        # The limits do not fall below the number of open connections, as connections over the limit
+        # would be closed with RPCs unread; they only keep that number from growing.
         node.pools.max_descriptors = max(
             capacity.backend_connections // process_count,
             min(capacity.backend_connections, node.pools.descriptors_used),
--- a/hookpitch/net/lifecycle.py
+++ b/hookpitch/net/lifecycle.py
@@ -1,10 +1,11 @@
-"""The service life of one node's process: start, serve, graceful shutdown, stop.
-
-On SIGTERM a process that has its own socket serves on for `SHUTDOWN_DELAY_MS`, so that clients see
-the failing health check first; then it stops listening, answers what it has read, and stops the
-reactor. A process whose socket is inherited stops accepting at once: another process accepts from
-the same socket. Invariants: states only advance; the shutdown ends within its longest deadline,
-whatever clients do.
+"""The lifecycle of one node's process: start, serving, graceful shutdown, stop.
+
+On SIGTERM, a process that opened its own listening socket continues to serve for
+`SHUTDOWN_DELAY_MS`, so that clients see the failing health check first. The process then stops
+listening, answers the RPCs it has read, and stops the reactor. A process with an inherited
+listening socket stops accepting at once, as another process accepts from the same socket.
+Invariants: the state only advances; the shutdown ends within the longest deadline of an RPC plus
+fixed delays, whatever clients do.
 """
 
 from __future__ import annotations
@@ -29,27 +30,27 @@
     from hookpitch.net.snapshot_store import SnapshotStore
 
 LISTEN_BACKLOG = 4096
-FIRST_LIST_TIMEOUT_MS = 1500.0  # after which a process with an inherited socket serves anyway
-SHUTDOWN_DELAY_MS = 500.0  # from the shutdown's start until the node stops listening
-IDLE_CLOSE_SPREAD_MS = 400.0  # over which idle connections are closed while another process serves
-FINAL_RESPONSE_MS = 150.0  # after the longest deadline, for the last responses to be written
-# Part of FINAL_RESPONSE_MS for them to arrive: the process's end resets connections with bytes
-# unread.
+FIRST_LIST_TIMEOUT_MS = 1500.0  # a process with an inherited socket serves at the latest then
+SHUTDOWN_DELAY_MS = 500.0  # from the start of the shutdown until the node stops listening
+IDLE_CLOSE_SPREAD_MS = 400.0  # time over which idle connections close while another process serves
+FINAL_RESPONSE_MS = 150.0  # time after the longest deadline for writing the last responses
+# Part of FINAL_RESPONSE_MS for the last responses to be delivered: when the process ends, the
+# kernel resets connections that have unread bytes.
 FINAL_DELIVERY_MS = 40.0
-FINAL_SNAPSHOT_MS = 100.0  # for the last snapshot to be written
+FINAL_SNAPSHOT_MS = 100.0  # time for writing the last snapshot
 
 
 class Membership(Protocol):
     """The node as a member of the fleet (`members/port.py`)."""
 
     def start(self, reactor: Any) -> None:  # noqa: ANN401 - see SocketNode
-        """Listen for datagrams and join."""
+        """Listen for datagrams and join the fleet."""
 
     def leave(self) -> None:
-        """Announce the end and stop listening."""
+        """Announce the departure and stop listening."""
 
     def lines(self) -> list[str]:
-        """The members as this node sees them, for operators."""
+        """Return a line for operators on each member that this node knows."""
 
 
 class LifecycleNode(Protocol):
@@ -71,11 +72,11 @@
     def apply_cached_endpoints(
         self, version: int, endpoints: list[Endpoint], addresses: Mapping[str, str]
     ) -> None:
-        """Serve by these endpoints until discovery sends a list."""
+        """Use these endpoints until discovery sends a list."""
 
 
 class State(IntEnum):
-    """Where the process is in its life; it only rises."""
+    """The state of the process, which only advances."""
 
     STARTING = 0
     SERVING = 1
@@ -83,21 +84,21 @@
 
 
 class Lifecycle:
-    """Starts and stops one node's parts in order."""
+    """Starts and stops the components of one node in order."""
 
     def __init__(self, node: LifecycleNode) -> None:
         self._node = node
         self.state = State.STARTING
-        self.listening_port: Any = None  # the clients'
+        self.listening_port: Any = None  # on which clients connect
         self._admin_port: Any = None
         self._final_snapshot_begun = False
 
     # ---- start
 
     def start(self) -> None:
-        """Listen, restore and serve.
+        """Listen, restore the snapshot and serve.
 
-        Raises CannotListenError where the clients' address is taken; it may then be called again.
+        Raises CannotListenError where the address is in use; the call may then be repeated.
         """
         node = self._node
         config = node.config
@@ -133,15 +134,18 @@
         self._admin_port = listen(port, node.admin_server, MAX_WAITING_CONNECTIONS, address)
 
     def _serve_after_first_list(self) -> None:
-        """The initial endpoints may be outdated and clients connect at once, so discovery's first
-        list is awaited; but a discovery that is down must not keep the node from serving."""
+        """Serve once discovery has sent its first list, or after `FIRST_LIST_TIMEOUT_MS`.
+
+        Clients connect at once, and the initial endpoints may be outdated; but a discovery service
+        that is down must not keep the node from serving.
+        """
         node = self._node
         node.discovery.on_first_list = self._serve
         node.discovery.start_watch(node.clock.now())
         node.clock.deadlines.add(node.clock.now() + FIRST_LIST_TIMEOUT_MS, lambda _: self._serve())
 
     def _serve(self) -> None:
-        """Accept clients from now on."""
+        """Begin to accept clients."""
         node = self._node
         node.discovery.on_first_list = None
         if self.state is not State.STARTING:
@@ -150,8 +154,8 @@
         address, port = node.config.listen_address
         descriptor = node.config.inherited_descriptor
         if descriptor is not None:
-            # The socket is shared with other processes: it is adopted unchanged, and closing it
-            # here leaves it open there.
+            # The socket is shared with other processes, so it is adopted unchanged; closing it here
+            # leaves it open in the other processes.
             os.set_blocking(descriptor, False)
             family = socket.AF_INET6 if ":" in address else socket.AF_INET
             self.listening_port = node.reactor.adoptStreamPort(descriptor, family, node.clients)
@@ -162,7 +166,7 @@
     # ---- graceful shutdown
 
     def shut_down(self) -> None:
-        """Begin the graceful shutdown; a second call changes nothing."""
+        """Begin the graceful shutdown; a second call has no effect."""
         if self.state is State.SHUTTING_DOWN:
             return
         self.state = State.SHUTTING_DOWN
@@ -170,13 +174,12 @@
         node.logger.info("graceful_shutdown_started")
         if node.membership is not None:
             node.membership.leave()
-        longest_rpc_ms = (
-            node.host.stream_timeout_ms
-        )  # includes RPCs accepted under earlier settings
+        # This timeout also covers RPCs that were accepted under earlier settings.
+        longest_rpc_ms = node.host.stream_timeout_ms
         delay_ms = SHUTDOWN_DELAY_MS if node.config.inherited_descriptor is None else 0.0
         stop_listening_at = node.clock.now() + delay_ms
-        # A connection that is closed last may send one more request just before, which may take
-        # its whole time.
+        # The last connection to be closed may send one more RPC just before, which may take until
+        # its hard deadline.
         end_at = (
             stop_listening_at + self._idle_close_spread_ms() + longest_rpc_ms + FINAL_RESPONSE_MS
         )
@@ -193,8 +196,7 @@
         self._node.clients.shut_down(self._end, self._idle_close_spread_ms())
 
     def _accept_all(self) -> None:
-        """Accept what the kernel has completed and a busy loop has not: closing the socket would
-        reset it."""
+        """Accept the connections in the kernel's queue, which a close of the socket would reset."""
         sessions = -1
         while sessions != getattr(self.listening_port, "sessionno", -1):
             sessions = self.listening_port.sessionno
@@ -206,7 +208,7 @@
         return IDLE_CLOSE_SPREAD_MS
 
     def _fail_open_rpcs(self) -> None:
-        """The time is over: answer what is open with an error, and close every connection."""
+        """Answer open RPCs with an error and close every connection, as the time is over."""
         self._node.host.fail_all(self._node.clock.now())
         self._node.clients.close_all()
 
@@ -214,8 +216,8 @@
         node = self._node
         store = node.snapshot_store
         if store is not None and not self._final_snapshot_begun:
-            # The last snapshot holds what was learned since the one before; a disk that stalls must
-            # not delay the end for long.
+            # The last snapshot holds what the node has learned since the previous one. A disk that
+            # stalls must not delay the end of the process for long.
             self._final_snapshot_begun = True
             store.save()
             wait_ms = FINAL_SNAPSHOT_MS if store.is_writing else 0.0
--- a/hookpitch/net/log.py
+++ b/hookpitch/net/log.py
@@ -1,4 +1,4 @@
-"""The node's log: one JSON object a line, on standard error, written with structlog."""
+"""The node's log: one JSON object per line on standard error, written with structlog."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 from hookpitch.core.counters import Counters
 
-MAX_FAULT_LINES = 64  # faults that are logged; further ones are only counted
+MAX_FAULT_LINES = 64  # unhandled errors that are logged; further ones are only counted
 STANDARD_ERROR = 2
 
 
 class _LossyStream:
-    """Writes to a descriptor and drops what it does not take: a log that nobody reads must not stop
-    the node."""
+    """Writes to a descriptor, and drops text that would block.
+
+    A log pipe that nobody reads must not stop the node.
+    """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -31,11 +33,11 @@
             os.write(self._descriptor, text.encode(errors="replace"))
 
     def flush(self) -> None:
-        """Nothing is buffered."""
+        """Do nothing, as nothing is buffered."""
 
 
-def start_logging(name: str, counters: Counters) -> Any:  # noqa: ANN401 - structlog's are made at run time
-    """The logger of the node `name`. Errors that Twisted catches are logged and counted too."""
+def start_logging(name: str, counters: Counters) -> Any:  # noqa: ANN401 - structlog's logger types are created at run time
+    """Return the logger of the node `name`; also log and count errors that Twisted catches."""
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/hookpitch/net/loop_monitor.py
+++ b/hookpitch/net/loop_monitor.py
@@ -1,4 +1,4 @@
-"""Measures how late the event loop runs, once every admission window."""
+"""Measures how late the event loop runs its timers, once per admission window."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class LoopMonitor:
-    """Ends the host's admission windows, and reports a stall of the loop as soon as it is over."""
+    """Ends the host's admission windows, and reports each stall of the event loop after it."""
 
     def __init__(self, clock: Clock, host: Host, cpu_time: Callable[[], float]) -> None:
-        """`cpu_time` returns the CPU seconds that the process has used."""
+        """Start monitoring; `cpu_time` returns the CPU seconds that the process has used."""
         self._clock = clock
         self._host = host
         self._cpu_time = cpu_time
@@ -22,7 +22,7 @@
         self._schedule()
 
     def reconfigured(self) -> None:
-        """Take the delay from which on being late is a stall from the settings."""
+        """Apply the current settings: the delay above which a late timer counts as a stall."""
         self._clock.late_threshold_ms = self._host.admission.pause_threshold_ms
 
     def _schedule(self) -> None:
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -1,9 +1,9 @@
-"""What operators ask of a node through the admin server: status, metrics, bans and drains.
+"""Operators' commands of the admin server: status, metrics, bans and drains.
 
-A command is checked here and published by `HotRestart`, which hands it to `apply` in every process
-of the node, in the same order. A ban keeps a backend out until it is restored. A drain makes health
-checks fail at once and, `DRAIN_DELAY_MS` later, closes client connections as they become idle;
-resuming ends it.
+A command is checked here and published by `HotRestart`, which passes the command to `apply` in
+every process of the node, in the same order. A banned backend receives no RPCs until it is
+restored. A drain makes health checks fail at once and, `DRAIN_DELAY_MS` later, closes client
+connections as they become idle; RESUME ends the drain.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from hookpitch.net.shared_state import Command, Verb
 from hookpitch.net.startup_monitor import StartupMonitor
 
-DRAIN_DELAY_MS = 500.0  # from PAUSE until idle connections are closed: clients see the check first
+DRAIN_DELAY_MS = 500.0  # from PAUSE until idle connections close; health checks fail first
 NO_SUCH_SERVER = "no such cache server"
 SHUTTING_DOWN = "leaving"
 
 
 class CommandNode(Protocol):
-    """What the commands need of their node."""
+    """The components of a node that the commands use."""
 
     clock: Clock
     host: Host
@@ -37,17 +37,17 @@
 
 
 class OperatorCommands:
-    """The admin server's target. Commands return why they were refused, or ''."""
+    """The target of the admin server; commands return why they were rejected, or ''."""
 
     def __init__(self, node: CommandNode) -> None:
         self._node = node
         self.draining = False
-        self._drain_changes = 0  # so that a drain's delayed step is skipped once it has ended
+        self._drain_changes = 0  # lets the delayed step of a drain that has ended be skipped
 
     # ---- status
 
     def not_ready_reason(self) -> str:
-        """Why health checks should fail, or ''."""
+        """Return why health checks should fail, or ''."""
         state = self._node.lifecycle.state
         if state is State.SHUTTING_DOWN:
             return SHUTTING_DOWN
@@ -60,7 +60,7 @@
         return ""
 
     def metrics(self) -> list[tuple[str, int]]:
-        """The documented counters and gauges, in a fixed order."""
+        """Return the documented counters and gauges, in a fixed order."""
         host = self._node.host
         counts = host.counters.counts
         by_method = [
@@ -82,7 +82,7 @@
         ]
 
     def membership_lines(self) -> list[str]:
-        """The members as this node sees them; none where it is no member."""
+        """Return one line per member that this node knows; none where the node is not a member."""
         membership = self._node.membership
         return [] if membership is None else membership.lines()
 
@@ -119,14 +119,14 @@
     # ---- in each process
 
     def apply(self, command: Command) -> None:
-        """Carry a published command out; one that changes nothing is ignored."""
+        """Carry out a published command; ignore a command that changes nothing."""
         if command.verb in (Verb.SUSPEND, Verb.RESTORE):
             self._apply_ban(command)
         elif command.verb in (Verb.PAUSE, Verb.RESUME):
             self._apply_drain(command)
 
     def active_commands(self) -> list[Command]:
-        """The commands that would bring a new process to this one's bans and drain."""
+        """Return the commands that would give a new process the bans and drain of this one."""
         commands = [Command(Verb.SUSPEND, backend_id) for backend_id in self._node.host.router.bans]
         if self.draining:
             commands.append(Command(Verb.PAUSE))
--- a/hookpitch/net/operator_settings.py
+++ b/hookpitch/net/operator_settings.py
@@ -1,7 +1,8 @@
-"""The operator's own settings: a TOML file (`deploy/node.toml`), one optional section a subsystem.
+"""The operator's settings: a TOML file with one optional section per subsystem.
 
-Named by `--config` or `HOOKPITCH_CONFIG`; without a file every subsystem is off. The file is
-checked whole at the start: an unknown section or name is refused with its place.
+`deploy/node.toml` is an example. `--config` or `HOOKPITCH_CONFIG` names the file; without a file
+every subsystem is off. The whole file is checked at the start: an error names the section and the
+setting that is unknown or wrong.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 
 from hookpitch.net.config_error import ConfigError
 
-# What reads and checks each section, as `module:function`. A module is imported only where the
-# file has its section; the function raises ValueError with the name that is wrong.
+# The parser of each section, as `module:function`. The module is imported only if the file has the
+# section; the function raises ValueError with a text that begins with the name of the setting.
 SECTION_PARSERS = {
     "snapshot": "hookpitch.net.snapshot_store:parse_settings",
     "members": "hookpitch.members.port:parse_settings",
@@ -30,12 +31,12 @@
     sections: Mapping[str, Any] = field(default_factory=dict)
 
     def summary(self) -> str:
-        """What is on, in a few words."""
+        """Return a short description of the sections."""
         return f"sections {', '.join(self.sections)}" if self.sections else "nothing is turned on"
 
 
 def load_operator_settings(path: Path) -> OperatorSettings:
-    """Read and check a file. Raises ConfigError with one line."""
+    """Read and check a file. Raises ConfigError with a one-line message."""
     try:
         tables = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -44,9 +45,9 @@
     for name, table in tables.items():
         if name not in SECTION_PARSERS:
             known = ", ".join(sorted(SECTION_PARSERS))
-            raise ConfigError(f"{path}: {name}: no such section; known are {known}")
+            raise ConfigError(f"{path}: {name}: no such section; the sections are {known}")
         if not isinstance(table, dict):
-            raise ConfigError(f"{path}: {name}: wants a section")
+            raise ConfigError(f"{path}: {name} is a {type(table).__name__}, expected a section")
         try:
             sections[name] = _section_parser(name)(table)
         except ValueError as error:
@@ -60,6 +61,6 @@
 
 
 def operator_settings_from(environment: Mapping[str, str]) -> OperatorSettings:
-    """The settings of the file that the environment names; none where it names no file."""
+    """Return the settings of the file that the environment names; empty where it names none."""
     path = environment.get("HOOKPITCH_CONFIG")
     return load_operator_settings(Path(path)) if path else OperatorSettings()
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -1,7 +1,7 @@
-"""The origin: HTTP/1.1 through h11, one attempt at a time on each connection.
+"""Connections to the origin: HTTP/1.1 with h11, one attempt at a time on each connection.
 
-State: h11's connection, and of the response its status, headers and body. A body over
-`MAX_BULK_BYTES` bytes whose length is told is streamed, any other is held whole.
+State: the h11 connection, and the status, headers and body of the response. A body of more than
+`MAX_BULK_BYTES` bytes with a Content-Length is streamed; any other body is buffered completely.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from hookpitch.net.backend_connection import BackendConnection
 from hookpitch.net.backend_pool import BackendPool
 
-BODY_TOO_LONG = "a body too long"
+BODY_TOO_LONG = "response body exceeds the limit for streamed values"
 
 
 class OriginConnection(BackendConnection):
-    """A GET for each read, a PUT for each write."""
+    """Sends a GET for each read and a PUT for each write."""
 
     def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
@@ -34,15 +34,15 @@
         self._reset_response()
 
     def _reset_response(self) -> None:
-        self.status = 0  # 0 until the response's head has come
+        self.status = 0  # 0 until the response's head has been received
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
-        self.streaming = False  # the body is being passed on in pieces
+        self.streaming = False  # the body is being forwarded in chunks
 
     # ---- the request
 
     def encode_request(self, attempt: Attempt) -> Sequence[bytes]:
-        """The request's head and body; a large body in pieces."""
+        """Return the request's head and body; a large body follows in chunks."""
         value = attempt.rpc.value
         parts = [self.http.send(self._request_head(attempt))]
         if isinstance(value, ChunkedValue):
@@ -72,7 +72,7 @@
     # ---- the response
 
     def bytes_received(self) -> None:
-        """Reads the response as far as it has come."""
+        """Read the part of the response that has been received."""
         if self.attempt is None:
             self.fail_malformed("unsolicited response")
             return
@@ -82,7 +82,7 @@
             self._read_events()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """A clean end may complete a body that has no length of its own."""
+        """Complete a body without a length on a clean close, then end the attempt if it is open."""
         if self.attempt is not None and self.status and reason.check(ConnectionDone):
             with suppress(h11.RemoteProtocolError):
                 self.http.receive_data(b"")
@@ -110,12 +110,12 @@
                     self._handle_end()
                     return
                 elif not isinstance(event, h11.InformationalResponse):
-                    return  # more is needed, or the connection ends
-        except h11.RemoteProtocolError as fault:
-            self.fail_malformed(str(fault))
+                    return  # more bytes are needed, or the connection ends
+        except h11.RemoteProtocolError as error:
+            self.fail_malformed(str(error))
 
     def _handle_head(self) -> bool:
-        """Begins a stream where the body is large; False where the attempt has ended."""
+        """Begin a stream where the body is large; return False where the attempt has ended."""
         length = self.headers.get(b"content-length", b"")
         is_sized = self.status == 200 and length.isdigit() and len(length) < 20
         size = int(length) if is_sized else 0
@@ -144,7 +144,7 @@
         else:
             outcome = Outcome.ERROR
         is_complete = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
-        # What comes behind a response would answer the next RPC.
+        # Bytes after a response would be taken for the response to the next RPC.
         reuse = is_complete and not self.http.trailing_data[0]
         if reuse:
             self.http.start_next_cycle()
--- a/hookpitch/net/prioritized_reactor.py
+++ b/hookpitch/net/prioritized_reactor.py
@@ -1,7 +1,7 @@
-"""The node's reactor: Twisted's on epoll, with short turns in which backends' responses are handled
-before clients' requests.
+"""The node's reactor: Twisted's epoll reactor, which handles backends before clients.
 
-After `EPollReactor.doPoll` of Twisted; only the order and the number of the events differ.
+Each turn handles only a few events. The code follows `EPollReactor.doPoll` of Twisted; only the
+order and the number of the events differ.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from twisted.internet.tcp import Port, Server
 from twisted.python import log
 
-# Events handled between two looks at the deadlines; the kernel reports the rest in the next turn.
+# Events handled between two checks of the deadlines; the kernel reports the rest in the next turn.
 EVENTS_PER_TURN = 48
 ACCEPTS_PER_TURN = 16
 LOW_PRIORITY = (Server, Port)  # clients' connections and their listening socket
 
 
 class AdminConnection(Server):
-    """An operator's connection, which does not wait behind clients."""
+    """An operator's connection, which is handled before clients' connections."""
 
 
 class AdminPort(Port):
-    """The operators' listening socket, which does not wait behind clients either."""
+    """The operators' listening socket, which is handled before clients' connections."""
 
     transport = AdminConnection
 
 
 class PrioritizedReactor(EPollReactor):
-    """Handles what is not a client's first."""
+    """Handles clients' connections and their listening socket after all others."""
 
     def listen_prioritized(
         self,
@@ -42,14 +42,17 @@
         backlog: int,
         interface: str,
     ) -> Port:
-        """As `listenTCP`, for connections that are handled before clients in each turn."""
+        """Listen like `listenTCP`, for connections that are handled before clients in each turn."""
         admin_port = AdminPort(port, factory, backlog, interface, self)
         admin_port.startListening()
         return admin_port
 
     def doPoll(self, timeout: float | None) -> None:
-        """One turn, short enough that hundreds of ready clients hold up neither deadlines nor
-        responses."""
+        """Run one turn of the event loop.
+
+        The number of events is limited, so that hundreds of ready clients delay neither deadlines
+        nor responses.
+        """
         try:
             events = self._poller.poll(-1 if timeout is None else timeout, EVENTS_PER_TURN)
         except OSError as error:
@@ -69,18 +72,18 @@
                 continue
             self._handle(selectable, descriptor, event)
             if isinstance(selectable, Port):
-                # Twisted raises the number as long as a burst of connections lasts.
+                # Twisted increases the number of accepts while a burst of connections lasts.
                 selectable.numberAccepts = min(selectable.numberAccepts, ACCEPTS_PER_TURN)
 
     doIteration = doPoll
 
-    def _handle(self, selectable: Any, descriptor: int, event: int) -> None:  # noqa: ANN401 - any of Twisted's
+    def _handle(self, selectable: Any, descriptor: int, event: int) -> None:  # noqa: ANN401 - any of Twisted's selectables
         if event != EPOLLIN:
             self._doReadOrWrite(selectable, descriptor, event)
             return
         try:
             failure = selectable.doRead()
-        except Exception:  # an error ends its connection alone, as in Twisted's own loop
+        except Exception:  # an error ends only its connection, as in Twisted's own loop
             failure = sys.exc_info()[1]
             log.err()
         if failure:
@@ -88,7 +91,7 @@
 
 
 def install() -> PrioritizedReactor:
-    """Make it the process's reactor; called before `twisted.internet.reactor` is imported."""
+    """Install the process's reactor; called before `twisted.internet.reactor` is imported."""
     reactor = PrioritizedReactor()
     installReactor(reactor)
     return reactor
--- a/hookpitch/net/reload.py
+++ b/hookpitch/net/reload.py
@@ -1,7 +1,7 @@
-"""SIGHUP: a running node takes the new settings and discovery's new address from its file.
+"""Reload on SIGHUP: a running node applies new settings and discovery's new address from its file.
 
-What cannot change without a restart is logged and stays. A file that cannot be read or is wrong
-changes nothing.
+A changed value that requires a restart is logged and not applied. A file that is unreadable or
+wrong changes nothing.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from hookpitch.net.loop_monitor import LoopMonitor
 from hookpitch.net.node_config import NodeConfig, ReloadedConfig
 
-# Settings by which discovery's list is read: where one changes, the whole list is read again.
+# Settings that affect how discovery's list is parsed; if one changes, the whole list is requested.
 LIST_SETTINGS = frozenset({"kinds", "origin_kind", "weights_reflect_load"})
-# With another seed, draws and with them the caches of all keys would move.
+# Another seed would change the random draws, and with them the caches of all keys.
 RESTART_ONLY_SETTING = "seed"
 
 
 class ReloadableNode(Protocol):
-    """What a reload needs of its node."""
+    """The components of a node that a reload uses."""
 
     clock: Clock
     config: NodeConfig
@@ -37,7 +37,10 @@
 
 
 def reload_config(node: ReloadableNode, read_config: Callable[[], ReloadedConfig]) -> None:
-    """Apply what `read_config` returns; its ValueError is logged, and the node serves as before."""
+    """Apply the configuration that `read_config` returns.
+
+    Where `read_config` raises ValueError, the error is logged and nothing changes.
+    """
     counters = node.host.counters
     try:
         config = read_config()
@@ -60,7 +63,7 @@
 
 
 def changed_settings(before: Deployment, after: Deployment) -> list[str]:
-    """The names of the settings that differ, except the one that a running node keeps."""
+    """Return the names of the settings that differ, except `RESTART_ONLY_SETTING`."""
     return [
         field.name
         for field in fields(after)
@@ -70,8 +73,8 @@
 
 
 def _apply_deployment(node: ReloadableNode, deployment: Deployment) -> None:
-    kept = replace(deployment, seed=node.host.deployment.seed)
-    node.host.reconfigured(node.clock.now(), kept)
+    with_current_seed = replace(deployment, seed=node.host.deployment.seed)
+    node.host.reconfigured(node.clock.now(), with_current_seed)
     node.pools.reconfigured()
     node.loop_monitor.reconfigured()
     node.discovery.reconfigured()
--- a/hookpitch/net/resource_budget.py
+++ b/hookpitch/net/resource_budget.py
@@ -1,4 +1,4 @@
-"""How a node divides its file descriptors and its memory among its parts."""
+"""The division of a node's file descriptors and memory among its components."""
 
 from __future__ import annotations
 
@@ -7,25 +7,28 @@
 from hookpitch.net.admin import MAX_CLOSING_CONNECTIONS, MAX_WAITING_CONNECTIONS
 from hookpitch.net.node_config import NodeConfig
 
-# Standard input, output and error, the poller's, discovery's two, and Twisted's reserve.
+# For standard input, output and error, the poller, discovery (two) and Twisted's reserve.
 PROCESS_DESCRIPTORS = 14
-# The admin server's, the inherited socket's and the shared files'.
+# For the admin server, the inherited socket and the shared files.
 ADMIN_DESCRIPTORS = MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS + 4
 MIN_REJECTED_CLIENTS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """File descriptors by use; what is left over is the process's own."""
+    """File descriptors by use; the remaining ones are for the process itself."""
 
     backends: int  # connections to cache servers and the origin
     clients: int  # connections that are served
-    idle_clients: int  # open connections from which on idle ones are closed
-    rejected_clients: int  # connections beyond `clients`, open until an error is sent
+    idle_clients: int  # number of open connections above which idle ones are closed
+    rejected_clients: int  # connections beyond `clients`, open until they are answered with -BUSY
 
     @classmethod
     def from_config(cls, config: NodeConfig) -> DescriptorBudget:
-        """Half of the limit for backends, the rest for clients, after the process's own."""
+        """Return the budget: up to half of the limit for backends, the rest for clients.
+
+        The process's own descriptors are subtracted first.
+        """
         limit = config.descriptor_limit
         own = PROCESS_DESCRIPTORS
         if config.admin_address is not None:
@@ -43,15 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryBudgets:
-    """Bytes that one use may hold at most."""
+    """The limits of memory by use, in bytes."""
 
     unread_response_bytes: int  # responses that clients have not read
     value_bytes: int  # values of requests in flight
-    endpoint_list_bytes: int  # one list or change of discovery's
+    endpoint_list_bytes: int  # one endpoint list or change from discovery
 
     @classmethod
     def from_config(cls, config: NodeConfig) -> MemoryBudgets:
-        """A half, a quarter and a thirty-second of the node's memory."""
+        """Return a half, a quarter and a thirty-second of the node's memory."""
         memory_bytes = config.memory_mb << 20
         return cls(
             unread_response_bytes=memory_bytes // 2,
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -1,13 +1,14 @@
-"""The file that all processes of one node share: a command of operators a line; docs/design.md.
+"""The file that all processes of one node share: one operator command per line; docs/design.md.
 
-Each command that changes something (a ban, its end, a drain, its end, a process's start) is a line
-with its own checksum:
+Each command that changes something (the start or end of a ban, the start or end of a drain, the
+start of a process) is a line with its own checksum:
 
     1 SUSPEND s-5be2a07c 6d1f03b2
 
-Lines are appended under a lock, so all readers see one order, and each reader continues from where
-it was. A process holds a lock on a file of its own for as long as it lives, by which the others
-find it. A line that is torn, of another version or wrong is skipped, and reported once.
+Lines are appended under a lock, so all readers see the same order, and each reader continues from
+its previous position. While a process runs, it holds a lock on a file of its own, by which the
+other processes find it. A line that is incomplete, of another version or wrong is skipped; the
+first such line is reported.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 
 VERSION = "1"
 NO_TARGET = "-"
-COMPACT_BYTES = 1 << 16  # from which on the file is rewritten while no other process reads it
-MAX_READ_BYTES = 1 << 20  # read at once
+COMPACT_BYTES = 1 << 16  # above this size the file is rewritten, if no other process reads it
+MAX_READ_BYTES = 1 << 20  # per read
 LOGGED_LINE_BYTES = 80
 OWNER_ONLY = 0o600
 
 
 class Verb(StrEnum):
-    """What a command does, as it stands in the file."""
+    """The kind of a command, as written in the file."""
 
     SUSPEND = "SUSPEND"
     RESTORE = "RESTORE"
@@ -41,24 +42,24 @@
 
 
 class Command(NamedTuple):
-    """One line of the file; `target` is a server's id, a process's id or ''."""
+    """One line of the file; `target` is the id of a backend or a process, or ''."""
 
     verb: Verb
     target: str = ""
 
 
 class SharedStateError(OSError):
-    """The file cannot be used as it is."""
+    """The file cannot be used in its present state."""
 
 
 def encode_command(command: Command) -> bytes:
-    """The command's line."""
+    """Return the line of a command."""
     body = f"{VERSION} {command.verb} {quote(command.target, safe='') or NO_TARGET}"
     return f"{body} {crc32(body.encode()):08x}\n".encode()
 
 
 def decode_command(line: bytes) -> Command | None:
-    """The command of a line without its end; None where the line is torn, foreign or wrong."""
+    """Return the command of a line without its line end; None where the line is not valid."""
     body, _, checksum = line.rpartition(b" ")
     words = body.split(b" ")
     if len(words) != 3 or words[0] != VERSION.encode() or checksum != b"%08x" % crc32(body):
@@ -70,23 +71,23 @@
 
 
 class SharedState:
-    """One process's view of its node's file."""
+    """Reads and writes the shared file of a node for one process."""
 
     def __init__(
-        self, folder: str, name: str, on_damage: Callable[[str], None], process_id: str = ""
+        self, directory: str, name: str, on_damage: Callable[[str], None], process_id: str = ""
     ) -> None:
-        """Raises OSError where the folder cannot be used; no method does.
+        """Open the file; raises OSError where the directory cannot be used, as no method does.
 
-        `on_damage` is called once, with a reason, where the file cannot be read or written, or a
-        line is wrong. `process_id` is the operating system's where none is given.
+        `on_damage` is called once, with a reason, if the file cannot be read or written or a line
+        is wrong. `process_id` defaults to the operating system's process id.
         """
         self._on_damage = on_damage
         self._damage_reported = False
         self._process_id = process_id or str(os.getpid())
-        self._stem = Path(folder) / f"hookpitch-{quote(name, safe='')}"
+        self._stem = Path(directory) / f"hookpitch-{quote(name, safe='')}"
         self._file = _open(f"{self._stem}.calls", os.O_RDWR | os.O_CREAT | os.O_APPEND)
-        self._read_bytes = 0  # of the file, so far
-        self.other_processes: list[str] = []  # alive when last looked for
+        self._read_bytes = 0  # position of this reader in the file
+        self.other_processes: list[str] = []  # ids of those that ran at the last check
         self._own_lock = _open(self._lock_path, os.O_RDWR | os.O_CREAT)
         fcntl.flock(self._own_lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         self.find_other_processes()
@@ -97,24 +98,24 @@
         return f"{self._stem}.{self._process_id}.live"
 
     def read_new(self) -> Iterator[Command]:
-        """All commands since the last call, in order, this process's own among them."""
+        """Yield all commands since the last call in order, including this process's own."""
         try:
-            text = self._read_text()
+            data = self._read_data()
         except OSError as error:
             self._report_damage(str(error))
             return
-        complete_bytes = text.rfind(b"\n") + 1
+        complete_bytes = data.rfind(b"\n") + 1
         self._read_bytes += complete_bytes
-        for line in text[:complete_bytes].split(b"\n"):
+        for line in data[:complete_bytes].split(b"\n"):
             if not line:
                 continue
             command = decode_command(line)
             if command is None:
-                self._report_damage(f"a line that is no command: {line[:LOGGED_LINE_BYTES]!r}")
+                self._report_damage(f"line is not a valid command: {line[:LOGGED_LINE_BYTES]!r}")
             else:
                 yield command
 
-    def _read_text(self) -> bytes:
+    def _read_data(self) -> bytes:
         size = os.fstat(self._file).st_size
         if size < self._read_bytes:  # another process has rewritten it
             self._read_bytes = 0
@@ -124,7 +125,7 @@
         return os.pread(self._file, min(unread_bytes, MAX_READ_BYTES), self._read_bytes)
 
     def append(self, command: Command) -> bool:
-        """Add a command; False where that failed, so that other processes do not see it."""
+        """Add a command; return False where that failed and other processes do not see it."""
         try:
             with _locked(self._file):
                 self._write_line(encode_command(command))
@@ -135,15 +136,17 @@
 
     def _write_line(self, line: bytes) -> None:
         size = os.fstat(self._file).st_size
-        # A process that was killed while it wrote leaves part of a line, which must not spoil this
-        # one.
-        torn = size > 0 and os.pread(self._file, 1, size - 1) != b"\n"
-        data = b"\n" + line if torn else line
+        # A process that was killed during a write leaves an incomplete line, which must not be
+        # joined with this one.
+        is_incomplete = size > 0 and os.pread(self._file, 1, size - 1) != b"\n"
+        data = b"\n" + line if is_incomplete else line
         if os.write(self._file, data) != len(data):
-            raise SharedStateError("no room")
+            raise SharedStateError(
+                f"short write to {self._stem}.calls, expected to write {len(data)} bytes"
+            )
 
     def compact(self, active_commands: list[Command]) -> None:
-        """Replace a long file with the commands in force, if no other process reads it."""
+        """Replace the content of a long file with the active commands, if nobody else reads it."""
         with contextlib.suppress(OSError), _locked(self._file):
             if os.fstat(self._file).st_size <= COMPACT_BYTES or self.find_other_processes():
                 return
@@ -153,7 +156,7 @@
             self._read_bytes = len(data)
 
     def find_other_processes(self) -> list[str]:
-        """The ids of this node's other live processes; locks of dead ones are removed."""
+        """Return the ids of the node's other running processes; remove lock files of ended ones."""
         self.other_processes = []
         for path in sorted(self._stem.parent.glob(f"{self._stem.name}.*.live")):
             process_id = path.name.rsplit(".", 2)[1]
@@ -162,21 +165,21 @@
         return self.other_processes
 
     def close(self) -> None:
-        """Give up this process's lock."""
+        """Release this process's lock and close the file."""
         with contextlib.suppress(OSError):
             os.unlink(self._lock_path)
         os.close(self._own_lock)
         os.close(self._file)
 
     def _report_damage(self, reason: str) -> None:
-        if self._damage_reported:  # a damaged file would be reported at each read
+        if self._damage_reported:  # otherwise a damaged file would be reported at each read
             return
         self._damage_reported = True
         self._on_damage(reason)
 
 
 def _is_locked_by_another(path: Path) -> bool:
-    """Whether a live process holds the lock; the file of a dead one is removed."""
+    """Return whether a running process holds the lock; remove the lock file of an ended one."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_NOFOLLOW | os.O_CLOEXEC)
     except OSError:
@@ -195,23 +198,23 @@
     descriptor = os.open(path, flags | os.O_NOFOLLOW | os.O_CLOEXEC, OWNER_ONLY)
     if os.fstat(descriptor).st_uid != os.geteuid():
         os.close(descriptor)
-        raise SharedStateError(f"{path} belongs to somebody else")
+        raise SharedStateError(f"{path} belongs to another user")
     return descriptor
 
 
 @contextlib.contextmanager
-def _locked(file: int) -> Iterator[None]:
-    """Hold the file's lock if it is free.
+def _locked(descriptor: int) -> Iterator[None]:
+    """Hold the file's lock, if it is free, for the duration of the context.
 
-    A process that was stopped while it held the lock must not stop this one. Each write is one
-    call, so without the lock only a torn line before it can do harm.
+    A process that was stopped while it held the lock must not block this one. Each write is a
+    single call, so without the lock the only risk is an incomplete line before the written one.
     """
-    held = False
+    is_locked = False
     with contextlib.suppress(OSError):
-        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        held = True
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        is_locked = True
     try:
         yield
     finally:
-        if held:
-            fcntl.flock(file, fcntl.LOCK_UN)
+        if is_locked:
+            fcntl.flock(descriptor, fcntl.LOCK_UN)
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -1,15 +1,17 @@
-"""One node's snapshot file: `[snapshot]` in the operator's file; off, and not imported, without it.
+"""One node's snapshot file, which the section `[snapshot]` of the operator's file turns on.
+
+Without the section this module is not imported.
 
     [snapshot]
-    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: the node's; the folder has to exist
+    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: the node's; the directory has to exist
     fleet = "sydney"                              # snapshots of another fleet are ignored
     every_s = 10.0
     oldest_s = 3600.0
 
-A snapshot is written to a file beside the old one, forced to the disk, and renamed over it: a
-reader sees the old or the new one, complete. A thread of its own writes, as a disk that stalls must
-not stop RPCs. What cannot be read is logged once, and left until the next write. Invariants: at
-most one write is under way; a file has at most `MAX_BYTES` bytes after its head.
+A snapshot is written to a new file next to the old one, synced to the disk, and renamed over the
+old one, so a reader sees either of the two completely. A separate thread writes the file, as a disk
+that stalls must not stop RPCs. An unreadable file is logged once, and stays until the next write.
+Invariants: at most one write is in progress; a file has at most `MAX_BYTES` bytes after its head.
 """
 
 from __future__ import annotations
@@ -38,17 +40,17 @@
 MAX_EVERY_S = 3600.0
 MIN_OLDEST_S = 1.0
 MAX_OLDEST_S = 1e9
-# A snapshot that is further ahead of this clock has no known age.
+# The age of a snapshot that is further ahead of this clock is unknown.
 MAX_CLOCK_SKEW_MS = 3600000.0
-# Part of the interval by which one write follows another; nodes that share a disk must not all
-# write at once.
+# The time between two writes is the interval times a random factor from INTERVAL_BASE to
+# INTERVAL_BASE + INTERVAL_JITTER, so that nodes that share a disk do not all write at once.
 INTERVAL_BASE = 0.9
 INTERVAL_JITTER = 0.2
 OWNER_ONLY = 0o600
 
 
 class SnapshotError(ValueError):
-    """There is no snapshot to restore; the text says why in one line."""
+    """There is no snapshot to restore; the message says why in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,17 +64,17 @@
 
 
 def parse_settings(table: Mapping[str, Any]) -> SnapshotSettings:
-    """Check the section. Raises ConfigError, whose text begins with the name that is wrong."""
+    """Check the section. Raises ConfigError with a text that begins with the wrong name."""
     known = SnapshotSettings.__slots__
     for name in table:
         if name not in known:
-            raise ConfigError(f"{name}: no such setting; known are {', '.join(known)}")
+            raise ConfigError(f"{name}: no such setting; the settings are {', '.join(known)}")
     path = table.get("path")
     if not isinstance(path, str) or not path or "\0" in path:
-        raise ConfigError("path: wants a file's name")
+        raise ConfigError(f"path: {path!r:.80} is not the name of a file")
     fleet = table.get("fleet", "")
     if not isinstance(fleet, str):
-        raise ConfigError("fleet: wants a name")
+        raise ConfigError(f"fleet: {fleet!r:.80} is not a string")
     defaults = SnapshotSettings(path)
     every_s = _seconds(table, "every_s", defaults.every_s, MIN_EVERY_S, MAX_EVERY_S)
     oldest_s = _seconds(table, "oldest_s", defaults.oldest_s, MIN_OLDEST_S, MAX_OLDEST_S)
@@ -86,12 +88,14 @@
 
 
 def _seconds(
-    table: Mapping[str, Any], name: str, default: float, least: float, most: float
+    table: Mapping[str, Any], name: str, default: float, minimum: float, maximum: float
 ) -> float:
     value = table.get(name, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not is_number or not least <= value <= most:
-        raise ConfigError(f"{name}: wants {least:g} to {most:g}")
+    if not is_number or not minimum <= value <= maximum:
+        raise ConfigError(
+            f"{name}: {value!r:.80} is not a number of seconds from {minimum:g} to {maximum:g}"
+        )
     return float(value)
 
 
@@ -99,80 +103,80 @@
 
 
 def load_snapshot(path: str) -> Snapshot:
-    """Read and check a file. Raises ValueError with one line where it holds no snapshot."""
+    """Read and check a file. Raises ValueError with a one-line message if it holds no snapshot."""
     from hookpitch.startup.snapshot_format import HEAD, MAX_BYTES, decode
 
     max_bytes = MAX_BYTES + HEAD.size
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
     except OSError as error:
-        raise SnapshotError(_reason(error)) from None
+        raise SnapshotError(_error_text(error)) from None
     try:
         if not stat.S_ISREG(os.fstat(descriptor).st_mode):
-            raise SnapshotError("no regular file")
+            raise SnapshotError("not a regular file")
         data = b""
         while part := os.read(descriptor, max_bytes + 1 - len(data)):
             data += part
     except OSError as error:
-        raise SnapshotError(_reason(error)) from None
+        raise SnapshotError(_error_text(error)) from None
     finally:
         os.close(descriptor)
     if len(data) > max_bytes:
-        raise SnapshotError(f"longer than {MAX_BYTES} bytes")
+        raise SnapshotError(f"snapshot is longer than the limit of {MAX_BYTES} bytes")
     return decode(data)
 
 
 def replace_file(path: str, data: bytes) -> None:
-    """Put the data in the file's place: readers see the old file or the new one. Raises OSError."""
+    """Replace a file atomically: readers see the old or the new content. Raises OSError."""
     temporary = f"{path}.new"
-    with suppress(FileNotFoundError):  # left by a process that died while it wrote
+    with suppress(FileNotFoundError):  # left by a process that ended during a write
         os.unlink(temporary)
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC
     descriptor = os.open(temporary, flags, OWNER_ONLY)
     try:
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(descriptor, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
     os.rename(temporary, path)
-    folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    directory = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
-def run_in_thread(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:  # noqa: ANN401 - see Clock
-    """Do the work in a thread of its own; then call `then` with its failure in the reactor's."""
+def run_in_thread(reactor: Any, work: Callable[[], None], on_done: Callable[[str], None]) -> None:  # noqa: ANN401 - see Clock
+    """Run `work` in a new thread, then call `on_done` with its error in the reactor's thread."""
     from threading import Thread
 
     def work_and_report() -> None:
-        reactor.callFromThread(then, run_and_return_error(work))
+        reactor.callFromThread(on_done, run_and_return_error(work))
 
     # A daemon thread: a disk that does not respond must not keep the process from ending.
     Thread(target=work_and_report, name="snapshot", daemon=True).start()
 
 
 def run_and_return_error(work: Callable[[], None]) -> str:
-    """Do the work. Returns why it failed, or ''."""
+    """Run `work`; return why it failed, or ''."""
     try:
         work()
     except OSError as error:
-        return _reason(error)
+        return _error_text(error)
     return ""
 
 
-def _reason(error: OSError) -> str:
+def _error_text(error: OSError) -> str:
     return error.strerror or str(error)
 
 
-# ---- a node's
+# ---- the snapshot of a node
 
 
 class SnapshotNode(Protocol):
-    """What a snapshot store needs of its node."""
+    """The components of a node that a snapshot store uses."""
 
     config: NodeConfig
     clock: Clock
@@ -184,11 +188,11 @@
     def apply_cached_endpoints(
         self, version: int, endpoints: list[Endpoint], addresses: Mapping[str, str]
     ) -> None:
-        """Serve by these endpoints until discovery sends a list."""
+        """Use these endpoints until discovery sends a list."""
 
 
 class SnapshotStore:
-    """One node's snapshot: restored at the start, written periodically and at the shutdown."""
+    """Restores one node's snapshot at the start, and writes it periodically and at shutdown."""
 
     def __init__(
         self,
@@ -196,14 +200,17 @@
         node: SnapshotNode,
         run_in_background: Callable[[Callable[[], None], Callable[[str], None]], None],
     ) -> None:
-        """`run_in_background(work, then)` does the work without blocking, and calls `then` in the
-        reactor's thread with why it failed, or ''."""
+        """Create the store of one node.
+
+        `run_in_background(work, on_done)` runs `work` without blocking, and then calls `on_done` in
+        the reactor's thread with the reason of a failure, or ''.
+        """
         self._settings = settings
         self._node = node
         self.run_in_background = run_in_background
         self.path = settings.path.replace("{name}", quote(node.config.name, safe=""))
         self.is_writing = False
-        self._last_write_failed = False  # whether the last write failed
+        self._last_write_failed = False
         self._random = seeded_random(node.config.deployment.seed, "keep")
 
     def restore(self) -> None:
@@ -222,15 +229,23 @@
         node.clock.deadlines.add(now + first_interval_ms, self._save_periodically)
 
     def _check(self, snapshot: Snapshot, now: float) -> None:
-        """Raise SnapshotError where the snapshot is not this node's, or too old."""
+        """Raise SnapshotError where the snapshot is of another node or fleet, or too old."""
         config = self._node.config
         if (snapshot.fleet, snapshot.node) != (self._settings.fleet, config.name):
-            raise SnapshotError(f"of node {snapshot.node!r} of fleet {snapshot.fleet!r}")
+            raise SnapshotError(
+                f"snapshot is of node {snapshot.node!r} of fleet {snapshot.fleet!r}, expected "
+                f"{config.name!r} of {self._settings.fleet!r}"
+            )
         if snapshot.kinds != config.deployment.kinds:
-            raise SnapshotError("of a fleet with other kinds of machines")
+            raise SnapshotError(
+                f"snapshot has kinds {snapshot.kinds!r:.80}, "
+                f"expected {config.deployment.kinds!r:.80}"
+            )
         age_ms = now - snapshot.written_at_ms
         if not -MAX_CLOCK_SKEW_MS <= age_ms <= self._settings.oldest_s * 1000:
-            raise SnapshotError(f"{age_ms / 1000:.0f} s old")
+            raise SnapshotError(
+                f"snapshot is {age_ms / 1000:.0f} s old, oldest_s is {self._settings.oldest_s:g}"
+            )
 
     def _apply(self, snapshot: Snapshot, now: float) -> None:
         from hookpitch.startup.snapshot_state import endpoints, restore
@@ -251,8 +266,10 @@
         self._node.clock.deadlines.add(now + interval_ms, self._save_periodically)
 
     def save(self) -> None:
-        """Begin to write a snapshot, unless a write is under way or there are no endpoints: an
-        empty snapshot would replace what was learned before."""
+        """Begin to write a snapshot, unless a write is in progress or there are no endpoints.
+
+        An empty snapshot would replace the state that was learned before.
+        """
         from hookpitch.startup.snapshot_format import encode
         from hookpitch.startup.snapshot_state import capture
 
--- a/hookpitch/net/startup_monitor.py
+++ b/hookpitch/net/startup_monitor.py
@@ -1,5 +1,7 @@
-"""Observes the phases of a node's start (`startup/phases.py`), logs and counts them, and polls
-discovery early where the cached endpoints are of no use."""
+"""Observes, logs and counts the phases of a node's start (`startup/phases.py`).
+
+Polls discovery early if the cached endpoints turn out to be outdated.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +14,13 @@
 from hookpitch.startup.phases import Phase, StartupPhases, StartupProgress
 
 OBSERVE_INTERVAL_MS = 250.0
-KNOWN_BACKEND_RESPONSES = 4  # of one backend, from which on its latency counts as known
-# Failures without a response from any backend, after which the cached endpoints count as outdated.
+KNOWN_BACKEND_RESPONSES = 4  # responses of a backend after which its latency counts as known
+# Failures without a response from any backend after which the cached endpoints count as outdated.
 OUTDATED_FAILURES = 3
 
 
 class StartupMonitor:
-    """Follows one start until its last phase."""
+    """Observes one start until its last phase."""
 
     def __init__(self, clock: Clock, host: Host, discovery: Discovery, logger: Any) -> None:  # noqa: ANN401 - see SocketNode
         self._clock = clock
@@ -40,14 +42,14 @@
         self._clock.deadlines.add(now + OBSERVE_INTERVAL_MS, self._observe)
 
     def _observe(self, now: float) -> None:
-        caches = [c for c in self._host.router.caches if c.state == EndpointState.READY]
+        caches = [cache for cache in self._host.router.caches if cache.state == EndpointState.READY]
         if self._phases.advance(now, self._progress(caches)):
             self._report(now)
-        # Without this, a cached list whose servers have all been replaced would be used until the
-        # next regular poll.
+        # Otherwise a cached list whose backends have all been replaced would be used until the next
+        # regular poll.
         if (
             self._phases.phase == Phase.AWAITING_ENDPOINTS
-            and _outdated(caches)
+            and _are_outdated(caches)
             and self._discovery.poll_schedule.expedite(now)
         ):
             self._discovery.schedule_poll()
@@ -56,12 +58,14 @@
 
     def _progress(self, caches: list[Any]) -> StartupProgress:
         counts = self._host.counters.counts
-        contacted = [c for c in caches if c.send_count or c.send_rate or c.response_count]
+        contacted = [
+            cache for cache in caches if cache.send_count or cache.send_rate or cache.response_count
+        ]
         return StartupProgress(
             endpoints_received="lists.full" in counts or "lists.delta" in counts,
             contacted=len(contacted),
-            answered=sum(c.response_count > 0 for c in contacted),
-            warmed_up=sum(c.response_count >= KNOWN_BACKEND_RESPONSES for c in contacted),
+            answered=sum(cache.response_count > 0 for cache in contacted),
+            warmed_up=sum(cache.response_count >= KNOWN_BACKEND_RESPONSES for cache in contacted),
         )
 
     def _report(self, now: float) -> None:
@@ -79,9 +83,9 @@
         )
 
 
-def _outdated(caches: list[Any]) -> bool:
-    """Whether the backends that are known give no responses at all."""
+def _are_outdated(caches: list[Any]) -> bool:
+    """Return whether no cache is known, or none has responded and several attempts failed."""
     if not caches:
         return True
-    failures = sum(c.consecutive_failures for c in caches)
-    return failures >= OUTDATED_FAILURES and not any(c.response_count for c in caches)
+    failures = sum(cache.consecutive_failures for cache in caches)
+    return failures >= OUTDATED_FAILURES and not any(cache.response_count for cache in caches)
--- a/hookpitch/service.py
+++ b/hookpitch/service.py
@@ -1,4 +1,4 @@
-"""One node on sockets, as a process: configuration, signals, start and exit code."""
+"""The process of one node on sockets: configuration, signals, start and exit code."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def run() -> int:
     """Run a node until it has shut down; return the exit code.
 
-    The caller has SIGHUP ignored until there is a node to reload.
+    SIGHUP has to be ignored when this is called; the signal gets a handler once there is a node.
     """
     try:
         config = load_node_config(os.environ)
@@ -38,14 +38,14 @@
         return _cannot_start(error)
     _limit_descriptors(config.descriptor_limit)
     reactor = prioritized_reactor.install()
-    # Twisted's timers would go by the wall clock; one that is set back would delay every deadline.
+    # By default Twisted's timers follow the wall clock; setting it back would delay every deadline.
     reactor.seconds = time.monotonic
     counters = Counters()
     logger = log.start_logging(config.name, counters)
     node = SocketNode(reactor, Clock(reactor), config, counters, logger)
     _attach_subsystems(node, sections)
-    # Before the node listens: a signal that comes as soon as the log says "serving" must neither be
-    # lost nor end the process.
+    # Handlers are installed before the node listens: a signal that arrives as soon as the log says
+    # "serving" must neither be lost nor end the process.
     _handle_signals(reactor, node)
     try:
         _start(node)
@@ -64,7 +64,7 @@
 
 
 def _operator_sections(environment: Mapping[str, str]) -> Mapping[str, Any]:
-    """The operator's settings by section; without a file its reader is not even imported."""
+    """Return the operator's settings by section; import their parser only if there is a file."""
     if not environment.get("HOOKPITCH_CONFIG"):
         return {}
     from hookpitch.net.operator_settings import operator_settings_from
@@ -80,7 +80,7 @@
 
 
 def _attach_subsystems(node: SocketNode, sections: Mapping[str, Any]) -> None:
-    """Import and attach what the operator turned on."""
+    """Import and attach the subsystems that the operator has turned on."""
     if "snapshot" in sections:
         from hookpitch.net.snapshot_store import SnapshotStore, run_in_thread
 
@@ -94,7 +94,7 @@
 
 
 def _handle_signals(reactor: Any, node: SocketNode) -> None:  # noqa: ANN401 - see SocketNode
-    """SIGHUP reloads the configuration; SIGTERM and SIGINT begin a graceful shutdown."""
+    """Handle signals: SIGHUP reloads the configuration, SIGTERM and SIGINT begin a shutdown."""
     reload_config = partial(node.reload, partial(load_reloaded_config, os.environ))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_config))
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -102,7 +102,7 @@
 
 
 def _start(node: SocketNode) -> None:
-    """Start, waiting for the process before this one to release the address.
+    """Start the node, waiting for a previous process to release the address.
 
     Raises CannotListenError where the address stays in use, or cannot be used at all.
     """
