--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -97,10 +97,8 @@
         self._clock = clock
         self._target = target
         self.count = count
-        self.waiting: dict[
-            AdminConnection, None
-        ] = {}  # connections without a line yet, the oldest first
-        self.connections = 0  # all open ones, also those whose answer is being written
+        self.waiting: dict[AdminConnection, None] = {}  # those without a line, the oldest first
+        self.connections = 0  # number of open ones, also those whose answer is being written
         self._commands: dict[bytes, Callable[[], str]] = {
             b"STATUS": target.not_ready_reason,
             b"PAUSE": target.pause,
--- a/hookpitch/net/backend_connection.py
+++ b/hookpitch/net/backend_connection.py
@@ -37,7 +37,7 @@
         self.number = -1  # the connection's slot in the host's connection table
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
-        self.lost = False
+        self.is_lost = False
 
     def connectionMade(self) -> None:
         """Register the connection and hand it to its pool."""
@@ -75,12 +75,12 @@
 
     def pause(self) -> None:
         """Stop reading until `resume` is called."""
-        if not self.paused and not self.lost:
+        if not self.paused and not self.is_lost:
             self.pauseProducing()
 
     def resume(self) -> None:
         """Continue reading."""
-        if self.paused and not self.lost:
+        if self.paused and not self.is_lost:
             self.resumeProducing()
 
     def start_stream(self, length: int) -> bool:
@@ -114,7 +114,7 @@
             self.reset_now()
         if attempt is None:
             return
-        age_ms = self.unread_age_ms() if not self.lost else 0.0
+        age_ms = self.unread_age_ms() if not self.is_lost else 0.0
         values = NO_REPORT
         if load:
             try:
@@ -131,7 +131,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """End the attempt that the connection carried."""
-        self.lost = True
+        self.is_lost = True
         attempt = self.attempt
         self.attempt = None
         self.host.connections.free(self.number)
@@ -156,7 +156,7 @@
     def __init__(self, pool: BackendPool) -> None:
         super().__init__(pool)
         self.parser = Parser(self.input_buffer, max_value_bytes=MAX_STREAMED_BYTES)
-        self.streaming = False  # the response's value is being forwarded in chunks
+        self.is_streaming = False  # the response's value is being forwarded in chunks
 
     def encode_request(self, attempt: Attempt) -> Sequence[bytes]:
         """Return the command; a large value follows it in the chunks in which it was received."""
@@ -172,7 +172,7 @@
     def rawDataReceived(self, data: bytes) -> None:
         """Store the received bytes; a large value bypasses the ring buffer."""
         attempt = self.attempt
-        bypasses_ring = self.streaming and not len(self.input_buffer) and not self.paused
+        bypasses_ring = self.is_streaming and not len(self.input_buffer) and not self.paused
         if bypasses_ring and attempt is not None:
             remaining = self.parser.body_remaining
             part = data if len(data) <= remaining else data[:remaining]
@@ -192,16 +192,16 @@
                 self.fail_malformed(str(error))
                 return
             if reply is not NEED_DATA:
-                self.streaming = False
+                self.is_streaming = False
                 # Bytes after a response would be taken for the response to the next RPC, so the
                 # connection is not reused; the response itself is valid.
                 self._handle_reply(reply, self.attempt is not None and self.parser.at_boundary)
                 return
             if not self.parser.body_remaining:
                 return
-            if not self.streaming and not self.start_stream(self.parser.body_remaining):
+            if not self.is_streaming and not self.start_stream(self.parser.body_remaining):
                 return
-            self.streaming = True
+            self.is_streaming = True
             if self.paused or not len(self.input_buffer):
                 return
             part = self.parser.read_body(WRITE_CHUNK_BYTES)
--- a/hookpitch/net/backend_pool.py
+++ b/hookpitch/net/backend_pool.py
@@ -36,7 +36,7 @@
         self.connection: BackendConnection | None = None
         self.connector: Any = None
         self.deadline: Deadline | None = None
-        self.abandoned = False  # the pool has stopped sending and does not want the connection
+        self.is_abandoned = False  # the pool has stopped sending and does not want the connection
 
     def buildProtocol(self, addr: Any) -> BackendConnection:  # noqa: ANN401 - Twisted's address types
         self.connection = self.pool.connection_type(self.pool)
@@ -66,7 +66,7 @@
         self.connects: dict[_Connect, None] = {}
         self.expiry: Deadline | None = None
         self.backend_started_ms = 0.0  # when the backend's process started, in Unix ms
-        self.retired = False  # backend moved, draining or removed: no idle connection is kept
+        self.is_retired = False  # backend moved, draining or removed: no idle connection is kept
 
     # ---- attempts
 
@@ -136,7 +136,7 @@
         """Handle a connect that failed, was abandoned, or (OBSOLETE) had no local descriptor."""
         self._remove_connect(connect)
         self.pools.descriptors_used -= 1
-        if connect.abandoned:
+        if connect.is_abandoned:
             counter = "dials.given_up"
         elif outcome != Outcome.CONNECT_FAILED:
             counter = "dials.no_descriptor"
@@ -156,7 +156,7 @@
 
     def release(self, connection: BackendConnection) -> None:
         """Give a free connection to a waiting attempt, or keep the connection as idle."""
-        if connection.lost:
+        if connection.is_lost:
             return
         if self.waiting:  # a waiting attempt need not wait for a connect of its own
             if self._is_clean(connection):
@@ -164,7 +164,7 @@
             # Where this connection was aborted for its unread bytes, one waiting attempt has no
             # connect left.
             self._fail_attempts_without_connect(Outcome.CONNECT_FAILED)
-        elif self.retired:
+        elif self.is_retired:
             connection.transport.loseConnection()
         else:
             connection.idle_since = self.host.now
@@ -215,7 +215,7 @@
         waiting = self.waiting
         self.waiting = deque()
         for connect in list(self.connects):
-            connect.abandoned = True
+            connect.is_abandoned = True
             connect.connector.disconnect()
         self.close_idle()
         for attempt in waiting:
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -101,7 +101,7 @@
             return True
         for pool in self.by_backend.values():
             for connection in pool.idle:
-                if not connection.reading:
+                if not connection.is_reading:
                     # If closed in a later turn, the connection would still hold its descriptor when
                     # the new connect takes another one.
                     pool.close(connection, at_once=True)
@@ -141,7 +141,7 @@
             # vanished, they never get a response.
             pool.stop()
         self.by_backend[endpoint.id].backend_started_ms = endpoint.started_ms
-        self.by_backend[endpoint.id].retired = False
+        self.by_backend[endpoint.id].is_retired = False
 
     def _remove_pool(self, backend_id: str) -> None:
         """Remove the pool of a backend that is no longer listed.
@@ -152,5 +152,5 @@
 
 
 def _retire(pool: BackendPool) -> None:
-    pool.retired = True
+    pool.is_retired = True
     pool.stop()
--- a/hookpitch/net/buffered_protocol.py
+++ b/hookpitch/net/buffered_protocol.py
@@ -52,7 +52,7 @@
         self.input_buffer = Ring()
         self.output_buffer = Ring()
         self.write_pending = False  # a producer is registered: output waits for the transport
-        self.reading = False  # received bytes are being handled further up the call stack
+        self.is_reading = False  # received bytes are being handled further up the call stack
         self._chunks = deque[bytes]()  # large chunks, sent without a copy after the output buffer
         self._plain_transport: Any = None  # the transport, where its socket may be used directly
 
@@ -68,11 +68,11 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Bypass LineReceiver's own buffer, which would copy the ring buffer's content again."""
-        self.reading = True
+        self.is_reading = True
         try:
             self.rawDataReceived(data)
         finally:
-            self.reading = False
+            self.is_reading = False
 
     def rawDataReceived(self, data: bytes) -> None:
         """Buffer the received bytes."""
--- a/hookpitch/net/client_connection.py
+++ b/hookpitch/net/client_connection.py
@@ -3,7 +3,8 @@
 State: a parser, a queue with one slot for each command's reply, the open RPCs, and the responses
 that are streamed instead of buffered. Invariants: replies are sent in the order of the commands; of
 several streamed responses only the one at the head of the queue is being sent; nothing is read
-while `closing`. A command that is still unread in the kernel counts as received: its deadlines run.
+while `is_closing`. A command that is still unread in the kernel counts as received, and its
+deadlines run.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 if TYPE_CHECKING:
     from hookpitch.net.client_registry import ClientRegistry
 
-RPC_WORDS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
+RPC_WORD_COUNTS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
 
 # While reading is paused, a client's commands wait in the kernel while their deadlines run, and may
 # be forwarded after their deadlines. These two bounds are therefore far above what a well-behaved
@@ -65,15 +66,15 @@
         self.current_stream: Stream | None = None  # the stream that is being sent
         self.value: ChunkedValue | None = None  # the large value of a command, while it arrives
 
-        self.closing = False  # nothing more is read
-        self.lost = False  # the connection has closed
+        self.is_closing = False  # nothing more is read
+        self.is_lost = False  # the connection has closed
         self.is_over_limit = False  # answered with -BUSY, then closed
         self.has_sent_command = False  # at least one complete command
-        self.close_scheduled = False  # a drain closes this connection at a later time
+        self.is_close_scheduled = False  # a drain closes this connection at a later time
         self.client_has_left = False  # the client had stopped sending when its commands were read
         self.peer_half_closed = False  # the client has stopped sending, and all bytes were read
-        self._finished = False  # the sending side is shut down, or the connection is being closed
-        self._parsing = False
+        self._is_finished = False  # the sending side is shut down, or the close has begun
+        self._is_parsing = False
 
         self.active_at = 0.0  # time of the connect, the last reply or a command's first byte
         self.last_byte_at = 0.0
@@ -91,7 +92,7 @@
         return (
             not self.pending_replies
             and not len(self.output_buffer)
-            and not self.closing
+            and not self.is_closing
             and self.parser.at_boundary
         )
 
@@ -107,7 +108,7 @@
         self.last_byte_at = self.clock.now()
         if self.has_sent_command and self.parser.at_boundary:
             self.active_at = self.last_byte_at
-        if self.parser.body_remaining and not len(self.input_buffer) and not self.closing:
+        if self.parser.body_remaining and not len(self.input_buffer) and not self.is_closing:
             remaining = self.parser.body_remaining
             part = data if len(data) <= remaining else data[:remaining]
             self.parser.body_remaining -= len(part)
@@ -138,9 +139,9 @@
 
     def bytes_received(self) -> None:
         """Run the complete commands, `COMMANDS_PER_TURN` at a time."""
-        if self._parsing or self.lost:
+        if self._is_parsing or self.is_lost:
             return
-        self._parsing = True
+        self._is_parsing = True
         try:
             age_ms = self.unread_age_ms()
             # An RPC that was read too late would be forwarded for a client that has disconnected.
@@ -149,18 +150,18 @@
         except ProtocolError as error:
             self.host.counters.add("clients.malformed")
             self._reply(b"-ERR %b\r\n" % str(error).encode())
-            self.closing = True
+            self.is_closing = True
         finally:
-            self._parsing = False
+            self._is_parsing = False
         self._stop_reading_if_draining()
-        if self.closing:
+        if self.is_closing:
             self.input_buffer.skip(len(self.input_buffer))
         self._send_replies()
         self.update_eviction_order()
 
     def _run_commands(self, age_ms: float) -> None:
         for _ in range(COMMANDS_PER_TURN):
-            if self.closing or self.paused:
+            if self.is_closing or self.paused:
                 return
             words = self.parser.next_value()
             if words is NEED_DATA:
@@ -193,13 +194,13 @@
             return
         if self.is_over_limit:
             self._reject_rpc(slot, words, "rpcs.no_room")
-            self.closing = True
+            self.is_closing = True
             return
         if self.value is REFUSED_VALUE:
             self._reject_rpc(slot, words, "rpcs.no_memory")
             return
         rpc = None
-        if len(words) == RPC_WORDS[words[0]]:
+        if len(words) == RPC_WORD_COUNTS[words[0]]:
             if self.value is not None:
                 words[4] = self.value
             rpc = self.host.accept(self.clock.now(), self, slot, words, age_ms)
@@ -235,7 +236,7 @@
 
     def _handle_quit(self, _words: list[bytes], _: float) -> None:
         self._reply(b"+OK\r\n")
-        self.closing = True
+        self.is_closing = True
 
     def _handle_unknown(self, _words: list[bytes], _: float) -> None:
         self.host.counters.add("clients.wrong")
@@ -253,7 +254,7 @@
         if self.streams.pop(slot, None) is not None:
             self.registry.active_streams -= 1
             self.current_stream = None  # `answer` holds the rest of the stream
-        if not self.lost:
+        if not self.is_lost:
             self._send_replies()
 
     def _send_replies(self) -> None:
@@ -266,7 +267,7 @@
             if stream is not None:
                 self._start_stream(stream)
         if len(self.output_buffer) > MAX_UNREAD_REPLY_BYTES:
-            if not self.paused and not self.closing:
+            if not self.paused and not self.is_closing:
                 self.pauseProducing()
             self.registry.limit_reply_memory()
         self._resume_reading()
@@ -280,7 +281,7 @@
         """Register a stream: the response to the RPC of a slot has begun to arrive in chunks."""
         self.streams[slot] = stream
         self.registry.active_streams += 1
-        if self.lost or self.pending_replies[0] is not slot:
+        if self.is_lost or self.pending_replies[0] is not slot:
             stream.source.pause()  # replies to earlier commands are sent first
         else:
             self._start_stream(stream)
@@ -318,9 +319,9 @@
         else:
             # No error can be sent: the client would read it as part of the value.
             self.current_stream = None
-            self.closing = True
+            self.is_closing = True
             self.pending_replies.clear()
-        if not self.lost:
+        if not self.is_lost:
             self._send_replies()
 
     # ---- back-pressure and draining
@@ -330,7 +331,7 @@
             2 * len(self.output_buffer) <= MAX_UNREAD_REPLY_BYTES
             and 2 * len(self.pending_replies) <= MAX_PENDING_COMMANDS
         )
-        if self.paused and has_eased and not self.closing and not self.lost:
+        if self.paused and has_eased and not self.is_closing and not self.is_lost:
             self.resumeProducing()
             self.bytes_received()  # commands that were buffered before the pause
 
@@ -339,8 +340,8 @@
         self.registry.remove_eviction_candidate(self)
         if (
             not self.pending_replies
-            and not self.closing
-            and not self.lost
+            and not self.is_closing
+            and not self.is_lost
             and not len(self.output_buffer)
         ):
             self.registry.add_eviction_candidate(self)
@@ -352,13 +353,13 @@
         and commands read after the sending side is shut down would get no reply.
         """
         if (
-            self.registry.draining
+            self.registry.is_draining
             and self.has_sent_command
             and self.pending_replies
-            and not self.closing
+            and not self.is_closing
             and self.parser.at_boundary
         ):
-            self.closing = True
+            self.is_closing = True
             self.pauseProducing()
 
     def all_written(self) -> None:
@@ -367,9 +368,9 @@
 
     def advance(self) -> None:
         """Take the next step that is due: resume reading, drain or close."""
-        if self.registry.draining and not self.lost and not self.closing:
+        if self.registry.is_draining and not self.is_lost and not self.is_closing:
             self.read_now()  # a command that is unread in the kernel counts as received
-            if not self.lost:
+            if not self.is_lost:
                 self._stop_reading_if_draining()
         self._resume_reading()
         self.update_eviction_order()
@@ -377,7 +378,7 @@
 
     def drain_now(self, now: float) -> None:
         """Close an idle connection, or a busy one once all its commands are answered."""
-        self.close_scheduled = False
+        self.is_close_scheduled = False
         self.advance()
 
     # ---- ending
@@ -387,31 +388,31 @@
 
         Bytes that are still unread make no difference.
         """
-        return self.lost or self.peer_has_closed()
+        return self.is_lost or self.peer_has_closed()
 
     def _close_if_done(self) -> None:
         # A client that has sent part of a command waits for its reply, so a draining node reads the
         # rest of the command before it closes the connection.
-        if self.lost:
+        if self.is_lost:
             return
-        if self.closing and not self.pending_replies and not len(self.output_buffer):
+        if self.is_closing and not self.pending_replies and not len(self.output_buffer):
             self.finish()
         elif (
-            self.registry.draining
+            self.registry.is_draining
             and self.is_idle
             and self.has_sent_command
-            and not self.close_scheduled
+            and not self.is_close_scheduled
         ):
-            self.close_scheduled = True
+            self.is_close_scheduled = True
             self.clock.deadlines.add(self.clock.now(), self._close_if_idle)
 
     def _close_if_idle(self, now: float) -> None:
-        self.close_scheduled = False
-        if not self.lost and self.is_idle and self.registry.draining:
+        self.is_close_scheduled = False
+        if not self.is_lost and self.is_idle and self.registry.is_draining:
             # An RPC that arrived since the last read would be lost with the connection.
             if self.has_kernel_bytes():
                 self.read_now()
-            if not self.lost and self.is_idle:
+            if not self.is_lost and self.is_idle:
                 self.finish()
 
     def finish(self) -> None:
@@ -419,13 +420,13 @@
 
         Closing a socket that has unread bytes resets the connection, which loses the last reply.
         """
-        self.closing = True
-        if self._finished or (self.write_pending and self._plain_transport is not None):
+        self.is_closing = True
+        if self._is_finished or (self.write_pending and self._plain_transport is not None):
             return  # buffered output is written first
-        self._finished = True
+        self._is_finished = True
         if not self.peer_half_closed and self.shutdown_write():
             until = self.clock.now() + LINGER_MS
-            self.clock.deadlines.add(until, lambda _: self.lost or self.close_now())
+            self.clock.deadlines.add(until, lambda _: self.is_lost or self.close_now())
         else:
             self.transport.loseConnection()
 
@@ -435,9 +436,9 @@
         self.peer_half_closed = True
         with suppress(ProtocolError):
             # Commands that have not started fail, as nothing more is sent to backends.
-            while not self.closing and self.parser.next_value() is not NEED_DATA:
+            while not self.is_closing and self.parser.next_value() is not NEED_DATA:
                 self._reply(FAILED)
-        self.closing = True
+        self.is_closing = True
         self._send_replies()
 
     def writeConnectionLost(self) -> None:
@@ -445,7 +446,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Release the connection's resources, and let the host drop its RPCs."""
-        self.lost = True
+        self.is_lost = True
         self._release_value()
         self.host.connections.free(self.number)
         self.registry.connection_lost(self)
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -22,13 +22,13 @@
 from hookpitch.net.clock import Clock
 
 SWEEP_INTERVAL_MS = 250.0
-FIRST_COMMAND_MS = 2500.0  # time limit for a first command, or one begun, to be complete
+FIRST_COMMAND_MS = 2500.0  # time limit for completing the first command, or any command begun
 MIN_IDLE_MS = 2000.0  # an idle connection stays open for at least this time
 MIN_IDLE_DRAINING_MS = 1000.0  # the same in a drain, also for a connection that has sent nothing
 OVER_LIMIT_MS = 100.0  # time for a connection over the limit to send a command and be answered
 LAST_REPLY_MS = 5000.0  # time limit for the client of a closing connection to read its replies
 MIN_SILENCE_MS = 250.0  # silence after which a connection without a complete command is evictable
-EVICTION_CANDIDATES = 16  # connections that are examined to find one to evict
+EVICTION_CANDIDATES = 16  # connections examined in search of one to evict
 
 
 class CloseReason(Enum):
@@ -60,11 +60,11 @@
         self.max_reply_bytes = max_reply_bytes
         self.max_connections = max_connections
         self.max_over_limit = max_over_limit
-        self.connections: dict[ClientConnection, None] = {}  # the last one answered most recently
+        self.connections: dict[ClientConnection, None] = {}  # the latest reply at the end
         self.idle: dict[ClientConnection, None] = {}  # connections between two commands
         self.incomplete: dict[ClientConnection, None] = {}  # connections without a complete command
         self.active_streams = 0  # responses that are being streamed
-        self.draining = False  # idle connections are closed
+        self.is_draining = False  # idle connections are closed
         self.reports_draining = False  # PING is answered with an error
         self.fails_new_requests = False  # a shutdown leaves no time to forward RPCs
         self.on_all_closed: Callable[[], None] | None = None
@@ -147,7 +147,10 @@
         self.host.counters.add("clients.guests")
         new_client.read_now()
         # Connections that send nothing would use up the remaining descriptors.
-        if new_client.closing or len(self.connections) > self.max_connections + self.max_over_limit:
+        if (
+            new_client.is_closing
+            or len(self.connections) > self.max_connections + self.max_over_limit
+        ):
             self._close_over_limit(new_client)
         else:
             until = self.clock.now() + OVER_LIMIT_MS
@@ -156,11 +159,11 @@
     def _close_over_limit(self, client: ClientConnection) -> None:
         """Close a connection in this turn of the event loop: others need its descriptor now."""
         is_answered = not client.pending_replies and not len(client.output_buffer)
-        if client.lost or not is_answered or not client.parser.at_boundary:
+        if client.is_lost or not is_answered or not client.parser.at_boundary:
             return
-        if not client.closing:
+        if not client.is_closing:
             self.host.counters.add(CloseReason.SILENT.value)
-        client.closing = True
+        client.is_closing = True
         client.close_now()
 
     @property
@@ -183,11 +186,11 @@
         """Close connections that have been silent too long, and schedule the next sweep."""
         self.clock.deadlines.add(now + SWEEP_INTERVAL_MS, self.sweep)
         count = len(self.connections)
-        min_idle_ms = MIN_IDLE_DRAINING_MS if self.draining else MIN_IDLE_MS
+        min_idle_ms = MIN_IDLE_DRAINING_MS if self.is_draining else MIN_IDLE_MS
         for client in list(self.connections):
             if client.active_at > now - min_idle_ms:
                 break
-            is_unread = client.closing and not client.pending_replies
+            is_unread = client.is_closing and not client.pending_replies
             if is_unread and client.active_at < now - LAST_REPLY_MS:
                 # A regular close would wait for a client that does not read.
                 client.transport.abortConnection()
@@ -200,9 +203,9 @@
     def _sweep_reason(self, client: ClientConnection, now: float, count: int) -> CloseReason | None:
         """Return why a connection is to be closed while `count` are open, or None."""
         is_busy = client.pending_replies or len(client.output_buffer)
-        if is_busy or client.closing or client.paused:
+        if is_busy or client.is_closing or client.paused:
             return None
-        if self.draining and client.is_idle and not client.has_unread_bytes():
+        if self.is_draining and client.is_idle and not client.has_unread_bytes():
             return CloseReason.DRAINED
         if not client.is_between_commands:
             # Hundreds of clients that send nothing, or only part of a command, would hold every
@@ -217,7 +220,7 @@
     def close(self, client: ClientConnection, reason: CloseReason) -> None:
         """Close a connection at once, or after `LINGER_MS` where a reply may be in transit."""
         self.host.counters.add(reason.value)
-        client.closing = True
+        client.is_closing = True
         client.update_eviction_order()
         if client.active_at > self.clock.now() - LINGER_MS:
             client.finish()
@@ -237,14 +240,14 @@
 
         Clients whose connections were all closed at once would still write to some of them.
         """
-        self.draining = True
+        self.is_draining = True
         now = self.clock.now()
         clients = list(self.connections)
         for index, client in enumerate(clients):
             if include_unused:
                 client.has_sent_command = True
             if spread_ms and index and client.is_idle:
-                client.close_scheduled = True
+                client.is_close_scheduled = True
                 at = now + spread_ms * index / len(clients)
                 self.clock.deadlines.add(at, client.drain_now)
             else:
@@ -255,7 +258,7 @@
         self.fails_new_requests = True  # RPCs that become complete from now on fail at once
         for client in list(self.connections):
             if client.pending_replies or client.parser.at_boundary:
-                client.closing = True
+                client.is_closing = True
                 client.pending_replies.clear()
                 client.finish()
 
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -108,7 +108,7 @@
         watch.set_silence_timeout(CONNECT_TIMEOUT_FACTOR * self.host.deployment.connect_timeout_ms)
 
     def watch_lost(self, watch: Watch, cause: WatchLoss, retry_after: float) -> None:
-        """Handle the loss of a watch; `retry_after` is the shortest time in ms until a poll."""
+        """Handle a lost watch; `retry_after` is the shortest time in ms until the next poll."""
         if watch is not self.current_watch:
             return
         self.current_watch = None
@@ -182,8 +182,9 @@
         """Handle an older version: discovery lags, or has restarted its version count.
 
         The list of a discovery service that lags could bring back backends removed long ago, so an
-        older list is accepted only after `MAX_OLDER_VERSIONS` updates and heartbeats. Until then
-        the watch stays open: if it were closed, hundreds of nodes would poll again each time.
+        older list is accepted only after more than `MAX_OLDER_VERSIONS` updates and heartbeats.
+        Until then the watch stays open: if it were closed, hundreds of nodes would poll again each
+        time.
         """
         if update.complete:
             self._older_list = {}
--- a/hookpitch/net/discovery_watch.py
+++ b/hookpitch/net/discovery_watch.py
@@ -43,12 +43,11 @@
         super().__init__()
         self.discovery = discovery
         self.connector: Any = None
-        self.ended = False
+        self.has_ended = False
         self._http = h11.Connection(h11.CLIENT)
         self._objects = JsonStream(discovery.max_object_bytes)
-        self._bytes_at_restart = (
-            0  # of an incomplete object, when the silence timeout last restarted
-        )
+        # The length of the incomplete object when the silence timeout was last restarted.
+        self._bytes_at_restart = 0
         self._silence_deadline: Deadline | None = None
 
     def connectionMade(self) -> None:
@@ -73,7 +72,7 @@
             self.end(WatchLoss.ENDED)
 
     def _read_events(self) -> None:
-        while not self.ended:
+        while not self.has_ended:
             event = self._http.next_event()
             if isinstance(event, h11.Response):
                 if event.status_code != 200:
@@ -107,17 +106,17 @@
         self._silence_deadline = clock.deadlines.add(until, lambda _: self.end(WatchLoss.SILENT))
 
     def end(self, cause: WatchLoss, retry_after: float = 0.0) -> None:
-        """End the watch as lost; `retry_after` is the time in ms before which not to poll again."""
-        if self.ended:
+        """End the watch as lost; `retry_after` is the shortest time in ms until the next poll."""
+        if self.has_ended:
             return
         self.close()
         self.discovery.watch_lost(self, cause, retry_after)
 
     def close(self) -> None:
         """End the watch without reporting a loss, as another watch replaces this one."""
-        if self.ended:
+        if self.has_ended:
             return
-        self.ended = True
+        self.has_ended = True
         self.discovery.clock.deadlines.cancel(self._silence_deadline)
         if self.transport is not None:
             self.transport.abortConnection()
--- a/hookpitch/net/hot_restart.py
+++ b/hookpitch/net/hot_restart.py
@@ -32,7 +32,7 @@
 
 
 class HotRestartNode(Protocol):
-    """What a hot restart needs of its node."""
+    """The components of a node that a hot restart uses."""
 
     clock: Clock
     config: NodeConfig
--- a/hookpitch/net/lifecycle.py
+++ b/hookpitch/net/lifecycle.py
@@ -54,7 +54,7 @@
 
 
 class LifecycleNode(Protocol):
-    """What the lifecycle needs of its node."""
+    """The components of a node that the lifecycle uses."""
 
     reactor: Any
     clock: Clock
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -41,7 +41,7 @@
 
     def __init__(self, node: CommandNode) -> None:
         self._node = node
-        self.draining = False
+        self.is_draining = False
         self._drain_changes = 0  # lets the delayed step of a drain that has ended be skipped
 
     # ---- status
@@ -51,7 +51,7 @@
         state = self._node.lifecycle.state
         if state is State.SHUTTING_DOWN:
             return SHUTTING_DOWN
-        if self.draining:
+        if self.is_draining:
             return "draining"
         if state is State.STARTING:
             return "starting"
@@ -128,7 +128,7 @@
     def active_commands(self) -> list[Command]:
         """Return the commands that would give a new process the bans and drain of this one."""
         commands = [Command(Verb.SUSPEND, backend_id) for backend_id in self._node.host.router.bans]
-        if self.draining:
+        if self.is_draining:
             commands.append(Command(Verb.PAUSE))
         return commands
 
@@ -143,10 +143,10 @@
     def _apply_drain(self, command: Command) -> None:
         node = self._node
         draining = command.verb is Verb.PAUSE
-        if draining == self.draining:
+        if draining == self.is_draining:
             return
         self._log(command)
-        self.draining = draining
+        self.is_draining = draining
         node.clients.reports_draining = draining
         self._drain_changes += 1
         if draining:
@@ -155,7 +155,7 @@
                 node.clock.now() + DRAIN_DELAY_MS, lambda _: self._close_idle_clients(change)
             )
         elif node.lifecycle.state is not State.SHUTTING_DOWN:
-            node.clients.draining = False
+            node.clients.is_draining = False
 
     def _close_idle_clients(self, change: int) -> None:
         if change == self._drain_changes:
--- a/hookpitch/net/origin.py
+++ b/hookpitch/net/origin.py
@@ -37,7 +37,7 @@
         self.status = 0  # 0 until the response's head has been received
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
-        self.streaming = False  # the body is being forwarded in chunks
+        self.is_streaming = False  # the body is being forwarded in chunks
 
     # ---- the request
 
@@ -123,12 +123,12 @@
             self.fail_malformed(BODY_TOO_LONG)
             return False
         if size > MAX_BULK_BYTES:
-            self.streaming = self.start_stream(size)
-            return self.streaming
+            self.is_streaming = self.start_stream(size)
+            return self.is_streaming
         return True
 
     def _handle_data(self, data: bytes) -> None:
-        if self.streaming and self.attempt is not None:
+        if self.is_streaming and self.attempt is not None:
             self.host.stream_chunk(self.clock.now(), self.attempt, data)
         else:
             self.body += data
--- a/hookpitch/net/resource_budget.py
+++ b/hookpitch/net/resource_budget.py
@@ -18,7 +18,7 @@
 class DescriptorBudget:
     """File descriptors by use; the remaining ones are for the process itself."""
 
-    backends: int  # connections to cache servers and the origin
+    backends: int  # connections to caches and the origin
     clients: int  # connections that are served
     idle_clients: int  # number of open connections above which idle ones are closed
     rejected_clients: int  # connections beyond `clients`, open until they are answered with -BUSY
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -1,4 +1,4 @@
-"""The file that all processes of one node share: one operator command per line; docs/design.md.
+"""The file that all processes of one node share, with one operator command per line.
 
 Each command that changes something (the start or end of a ban, the start or end of a drain, the
 start of a process) is a line with its own checksum:
@@ -8,7 +8,7 @@
 Lines are appended under a lock, so all readers see the same order, and each reader continues from
 its previous position. While a process runs, it holds a lock on a file of its own, by which the
 other processes find it. A line that is incomplete, of another version or wrong is skipped; the
-first such line is reported.
+first such line is reported. See docs/design.md.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
     def __init__(
         self, directory: str, name: str, on_damage: Callable[[str], None], process_id: str = ""
     ) -> None:
-        """Open the file; raises OSError where the directory cannot be used, as no method does.
+        """Open the file. Raises OSError where the directory cannot be used; methods raise none.
 
         `on_damage` is called once, with a reason, if the file cannot be read or written or a line
         is wrong. `process_id` defaults to the operating system's process id.
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -71,13 +71,13 @@
             raise ConfigError(f"{name}: no such setting; the settings are {', '.join(known)}")
     path = table.get("path")
     if not isinstance(path, str) or not path or "\0" in path:
-        raise ConfigError(f"path: {path!r:.80} is not the name of a file")
+        raise ConfigError(f"path: expected the name of a file, found {path!r:.80}")
     fleet = table.get("fleet", "")
     if not isinstance(fleet, str):
-        raise ConfigError(f"fleet: {fleet!r:.80} is not a string")
+        raise ConfigError(f"fleet: expected a string, found {fleet!r:.80}")
     defaults = SnapshotSettings(path)
-    every_s = _seconds(table, "every_s", defaults.every_s, MIN_EVERY_S, MAX_EVERY_S)
-    oldest_s = _seconds(table, "oldest_s", defaults.oldest_s, MIN_OLDEST_S, MAX_OLDEST_S)
+    every_s = _parse_seconds(table, "every_s", defaults.every_s, MIN_EVERY_S, MAX_EVERY_S)
+    oldest_s = _parse_seconds(table, "oldest_s", defaults.oldest_s, MIN_OLDEST_S, MAX_OLDEST_S)
     try:
         import msgspec  # noqa: F401 - an extra that only snapshots need
     except ImportError:
@@ -87,14 +87,14 @@
     return SnapshotSettings(path, fleet, every_s, oldest_s)
 
 
-def _seconds(
+def _parse_seconds(
     table: Mapping[str, Any], name: str, default: float, minimum: float, maximum: float
 ) -> float:
     value = table.get(name, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not minimum <= value <= maximum:
         raise ConfigError(
-            f"{name}: {value!r:.80} is not a number of seconds from {minimum:g} to {maximum:g}"
+            f"{name}: expected {minimum:g} to {maximum:g} seconds, found {value!r:.80}"
         )
     return float(value)
 
@@ -291,9 +291,8 @@
     def _on_written(self, failure: str) -> None:
         self.is_writing = False
         self._node.host.counters.add("snapshot.failed" if failure else "snapshot.written")
-        if (
-            bool(failure) == self._last_write_failed
-        ):  # a full disk is logged once, not at each write
+        # A full disk is logged once, not at each write.
+        if bool(failure) == self._last_write_failed:
             return
         self._last_write_failed = bool(failure)
         if failure:
