--- a/hookpitch/balancer/endpoints.py
+++ b/hookpitch/balancer/endpoints.py
@@ -1,9 +1,10 @@
-"""What discovery and operators say of the backends. Look here when one is used that should not be.
+"""Applies endpoint updates and bans. Look here when a backend is used that should not be.
 
-State: the backends' listed values, the ids that an operator has banned, and, where listed sizes
-are cut by load, the nominal size of each kind. Invariants: a backend that is not ready is sent
-nothing new; a ban holds whatever a list says; a backend that has started since is treated as a new
-one, and warms up. The ring changes only with the backends that are ready and their sizes.
+State: the listed values of the backends, the ids that an operator has banned, and, where listed
+sizes are reduced by load, the nominal size of each machine kind. Invariants: a backend that is not
+ready is sent nothing new; a ban holds whatever a list says; a backend whose process has restarted
+is treated as new and warms up. The ring changes only with the set of ready backends and their
+sizes.
 """
 
 from __future__ import annotations
@@ -35,7 +36,8 @@
         retries: RetryPolicy,
     ) -> None:
         self.banned: dict[str, None] = {}  # in the order of the bans
-        self.nominal_sizes: dict[int, float] | None = None  # by kind; None: sizes ignore load
+        # By kind; None where listed sizes do not depend on load.
+        self.nominal_sizes: dict[int, float] | None = None
         self._nodes = 1
         self._removal_is_advisory = False
         self._table = table
@@ -47,7 +49,7 @@
         self._retries = retries
 
     def configure(self, deployment: Deployment, nodes: int) -> None:
-        """Apply new settings; kinds get new numbers, which backends take over by name."""
+        """Apply new settings; backends get the new numbers of their kinds, matched by name."""
         table = self._table
         self._nodes = nodes
         self._removal_is_advisory = deployment.removal_is_advisory
@@ -56,40 +58,40 @@
         table.origin_kind = deployment.origin_kind
         self.nominal_sizes = {} if deployment.weights_reflect_load else None
         for backend, name in zip(table.backends.values(), kind_names, strict=True):
-            known = name in deployment.kinds
-            backend.kind = deployment.kinds.index(name) if known else UNKNOWN_KIND
+            is_known = name in deployment.kinds
+            backend.kind = deployment.kinds.index(name) if is_known else UNKNOWN_KIND
             backend.reported_load = -1.0
             if self.nominal_sizes is not None:
                 largest = self.nominal_sizes.get(backend.kind, 0.0)
                 self.nominal_sizes[backend.kind] = max(backend.size, largest)
 
     def update(self, kind: EndpointUpdate, endpoints: list[Endpoint], now: float) -> None:
-        """Apply an update. One that is no delta removes what it does not name."""
+        """Apply an update; any update but a delta removes the backends that it does not list."""
         changed = False
         resized: list[Backend] = []
         for endpoint in endpoints:
             backend = self._table.backends.get(endpoint.id)
             if backend is None:
                 backend = self._table.backends[endpoint.id] = Backend(endpoint.id)
-            self._restart_if_new(backend, endpoint, now)
+            self._reset_if_restarted(backend, endpoint, now)
             changed |= backend.listed_state != endpoint.state
             changed |= (backend.zone, backend.kind) != (endpoint.zone, endpoint.kind)
-            if self._apply(backend, endpoint):
+            if self._apply_listed_values(backend, endpoint):
                 resized.append(backend)
             if endpoint.kind == self._table.origin_kind:
                 self._concurrency.start_origin(backend, self._nodes)
             self.set_state(backend, endpoint.state, now)
         if kind != EndpointUpdate.DELTA:
-            named = {endpoint.id for endpoint in endpoints}
+            listed_ids = {endpoint.id for endpoint in endpoints}
             for backend in self._table.backends.values():
-                if backend.id not in named and backend.listed_state != EndpointState.REMOVED:
+                if backend.id not in listed_ids and backend.listed_state != EndpointState.REMOVED:
                     changed = True
                     self.set_state(backend, EndpointState.REMOVED, now)
         if changed or resized:
             self.rebuild_ring(resized)
 
     def set_banned(self, id: str, banned: bool, now: float) -> None:
-        """Keep a backend out, or take it back; a ban may come before its backend is listed."""
+        """Ban a backend or lift its ban; a backend may be banned before it is listed."""
         was_banned = id in self.banned
         self.banned.pop(id, None)
         if banned:
@@ -98,19 +100,20 @@
         if backend is None or banned == was_banned:
             return
         if not banned:
-            # It may have restarted while banned; old failures would delay its use.
+            # The backend may have restarted while banned, and old failures would delay its use.
             self._outliers.reset(backend)
             backend.ejection_ms = 0.0
             self._slow_start.start_warmup(backend, now, now)
         self.set_state(backend, backend.listed_state, now)
-        on_ring = backend.ring_points or backend.state != EndpointState.READY
-        self.rebuild_ring([] if on_ring else [backend])
+        needs_no_points = backend.ring_points or backend.state != EndpointState.READY
+        self.rebuild_ring([] if needs_no_points else [backend])
 
     def set_state(self, backend: Backend, listed: EndpointState, now: float) -> None:
-        """Take a listed state, and derive the state by which the backend is used.
+        """Store a listed state, and derive the state that decides how the backend is used.
 
-        Where removal is advisory, a list that lags would take a backend out and in by turns: one
-        that was ready is still tried, unless it has not answered for a while.
+        Where removal is advisory, following an outdated list would remove and restore a backend
+        again and again. A backend that was ready is therefore still tried, but it is ejected if it
+        has not answered for a while.
         """
         backend.removal_advised = (
             listed == EndpointState.REMOVED
@@ -132,11 +135,13 @@
         backend.update_availability(now)
 
     def rebuild_ring(self, resized: list[Backend]) -> None:
-        """Bring the origin, the ring and all assignments in step with the backends' states."""
+        """Update the origin, the ring and all assignments after the backends have changed."""
         table, ring = self._table, self._ring
-        ready = [b for b in table.backends.values() if b.state == EndpointState.READY]
+        ready = [
+            backend for backend in table.backends.values() if backend.state == EndpointState.READY
+        ]
         if table.origin not in ready:
-            origins = (b for b in ready if b.kind == table.origin_kind)
+            origins = (backend for backend in ready if backend.kind == table.origin_kind)
             table.origin = next(origins, table.origin)
         caches = [backend for backend in resized if backend.kind != table.origin_kind]
         ring.set_scale(caches)
@@ -147,8 +152,8 @@
         ring.add(caches)
         self._placement.ring_changed()
 
-    def _restart_if_new(self, backend: Backend, endpoint: Endpoint, now: float) -> None:
-        """Forget what is known of a backend's process where the list says that it is a new one."""
+    def _reset_if_restarted(self, backend: Backend, endpoint: Endpoint, now: float) -> None:
+        """Reset a backend if the list shows that its process has restarted."""
         usable = endpoint.state == EndpointState.READY or self._removal_is_advisory
         started_at = endpoint.started_ms if endpoint.started_ms > 0 else NEVER
         if not usable or started_at <= backend.started_at:
@@ -159,11 +164,11 @@
         backend.last_response_at = NEVER
         self._slow_start.start_warmup(backend, started_at, now)
 
-    def _apply(self, backend: Backend, endpoint: Endpoint) -> bool:
-        """Take an endpoint's listed values; return whether the backend needs other ring points."""
+    def _apply_listed_values(self, backend: Backend, endpoint: Endpoint) -> bool:
+        """Store the listed values; return whether the backend needs new ring points."""
         size = max(endpoint.size, MIN_SIZE)
         if self.nominal_sizes is not None:
-            # Sizes that follow load would move the ring with every list.
+            # Sizes that vary with load would change the ring with every list.
             nominal = max(size, self.nominal_sizes.get(endpoint.kind, 0.0))
             self.nominal_sizes[endpoint.kind] = nominal
             backend.reported_load = (nominal / size - 1) * nominal
@@ -178,7 +183,7 @@
         return resized
 
     def _forget_removed(self) -> None:
-        """Drop the records of removed backends that have nothing in flight."""
+        """Delete the records of removed backends that have nothing in flight."""
         backends = self._table.backends
         for backend in list(backends.values()):
             if backend.state == EndpointState.REMOVED and not backend.in_flight:
--- a/hookpitch/net/backend_pools.py
+++ b/hookpitch/net/backend_pools.py
@@ -64,7 +64,7 @@
         elif isinstance(carrier, BackendPool) and attempt in carrier.waiting:
             carrier.waiting.remove(attempt)
 
-    def has_unread_response(self, attempt: Attempt) -> bool:
+    def read_pending_response(self, attempt: Attempt) -> bool:
         """Read the unread response of an attempt; return whether the attempt has ended."""
         carrier = attempt.carrier
         is_sent = isinstance(carrier, BackendConnection) and carrier.attempt is attempt
@@ -109,13 +109,13 @@
         return self.descriptors_used < self.max_descriptors
 
     def update_endpoints(
-        self, kind: EndpointUpdate, entries: Sequence[Endpoint], addresses: Mapping[str, str]
+        self, kind: EndpointUpdate, endpoints: Sequence[Endpoint], addresses: Mapping[str, str]
     ) -> None:
-        """Apply endpoint updates; `addresses` has the "host:port" of each entry by endpoint id."""
-        for endpoint in entries:
+        """Apply endpoint updates; `addresses` has the "host:port" of each one by endpoint id."""
+        for endpoint in endpoints:
             self._update_endpoint(endpoint, addresses[endpoint.id])
         if kind != EndpointUpdate.DELTA:
-            listed = {endpoint.id for endpoint in entries}
+            listed = {endpoint.id for endpoint in endpoints}
             for backend_id in [known for known in self.by_backend if known not in listed]:
                 self._remove_pool(backend_id)
 
--- a/hookpitch/net/client_connection.py
+++ b/hookpitch/net/client_connection.py
@@ -383,7 +383,7 @@
 
     # ---- ending
 
-    def disconnected(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Return whether the client has closed its connection or its sending side.
 
         Bytes that are still unread make no difference.
@@ -432,7 +432,7 @@
 
     def readConnectionLost(self) -> None:
         """Handle a half-close: the client has stopped sending and may still read."""
-        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=True)
+        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), still_reads=True)
         self.peer_half_closed = True
         with suppress(ProtocolError):
             # Commands that have not started fail, as nothing more is sent to backends.
@@ -454,7 +454,7 @@
         self.current_stream = None
         self.registry.active_streams -= len(self.streams)
         self.streams.clear()
-        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), reads=False)
+        self.host.client_disconnected(self.clock.now(), list(self.rpcs.values()), still_reads=False)
         self.rpcs.clear()
         self.registry.check_all_closed()
 
