--- a/hookpitch/net/endpoint_list.py
+++ b/hookpitch/net/endpoint_list.py
@@ -43,14 +43,14 @@
     EndpointListError where the list is not valid.
     """
     try:
-        top = text if isinstance(text, Mapping) else json.loads(text)
+        document = text if isinstance(text, Mapping) else json.loads(text)
         endpoints = list[Endpoint]()
         addresses = dict[str, str]()
-        for entry in top["hosts"]:
+        for entry in document["hosts"]:
             endpoint = _parse_endpoint(entry, kinds)
             endpoints.append(endpoint)
             addresses[endpoint.id] = entry["dial"]
-        return EndpointList(int(top["seq"]), bool(top["whole"]), endpoints, addresses)
+        return EndpointList(int(document["seq"]), bool(document["whole"]), endpoints, addresses)
     except (
         KeyError,
         TypeError,
@@ -73,8 +73,8 @@
         size=float(1.0 if entry.get("share") is None else entry["share"]),
     )
     host, _, port = str(entry["dial"]).rpartition(":")
-    finite = abs(endpoint.started_ms + endpoint.size) < float("inf")
-    if not host or not 0 < int(port) < 65536 or not finite:
+    is_finite = abs(endpoint.started_ms + endpoint.size) < float("inf")
+    if not host or not 0 < int(port) < 65536 or not is_finite:
         raise ValueError(
             f"host {endpoint.id!r:.40} has dial {entry['dial']!r:.60}, share {endpoint.size:g}, "
             f"born_ms {endpoint.started_ms:g}; expected host:port, finite numbers"
--- a/hookpitch/net/resource_budget.py
+++ b/hookpitch/net/resource_budget.py
@@ -25,7 +25,7 @@
 
     @classmethod
     def from_config(cls, config: NodeConfig) -> DescriptorBudget:
-        """Return the budget: up to half of the limit for backends, the rest for clients.
+        """Return the budget: at most half of the limit for backends, the rest for clients.
 
         The process's own descriptors are subtracted first.
         """
