--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,12 +1,12 @@
 """KNOWN-RED.txt: tests that fail because of a known fault which is not fixed yet.
 
-One entry a line, four fields set apart by ` | `, in any number; blank lines and `#` lines are
-comments:
+Each line holds one entry of four fields separated by ` | `; blank lines and lines that begin with
+`#` are ignored:
 
     tests/test_x.py::test_name | command and seed | what was seen | issue N
 
-The listed tests are expected to fail, strictly, and are printed. One that passes, one that names no
-test and a malformed entry fail the run. Runs on processes that could not be judged are counted and
+The listed tests are printed and must fail. The run fails if a listed test passes, if an entry names
+no test or if an entry is malformed. Runs on processes that could not be judged are counted and
 printed.
 """
 
@@ -34,7 +34,10 @@
 
 
 def parse_entry(line: str, file_name: str) -> KnownFailure:
-    """One line of the file. Raises UsageError where a field is missing or malformed."""
+    """Parse one line of the file.
+
+    Raises UsageError if a field is missing or malformed.
+    """
     fields = [field.strip() for field in line.split(SEPARATOR)]
     complete = len(fields) == 4 and all(fields)
     if not complete or "::" not in fields[0] or not ISSUE.fullmatch(fields[3]):
@@ -43,7 +46,7 @@
 
 
 def read_known_failures(path: Path = KNOWN_RED_FILE) -> dict[str, KnownFailure]:
-    """The file's entries by test; none where there is no file."""
+    """Return the entries of the file by test; none if there is no file."""
     lines = path.read_text().splitlines() if path.exists() else []
     entries = [line for line in lines if line.strip() and not line.startswith("#")]
     failures = [parse_entry(line, path.name) for line in entries]
@@ -51,7 +54,7 @@
 
 
 def names_of(item: pytest.Item) -> tuple[str, str]:
-    """A test's id with its parameters, and without them."""
+    """Return the id of a test with its parameters and without them."""
     return item.nodeid, item.nodeid.partition("[")[0]
 
 
--- a/tests/memory_network.py
+++ b/tests/memory_network.py
@@ -1,7 +1,7 @@
-"""A network in memory: connections and dials for a node that runs on Twisted's test clock.
+"""A network in memory: connections and dials of a node that runs on Twisted's test clock.
 
-Nothing is sent anywhere: a test reads what the node wrote from its connection, and says what the
-peer would send. Times are the reactor's, in seconds.
+Nothing is sent to a socket: a test reads from a connection what the node wrote, and passes in what
+the peer would send. Times are the reactor's, in seconds.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from twisted.python.failure import Failure
 from twisted.test.iosim import FakeTransport
 
-TCP_INFO_FORMAT = "14I"  # the last field: milliseconds since the newest byte came
+TCP_INFO_FORMAT = "14I"  # the last field: milliseconds since the newest byte was received
 
 
 class MemoryConnection(FakeTransport):
@@ -43,10 +43,10 @@
         self.ms_since_receive = 0.0
         protocol.makeConnection(self)
 
-    # ---- what the node calls
+    # ---- called by the node
 
     def write(self, data: bytes) -> None:
-        """Keep what the node writes."""
+        """Store what the node writes."""
         if self.is_closed or self.disconnecting:
             return
         self.output += data
@@ -54,62 +54,62 @@
             self.network.on_write(self, data)
 
     def getsockopt(self, level: int, option: int, size: int) -> bytes:
-        """TCP_INFO, of which only the last field is filled."""
+        """Return TCP_INFO, of which only the last field is filled."""
         return struct.pack(TCP_INFO_FORMAT, *[0] * 13, int(self.ms_since_receive))
 
     def recv(self, count: int, flags: int) -> bytes:
-        """Peek at what stands in the kernel."""
+        """Peek at the unread bytes in the kernel."""
         if not self.unread_input:
             raise BlockingIOError
         return self.unread_input[:count]
 
     def pauseProducing(self) -> None:
-        """The node reads no more for now."""
+        """Record that the node stops reading."""
         self.is_paused = True
 
     def resumeProducing(self) -> None:
-        """The node reads on."""
+        """Record that the node reads again."""
         self.is_paused = False
 
     def loseConnection(self) -> None:
-        """The node closes the connection."""
+        """Close the connection in a later call, as the node asks."""
         if not self.disconnecting:
             self.disconnecting = True
             self.network.callLater(0, self.close)
 
     abortConnection = loseConnection  # noqa: N815 - Twisted's name
 
-    # ---- what the test calls
+    # ---- called by the test
 
     def receive(self) -> bytes:
-        """All that the node has written, the peer reading on."""
+        """Return all that the node has written since the last call, as a peer that reads on."""
         while self.producer is not None and self.is_reading and not self.is_closed:
             self.producer.resumeProducing()
-        got = self.output
+        output = self.output
         self.output = b""
-        return got
+        return output
 
     def doRead(self) -> None:
-        """What stands in the kernel reaches the node."""
+        """Pass the unread bytes in the kernel to the node."""
         data = self.unread_input
         self.unread_input = b""
         if data:
             self.send(data)
 
     def send(self, data: bytes) -> None:
-        """The peer sends data, which reaches the node at once."""
+        """Pass data from the peer to the node at once."""
         if not self.is_closed and not self.disconnecting:
             self.protocol.dataReceived(data)
 
     def close(self) -> None:
-        """The connection ends."""
+        """Close the connection and notify the node's protocol."""
         if not self.is_closed:
             self.is_closed = True
             self.protocol.connectionLost(Failure(ConnectionDone()))
 
 
 class MemoryDial:
-    """One dial of the node; `is_finished` once it has come up or failed."""
+    """One dial of the node; `is_finished` once it has connected or failed."""
 
     def __init__(self, network: MemoryNetwork, port: int, factory: ClientFactory) -> None:
         self.network = network
@@ -118,17 +118,17 @@
         self.is_finished = False
 
     def disconnect(self, fault: Exception | None = None) -> None:
-        """The dial fails, or the node gives it up."""
+        """Fail the dial, or abandon it when the node calls this."""
         if not self.is_finished:
             self.is_finished = True
             self.factory.clientConnectionFailed(self, Failure(fault or UserError()))
 
     def fail_without_descriptor(self) -> None:
-        """The dial fails as no descriptor is free."""
+        """Fail the dial because no file descriptor is free."""
         self.disconnect(ConnectBindError(errno.EMFILE, "too many open files"))
 
     def complete(self) -> MemoryConnection:
-        """The dial comes up."""
+        """Complete the dial and return its connection."""
         self.is_finished = True
         connection = MemoryConnection(self.network, self.factory.buildProtocol(None), self.port)
         self.network.connections.append(connection)
@@ -159,16 +159,20 @@
         timeout: float | None = None,
         bindAddress: object = None,  # noqa: N803 - Twisted's name
     ) -> MemoryDial:
-        """The node dials."""
+        """Start a dial of the node, which ends as `dial_outcomes` says for its port."""
         dial = MemoryDial(self, port, factory)
         self.dials.append(dial)
-        way = self.dial_outcomes.get(port, "up")
-        if way != "silent":
+        outcome = self.dial_outcomes.get(port, "up")
+        if outcome != "silent":
             ends = {"up": dial.complete, "descriptor": dial.fail_without_descriptor}
-            end = ends.get(way, dial.disconnect)
+            end = ends.get(outcome, dial.disconnect)
             self.callLater(0, lambda: dial.is_finished or end())
         return dial
 
     def connections_to(self, port: int) -> list[MemoryConnection]:
-        """The open connections to a port."""
-        return [line for line in self.connections if line.port == port and not line.is_closed]
+        """Return the open connections to a port."""
+        return [
+            connection
+            for connection in self.connections
+            if connection.port == port and not connection.is_closed
+        ]
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,9 +1,8 @@
-"""A node's process on real sockets, and peers that do what a test says, when it says so.
+"""A node's process on real sockets, and peers that act only when a test tells them to.
 
-Nothing here acts by itself: a peer accepts, reads, writes, closes or resets when told to, so that
-two events cross for certain. Where the node has to be held still between two of them, its process
-is suspended and resumed by signals; where a dial has to come up late, the backlog of its server is
-full until it is emptied. Spans are seconds.
+A peer accepts, reads, writes, closes or resets only on command, so that a test controls the order
+of events exactly. To stop the node between two events, its process is suspended and resumed by
+signals. To delay a connect, the backlog of its server is kept full. Durations are in seconds.
 """
 
 from __future__ import annotations
@@ -30,7 +29,7 @@
 from hookpitch.core.ring import Ring
 
 ROOT = Path(__file__).parent.parent
-# For what has to come: a test that waits so long has failed.
+# Timeout of each wait: a test that waits longer fails.
 WAIT_S = 15.0
 POLL_S = 0.005
 MAX_VALUE_BYTES = 1 << 22
@@ -38,7 +37,7 @@
 
 
 class PeerConnection:
-    """One connection, from the peer's side."""
+    """One connection, seen from the peer's side."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -47,13 +46,14 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, data: bytes) -> None:
-        """Send."""
+        """Send data."""
         self.sock.sendall(data)
 
     def receive_value(self) -> Value:
-        """The next value or command.
+        """Return the next value or command.
 
-        Raises EOFError at the connection's end, ConnectionResetError at its reset.
+        Raises EOFError if the node has closed the connection, ConnectionResetError if it has reset
+        it.
         """
         while True:
             value = self.parser.next_value()
@@ -65,7 +65,7 @@
             self.parser.ring.write(data)
 
     def receive_head(self) -> bytes:
-        """An HTTP head, with its empty line."""
+        """Return an HTTP head, including its empty line."""
         data = b""
         while not data.endswith(b"\r\n\r\n"):
             byte = self.sock.recv(1)
@@ -75,11 +75,11 @@
         return data
 
     def is_silent(self, seconds: float) -> bool:
-        """Whether nothing comes for so long."""
+        """Return whether nothing is received for this time."""
         return not select.select([self.sock], [], [], seconds)[0]
 
     def wait_for_close(self, seconds: float = WAIT_S) -> str:
-        """How the connection ends: 'fin' or 'reset'; '' where something else comes, or nothing."""
+        """Return how the node closes: 'fin' or 'reset'; '' if data or nothing is received."""
         self.sock.settimeout(seconds)
         try:
             return "" if self.sock.recv(1) else "fin"
@@ -89,11 +89,11 @@
             return ""
 
     def fin(self) -> None:
-        """End the sending side."""
+        """Close the sending side only."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Close all that is open."""
+        """Close the connection."""
         self.sock.close()
 
     def reset(self) -> None:
@@ -103,7 +103,7 @@
 
 
 class PeerServer:
-    """A server that accepts when it is told to."""
+    """A server that accepts a connection only when the test tells it to."""
 
     def __init__(self, backlog: int = 64) -> None:
         self.listener = socket.socket()
@@ -115,29 +115,30 @@
         self.connections: list[PeerConnection] = []
 
     def accept(self, seconds: float = WAIT_S) -> PeerConnection:
-        """The next connection."""
+        """Accept the next connection."""
         self.listener.settimeout(seconds)
-        line = PeerConnection(self.listener.accept()[0])
-        self.connections.append(line)
-        return line
+        connection = PeerConnection(self.listener.accept()[0])
+        self.connections.append(connection)
+        return connection
 
     def has_pending_connection(self, seconds: float) -> bool:
-        """Whether a connection waits to be accepted, within so long."""
+        """Return whether a connection to accept arrives within this time."""
         return bool(select.select([self.listener], [], [], seconds)[0])
 
     def fill_backlog(self) -> None:
-        """From now on dials do not come up: its backlog (0) is full."""
+        """Fill the backlog, which must be 0, so that dials do not connect."""
         self.backlog_connection = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S)
 
     def has_connect_in_progress(self) -> bool:
-        """Whether a dial is under way that has not come up."""
+        """Return whether a dial to this server has sent its SYN and is not connected."""
         lines = Path("/proc/net/tcp").read_text().splitlines()[1:]
         return any(
-            w[2].endswith(f":{self.port:04X}") and w[3] == "02" for w in map(str.split, lines)
+            fields[2].endswith(f":{self.port:04X}") and fields[3] == "02"
+            for fields in map(str.split, lines)
         )
 
     def empty_backlog(self) -> None:
-        """Dials come up again, when their next SYN is sent."""
+        """Empty the backlog: dials connect when they send their next SYN."""
         self.listener.settimeout(WAIT_S)
         sock, address = self.listener.accept()
         assert address == self.backlog_connection.getsockname()
@@ -145,15 +146,15 @@
         self.backlog_connection.close()
 
     def close(self) -> None:
-        """Close all that is open."""
-        for line in self.connections:
-            line.close()
+        """Close the listener and all connections."""
+        for connection in self.connections:
+            connection.close()
         self.backlog_connection.close()
         self.listener.close()
 
 
 class NodeProcess:
-    """One node's process, with caches, the origin and discovery as peers; used as a context."""
+    """A node's process with caches, the origin and discovery as peers; a context manager."""
 
     def __init__(
         self,
@@ -163,7 +164,7 @@
         limits: Settings | None = None,
         **settings: Any,  # noqa: ANN401 - settings are of any type
     ) -> None:
-        """`limits`: the node's. `settings`: in place of those that tests use by default."""
+        """Write a configuration with these `limits`; `settings` replace the default ones."""
         self.path = folder / "node.json"
         self.logs: list[dict[str, Any]] = []
         self.caches = [PeerServer(backlog) for _ in range(caches)]
@@ -171,7 +172,7 @@
         self.discovery = PeerServer()
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port: int = free.getsockname()[1]
-        self.hosts = [listed_host(f"s{n}", peer.port) for n, peer in enumerate(self.caches)]
+        self.hosts = [listed_host(f"s{index}", peer.port) for index, peer in enumerate(self.caches)]
         self.hosts.append(listed_host("o1", self.origin.port, **{"class": "origin"}))
         self.settings = deepcopy(SETTINGS) | settings
         self.configuration: Settings = {
@@ -189,10 +190,10 @@
         self._log_changed = threading.Condition()
 
     def write_configuration(self) -> None:
-        """Put the configuration in place, by one rename."""
-        beside = self.path.with_suffix(".new")
-        beside.write_text(json.dumps(self.configuration))
-        os.replace(beside, self.path)
+        """Replace the configuration file atomically."""
+        new_path = self.path.with_suffix(".new")
+        new_path.write_text(json.dumps(self.configuration))
+        os.replace(new_path, self.path)
 
     def __enter__(self) -> NodeProcess:
         self.process = subprocess.Popen(
@@ -202,28 +203,29 @@
             env=self.environment,
             stderr=subprocess.PIPE,
         )
-        threading.Thread(target=self._read, daemon=True).start()
+        threading.Thread(target=self._read_logs, daemon=True).start()
         self.wait_for_log("serving")
         return self
 
-    def _read(self) -> None:
+    def _read_logs(self) -> None:
+        """Append each line of the process's stderr to `logs`."""
         for text in self.process.stderr:
             with self._log_changed:
                 self.logs.append(json.loads(text) if text.startswith("{") else {"event": text})
                 self._log_changed.notify_all()
 
     def wait_for_log(self, event: str, count: int = 1) -> dict[str, Any]:
-        """The `count`-th log line whose event begins so, as soon as it is there."""
+        """Wait for the `count`-th log line whose event begins with `event`, and return it."""
 
-        def found() -> list[dict[str, Any]]:
+        def matching() -> list[dict[str, Any]]:
             return [line for line in self.logs if line["event"].startswith(event)]
 
         with self._log_changed:
-            assert self._log_changed.wait_for(lambda: len(found()) >= count, WAIT_S), (
+            assert self._log_changed.wait_for(lambda: len(matching()) >= count, WAIT_S), (
                 event,
                 self.logs,
             )
-            return found()[count - 1]
+            return matching()[count - 1]
 
     def __exit__(
         self,
@@ -235,8 +237,8 @@
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
         self.process.wait()
-        for line in self.clients:
-            line.close()
+        for client in self.clients:
+            client.close()
         for peer in (*self.caches, self.origin, self.discovery):
             peer.close()
 
@@ -247,7 +249,7 @@
         self.process.send_signal(number)
 
     def suspend(self) -> None:
-        """Suspend the process; what comes meanwhile stands unread in the kernel."""
+        """Suspend the process; what it is sent meanwhile stays unread in the kernel."""
         self.signal(signal.SIGSTOP)
         stat = Path(f"/proc/{self.process.pid}/stat")
         self.wait_until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
@@ -256,19 +258,19 @@
         """Resume the process."""
         self.signal(signal.SIGCONT)
 
-    def wait_until(self, holds: Callable[[], bool]) -> None:
+    def wait_until(self, condition: Callable[[], bool]) -> None:
         """Wait until the condition holds."""
         end = time.monotonic() + WAIT_S
-        while not holds():
-            assert time.monotonic() < end, "it never came to be"
+        while not condition():
+            assert time.monotonic() < end, "the condition did not hold in time"
             time.sleep(POLL_S)
 
     def wait_for_exit(self) -> int:
-        """The exit code, once the process has ended."""
+        """Wait until the process exits, and return its exit code."""
         return self.process.wait(WAIT_S)
 
     def peak_memory_kb(self) -> int:
-        """The most that the process has held."""
+        """Return the peak resident memory of the process."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(
             next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1]
@@ -277,42 +279,43 @@
     # ---- clients
 
     def connect_client(self) -> PeerConnection:
-        """A client that connects."""
-        line = PeerConnection(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S))
-        self.clients.append(line)
-        return line
+        """Connect a client."""
+        client = PeerConnection(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S))
+        self.clients.append(client)
+        return client
 
     def read_info(self) -> dict[str, int]:
-        """The answer to INFO."""
-        line = self.connect_client()
-        line.send(b"*1\r\n$4\r\nINFO\r\n")
-        text = line.receive_value()
-        line.close()
+        """Return the counters that INFO answers with."""
+        client = self.connect_client()
+        client.send(b"*1\r\n$4\r\nINFO\r\n")
+        text = client.receive_value()
+        client.close()
         return {
-            name: int(n) for name, _, n in (pair.partition(":") for pair in text.decode().split())
+            name: int(count)
+            for name, _, count in (pair.partition(":") for pair in text.decode().split())
         }
 
     def counter(self, name: str) -> int:
-        """One counter of INFO; 0 where it has not counted yet."""
+        """Return one counter of INFO; 0 if it has not counted anything yet."""
         return self.read_info().get(name, 0)
 
     # ---- servers
 
     def accept_from_any_cache(self, seconds: float = WAIT_S) -> tuple[int, PeerConnection]:
-        """The number of the cache that is dialled next, and the connection."""
+        """Accept a connection at the cache that is dialled next; return its index too."""
         ready = select.select([peer.listener for peer in self.caches], [], [], seconds)[0]
         assert ready, "no cache was dialled"
-        n = next(n for n, peer in enumerate(self.caches) if peer.listener is ready[0])
-        return n, self.caches[n].accept()
-
-    def answer_poll(self, *told: Settings) -> PeerConnection:
-        """Discovery accepts the next poll, and answers it with these changes."""
-        line = self.discovery.accept()
-        self.poll_head = line.receive_head()
-        line.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for change in told:
-            send_change(line, change)
-        return line
+        index = next(index for index, peer in enumerate(self.caches) if peer.listener is ready[0])
+        return index, self.caches[index].accept()
+
+    def answer_poll(self, *changes: Settings) -> PeerConnection:
+        """Accept the next poll at discovery, and answer it with these changes."""
+        connection = self.discovery.accept()
+        self.poll_head = connection.receive_head()
+        connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        for change in changes:
+            send_change(connection, change)
+        return connection
 
     def endpoint_change(
         self,
@@ -320,7 +323,7 @@
         index: int,
         **fields: Any,  # noqa: ANN401 - JSON values
     ) -> Settings:
-        """A change to the n-th backend, as discovery sends it."""
+        """Return a change to one backend, as discovery sends it."""
         return {"seq": seq, "whole": False, "hosts": [self.hosts[index] | fields]}
 
 
@@ -332,25 +335,25 @@
     name: str,
     idempotency: str = "retryable",
     soft_s: float = 5.0,
-    **more: Any,  # noqa: ANN401 - settings are of any type
+    **changes: Any,  # noqa: ANN401 - settings are of any type
 ) -> Settings:
-    """A method of the settings."""
-    plain = {
+    """Return a method of the settings, with some keys changed or added."""
+    defaults = {
         "name": name,
         "soft_deadline_s": soft_s,
         "hard_deadline_s": 6.0,
         "idempotency": idempotency,
     }
-    return plain | more
+    return defaults | changes
 
 
 def http_chunk(data: bytes) -> bytes:
-    """A chunk of an HTTP body."""
+    """Return data as a chunk of an HTTP body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def send_change(line: PeerConnection, change: Settings | bytes) -> None:
-    """Discovery sends a change, or raw bytes, on a watch."""
-    line.send(
+def send_change(connection: PeerConnection, change: Settings | bytes) -> None:
+    """Send a change, or raw bytes, from discovery on a watch."""
+    connection.send(
         http_chunk(change if isinstance(change, bytes) else json.dumps(change).encode() + b"\n")
     )
--- a/tests/socket_node.py
+++ b/tests/socket_node.py
@@ -1,4 +1,4 @@
-"""A node on a network in memory, with the settings and the commands that tests use by default."""
+"""A node on a network in memory, with the default settings and commands of the tests."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 
 
 def listed_host(id: str, port: int, **changes: object) -> dict[str, object]:
-    """A server as discovery tells it."""
-    plain = {
+    """Return a server's entry in discovery's list, with some fields changed."""
+    defaults = {
         "host": id,
         "dial": f"127.0.0.1:{port}",
         "site": "a",
@@ -56,18 +56,18 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    return plain | changes
+    return defaults | changes
 
 
 def deployment_from(settings: dict[str, object]) -> Deployment:
-    """The deployment of a node with these settings."""
+    """Return the deployment of a node with these settings."""
     return parse_deployment(7, settings)
 
 
 def get_command(
     id: str, key: str = "91f03b7c55d20a64", method: str = "read", wait: int = 900
 ) -> bytes:
-    """The command that reads a key."""
+    """Return the command that reads a key."""
     return command(b"OBJ.GET", key.encode(), id.encode(), f"c={method},d={wait}".encode())
 
 
@@ -79,7 +79,7 @@
     """
 
     def __init__(self, caches: int = 2, shared: str = "", **limits: int) -> None:
-        """`limits`: `sockets` (descriptors) and `memory_mb`."""
+        """Start a node; `limits` may hold `sockets` (file descriptors) and `memory_mb`."""
         self.network = MemoryNetwork()
         self.hosts = [listed_host(f"s{i}", 7000 + i) for i in range(caches)]
         self.hosts.append(listed_host("o1", ORIGIN_PORT, **{"class": "origin"}))
@@ -111,38 +111,38 @@
         self.pass_time(0)
 
     def info(self, event: str, **values: object) -> None:
-        """The node's logger."""
+        """Record an event, as the logger of the node."""
         self.logged_events.append(event)
 
     def connect_client(self, unread_input: bytes = b"") -> MemoryConnection:
-        """A client that connects; `unread_input` stands unread in the kernel."""
+        """Connect a client whose first bytes, `unread_input`, the node has not read yet."""
         return MemoryConnection(
             self.network, self.socket_node.clients.buildProtocol(None), 0, unread_input
         )
 
     def pass_time(self, ms: float) -> None:
-        """Let time pass, a millisecond a step."""
+        """Let time pass in steps of a millisecond."""
         for _ in range(max(1, int(ms))):
             self.network.advance(0.001 if ms else 0)
             self.network.advance(0)
 
-    def suspend_process(self, ms: float, *lines: MemoryConnection) -> None:
-        """Suspend the process; what is pending on the connections reaches it afterwards."""
-        for line in lines:
-            line.ms_since_receive = ms
+    def suspend_process(self, ms: float, *connections: MemoryConnection) -> None:
+        """Suspend the process; it reads the connections' `unread_input` when it resumes."""
+        for connection in connections:
+            connection.ms_since_receive = ms
         self.network.advance(ms / 1000)
-        for line in lines:
-            line.doRead()
-            line.ms_since_receive = 0.0
+        for connection in connections:
+            connection.doRead()
+            connection.ms_since_receive = 0.0
         self.network.advance(0)
 
     def receive_request(self, port: int) -> list[bytes] | None:
-        """The newest command that was written to a cache, taken off its connection."""
-        for line in self.network.connections_to(port):
-            data = line.receive()
+        """Receive the command written to a cache; None if none is complete."""
+        for connection in self.network.connections_to(port):
+            data = connection.receive()
             if data:
                 ring = Ring()
                 ring.write(data)
-                words = Parser(ring).next_value()
-                return None if words is NEED_DATA else words
+                arguments = Parser(ring).next_value()
+                return None if arguments is NEED_DATA else arguments
         return None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 import pytest
 from fleet import Fleet, make_deployment, make_endpoint
 from socket_node import ORIGIN_PORT, NodeOnMemoryNetwork, get_command
-from test_sockets import VALUE, serve
+from test_sockets import VALUE, answer_caches
 from test_start import NODE_FILE
 
 from hookpitch.balancer.interface import Method, Tenant
@@ -45,9 +45,11 @@
                 arrival, self.arrived = self.waiting.pop(0), self.arrived + 1
                 a.record_arrival(max(0.0, busy - arrival))
                 self.credit += 1 - a.shed_fraction
-                serve = self.credit >= 1 and busy - arrival < 0.7 * SOFT  # as the router does
-                cost = TAKEN if serve else REFUSED
-                if serve:
+                answer_caches = (
+                    self.credit >= 1 and busy - arrival < 0.7 * SOFT
+                )  # as the router does
+                cost = TAKEN if answer_caches else REFUSED
+                if answer_caches:
                     self.credit, self.admitted = self.credit - 1, self.admitted + 1
                     self.waits.append(busy - arrival)
                 else:
@@ -131,7 +133,7 @@
     f = Fleet(
         make_deployment(methods=METHODS, tenants=(Tenant("small", 1e-6),), max_retry_after_ms=300.0)
     )
-    f.update_endpoints([make_endpoint("s0")])
+    f.receive_endpoints([make_endpoint("s0")])
     counts = {"low": 0, "high": 0, "small": 0}
     for n in range(4000):
         f.now += 1
@@ -156,7 +158,7 @@
 
 def test_a_pause_counts_no_failures_and_restarts_the_wait_for_silent_backends() -> None:
     f = Fleet(make_deployment())
-    f.update_endpoints([make_endpoint(f"s{i}") for i in range(4)])
+    f.receive_endpoints([make_endpoint(f"s{i}") for i in range(4)])
     for n in range(12):
         f.arrive(f"k{n}")
     f.now += 150.0
@@ -237,7 +239,7 @@
     s.pass_time(500)
     c.receive()
     c.send(get_command("r99"))
-    assert serve(s) and b"v" in c.receive()
+    assert answer_caches(s) and b"v" in c.receive()
 
 
 def test_at_the_connection_limit_new_clients_are_rejected_and_backends_can_be_reached() -> None:
@@ -259,7 +261,7 @@
         "one final answer to each"
     )
     held[0].send(get_command("again"))
-    assert serve(s) and b"v" in held[0].receive()
+    assert answer_caches(s) and b"v" in held[0].receive()
 
 
 def test_a_graceful_shutdown_serves_what_the_kernel_has_accepted() -> None:
@@ -281,7 +283,7 @@
     s.socket_node.shut_down()
     s.pass_time(501)
     for _ in range(20):
-        serve(s)
+        answer_caches(s)
     s.pass_time(1200)
     assert len(late) == 40 and all(line.receive() and line.is_closed for line in late)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,7 +13,7 @@
 
 def fleet(servers: int = 4, **changes: object) -> Fleet:
     f = Fleet(make_deployment(**changes))
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint(f"s{i}") for i in range(servers)] + [make_endpoint("o1", kind=ORIGIN_KIND)],
         EndpointUpdate.CACHED,
     )
@@ -59,7 +59,7 @@
         f.pass_time(10.0)
     moved = [b for b in f.router.placement.buckets.values() if b.assigned is not b.primary]
     assert moved and all(b.primary.id == "s0" for b in moved)
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint(moved[0].assigned.id, EndpointState.DRAINING)], EndpointUpdate.DELTA
     )
     assert moved[0].assigned.state == EndpointState.READY  # buckets on a draining cache go home
@@ -67,7 +67,7 @@
 
 def test_time_in_a_queue_ends_before_the_hard_deadline() -> None:
     f = fleet(1)
-    ids = [f.arrive(f"k{i}", grace=30.0) for i in range(50)]
+    ids = [f.arrive(f"k{i}", deadline_in_ms=30.0) for i in range(50)]
     f.pass_time(31.0)
     assert not f.open_rpcs and set(ids) == set(f.answers)
 
@@ -108,7 +108,7 @@
     for i in range(600):
         f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(10.0)
-    f.update_endpoints([make_endpoint("s4", started=f.now)], EndpointUpdate.DELTA)
+    f.receive_endpoints([make_endpoint("s4", started=f.now)], EndpointUpdate.DELTA)
     begun = len(f.sends)
     for i in range(150):
         f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
@@ -133,7 +133,7 @@
     ):
         f = Fleet(make_deployment(poll_interval_ms=0.0, **changes))
         assert f.answers[f.arrive("k")] == "exhausted"  # no list yet
-        f.update_endpoints([])
+        f.receive_endpoints([])
         assert f.answers[f.arrive("")] == "exhausted"
 
 
@@ -194,7 +194,7 @@
 def test_a_router_that_starts_with_only_warming_caches_serves_some_rpcs() -> None:
     f = Fleet(make_deployment())
     cold = [make_endpoint(f"s{i}", started=f.now - 1) for i in range(4)]
-    f.update_endpoints([*cold, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
+    f.receive_endpoints([*cold, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
     for i in range(100):
         rpc = f.arrive(f"k{i}")
         f.pass_time(120.0)  # not at once: the soft deadline is 400 ms
@@ -230,8 +230,8 @@
 def test_removed_backends_are_forgotten_and_an_id_that_returns_warms_up_as_new() -> None:
     f = fleet(2)
     for i in range(2, 40):  # each is replaced by one under a new id
-        f.update_endpoints([make_endpoint(f"s{i}", started=f.now - 1)], EndpointUpdate.DELTA)
-        f.update_endpoints(
+        f.receive_endpoints([make_endpoint(f"s{i}", started=f.now - 1)], EndpointUpdate.DELTA)
+        f.receive_endpoints(
             [make_endpoint(f"s{i - 2}", EndpointState.REMOVED)], EndpointUpdate.DELTA
         )
         for _ in range(5):
@@ -240,7 +240,7 @@
                 f.end_attempt(f.in_flight[0][0], Outcome.COMPLETED)
             f.pass_time(500.0)
     assert len(f.router.backends) <= 6 and len(f.router.caches) <= 5
-    f.update_endpoints([make_endpoint("s0", started=f.now - 1)], EndpointUpdate.DELTA)
+    f.receive_endpoints([make_endpoint("s0", started=f.now - 1)], EndpointUpdate.DELTA)
     assert (
         f.router.backends["s0"].warmup_until > f.now and f.router.backends["s0"].response_count == 0
     )
@@ -251,7 +251,7 @@
     eased: bool,
 ) -> None:
     fleet = Fleet(make_deployment(hedging_allowed=False))
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [
             make_endpoint("s1"),
             make_endpoint("s2"),
@@ -284,7 +284,7 @@
     for i in range(200):  # until warm ones have a rate
         f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
         f.pass_time(20.0)
-    f.update_endpoints([make_endpoint("s1", started=f.now)], EndpointUpdate.DELTA)
+    f.receive_endpoints([make_endpoint("s1", started=f.now)], EndpointUpdate.DELTA)
     s, sent = f.router.backends["s1"], len(f.sends)
     for i in range(600):
         f.end_attempt(f.arrive(f"k{i}"), Outcome.COMPLETED)
@@ -295,7 +295,7 @@
         == 2.0
     )
     assert any(to == "s1" for _, to, _ in f.sends[sent:])
-    f.update_endpoints([make_endpoint("s2", started=f.now)], EndpointUpdate.DELTA)
+    f.receive_endpoints([make_endpoint("s2", started=f.now)], EndpointUpdate.DELTA)
     assert (
         f.router.backends["s2"].warmup_gain * f.router.slow_start.warmup_gain == 2.0
     )  # what one tells holds for all that are cold
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -16,7 +16,7 @@
 
 def fleet(servers: int = 6, **changes: object) -> Fleet:
     f = Fleet(make_deployment(**({"max_attempts": 5} | changes)))
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint(f"s{i}") for i in range(servers)] + [make_endpoint("o1", kind=ORIGIN_KIND)],
         EndpointUpdate.CACHED,
     )
@@ -89,7 +89,7 @@
 def test_removal_is_advisory_where_configured_and_draining_binds() -> None:
     f = fleet(2, removal_is_advisory=True)
     f.pass_time(5000.0)
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint("s0", EndpointState.REMOVED), make_endpoint("s1", EndpointState.REMOVED)],
         EndpointUpdate.DELTA,
     )
@@ -99,11 +99,11 @@
     assert rpc in f.open_rpcs and len(f.sends) == 1  # with one RPC at a time
     f.end_attempt(rpc, Outcome.COMPLETED)
     assert not f.router.backends[f.sends[0][1]].ejected
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint("s0", EndpointState.DRAINING), make_endpoint("s1", EndpointState.DRAINING)],
         EndpointUpdate.DELTA,
     )
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint("s0", EndpointState.REMOVED), make_endpoint("s1", EndpointState.REMOVED)],
         EndpointUpdate.DELTA,
     )
@@ -115,7 +115,7 @@
     for advice in (True, False):
         f = fleet(1, removal_is_advisory=advice)
         f.end_attempt(f.arrive("k"), Outcome.COMPLETED)
-        f.update_endpoints([make_endpoint("o1", kind=ORIGIN_KIND)])  # left out of a full list
+        f.receive_endpoints([make_endpoint("o1", kind=ORIGIN_KIND)])  # left out of a full list
         rpc = f.arrive("k")
         assert (rpc in f.open_rpcs) == advice and len(f.sends) == 1 + advice
 
@@ -291,7 +291,7 @@
         Method("status", 400.0, 1000.0, 1.0, kinds=("std",)),
     )
     f = Fleet(make_deployment(methods=method, kinds=("fast", "std")))
-    f.update_endpoints([make_endpoint(f"s{i}", kind=i % 2) for i in range(6)])
+    f.receive_endpoints([make_endpoint(f"s{i}", kind=i % 2) for i in range(6)])
     free = {s.kind: s.unconstrained_fraction for s in f.router.caches}
     assert free[0] == 1.0 and free[1] == 0.5
     homes = [f.router.placement.bucket(n).primary.kind for n in range(400)]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -144,7 +144,7 @@
 
 def banned_fleet() -> Fleet:
     fleet = Fleet(make_deployment(hedging_allowed=False))
-    fleet.update_endpoints([make_endpoint("s1"), make_endpoint("s2"), make_endpoint("s3")])
+    fleet.receive_endpoints([make_endpoint("s1"), make_endpoint("s2"), make_endpoint("s3")])
     assert asked(fleet) == {"s1", "s2", "s3"}
     fleet.router.set_banned(fleet.now, "s2", True)
     fleet.decide_until_idle()
@@ -154,14 +154,14 @@
 def test_a_ban_outlasts_snapshots_deltas_and_a_return_under_the_same_id() -> None:
     fleet = banned_fleet()
     assert "s2" not in asked(fleet)
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint("s1"), make_endpoint("s2", started=fleet.now), make_endpoint("s3")]
     )
     assert "s2" not in asked(fleet)
-    fleet.update_endpoints([make_endpoint("s2", EndpointState.REMOVED)], EndpointUpdate.DELTA)
-    fleet.update_endpoints([make_endpoint("s2")], EndpointUpdate.DELTA)
-    fleet.update_endpoints([make_endpoint("s1"), make_endpoint("s3")])
-    fleet.update_endpoints([make_endpoint("s1"), make_endpoint("s2"), make_endpoint("s3")])
+    fleet.receive_endpoints([make_endpoint("s2", EndpointState.REMOVED)], EndpointUpdate.DELTA)
+    fleet.receive_endpoints([make_endpoint("s2")], EndpointUpdate.DELTA)
+    fleet.receive_endpoints([make_endpoint("s1"), make_endpoint("s3")])
+    fleet.receive_endpoints([make_endpoint("s1"), make_endpoint("s2"), make_endpoint("s3")])
     assert "s2" not in asked(fleet)
     assert fleet.router.backends["s2"].state != EndpointState.READY
 
@@ -186,7 +186,7 @@
 
 def test_the_queue_of_a_banned_backend_is_rerouted_and_the_last_cache_may_be_banned() -> None:
     fleet = Fleet(make_deployment(hedging_allowed=False))
-    fleet.update_endpoints([make_endpoint("s1")])
+    fleet.receive_endpoints([make_endpoint("s1")])
     for n in range(30):
         fleet.arrive(key=f"k{n}")
     fleet.decide_until_idle()
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -2,7 +2,7 @@
 
 import pytest
 from socket_node import DISCOVERY_PORT, NodeOnMemoryNetwork, get_command
-from test_sockets import serve, watch
+from test_sockets import answer_caches, send_from_discovery
 
 from hookpitch.startup.phases import (
     CONNECT_TIMEOUT_MS,
@@ -63,20 +63,20 @@
     s = NodeOnMemoryNetwork(1)
     c = s.connect_client()
     c.send(get_command("r1"))
-    serve(s)
+    answer_caches(s)
     assert c.receive()
     assert s.counters.counts.get("start.phase", 0) == 0
     figures = dict(s.socket_node.commands.metrics())
     assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS
     assert s.socket_node.commands.not_ready_reason() == ""
     s.pass_time(300)
-    watch(s, {"seq": 6, "whole": True, "hosts": s.hosts})
+    send_from_discovery(s, {"seq": 6, "whole": True, "hosts": s.hosts})
     for n in range(40):
         c.send(get_command(f"q{n}", key=f"k{n}"))
-        serve(s)
+        answer_caches(s)
         s.pass_time(300)
         if n % 6 == 5:
-            watch(s, b"")
+            send_from_discovery(s, b"")
     assert dict(s.socket_node.commands.metrics())["start_phase"] == Phase.STEADY
     assert s.counters.counts["start.listed_ms"] < 1000
 
@@ -94,5 +94,5 @@
     s = NodeOnMemoryNetwork(1)
     s.socket_node.host.router.backends.clear()  # it was told none
     assert s.socket_node.commands.not_ready_reason() == "no list of servers yet"
-    watch(s, {"seq": 6, "whole": True, "hosts": NodeOnMemoryNetwork(1).hosts})
+    send_from_discovery(s, {"seq": 6, "whole": True, "hosts": NodeOnMemoryNetwork(1).hosts})
     assert s.socket_node.commands.not_ready_reason() == ""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -24,7 +24,7 @@
     methods = (method, Method("page", 400.0, 1000.0, 1.0))
     f = Fleet(make_deployment(methods=methods, kinds=("fast", "std"), **changes))
     caches = [make_endpoint(f"s{i}", kind=i % 2) for i in range(servers)]
-    f.update_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
+    f.receive_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
     return f
 
 
@@ -63,7 +63,7 @@
         f.arrive(f"k{i}", "status")
     ring = f.router.ring.points = Walked(f.router.ring.points)
     for i in range(1, 12, 2):  # those of kind std drain, one after the other
-        f.update_endpoints(
+        f.receive_endpoints(
             [make_endpoint(f"s{i}", EndpointState.DRAINING, kind=1)], EndpointUpdate.DELTA
         )
     assert not [b.primary for b in f.router.placement.buckets.values() if b.kinds and b.primary]
@@ -91,7 +91,7 @@
 
 def test_a_backend_of_another_kind_that_alone_is_ready_gets_nothing() -> None:
     f = fleet(6)
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint(f"s{i}", EndpointState.REMOVED, kind=1) for i in (1, 3, 5)],
         EndpointUpdate.DELTA,
     )
@@ -102,7 +102,7 @@
 
 def test_a_backend_without_kind_or_zone_gets_unconstrained_methods_only() -> None:
     f = fleet(0, Method("status", 400.0, 1000.0, 1.0, zones=("zone1",)))
-    f.update_endpoints([make_endpoint("s1", kind=-2)])
+    f.receive_endpoints([make_endpoint("s1", kind=-2)])
     f.router.backends["s1"].zone = ""
     f.router.endpoints.rebuild_ring([])
     assert f.answers[f.arrive("k")] == "exhausted" and not f.sends
@@ -114,7 +114,7 @@
     rpc = f.arrive("k")
     assert f.attempts[rpc][0].server == "s1"
     f.end_attempt(rpc, Outcome.COMPLETED)
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint("s1", kind=0), make_endpoint("s0", kind=1)], EndpointUpdate.DELTA
     )
     f.arrive("k")
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -41,7 +41,7 @@
                         for attempt in host.rpcs.get(int(number)).attempts
                         if not attempt.done
                     ]
-                    assert len(out) < 2, "two out at once"
+                    assert len(out) < 2, "two attempts in flight at once"
         super().step()
 
 
@@ -70,7 +70,7 @@
     small, kinds = (Tenant("small", 1.0),), ("std", "origin")
     d = make_deployment(methods=methods, tenants=small, kinds=kinds, origin_kind=1)
     f = Fleet(d)
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint(f"s{i}") for i in range(6)] + [make_endpoint("o1", kind=1)],
         EndpointUpdate.CACHED,
     )
@@ -129,7 +129,7 @@
 def test_hedged_requests_in_flight_are_cancelled_once_hedging_is_forbidden() -> None:
     d = make_deployment(hedging_allowed=True)
     f = Fleet(d)
-    f.update_endpoints(
+    f.receive_endpoints(
         [make_endpoint(f"s{i}") for i in range(4)] + [make_endpoint("o1", kind=ORIGIN_KIND)],
         EndpointUpdate.CACHED,
     )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
     sizes = [rng.choice([0.5, 1.0, 2.0]) for _ in range(rng.randint(1, 9))]
     servers = [make_endpoint(f"s{i}", size=size, kind=i % 2) for i, size in enumerate(sizes)]
     origin = [make_endpoint("o1", kind=ORIGIN_KIND)] if rng.random() < 0.9 else []
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         servers + origin, rng.choice([EndpointUpdate.CACHED, EndpointUpdate.SNAPSHOT])
     )
     for _ in range(700):
@@ -35,7 +35,7 @@
     runs = []
     for _ in range(2):
         fleet = Fleet(random_deployment(random.Random(5)), 5)
-        fleet.update_endpoints(
+        fleet.receive_endpoints(
             [make_endpoint(f"s{i}") for i in range(6)] + [make_endpoint("o1", kind=ORIGIN_KIND)]
         )
         for _ in range(500):
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -12,7 +12,7 @@
 
 def node(nodes: int, seed: int = 7, **changes: object) -> Fleet:
     f = Fleet(make_deployment(nodes=nodes, seed=seed, **changes), seed)
-    f.update_endpoints(SERVERS, EndpointUpdate.CACHED)
+    f.receive_endpoints(SERVERS, EndpointUpdate.CACHED)
     return f
 
 
@@ -23,7 +23,7 @@
     for step in range(50):
         for f in fleets:
             if step == 30:
-                f.update_endpoints([make_endpoint("s9", started=started)], EndpointUpdate.DELTA)
+                f.receive_endpoints([make_endpoint("s9", started=started)], EndpointUpdate.DELTA)
             f.pass_time(500.0)
             f.end_attempt(f.arrive(f"k{rng.randrange(200)}"), Outcome.COMPLETED)
             sends.append(f.sends[-1])
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -36,7 +36,7 @@
 
 def fleet(**changes: object) -> Fleet:
     f = Fleet(make_deployment(nodes=1, slow_start_ms=20000.0, **changes))
-    f.update_endpoints(SERVERS, EndpointUpdate.SNAPSHOT)
+    f.receive_endpoints(SERVERS, EndpointUpdate.SNAPSHOT)
     return f
 
 
@@ -65,7 +65,7 @@
     f = Fleet(make_deployment(nodes=1, slow_start_ms=20000.0))
     f.now = x.written_at_ms + later_ms
     f.router = type(f.router)(f.now, f.deployment)
-    f.update_endpoints(servers, EndpointUpdate.CACHED)
+    f.receive_endpoints(servers, EndpointUpdate.CACHED)
     restore(f.router, f.now, x)
     return f
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -17,7 +17,9 @@
 PORTS = (7000, 7001)
 
 
-def serve(s: NodeOnMemoryNetwork, reply: bytes = VALUE, ms: float = 1.0) -> list[list[bytes]]:
+def answer_caches(
+    s: NodeOnMemoryNetwork, reply: bytes = VALUE, ms: float = 1.0
+) -> list[list[bytes]]:
     """Every cache answers what it was asked; the commands, in order of ports."""
     asked = []
     s.pass_time(ms)
@@ -44,7 +46,7 @@
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), extra, body)
 
 
-def watch(s: NodeOnMemoryNetwork, *lines: object) -> None:
+def send_from_discovery(s: NodeOnMemoryNetwork, *lines: object) -> None:
     """Discovery answers the call that is out, or goes on with it."""
     line = s.network.connections_to(DISCOVERY_PORT)[-1]
     if line.receive():
@@ -58,13 +60,13 @@
     s = NodeOnMemoryNetwork()
     c = s.connect_client()
     c.send(command(b"PING") + get_command("r1"))
-    (words,) = serve(s)
+    (words,) = answer_caches(s)
     assert words[:3] == [b"OBJ.GET", b"91f03b7c55d20a64", b"r1"]
     extras = words[3].split(b",")
     assert extras[0] == b"c=read" and 300 <= int(extras[1].removeprefix(b"d=")) <= 400
     assert c.receive() == b"+PONG\r\n" + bulk(b"v")
     c.send(get_command("r2"))
-    serve(s)
+    answer_caches(s)
     assert c.receive() == bulk(b"v")
     assert (
         len(s.network.connections_to(7000) + s.network.connections_to(7001)) == 1
@@ -75,7 +77,7 @@
     s = NodeOnMemoryNetwork()
     c = s.connect_client()
     c.send(get_command("r1"))
-    serve(s, MISS)
+    answer_caches(s, MISS)
     s.pass_time(1)
     asked = origin(s, http(200, b"from origin", b"X-Load: outstanding=3\r\n"))
     assert (
@@ -202,12 +204,12 @@
     s.socket_node.pools.idle_timeout_ms = 500.0
     c = s.connect_client()
     c.send(get_command("r1"))
-    serve(s)
+    answer_caches(s)
     (line,) = s.network.connections_to(7000)
     s.pass_time(501)
     assert line.is_closed
     c.send(get_command("r2"))
-    assert len(serve(s)) == 1
+    assert len(answer_caches(s)) == 1
 
 
 @pytest.mark.parametrize(
@@ -224,7 +226,7 @@
     s = NodeOnMemoryNetwork(1)
     c = s.connect_client()
     c.send(get_command("r1", method="once"))
-    serve(s, response)
+    answer_caches(s, response)
     assert c.receive() == b"-ERR failed\r\n"
 
 
@@ -232,7 +234,7 @@
     s = NodeOnMemoryNetwork(1)
     c = s.connect_client()
     c.send(get_command("r1"))
-    serve(s, b"-ERR failed outstanding=5,recent_ms=1\r\n")
+    answer_caches(s, b"-ERR failed outstanding=5,recent_ms=1\r\n")
     assert (
         s.socket_node.host.router.backends["s0"].reported_load > 1
     )  # the report at an error's end was read
@@ -258,7 +260,7 @@
     s = NodeOnMemoryNetwork(1)
     c = s.connect_client()
     c.send(get_command("r1"))
-    serve(s, response)
+    answer_caches(s, response)
     s.pass_time(1)
     assert c.receive() == bulk(b"v") and (s.network.connections_to(7000) == []) == ended
     # Impossible load reports change no estimate.
@@ -285,13 +287,13 @@
     s = NodeOnMemoryNetwork(1)
     c = s.connect_client()
     c.send(get_command("r1"))
-    serve(s)
+    answer_caches(s)
     (old,) = s.network.connections_to(7000)
     old.unread_input = unsolicited
     c.send(get_command("r2"))
     s.pass_time(1)
     assert (not old.is_closed and b"r2" in old.output) != bool(unsolicited) and not c.is_paused
-    assert serve(s, b"*3\r\n" + bulk(b"w") + b"$-1\r\n$-1\r\n")[0][2] == b"r2"
+    assert answer_caches(s, b"*3\r\n" + bulk(b"w") + b"$-1\r\n$-1\r\n")[0][2] == b"r2"
     assert c.receive() == bulk(b"v") + bulk(b"w")
 
 
@@ -303,8 +305,8 @@
         12
     ):  # every second answer is noise: the RPC goes to its home again, and to no origin
         c.send(get_command(f"r{i}"))
-        serve(s, b"\xab\r\n" if i % 2 else VALUE)
-        serve(s)
+        answer_caches(s, b"\xab\r\n" if i % 2 else VALUE)
+        answer_caches(s)
     assert c.receive() == bulk(b"v") * 12 and s.counters.counts["tx.spoilt"] == 6
     assert s.socket_node.host.router.backends[
         "s0"
@@ -319,7 +321,7 @@
     )
     for i in range(12):  # nothing but noise for longer: it is a failure like any other
         c.send(get_command(f"x{i}"))
-        serve(s, b"\xab\r\n")
+        answer_caches(s, b"\xab\r\n")
         s.pass_time(400)
     assert any("backend_ejected" in line for line in s.logged_events)
 
@@ -328,7 +330,7 @@
     s = NodeOnMemoryNetwork()
     c = s.connect_client()
     c.send(get_command("r1") + b"GET / HTTP/1.1\r\n")
-    serve(s)
+    answer_caches(s)
     assert c.receive().startswith(bulk(b"v") + b"-ERR ")
     s.pass_time(1)
     assert c.is_closed
@@ -368,9 +370,17 @@
     c, other = s.connect_client(), s.connect_client()
     c.send(get_command("r1"))
     other.send(get_command("r1", "bb"))
-    assert other.receive().startswith(b"-ERR ") and len(serve(s)) == 1 and c.receive() == bulk(b"v")
+    assert (
+        other.receive().startswith(b"-ERR ")
+        and len(answer_caches(s)) == 1
+        and c.receive() == bulk(b"v")
+    )
     other.send(get_command("r1", "bb"))
-    assert len(serve(s)) == 1 and other.receive() == bulk(b"v") and not s.socket_node.host.rpcs.ids
+    assert (
+        len(answer_caches(s)) == 1
+        and other.receive() == bulk(b"v")
+        and not s.socket_node.host.rpcs.ids
+    )
 
 
 def test_silent_clients_and_those_with_a_partial_command_are_closed_and_no_others() -> None:
@@ -379,7 +389,7 @@
     half.send(get_command("r1")[:30])
     for line in (later, kept):
         line.send(get_command(f"k{id(line)}"))
-        serve(s)
+        answer_caches(s)
     s.pass_time(2000)
     busy.send(get_command("r2", wait=2000)[:-9])
     busy.send(get_command("r2", wait=2000)[-9:])
@@ -400,10 +410,10 @@
     lines = [s.connect_client() for _ in range(14)]
     for i, line in enumerate(lines):
         line.send(get_command(f"r{i}"))
-        serve(s)
+        answer_caches(s)
     s.pass_time(1500)
     lines[0].send(get_command("again"))
-    serve(s)
+    answer_caches(s)
     lines[1].unread_input = b"*"
     s.pass_time(1000)
     assert [i for i, line in enumerate(lines) if not line.is_closed] == [0, 1, *range(6, 14)]
@@ -418,14 +428,16 @@
     s = NodeOnMemoryNetwork(1)
     c = s.connect_client()
     c.send(get_command("r1"))
-    serve(s)
+    answer_caches(s)
     (line,) = s.network.connections_to(7000)
-    watch(s, {"seq": 6, "whole": False, "hosts": [listed_host("s0", 7000, health="terminated")]})
+    send_from_discovery(
+        s, {"seq": 6, "whole": False, "hosts": [listed_host("s0", 7000, health="terminated")]}
+    )
     assert list(s.socket_node.pools.by_backend) == ["o1"]
-    watch(s, {"seq": 7, "whole": False, "hosts": [listed_host("s0", 7000)]})
+    send_from_discovery(s, {"seq": 7, "whole": False, "hosts": [listed_host("s0", 7000)]})
     c.send(get_command("r2"))
-    assert len(serve(s)) == 1 and c.receive() == bulk(b"v") * 2 and line.is_closed
-    watch(s, {"seq": 8, "whole": True, "hosts": s.hosts[1:]})
+    assert len(answer_caches(s)) == 1 and c.receive() == bulk(b"v") * 2 and line.is_closed
+    send_from_discovery(s, {"seq": 8, "whole": True, "hosts": s.hosts[1:]})
     assert list(s.socket_node.pools.by_backend) == ["o1"]
 
 
@@ -433,10 +445,10 @@
     s = NodeOnMemoryNetwork()
     c = s.connect_client()
     c.send(get_command("r1").replace(b"c=read,d=900", b"c=read,t=abc"))
-    serve(s)
+    answer_caches(s)
     full = s.socket_node.host.router.quotas.token_buckets["small"].tokens
     c.send(get_command("r2").replace(b"c=read,d=900", b"c=read,t=small").replace(b"$12", b"$14"))
-    (words,) = serve(s)
+    (words,) = answer_caches(s)
     assert (
         words[3].startswith(b"c=read,t=small,d=")
         and s.socket_node.host.router.quotas.token_buckets["small"].tokens < full
@@ -467,7 +479,7 @@
     s.pass_time(1)
     c.close()
     assert (
-        len(serve(s)) == 1
+        len(answer_caches(s)) == 1
         and not s.socket_node.host.rpcs
         and s.counters.counts["tx.completed"] == 1
     )
@@ -485,7 +497,7 @@
     s.pass_time(1)
     c.send(command(b"PING") * 32 + get_command("r2") * 3 + b"*1\r\n")  # more than is read in a turn
     c.protocol.readConnectionLost()
-    serve(s, response)
+    answer_caches(s, response)
     assert c.receive() == reply + b"+PONG\r\n" * 32 + b"-ERR failed\r\n" * 3
     s.pass_time(2000)
     assert c.is_closed and s.counters.counts["tx.sent"] == 1 and not s.socket_node.host.rpcs
@@ -501,7 +513,7 @@
     big = b"*3\r\n" + bulk(b"x" * 65536) + b"$-1\r\n$-1\r\n"
     for i in range(2000):
         c.send(get_command(f"r{i}"))
-        serve(s, big, 0)
+        answer_caches(s, big, 0)
         if c.is_paused:
             break
     assert c.is_paused and 1 << 20 < len(c.protocol.output_buffer) < 2 << 20
@@ -511,7 +523,7 @@
     c.is_reading = False
     for i in range(40):
         c.send(get_command(f"s{i}") if not c.is_paused else b"")
-        serve(s, big, 0)
+        answer_caches(s, big, 0)
     s.pass_time(1)
     assert c.is_closed and not other.is_closed
 
@@ -529,7 +541,7 @@
     assert other.receive() == b"+PONG\r\n"
     for _ in range(2000):
         s.pass_time(1)
-        serve(s)
+        answer_caches(s)
         assert len(c.protocol.pending_replies) <= 1024
         said += c.receive()
     assert said.count(b"+PONG") == 100 and said.count(b"$1\r\nv") + said.count(b"-") == 3000
@@ -554,10 +566,10 @@
         c.send(get_command(key, key))
         s.pass_time(1)
     assert s.socket_node.pools.descriptors_used == 1 and s.counters.counts["dials.no_room"] >= 1
-    serve(s)
+    answer_caches(s)
     s.pass_time(500)
     c.send(get_command("r3", "cc"))
-    serve(s)
+    answer_caches(s)
     assert b"$1\r\nv" in c.receive() and s.socket_node.pools.descriptors_used <= 2
 
 
@@ -565,7 +577,7 @@
     s = NodeOnMemoryNetwork(1)
     c = s.connect_client()
     c.send(get_command("r1") + get_command("r2"))
-    serve(s)
+    answer_caches(s)
     assert len(s.network.connections_to(7000)) == 2
     c.send(get_command("r3"))
     next(line for line in s.network.connections_to(7000) if line.output).close()
@@ -576,7 +588,7 @@
 def test_a_discovery_connect_that_never_completes_times_out() -> None:
     s = NodeOnMemoryNetwork()
     s.network.dial_outcomes[DISCOVERY_PORT] = "silent"
-    watch(s)
+    send_from_discovery(s)
     s.network.connections_to(DISCOVERY_PORT)[0].close()
     s.pass_time(2000)
     dial = s.network.dials[-1]
@@ -588,7 +600,7 @@
     assert s.network.connections_to(DISCOVERY_PORT)[0].output.startswith(
         b"GET /v1/servers?follow=1&since=5 HTTP/1.1\r\nHost: "
     )
-    watch(
+    send_from_discovery(
         s,
         {"seq": 6, "whole": False, "hosts": [listed_host("s0", 7001), listed_host("s1", 7000)]},
         b"",
@@ -599,30 +611,32 @@
     (asked,) = [p for p in PORTS if s.network.connections_to(p)]
     home = "s0" if s.socket_node.host.router.backends["s0"].in_flight else "s1"
     assert {"s0": 7001, "s1": 7000}[home] == asked
-    watch(s, {"seq": 7, "whole": False, "hosts": [listed_host(home, asked, health="terminating")]})
+    send_from_discovery(
+        s, {"seq": 7, "whole": False, "hosts": [listed_host(home, asked, health="terminating")]}
+    )
     assert s.socket_node.host.router.backends[home].state == EndpointState.DRAINING
-    serve(s)
+    answer_caches(s)
     assert c.receive() == bulk(b"v")  # what it had is finished there
     s.pass_time(1)
     c.send(get_command("r2"))
-    serve(s)
+    answer_caches(s)
     assert [p for p in PORTS if s.network.connections_to(p)] != [asked]
 
 
 def test_empty_and_older_lists_are_not_applied() -> None:
     s = NodeOnMemoryNetwork()
     old = {"seq": 3, "whole": True, "hosts": s.hosts[1:]}
-    watch(s, {"seq": 9, "whole": True, "hosts": []})
+    send_from_discovery(s, {"seq": 9, "whole": True, "hosts": []})
     s.pass_time(3000)
     for told in (old, b"", old):
-        watch(s, told)
+        send_from_discovery(s, told)
         assert (
             s.socket_node.host.router.backends["s0"].state == EndpointState.READY
             and "lists.full" not in s.counters.counts
         )
         s.pass_time(1000)
     asked = s.counters.counts["lists.asked"]
-    watch(s, b"")  # it insists: discovery counts anew
+    send_from_discovery(s, b"")  # it insists: discovery counts anew
     assert asked == s.counters.counts["lists.asked"] == 2  # all on one watch
     assert (
         s.socket_node.host.router.backends["s0"].state == EndpointState.REMOVED
@@ -633,9 +647,9 @@
 def test_restarted_versions_with_only_deltas_lead_to_a_poll_for_the_complete_list() -> None:
     s = NodeOnMemoryNetwork()
     for told in ({"seq": 3, "whole": False, "hosts": []}, b"", b""):
-        watch(s, told)
+        send_from_discovery(s, told)
     assert "lists.failed" not in s.counters.counts
-    watch(s, b"")
+    send_from_discovery(s, b"")
     s.pass_time(1000)
     assert (
         s.counters.counts["lists.failed"] == 1
@@ -645,13 +659,13 @@
 
 def test_a_discovery_that_lags_and_catches_up_changes_nothing() -> None:
     s = NodeOnMemoryNetwork()
-    watch(
+    send_from_discovery(
         s,
         {"seq": 3, "whole": True, "hosts": s.hosts[1:]},
         b"",
         {"seq": 5, "whole": False, "hosts": []},
     )
-    watch(s, b"", b"", b"", b"")
+    send_from_discovery(s, b"", b"", b"", b"")
     assert (
         s.socket_node.host.router.backends["s0"].state == EndpointState.READY
         and s.socket_node.discovery.version == 5
@@ -680,19 +694,21 @@
     bad = [b"{]", b"[]", b'{"seq":1}', half, b"\xff", b"[" * 99999]
     for line in bad:
         s = NodeOnMemoryNetwork()
-        watch(s, line)
+        send_from_discovery(s, line)
         assert s.counters.counts["lists.failed"] == 1, line[:20]
         s.pass_time(1000)
         assert len(s.network.connections_to(DISCOVERY_PORT)) == 1
     s = NodeOnMemoryNetwork()
-    watch(s, b"{")  # an object may stand on many lines: one that does not go on is silence
+    send_from_discovery(
+        s, b"{"
+    )  # an object may stand on many lines: one that does not go on is silence
     s.pass_time(3300)
     assert s.counters.counts["lists.failed"] == 1
     s = NodeOnMemoryNetwork()
-    watch(s, {"seq": 6, "whole": True, "hosts": s.hosts})
+    send_from_discovery(s, {"seq": 6, "whole": True, "hosts": s.hosts})
     for _ in range(3):
         s.pass_time(2000)
-        watch(s, b"")
+        send_from_discovery(s, b"")
     s.pass_time(2900)
     assert "lists.failed" not in s.counters.counts
     s.pass_time(200)
@@ -715,7 +731,7 @@
     s.pass_time(101)
     assert idle.is_closed and not busy.is_closed and not s.network.hasStopped
     halfway.send(get_command("r2")[40:])
-    serve(s)
+    answer_caches(s)
     assert busy.receive() == halfway.receive() == bulk(b"v")
     s.pass_time(1)
     assert busy.is_closed and halfway.is_closed and s.network.hasStopped
@@ -728,7 +744,7 @@
     c.doRead = lambda: c.send(unread.pop()) if unread else None
     s.socket_node.shut_down()
     s.pass_time(501)
-    serve(s)
+    answer_caches(s)
     assert c.receive() == bulk(b"v")
     s.pass_time(1)
     assert c.is_closed and s.network.hasStopped
