--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -1,12 +1,12 @@
-"""Membership on UDP: the Twisted adapter; off, and not imported, without a section `[members]`.
+"""Membership over UDP: the Twisted adapter, which is imported only with a section `[members]`.
 
-The state machine decides (`membership.py`), the codec reads and writes (`codec.py`); here datagrams
-become calls and calls datagrams. A node that discovery has sent no list gets one from a member
-(`endpoint_exchange.py`): it is given to the node like a list known at its start, and discovery is
-then polled for the whole list.
+The state machine (`membership.py`) makes the decisions, and the codec (`codec.py`) encodes and
+decodes the datagrams; this module passes datagrams between both and the socket. A node without a
+list from discovery requests one from other members (`endpoint_exchange.py`). The node applies it
+like a list that it knew at its start, and then polls discovery for the complete list.
 
-Invariants: nothing that comes raises; at most `MAX_DATAGRAMS_PER_S` datagrams are read a second,
-more are dropped and counted. Times are milliseconds.
+Invariants: no received datagram raises an error; at most `MAX_DATAGRAMS_PER_S` datagrams are read
+per second, and further ones are dropped and counted. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -34,24 +34,24 @@
 
 __all__ = ["MembershipPort", "Settings", "attach", "parse_settings"]
 
-# A flood of datagrams must not take the node's CPU from RPCs.
+# This limit keeps a flood of datagrams from taking CPU time from RPCs.
 MAX_DATAGRAMS_PER_S = 2000
-# Until the next try to listen, where the process before still holds the address.
+# Time until the next attempt to listen, if the previous process still uses the address.
 LISTEN_RETRY_MS = 500.0
-MAX_REFUSALS_LOGGED = 3
-# Discovery's words for an endpoint's state.
-HEALTH_WORDS = {state: word for word, state in ENDPOINT_STATES.items()}
+MAX_REJECTIONS_LOGGED = 3
+# The names that discovery uses for the states of an endpoint.
+HEALTH_NAMES = {state: name for name, state in ENDPOINT_STATES.items()}
 
 
 class _EndpointList(NamedTuple):
-    """Endpoints, and the address of each."""
+    """Endpoints, and their addresses by endpoint id."""
 
     endpoints: list[Endpoint]
     addresses: dict[str, str]
 
 
 class MembershipPort(DatagramProtocol):
-    """One node's place among the members."""
+    """The UDP socket, state machine and endpoint exchange of one node."""
 
     noisy = False
 
@@ -65,14 +65,14 @@
         count: Callable[[str], None],
         node: Any = None,  # noqa: ANN401 - SocketNode, whose module imports none of this package
     ) -> None:
-        """`node`: whose endpoint list others may request, and which requests theirs."""
+        """Create the member `name`; `node`, if any, exchanges endpoint lists with other members."""
         self.settings = settings
         self.clock = clock
         self.count = count
         self.node = node
         self.codec = Codec(settings.fleet)
-        self.listening: Any = None
-        # Processes of one node must not draw alike: the moment of the start makes them differ.
+        self.listening_port: Any = None
+        # The start time makes the random draws of successive processes of one node differ.
         start_seed = seed ^ int(clock.now())
         self.membership = Membership(
             clock.now(),
@@ -86,18 +86,18 @@
             clock.now(), name, seeded_random(start_seed, "lists"), count
         )
         self._log = log
-        self._accepted_version = 0  # of the list that a member sent
-        self._pending_list: _EndpointList | None = None  # accepted, and not given to the node yet
+        self._accepted_version = 0  # of the last list from a member
+        self._pending_list: _EndpointList | None = None  # accepted, but not yet applied
         self._rate_limit = RateLimit(MAX_DATAGRAMS_PER_S)
-        self._refusals = 0
+        self._rejection_count = 0
 
-    # ---- service
+    # ---- lifecycle
 
     def start(self, reactor: Any) -> None:  # noqa: ANN401 - any of Twisted's reactors
-        """Listen, now or as soon as the process before has left the address."""
+        """Listen now, or as soon as the previous process has released the address."""
         host, port = self.settings.listen
         try:
-            self.listening = reactor.listenUDP(port, self, interface=host)
+            self.listening_port = reactor.listenUDP(port, self, interface=host)
         except CannotListenError:
             retry_at = self.clock.now() + LISTEN_RETRY_MS
             self.clock.deadlines.add(retry_at, lambda _: self.start(reactor))
@@ -105,42 +105,42 @@
         self.tick(self.clock.now())
 
     def leave(self) -> None:
-        """Say goodbye, and stop listening."""
-        if self.listening is None or self.membership.leaving:
+        """Announce the departure of this member, and stop listening."""
+        if self.listening_port is None or self.membership.is_leaving:
             return
         self.membership.leave(self.clock.now())
         self.flush()
-        self.listening.stopListening()
-        self.listening = None
+        self.listening_port.stopListening()
+        self.listening_port = None
 
     def tick(self, now: float) -> None:
-        """Do what is due, and schedule the next call."""
-        if self.listening is None:
+        """Do what is due, and schedule the next tick."""
+        if self.listening_port is None:
             return
         if now >= self.membership.due:
             self.membership.tick(now)
         due = self.membership.due
         if self.node is not None:
-            due = min(due, self.exchange.tick(now, self.list_status(), self._exchange_members()))
-            self._give_pending_list()
+            due = min(due, self.exchange.tick(now, self.list_status(), self._list_sources()))
+            self._apply_pending_list()
         self.flush()
         self.clock.deadlines.add(max(due, now + 1.0), self.tick)
 
     # ---- datagrams
 
     def flush(self) -> None:
-        """Send all that is to be sent."""
+        """Send all queued datagrams."""
         outbox = self.membership.take_outbox() + self.exchange.outbox
         self.exchange.outbox = []
         for address, message in outbox:
             try:
                 data = self.codec.write(message)
                 self.transport.write(data, self.settings.dial.get(address, address))
-            except OSError:  # no route or no buffer: as if lost in transit
+            except OSError:  # no route or no buffer space: treated like a loss in transit
                 self.count("members.unsent")
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
-        """Called by Twisted for each datagram."""
+        """Process a datagram; Twisted calls this method."""
         now = self.clock.now()
         if not self._rate_limit.allow(now):
             self.count("members.flood")
@@ -148,7 +148,7 @@
         try:
             message = self.codec.read(data)
         except DatagramError as error:
-            self._refused(addr, error)
+            self._datagram_rejected(addr, error)
             return
         source = addr[:2]
         self.membership.receive(now, source, message)
@@ -156,28 +156,28 @@
             self._exchange_list(now, source, message)
         self.flush()
 
-    def _refused(self, source: Address, error: DatagramError) -> None:
+    def _datagram_rejected(self, source: Address, error: DatagramError) -> None:
         self.count(f"members.{error}")
-        self._refusals += 1
-        if self._refusals <= MAX_REFUSALS_LOGGED:
-            self._log("member_datagram_refused", source=_text(source), reason=str(error))
+        self._rejection_count += 1
+        if self._rejection_count <= MAX_REJECTIONS_LOGGED:
+            self._log("member_datagram_refused", source=_format_address(source), reason=str(error))
 
     # ---- endpoint lists
 
     def list_status(self) -> ListStatus:
-        """What the node holds now.
+        """Return the state of the node's endpoint list.
 
-        A version that a member sent counts only until discovery has sent a list: its own count may
-        be lower.
+        The version of a list from a member counts only until discovery has sent a list, because the
+        versions of discovery may be lower.
         """
         discovery = self.node.discovery
         counts = self.node.host.counters.counts
-        from_discovery = "lists.full" in counts or "lists.delta" in counts
+        is_from_discovery = "lists.full" in counts or "lists.delta" in counts
         version = discovery.version
-        if not from_discovery:
+        if not is_from_discovery:
             version = max(version, self._accepted_version)
-        watch_is_open = discovery.poll_schedule.due_at == NEVER
-        return ListStatus(version, from_discovery, from_discovery and watch_is_open)
+        is_watch_open = discovery.poll_schedule.due_at == NEVER
+        return ListStatus(version, is_from_discovery, is_from_discovery and is_watch_open)
 
     def _exchange_list(self, now: float, source: Address, message: Message) -> None:
         if message.kind == MessageKind.LIST_REQUEST:
@@ -189,18 +189,18 @@
             if received is not None:
                 self._accept_list(received)
 
-    def _exchange_members(self) -> list[Address]:
-        """Who may be asked for a list: the seeds, and all members that are alive."""
+    def _list_sources(self) -> list[Address]:
+        """Return the members that may be asked for a list: the seeds and all that are alive."""
         alive = [
             member.record.address
             for member in self.membership.members.values()
             if member.record.state == MemberState.ALIVE
         ]
-        known = dict.fromkeys((*self.settings.seeds, *alive))
-        return [address for address in known if address != self.settings.listen]
+        candidates = dict.fromkeys((*self.settings.seeds, *alive))
+        return [address for address in candidates if address != self.settings.listen]
 
     def _list_document(self) -> bytes:
-        """The list that this node holds, as discovery's JSON."""
+        """Return the list of this node as a JSON document of discovery."""
         host = self.node.host
         addresses = self.node.pools.addresses()
         kinds = host.deployment.kinds
@@ -212,7 +212,7 @@
                 "block": backend.cell,
                 "share": backend.size,
                 "born_ms": max(0.0, backend.started_at),
-                "health": HEALTH_WORDS[backend.listed_state],
+                "health": HEALTH_NAMES[backend.listed_state],
                 "class": kinds[backend.kind] if 0 <= backend.kind < len(kinds) else "",
             }
             for backend in host.router.backends.values()
@@ -223,8 +223,8 @@
         ).encode()
 
     def _accept_list(self, received: ReceivedList) -> None:
-        """Check a list that has come, and give it to the node."""
-        source = _text(received.source)
+        """Check a received list, and apply it to the node if it is valid."""
+        source = _format_address(received.source)
         try:
             endpoints, addresses = self._checked_list(received)
         except ValueError as error:
@@ -240,47 +240,51 @@
             endpoints=len(endpoints),
         )
         self._accepted_version = received.version
-        reached = {id: self._reached_at(address) for id, address in addresses.items()}
-        self._pending_list = _EndpointList(endpoints, reached)
-        self._give_pending_list()
+        dial_addresses = {id: self._dial_address(address) for id, address in addresses.items()}
+        self._pending_list = _EndpointList(endpoints, dial_addresses)
+        self._apply_pending_list()
 
     def _checked_list(self, received: ReceivedList) -> _EndpointList:
-        """Raises ValueError where the list is malformed, or no node can start with it."""
+        """Return the list. Raise ValueError if it is malformed or a node cannot start with it."""
         deployment = self.node.host.deployment
-        version, is_whole, endpoints, addresses = parse_endpoint_list(
+        version, is_complete, endpoints, addresses = parse_endpoint_list(
             received.document, deployment.kinds
         )
         has_ready_cache = any(
             endpoint.state == EndpointState.READY and endpoint.kind != deployment.origin_kind
             for endpoint in endpoints
         )
-        if version != received.version or not is_whole or not has_ready_cache:
-            raise MembersError("no list to begin with")
+        if version != received.version or not is_complete or not has_ready_cache:
+            raise MembersError(
+                f"expected a complete list of version {received.version} with a ready cache, "
+                f"got version {version}, complete: {is_complete}, ready cache: {has_ready_cache}"
+            )
         return _EndpointList(endpoints, addresses)
 
-    def _reached_at(self, address: str) -> str:
-        """Where an endpoint that another member sent is dialled from here."""
+    def _dial_address(self, address: str) -> str:
+        """Return the address at which this node dials an endpoint that another member sent."""
         host, _, port = address.rpartition(":")
-        reached = self.settings.dial.get((parse_host(host), int(port)))
-        return address if reached is None else _text(reached)
+        dial_address = self.settings.dial.get((parse_host(host), int(port)))
+        return address if dial_address is None else _format_address(dial_address)
 
-    def _give_pending_list(self) -> None:
-        """Let the node serve by a member's list until discovery sends one.
+    def _apply_pending_list(self) -> None:
+        """Apply a list from a member to the node, which uses it until discovery sends one.
 
-        Not during a poll: its response may hold changes to the list before, which would be applied
-        to this one. Once the poll has failed, the next asks for the whole list.
+        The list is not applied during a poll of discovery: the response may hold changes to the
+        previous list, which would be applied to this one. After that poll has failed, the next one
+        requests the complete list.
         """
         pending = self._pending_list
         if pending is None or self.node.discovery.current_watch is not None:
             return
         self._pending_list = None
-        if not self.list_status().from_discovery:
+        if not self.list_status().is_from_discovery:
             self.node.apply_cached_endpoints(0, pending.endpoints, pending.addresses)
 
     # ---- operators
 
     def lines(self) -> list[str]:
-        """The answer to MEMBERS: a line of the view, then one for each member."""
+        """Return the answer to MEMBERS: a summary of the view, then a line for each member."""
         view = self.membership.view
         summary = (
             f"view={view.version} members={len(view.members)} part={view.visible_fraction:.2f} "
@@ -297,20 +301,20 @@
         if record.state == MemberState.ALIVE and name not in self.membership.view.members:
             state += " flapping"
         seconds = max(0.0, now - member.state_since) / 1000
-        by = f" by={record.accuser}" if record.accuser else ""
+        accuser = f" by={record.accuser}" if record.accuser else ""
         return (
             f"{name} {state} for={seconds:.1f}s "
-            f"incarnation={record.incarnation} at={_text(record.address)}{by}"
+            f"incarnation={record.incarnation} at={_format_address(record.address)}{accuser}"
         )
 
 
-def _text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     host, port = address
     return f"{host}:{port}"
 
 
 def attach(settings: Settings, node: Any) -> MembershipPort:  # noqa: ANN401 - SocketNode
-    """Make the node a member while it serves; it says goodbye as it leaves."""
+    """Make the node a member while it serves; it announces its departure when it shuts down."""
     port = MembershipPort(
         settings,
         node.config.name,
