--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -148,9 +148,8 @@
         self.sends: list[tuple[float, str, str]] = []  # time, backend, RPC
         self.wakeups: list[float] = []
         self.arrivals: list[float] = []
-        self.sends_before_start: dict[
-            str, int
-        ] = {}  # by backend: len(sends) as its start was listed
+        # By backend: the length of `sends` when its start was listed.
+        self.sends_before_start: dict[str, int] = {}
         self.logs: list[str] = []
         self.closed_backends: list[str] = []
         self.rpc_count = 0
