--- a/benchmarks/start_size.py
+++ b/benchmarks/start_size.py
@@ -61,7 +61,7 @@
     text = (
         f"{x.name:20} {seed:3} calls {row[0]} dials {row[1]} listed {row[2]} fetches {fetches:6.0f} "  # noqa: E501
         f"served15 {served:.3f} served {whole:.3f} steady {steady:4.0f} "
-        f"all dials {dials:7.0f} broken {len(ended.broken)} {ended.broken[:1] or ''}"
+        f"all dials {dials:7.0f} broken {len(ended.violations)} {ended.violations[:1] or ''}"
     )
     seconds = [[s for s in rpcs if n <= s.at / 1000 < n + 1] for n in range(20)]
     by_second = [figure("served", ended, some, 0, 0) for some in seconds]
--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -41,18 +41,18 @@
     experiment: Experiment
     seed: int
     history: History
-    broken: list[Violation]
+    violations: list[Violation]
     logs: list[tuple[float, str, str]]
     counters: dict[str, dict[str, int]]
-    faults: list[str]  # what programs raised
-    events: int
+    program_errors: list[str]  # what programs raised
+    event_count: int
     real_s: float
-    rude_kept_ms: list[float] = field(default_factory=list)
-    no_room: int = 0
+    misbehaving_kept_ms: list[float] = field(default_factory=list)
+    connection_limit_hits: int = 0
     # Why the run could not be judged: the testbed fell behind.
-    void: list[str] = field(default_factory=list)
+    void_reasons: list[str] = field(default_factory=list)
     # How late each of the testbed's processes was, in ms.
-    rig: dict[str, float] = field(default_factory=dict)
+    lateness_ms: dict[str, float] = field(default_factory=dict)
 
 
 class BaseRun:
--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -29,8 +29,8 @@
 
 def rules_broken(ended: RunResult) -> list[str]:
     """The rules that were broken, each once; `program` where a program raised."""
-    program = {"program"} if ended.faults else set()
-    return sorted({violation.rule for violation in ended.broken} | program)
+    program = {"program"} if ended.program_errors else set()
+    return sorted({violation.rule for violation in ended.violations} | program)
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
 def _shrunk(seed: int, experiment: Experiment, broken: list[str]) -> Found:
     small = shrink(experiment, broken)
     again = attempt(small)
-    first = str(again.broken[0]) if again.broken else "; ".join(again.faults[:1])
+    first = str(again.violations[0]) if again.violations else "; ".join(again.program_errors[:1])
     return Found(seed, broken, small, first)
 
 
--- a/hookpitch/testbed/metrics.py
+++ b/hookpitch/testbed/metrics.py
@@ -189,7 +189,7 @@
 
 
 def _rude_clients_closed(span: Span) -> float:
-    kept_ms = span.ended.rude_kept_ms
+    kept_ms = span.ended.misbehaving_kept_ms
     return sum(ms <= RUDE_TIMEOUT_MS for ms in kept_ms) / max(1, len(kept_ms))
 
 
@@ -291,11 +291,11 @@
         "methods": _figures_by_method(ended, rpcs),
         "seconds": _figures_by_second(ended, rpcs),
         "sent_to": _transmissions_by_server(ended),
-        "broken": [str(violation) for violation in ended.broken],
-        "programs": ended.faults,
-        "void": ended.void,
-        "rig": ended.rig,
-        "no_room": ended.no_room,
+        "broken": [str(violation) for violation in ended.violations],
+        "programs": ended.program_errors,
+        "void": ended.void_reasons,
+        "rig": ended.lateness_ms,
+        "no_room": ended.connection_limit_hits,
         "expected": [
             {"text": one.expectation.text, "figure": round(one.value, 4), "holds": one.holds}
             for one in check_expectations(ended)
@@ -305,7 +305,7 @@
             for fault in experiment.fault
         ],
         "counters": ended.counters,
-        "events": ended.events,
+        "events": ended.event_count,
         "real_s": round(ended.real_s, 2),
     }
 
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -762,7 +762,11 @@
         broken += judge.check_counters(self.history, comparable)
         real_s = time.perf_counter() - started_at
         return self.ended(
-            broken, len(self.history.events), real_s, void=self.void_reasons, rig=lateness
+            broken,
+            len(self.history.events),
+            real_s,
+            void_reasons=self.void_reasons,
+            lateness_ms=lateness,
         )
 
     def _read_log(self, node: NodeProcess) -> None:
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize("path", FILES, ids=lambda file: file.stem)
 def test_an_experiments_rules_and_expectations_hold(path: Path) -> None:
     ended = Run(load(path), load(path).seed).run()
-    assert not ended.broken, str(ended.broken[0])
-    assert not ended.faults
+    assert not ended.violations, str(ended.violations[0])
+    assert not ended.program_errors
     assert not [(e.text, value) for e, value, holds in check_expectations(ended) if not holds]
 
 
@@ -30,8 +30,8 @@
 )
 def test_drawn_experiments_break_no_rule(seed: int, kinds: tuple[str, ...]) -> None:
     ended = fuzz.attempt(fuzz.reread(fuzz_draw.draw(seed, kinds)))
-    assert not ended.broken, str(ended.broken[0])
-    assert not ended.faults
+    assert not ended.violations, str(ended.violations[0])
+    assert not ended.program_errors
 
 
 def test_a_failing_experiment_is_shrunk_to_a_file_that_plays_again(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -322,7 +322,7 @@
         monkeypatch.setattr(owner, method, replacement)
     run = Run(read(UPGRADE), 1)
     ended = run.run()
-    assert {violation.rule for violation in ended.broken} == rules, str(ended.broken[:1])
+    assert {violation.rule for violation in ended.violations} == rules, str(ended.violations[:1])
     # The old process has ended.
     assert run.nodes["n0"].starts == 2 and run.nodes["n0"].elder is None
 
@@ -339,7 +339,7 @@
     monkeypatch.setattr(ClientRegistry, "shut_down", recording_shut_down)
     alone = UPGRADE.replace("node_upgrade", "node_leave").replace("suspend", "flush")
     for text in (UPGRADE, alone):
-        assert not Run(read(text), 1).run().broken
+        assert not Run(read(text), 1).run().violations
     assert spans[0] > 0 and spans[1:] == [0.0]
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -809,8 +809,8 @@
 def test_nodes_detect_a_death_and_no_other_in_virtual_time() -> None:
     run = Run(load(FAULTS), 1)
     ended = run.run()
-    assert not ended.broken
-    assert not ended.faults
+    assert not ended.violations
+    assert not ended.program_errors
     logs = [
         (at, who, text.removeprefix("members: "))
         for at, who, text in ended.logs
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -80,7 +80,7 @@
     x = load(LISTS)
     nodes = msgspec.structs.replace(x.nodes, members=False)
     ended = Run(msgspec.structs.replace(x, nodes=nodes, expected=(), expect=()), 1).run()
-    assert not ended.broken
+    assert not ended.violations
     there, here = summary(Run(x, 1).run()), summary(ended)
     second = lambda s: sum(s["seconds"][n]["served"] for n in range(10, 16)) / 6  # noqa: E731
     assert second(there) > 0.97
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -168,6 +168,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     x = load(Path(__file__).parent.parent / "experiments" / "core-placement.toml")
-    assert not Run(x, x.seed).run().broken
+    assert not Run(x, x.seed).run().violations
     monkeypatch.setattr(Placement, "allows", lambda *_: True)
-    assert "placement" in {b.rule for b in Run(x, x.seed).run().broken}
+    assert "placement" in {b.rule for b in Run(x, x.seed).run().violations}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -171,9 +171,9 @@
 ) -> None:
     (tmp_path / "past-grace.toml").write_text(PAST_GRACE)
     (tmp_path / "sitecustomize.py").write_text(WRONG)
-    assert not Run(read(PAST_GRACE), 1).run().broken
+    assert not Run(read(PAST_GRACE), 1).run().violations
     monkeypatch.setattr(EndpointList, "set_state", wrong_in_virtual_time)
-    assert {b.rule for b in Run(read(PAST_GRACE), 1).run().broken} == {"rule 3"}
+    assert {b.rule for b in Run(read(PAST_GRACE), 1).run().violations} == {"rule 3"}
     code, said = Play(tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=f"{tmp_path}:{ROOT}").end()
     if code == VOID:
         pytest.skip(f"void: {said}")
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -376,8 +376,8 @@
 by = 0.3
 """
     ended = Run(read_experiment(text), 1).run()
-    assert not ended.broken
-    assert not ended.faults
+    assert not ended.violations
+    assert not ended.program_errors
     assert sum(c.get("snapshot.recalled", 0) for c in ended.counters.values()) == 6
 
 
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -17,8 +17,8 @@
 @pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
 def test_the_expectations_of_a_start_experiment_hold(path: Path) -> None:
     ended = Run(load(path), load(path).seed).run()
-    assert not ended.broken, str(ended.broken[0])
-    assert not ended.faults
+    assert not ended.violations, str(ended.violations[0])
+    assert not ended.program_errors
     assert not [(e.text, value) for e, value, holds in check_expectations(ended) if not holds]
 
 
@@ -68,6 +68,6 @@
     text = "name = 'a-b'\nseconds = 4.0\n[nodes]\ncount = 30\n[discovery]\ncalls_per_s = 2.0"
     ended = Run(read(text), 1).run()
     how = [e.what for e in ended.history.events if e.kind == "called"]
-    assert not ended.broken
+    assert not ended.violations
     assert how.count("refused") > 5
     assert how.count("served") <= 2 + 2 * 6
