--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -58,8 +58,8 @@
 class BaseRun:
     """One run of one experiment with one seed, in either clock."""
 
-    begun = 0.0  # the run's start on its reactors' clock, in seconds
-    crowd: LoadClients
+    started_at = 0.0  # the run's start on its reactors' clock, in seconds
+    load_clients: LoadClients
     nodes: dict[str, Any]
 
     def __init__(self, experiment: Experiment, seed: int, network: Any) -> None:
@@ -69,14 +69,14 @@
         self.network = network
         self.history = History()
         self.logs: list[tuple[float, str, str]] = []  # in ms, node, text
-        self.chance = random.Random(seed * 7919 + 1)
+        self.rng = random.Random(seed * 7919 + 1)
         self.directory = EndpointDirectory()
         self.counters: dict[str, dict[str, int]] = {}
         self.addresses: dict[str, str] = {}  # of servers, by name
-        self.names: dict[str, str] = {}  # of nodes, by address
-        self.rudes: list[MisbehavingClients] = []
+        self.node_names: dict[str, str] = {}  # of nodes, by address
+        self.misbehaving_clients: list[MisbehavingClients] = []
         self.keys = KeyDistribution(experiment.traffic.keys, experiment.traffic.skew)
-        self.drained: dict[str, None] = {}  # nodes that an operator has paused
+        self.drained_nodes: dict[str, None] = {}  # nodes that an operator has paused
 
     def now(self) -> float:
         """Time since the run's start, in ms."""
@@ -84,7 +84,7 @@
 
     # ---- what a clock does its own way
 
-    def order(self, name: str, what: str, *args: Any) -> None:
+    def send_command(self, name: str, command: str, *args: Any) -> None:
         """Give a fake server an order (`fakes/control_commands.py`)."""
         raise NotImplementedError
 
@@ -92,26 +92,26 @@
         """Kill the process of a fake server; False where none runs."""
         raise NotImplementedError
 
-    def begin(self, name: str) -> None:
+    def start_server(self, name: str) -> None:
         """Start a fake server that is dead under its name and address: a cache server cold,
         discovery with versions from the start."""
         raise NotImplementedError
 
-    def stall(self, name: str, seconds: float) -> None:
+    def pause(self, name: str, seconds: float) -> None:
         """Stop a process for so many seconds."""
         raise NotImplementedError
 
-    def vanish(self, name: str, gone: bool) -> None:
+    def set_detached(self, name: str, is_detached: bool) -> None:
         """A server's machine leaves the network, or is back."""
         raise NotImplementedError
 
     def impair(
-        self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
+        self, directions: Iterable[tuple[str, str]], owner: object, impairment: Impairment | None
     ) -> None:
         """Put what `by` does on some directions; None takes it off."""
         raise NotImplementedError
 
-    def sever(self, ways: Iterable[tuple[str, str]]) -> None:
+    def sever(self, directions: Iterable[tuple[str, str]]) -> None:
         """Reset all connections of some directions."""
         raise NotImplementedError
 
@@ -119,28 +119,32 @@
         """A server new to the list."""
         raise NotImplementedError
 
-    def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
+    def run_admin_command(
+        self, node: str, command: str, event_kind: str = "", server: str = ""
+    ) -> None:
         """Send an admin command to a node; where it agrees, `kind` goes into the history."""
         raise NotImplementedError
 
-    def called(self, node: str, line: str, yes: bool, kind: str, what: str) -> None:
+    def record_admin_answer(
+        self, node: str, command: str, is_yes: bool, event_kind: str, server: str
+    ) -> None:
         """Record the answer to an operator's call."""
-        if not yes:
+        if not is_yes:
             return
-        if kind:
-            self.history.add(self.now(), kind, node, what=what)
-        elif line == "PAUSE":
-            self.drained[node] = None
-        elif line == "RESUME":
-            self.drained.pop(node, None)
+        if event_kind:
+            self.history.add(self.now(), event_kind, node, what=server)
+        elif command == "PAUSE":
+            self.drained_nodes[node] = None
+        elif command == "RESUME":
+            self.drained_nodes.pop(node, None)
 
     # ---- what both share
 
-    def dial(self, name: str) -> str:
+    def listed_address(self, name: str) -> str:
         """Where a server is dialled, as discovery has it."""
         return f"{self.addresses[name]}:{CACHE_PORT}"
 
-    def clients(self, reactor: Any, begun: float) -> LoadClients:
+    def create_load_clients(self, reactor: Any, begun: float) -> LoadClients:
         """The load clients, for all nodes."""
         t = self.experiment.traffic
         kinds = [
@@ -150,16 +154,16 @@
         manner = ClientBehavior(
             t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving
         )
-        dials = {name: self.client_dial(node) for name, node in self.nodes.items()}
+        dials = {name: self.address_for_clients(node) for name, node in self.nodes.items()}
         return LoadClients(
             reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun
         )
 
-    def client_dial(self, node: Any) -> tuple[str, int]:
+    def address_for_clients(self, node: Any) -> tuple[str, int]:
         """Where clients dial a node."""
         return node.address, NODE_PORT
 
-    def make(self, n: int) -> CacheSpec:
+    def cache_spec(self, n: int) -> CacheSpec:
         """Of the server with number n."""
         f = self.experiment.fleet
         work = {m.name: m.work_ms for m in self.experiment.method}
@@ -178,7 +182,7 @@
             connect_work_ms=f.dial_ms,
         )
 
-    def origin_make(self) -> OriginSpec:
+    def origin_spec(self) -> OriginSpec:
         """What the origin is made with."""
         return OriginSpec(
             self.experiment.origin.cores,
@@ -198,8 +202,17 @@
         born = (self.network.epoch * 1000 + self.now()) if cold else 0.0
         kind = self.experiment.fleet.kinds[n % len(self.experiment.fleet.kinds)]
         self.history.add(self.now(), "place", name, what=f"{kind} z{zone}")
-        self.order(
-            "discovery", "put", name, self.dial(name), kind, f"z{zone}", n, "in_service", 1.0, born
+        self.send_command(
+            "discovery",
+            "put",
+            name,
+            self.listed_address(name),
+            kind,
+            f"z{zone}",
+            n,
+            "in_service",
+            1.0,
+            born,
         )
 
     def node_config(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:
@@ -282,17 +295,17 @@
             + sum(f.by or 20.0 for f in x.fault if f.what in ("lag", "far")),
         )
 
-    def counted(self, node: Any, counters: Counters) -> None:
+    def add_counters(self, node: Any, counters: Counters) -> None:
         """A process of the node has ended; what it counted is added to what those before it did."""
         mine = self.counters.setdefault(node.name, {})
         for name, count in counters.counts.items():
             mine[name] = mine.get(name, 0) + count
 
-    def span(self) -> float:
+    def settling_time_s(self) -> float:
         """Seconds from the last RPC to the run's end."""
         return max(m.hard_ms for m in self.experiment.method) / 1000 + SETTLE_S
 
-    def invariants(self) -> list[Violation]:
+    def counter_violations(self) -> list[Violation]:
         """What the nodes' own counters tell of them."""
         return [
             Violation("invariant", self.now(), "", f"{name}: {counter} {mine[counter]} times")
@@ -301,21 +314,23 @@
             if counter.startswith("broken.") or counter == "faults"
         ]
 
-    def ended(self, broken: list[Violation], events: int, real_s: float, **rig: Any) -> RunResult:
+    def create_result(
+        self, broken: list[Violation], events: int, real_s: float, **rig: Any
+    ) -> RunResult:
         """The run's result."""
-        kept = [ms for rudes in self.rudes for ms in rudes.kept_ms]
+        kept = [ms for rudes in self.misbehaving_clients for ms in rudes.kept_ms]
         return RunResult(
             self.experiment,
             self.seed,
             self.history,
-            broken + self.invariants(),
+            broken + self.counter_violations(),
             self.logs,
             self.counters,
             self.network.program_errors,
             events,
             real_s,
             kept,
-            self.crowd.connection_limit_hits,
+            self.load_clients.connection_limit_hits,
             **rig,
         )
 
--- a/hookpitch/testbed/experiment.py
+++ b/hookpitch/testbed/experiment.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hookpitch.testbed.experiment_checks import mistakes
+from hookpitch.testbed.experiment_checks import validation_errors
 from hookpitch.testbed.experiment_schema import (
     FIGURES,
     MEMBER_FIGURES,
@@ -32,7 +32,7 @@
         file = msgspec.convert(tomllib.loads(text), ExperimentFile)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ValueError(f"{where}: {_place_first(str(error))}") from None
-    for mistake in mistakes(file):
+    for mistake in validation_errors(file):
         raise ValueError(f"{where}: {mistake}")
     expected = tuple(
         _expectation(line, file, f"{where}: expect[{number}]")
--- a/hookpitch/testbed/experiment_checks.py
+++ b/hookpitch/testbed/experiment_checks.py
@@ -14,10 +14,10 @@
     SHARE_FAULTS,
     ExperimentFile,
     Fault,
-    draw_place,
     fleet_names,
+    group_draw_id,
 )
-from hookpitch.testbed.groups import directions, members
+from hookpitch.testbed.groups import directions, group_members
 
 NAME = re.compile(r"[a-z0-9]+(-[a-z0-9]+)+")
 MOST_SECONDS = 3600
@@ -26,7 +26,7 @@
 LEAST_SOCKETS = 64
 
 
-def mistakes(file: ExperimentFile) -> Iterator[str]:
+def validation_errors(file: ExperimentFile) -> Iterator[str]:
     """All mistakes, in the order of the file's tables."""
     yield from _mistakes_of_fleet(file)
     yield from _mistakes_of_nodes(file)
@@ -114,9 +114,9 @@
     place = f"fault[{number}]"
     nodes, servers = fleet_names(file)
     try:
-        group = members(fault.whom, nodes, servers, file.seed, draw_place(number, False))
+        group = group_members(fault.whom, nodes, servers, file.seed, group_draw_id(number, False))
         if fault.what in LINK_FAULTS:
-            there = members(fault.to, nodes, servers, file.seed, draw_place(number, True))
+            there = group_members(fault.to, nodes, servers, file.seed, group_draw_id(number, True))
     except ValueError as error:
         yield f"{place}.whom: {error}"
         return
--- a/hookpitch/testbed/experiment_schema.py
+++ b/hookpitch/testbed/experiment_schema.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from hookpitch.testbed.groups import directions, members
+from hookpitch.testbed.groups import directions, group_members
 
 RUN_FIGURES = (
     "served",
@@ -104,13 +104,13 @@
 }
 
 
-class Strict(
+class StrictTable(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename={"lasting": "for"}
 ):
     """A table of the file: an unknown field is an error."""
 
 
-class Fleet(Strict):
+class Fleet(StrictTable):
     """The cache servers. `line`: RPCs that wait at one; `keys`: kept by each; `warm`: whether they
     hold the keys at the start."""
 
@@ -130,7 +130,7 @@
     kinds: tuple[str, ...] = ("std",)  # by turns as well
 
 
-class Origin(Strict):
+class Origin(StrictTable):
     """The origin. `line`: fetches that wait at it; `work_ms`: CPU time of one."""
 
     cores: int = 8
@@ -138,13 +138,13 @@
     work_ms: float = 15.0
 
 
-class Discovery(Strict):
+class Discovery(StrictTable):
     """`calls_per_s`: polls that it answers; what is more gets 503. 0: no bound."""
 
     calls_per_s: float = 0.0
 
 
-class Nodes(Strict):
+class Nodes(StrictTable):
     """The nodes.
 
     `event_us`: CPU that each event of a node takes, in microseconds. `peer_port`: where nodes
@@ -165,7 +165,7 @@
     known: Literal["now", "yesterday", "none"] = "now"
 
 
-class Method(Strict):
+class Method(StrictTable):
     """One RPC method. `wait_ms`: how long its clients wait; 0: to the hard deadline. `allowed_on`,
     `runs_in`: the only kinds of cache and the only zones (z0, z1, ...) that it may be sent to;
     none: any."""
@@ -184,7 +184,7 @@
     runs_in: tuple[str, ...] = ()
 
 
-class Traffic(Strict):
+class Traffic(StrictTable):
     """The load. `rate`: RPCs a second over all nodes. `fresh`, `leaving`: shares of connections
     that are new and of clients that leave early; `halving`: of the fresh connections, the share
     that half-closes with the RPC. `large`: the share of keys whose values have `large_kb`;
@@ -204,14 +204,14 @@
     halving: float = 0.0
 
 
-class Net(Strict):
+class Net(StrictTable):
     """Every link's own delay, and the most that is added at random."""
 
     delay_ms: float = 0.3
     jitter_ms: float = 0.1
 
 
-class Fault(Strict):
+class Fault(StrictTable):
     """One fault on the time line.
 
     `for`: seconds that it lasts; 0: to the end. `by`: its strength, where it has one. `whom`, `to`:
@@ -234,7 +234,7 @@
         return self.at + self.lasting
 
 
-class Expectation(Strict):
+class Expectation(StrictTable):
     """One line: FIGURE >= NUMBER [of METHOD] [from S to S | within S s of the end of fault N]."""
 
     figure: str
@@ -246,7 +246,7 @@
     text: str
 
 
-class ExperimentFile(Strict):
+class ExperimentFile(StrictTable):
     """The whole file, decoded but not checked."""
 
     name: str
@@ -274,7 +274,7 @@
         fault = self.fault[number]
         names = fleet_names(self)
         text = fault.to if to else fault.whom
-        return members(text, names.nodes, names.servers, seed, draw_place(number, to))
+        return group_members(text, names.nodes, names.servers, seed, group_draw_id(number, to))
 
     def directions(self, number: int, seed: int) -> list[tuple[str, str]]:
         """The directions of links that a fault means."""
@@ -298,7 +298,7 @@
     return FleetNames([f"n{n}" for n in range(file.nodes.count)], list(servers))
 
 
-def draw_place(number: int, to: bool) -> int:
+def group_draw_id(number: int, to: bool) -> int:
     """What a group is drawn by beside the seed: the fault's number and which side of it."""
     return 2 * number + to
 
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -17,7 +17,7 @@
 from hookpitch.testbed.links import Impairment
 
 RESTART_S = 0.5  # that a restart takes
-BEFORE_S = 1.0  # from the nodes' start to the first RPC
+LOAD_START_DELAY_S = 1.0  # from the nodes' start to the first RPC
 ASKED_S = 0.3  # and after so long that a drained one says no
 DRAINED_S = 4.0  # after which a drained node holds no client's connection
 FRONT_S = 3.0  # a front notices after so long that a node has died
@@ -72,7 +72,7 @@
 
     def _order(self, what: str, *args: Any) -> None:
         for server in self.servers:
-            self.run.order(server, what, *args)
+            self.run.send_command(server, what, *args)
 
     # ---- links
 
@@ -138,7 +138,7 @@
         if name in self.run.nodes and self.run.nodes[name].node is None:
             return
         self.run.history.add(self.run.now(), "away", name, value=seconds * 1000)
-        self.run.stall(name, seconds)
+        self.run.pause(name, seconds)
 
     def starved(self, name: str) -> None:
         """The part `by` (0.5) of each tenth of a second is taken away, for `for` seconds (2)."""
@@ -161,12 +161,12 @@
             self._later(FRONT_S, self._front, name, False)
             self._later(self.fault.by or RESTART_S, self._again, name)
         elif run.kill(name):
-            self._later(self.fault.by or RESTART_S, run.begin, name)
+            self._later(self.fault.by or RESTART_S, run.start_server, name)
 
     def _again(self, name: str) -> None:
         if self.run.nodes[name].node is None:
             self.run.nodes[name].start()
-            self._later(BEFORE_S, self._front, name, True)
+            self._later(LOAD_START_DELAY_S, self._front, name, True)
 
     def reload(self, name: str) -> None:
         """Its file is written anew and read: other settings, and back the next time; `by` from 1:
@@ -185,15 +185,15 @@
     def crash_ends(self) -> None:
         """It returns under its old name and address, cold and empty."""
         for server in self.servers:
-            self.run.begin(server)
+            self.run.start_server(server)
 
     def vanish(self) -> None:
         """Its machine leaves the network."""
-        self.run.vanish(self.fault.whom, True)
+        self.run.set_detached(self.fault.whom, True)
 
     def vanish_ends(self) -> None:
         """Its machine is back."""
-        self.run.vanish(self.fault.whom, False)
+        self.run.set_detached(self.fault.whom, False)
 
     def _pairs(self, both: bool) -> list[tuple[str, str]]:
         """Between each node and the server: its answers, and with `both` what is sent to it."""
@@ -231,12 +231,12 @@
         end."""
         if self.fault.whom not in self.run.directory.hosts:  # it has gone already
             return
-        self.run.order("discovery", "health", self.fault.whom, "terminating")
+        self.run.send_command("discovery", "health", self.fault.whom, "terminating")
         self._later(self.fault.by or 5.0, self._gone)
 
     def _gone(self) -> None:
         if self.fault.whom in self.run.directory.hosts:
-            self.run.order("discovery", "health", self.fault.whom, "terminated")
+            self.run.send_command("discovery", "health", self.fault.whom, "terminated")
             self.crash()
 
     def drain_ends(self) -> None:
@@ -281,41 +281,41 @@
 
     def origin_slow(self) -> None:
         """The origin's work takes `by` times as long (5)."""
-        self.run.order("origin", "slow", self.fault.by or 5.0)
+        self.run.send_command("origin", "slow", self.fault.by or 5.0)
 
     def origin_slow_ends(self) -> None:
         """It works at its own speed."""
-        self.run.order("origin", "slow", 1.0)
+        self.run.send_command("origin", "slow", 1.0)
 
     def origin_fails(self) -> None:
         """A share `by` (0.3) of the origin's answers is an error."""
-        self.run.order("origin", "failing", self.fault.by or 0.3)
+        self.run.send_command("origin", "failing", self.fault.by or 0.3)
 
     def origin_fails_ends(self) -> None:
         """It answers well again."""
-        self.run.order("origin", "failing", 0.0)
+        self.run.send_command("origin", "failing", 0.0)
 
     def discovery_down(self) -> None:
         """Discovery does not answer."""
-        self.run.order("discovery", "down")
+        self.run.send_command("discovery", "down")
 
     def discovery_down_ends(self) -> None:
         """It answers, with the versions it had."""
-        self.run.order("discovery", "up", False)
+        self.run.send_command("discovery", "up", False)
 
     discovery_restart = discovery_down
 
     def discovery_restart_ends(self) -> None:
         """It answers, and counts its versions from the start."""
-        self.run.order("discovery", "up", True)
+        self.run.send_command("discovery", "up", True)
 
     def discovery_lag(self) -> None:
         """Changes reach nodes `by` seconds late (3)."""
-        self.run.order("discovery", "lag", 1000 * (self.fault.by or 3.0))
+        self.run.send_command("discovery", "lag", 1000 * (self.fault.by or 3.0))
 
     def discovery_lag_ends(self) -> None:
         """Changes reach nodes soon."""
-        self.run.order("discovery", "lag", 100.0)
+        self.run.send_command("discovery", "lag", 100.0)
 
     # ---- a node's
 
@@ -330,7 +330,7 @@
         self._again(self.fault.whom)
 
     def _front(self, name: str, there: bool) -> None:
-        use = self.run.crowd.nodes_in_use
+        use = self.run.load_clients.nodes_in_use
         if there and name not in use and self.run.nodes[name].node is not None:
             use.append(name)
             use.sort()
@@ -342,13 +342,13 @@
         if self.node.node is None:
             return
         self.run.history.add(self.run.now(), "leaving", self.fault.whom)
-        self.node.leave()
+        self.node.terminate()
         self._later(0.3, self._away, self.fault.whom)
 
     def _away(self, name: str) -> None:
-        if name in self.run.crowd.nodes_in_use:
-            self.run.crowd.nodes_in_use.remove(name)
-        for caller in list(self.run.crowd.idle[name]):
+        if name in self.run.load_clients.nodes_in_use:
+            self.run.load_clients.nodes_in_use.remove(name)
+        for caller in list(self.run.load_clients.idle[name]):
             if not caller.lost:
                 caller.transport.loseConnection()
 
@@ -364,24 +364,29 @@
         name = self.fault.whom
         if self.node.node is None:
             return
-        self.run.call(name, "PAUSE")
+        self.run.run_admin_command(name, "PAUSE")
         self._later(ASKED_S, self._front_away, name)
         self._later(DRAINED_S, self._still_held, name, self.node.starts)
 
     def _front_away(self, name: str) -> None:
-        if name in self.run.crowd.nodes_in_use:
-            self.run.crowd.nodes_in_use.remove(name)
+        if name in self.run.load_clients.nodes_in_use:
+            self.run.load_clients.nodes_in_use.remove(name)
 
     def _still_held(self, name: str, starts: int) -> None:
         node = self.run.nodes[name]
-        held = self.run.crowd.open_connections[name]
-        if node.starts == starts and node.node is not None and name in self.run.drained and held:
+        held = self.run.load_clients.open_connections[name]
+        if (
+            node.starts == starts
+            and node.node is not None
+            and name in self.run.drained_nodes
+            and held
+        ):
             self.run.history.add(self.run.now(), "held", name, value=held)
 
     def node_drain_ends(self) -> None:
         """An operator's RESUME."""
         if self.node.node is not None:
-            self.run.call(self.fault.whom, "RESUME")
+            self.run.run_admin_command(self.fault.whom, "RESUME")
             self._later(ASKED_S, self._front, self.fault.whom, True)
 
     def suspend(self) -> None:
@@ -389,7 +394,9 @@
         restarted."""
         for name, node in self.run.nodes.items():
             if node.node is not None:
-                self.run.call(name, f"SUSPEND {self.fault.whom}", "banned", self.fault.whom)
+                self.run.run_admin_command(
+                    name, f"SUSPEND {self.fault.whom}", "banned", self.fault.whom
+                )
         self._later(self.fault.by or 1.0, self._restarted)
 
     def _restarted(self) -> None:
@@ -400,21 +407,27 @@
         """An operator's RESTORE at all nodes."""
         for name, node in self.run.nodes.items():
             if node.node is not None:
-                self.run.call(name, f"RESTORE {self.fault.whom}", "back", self.fault.whom)
+                self.run.run_admin_command(
+                    name, f"RESTORE {self.fault.whom}", "back", self.fault.whom
+                )
 
     def callers(self) -> None:
         """Operators' calls, some good and some not, at every node's door, and callers that say
         nothing."""
         for name, node in self.run.nodes.items():
             calls = AdminClients(
-                self.run.crowd.reactor, self.run.history, name, node.admin_address(), self.run.begun
+                self.run.load_clients.reactor,
+                self.run.history,
+                name,
+                node.admin_address(),
+                self.run.started_at,
             )
             calls.start(self.fault.lasting or 1.0, self.fault.by or 5.0)
 
     def node_upgrade(self) -> None:
         """A second process beside the first; `by` over 0: it dies before its yes."""
         if self.fault.by:
-            self.node.false_start()
+            self.node.fail_upgrade()
         else:
             self.node.upgrade()
 
@@ -434,19 +447,23 @@
 
     def crowd(self) -> None:
         """`by` connections a second that never finish a request, and stay."""
-        self._rudes(MisbehavingClients(self.run.crowd, self.fault.by or 100.0, unfinished=True))
+        self._rudes(
+            MisbehavingClients(self.run.load_clients, self.fault.by or 100.0, unfinished=True)
+        )
 
     def slow_heads(self) -> None:
         """`by` honest clients a second that take up to 1.8 s to write their request."""
-        SlowHeaderClients(self.run.crowd, self.fault.by or 5.0).start(self.fault.lasting or 1.0)
+        SlowHeaderClients(self.run.load_clients, self.fault.by or 5.0).start(
+            self.fault.lasting or 1.0
+        )
 
     def surge(self) -> None:
         """The load is `by` times as high (3)."""
-        self.run.crowd.rate = self.run.experiment.traffic.rate * (self.fault.by or 3.0)
+        self.run.load_clients.rate = self.run.experiment.traffic.rate * (self.fault.by or 3.0)
 
     def surge_ends(self) -> None:
         """The load is the experiment's."""
-        self.run.crowd.rate = self.run.experiment.traffic.rate
+        self.run.load_clients.rate = self.run.experiment.traffic.rate
 
     def hot_key(self) -> None:
         """A share `by` (0.2) of RPCs is for one key."""
@@ -458,10 +475,10 @@
 
     def rude(self) -> None:
         """`by` clients a second that break the protocol (20)."""
-        self._rudes(MisbehavingClients(self.run.crowd, self.fault.by or 20.0))
+        self._rudes(MisbehavingClients(self.run.load_clients, self.fault.by or 20.0))
 
     def _rudes(self, rudes: MisbehavingClients) -> None:
-        self.run.rudes.append(rudes)
+        self.run.misbehaving_clients.append(rudes)
         rudes.start(self.fault.lasting or 1.0)
 
     def _far(self) -> list[tuple[str, str]]:
--- a/hookpitch/testbed/groups.py
+++ b/hookpitch/testbed/groups.py
@@ -17,7 +17,7 @@
 SINGLE = ("origin", "discovery", "clients")
 
 
-def members(
+def group_members(
     text: str, nodes: Sequence[str], servers: Sequence[str], seed: int, place: int
 ) -> list[str]:
     """The names in a group, in the fleet's order. ValueError says in one line what is wrong."""
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -62,7 +62,9 @@
         self.machine.event_cpu_s = run.experiment.nodes.event_us / 1e6
         self.starts = self.reloads = 0
         self.node: SocketNode | None = None
-        self.elder: SocketNode | None = None  # the process before it, while it still serves
+        self.previous_process: SocketNode | None = (
+            None  # the process before it, while it still serves
+        )
         self.counters = Counters()
         # Where an upgrade is due, the socket is the platform's and every process inherits it.
         self.upgraded = any(
@@ -117,19 +119,19 @@
 
     def upgrade(self) -> None:
         """A second process beside the first, which gets SIGTERM once the new one says yes."""
-        if self.node is None or self.elder is not None:
+        if self.node is None or self.previous_process is not None:
             return
         old = self.node
         machine = self.machine
         counters = self.counters
-        self.elder = old
+        self.previous_process = old
         self.machine = machine.add_process()
         self.start()
         self._when_ready(old, machine, counters, self.run.now() + READY_S * 1000)
 
-    def false_start(self) -> None:
+    def fail_upgrade(self) -> None:
         """A second process that dies as soon as it has begun; the first serves on."""
-        if self.node is None or self.elder is not None:
+        if self.node is None or self.previous_process is not None:
             return
         old = self.node
         machine = self.machine
@@ -137,7 +139,7 @@
         door = self.admin_port
         self.machine = machine.add_process()
         self.start()
-        self.run.counted(self, self.counters)
+        self.run.add_counters(self, self.counters)
         self.machine.kill()
         if (
             self.node.hot_restart.shared_state is not None
@@ -165,9 +167,9 @@
             return
 
         def ended() -> None:
-            if self.elder is old:
-                self.elder = None
-                run.counted(self, counters)
+            if self.previous_process is old:
+                self.previous_process = None
+                run.add_counters(self, counters)
                 machine.kill()
 
         machine.reactor.on_stopped = lambda: run.network.call_at(run.network.now, None, ended)
@@ -179,13 +181,13 @@
     def kill(self) -> None:
         """Its process dies."""
         self.run.history.add(self.run.now(), "stop", self.name)
-        self.run.counted(self, self.counters)
+        self.run.add_counters(self, self.counters)
         self.machine.kill()
         self.node = None
 
     def processes(self) -> list[SocketNode]:
         """Those that serve now, the elder first."""
-        return [one for one in (self.elder, self.node) if one is not None]
+        return [one for one in (self.previous_process, self.node) if one is not None]
 
     def reload(self, wrong: int) -> None:
         """SIGHUP, with its file written anew."""
@@ -198,7 +200,7 @@
         if self.node is not None:
             self.node.reload(partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
 
-    def leave(self) -> None:
+    def terminate(self) -> None:
         """SIGTERM."""
         if self.node is not None:
             self.node.shut_down()
@@ -207,11 +209,11 @@
         """Where its admin port listens."""
         return self.address, self.admin_port
 
-    def call(self, line: str) -> str:
+    def execute_admin_command(self, line: str) -> str:
         """An operator's call, answered at once; while two processes are one node, either may be
         called."""
         words = line.split()
         if len(words) == 1:
             return getattr(self.node.commands, words[0].lower())()
-        process = self.run.chance.choice(self.processes())
+        process = self.run.rng.choice(self.processes())
         return getattr(process.commands, words[0].lower())(words[1])
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -29,7 +29,7 @@
 from hookpitch.testbed.base_run import RunResult
 from hookpitch.testbed.child import ControlConnection, LoopMonitor, recorded_events
 from hookpitch.testbed.experiment_schema import PROCESS_FAULTS, VIRTUAL_ONLY, Experiment
-from hookpitch.testbed.faults import BEFORE_S, schedule_faults
+from hookpitch.testbed.faults import LOAD_START_DELAY_S, schedule_faults
 from hookpitch.testbed.judge import Judge
 from hookpitch.testbed.links import Impairment, ImpairmentRegistry
 from hookpitch.testbed.processes import DISCOVERY_PORT, NODE_PORT, Child, NodeProcess, ProcessHost
@@ -160,7 +160,7 @@
         self.folder = folder
         self.progress = progress
         super().__init__(experiment, seed, _WallClock(reactor))
-        self.begun = self.network.started_at
+        self.started_at = self.network.started_at
         self.control_path = str(folder / "control")
         self.subnets: dict[str, str] = {}  # by node
         self.fakes_subnet = ""
@@ -201,7 +201,7 @@
             f"n{index}": f"127.{FIRST_NODE_SUBNET + first_block * SUBNETS_PER_BLOCK + index}"
             for index in range(experiment.nodes.count)
         }
-        self.names = {subnet: name for name, subnet in self.subnets.items()}
+        self.node_names = {subnet: name for name, subnet in self.subnets.items()}
         self.fakes_subnet = f"127.{FIRST_FAKES_SUBNET + first_block}"
         self.reactor.listenUNIX(self.control_path, _ControlServer(self))
         self.directory.put(FakeEndpoint("o1", f"{{net}}.2.2:{ORIGIN_PORT}", "origin"))
@@ -235,8 +235,8 @@
             self.relays |= dict.fromkeys(nodes, child)
         for child in self.children.values():
             child.start()
-        self.crowd: LoadClients = self.clients(self.reactor, self.begun)
-        LoopMonitor(self.reactor, self.history, "clients", self.begun)
+        self.load_clients: LoadClients = self.create_load_clients(self.reactor, self.started_at)
+        LoopMonitor(self.reactor, self.history, "clients", self.started_at)
 
     def _reserve_blocks(self) -> int:
         """Lock as many adjacent blocks of subnets as the nodes need; return the first one.
@@ -287,7 +287,7 @@
         """Return the options of a process with fake servers."""
         traffic = self.experiment.traffic
         return {
-            "nets": self.names,
+            "nets": self.node_names,
             "roles": roles,
             "large": traffic.large,
             "large_size": int(traffic.large_kb * 1024),
@@ -300,7 +300,7 @@
             is_cold = cold or child.starts > 1
             roles = []
             for server in servers:
-                make = msgspec.to_builtins(self.make(list(self.addresses).index(server)))
+                make = msgspec.to_builtins(self.cache_spec(list(self.addresses).index(server)))
                 warm_keys = (
                     self.experiment.traffic.keys
                     if self.experiment.fleet.warm and not is_cold
@@ -324,7 +324,7 @@
         return child
 
     def _origin_options(self) -> dict[str, Any]:
-        make = msgspec.to_builtins(self.origin_make())
+        make = msgspec.to_builtins(self.origin_spec())
         names = list(self.addresses)
         host = f"{self.fakes_subnet}.3.2"
         role = {
@@ -425,11 +425,11 @@
             *(f"{subnet}.{host}:{CACHE_PORT}" for host in self.addresses.values()),
         ]
 
-    def dial(self, name: str) -> str:
+    def listed_address(self, name: str) -> str:
         """Return a server's address; the node's subnet is filled in for `{net}` later."""
         return f"{{net}}.{self.addresses[name]}:{CACHE_PORT}"
 
-    def client_dial(self, node: NodeProcess) -> tuple[str, int]:
+    def address_for_clients(self, node: NodeProcess) -> tuple[str, int]:
         """Return the relay's address for a node's clients."""
         return f"{node.subnet}.3.1", NODE_PORT
 
@@ -444,7 +444,7 @@
 
     # ---- called by faults
 
-    def order(self, name: str, command: str, *args: Any) -> None:
+    def send_command(self, name: str, command: str, *args: Any) -> None:
         """Send a command to the process of a fake server."""
         if name == "discovery":
             self._update_directory(command, *args)
@@ -473,7 +473,7 @@
         self.history.add(self.now(), "down", name)
         return True
 
-    def begin(self, name: str) -> None:
+    def start_server(self, name: str) -> None:
         """Start the process of a fake server, unless it runs."""
         child = self.server_processes[name]
         if child.is_ready:
@@ -494,7 +494,7 @@
             directions = [(node, name) for node in self.nodes]
         self.impair(directions, "down", Impairment(refusing=True) if refuse else None)
 
-    def stall(self, name: str, seconds: float) -> None:
+    def pause(self, name: str, seconds: float) -> None:
         """Pause a process; the lateness of a paused testbed process is excused."""
         if name in self.nodes:
             self.nodes[name].pause(seconds)
@@ -509,15 +509,15 @@
         process.pause()
         self.network.call_at(self.network.now + seconds, None, process.resume)
 
-    def vanish(self, name: str, is_gone: bool) -> None:
+    def set_detached(self, name: str, is_detached: bool) -> None:
         """Silence all links of a server, or restore them and reset its connections."""
         directions = [
             direction for node in self.nodes for direction in ((node, name), (name, node))
         ]
         self.impair(
-            directions, "vanished", Impairment(silent=True, kept=False) if is_gone else None
+            directions, "vanished", Impairment(silent=True, kept=False) if is_detached else None
         )
-        if not is_gone:
+        if not is_detached:
             self.sever(directions)
 
     def impair(
@@ -554,12 +554,14 @@
             *address, _AdminRequestFactory(command, on_answer), timeout=ADMIN_TIMEOUT_S
         )
 
-    def call(self, node: str, command: str, kind: str = "", what: str = "") -> None:
+    def run_admin_command(
+        self, node: str, command: str, event_kind: str = "", server: str = ""
+    ) -> None:
         """Send an operator's command to a node and record its answer."""
         self.send_admin_command(
             self.nodes[node].admin_address(),
             command,
-            lambda is_yes: self.called(node, command, is_yes, kind, what),
+            lambda is_yes: self.record_admin_answer(node, command, is_yes, event_kind, server),
         )
 
     def accept_when_serving(self, node: NodeProcess) -> None:
@@ -618,7 +620,7 @@
         """Return by testbed process how late it was at worst, in ms, without excused pauses."""
         worst: dict[str, float] = dict.fromkeys([*self.children, "clients"], 0.0)
         # After this time the nodes shut down, and no RPC is sent.
-        end = (self.experiment.seconds + self.span()) * 1000
+        end = (self.experiment.seconds + self.settling_time_s()) * 1000
         for event in self.history.events:
             if event.kind != "rig" or not 0 <= event.at <= end:
                 continue
@@ -698,17 +700,20 @@
         experiment = self.experiment
         now = self.network.now
         self.offset = now
-        self.network.call_at(now + BEFORE_S, None, self.crowd.start)
+        self.network.call_at(now + LOAD_START_DELAY_S, None, self.load_clients.start)
         schedule_faults(self, now)
-        self.network.call_at(now + experiment.seconds, None, self.crowd.stop)
-        self.network.call_at(now + experiment.seconds + self.span(), None, self._shut_down_nodes)
+        self.network.call_at(now + experiment.seconds, None, self.load_clients.stop)
+        self.network.call_at(
+            now + experiment.seconds + self.settling_time_s(), None, self._shut_down_nodes
+        )
         if self.progress is not None:
             self._report_progress()
 
     def _report_progress(self) -> None:
         now = self.network.now - self.offset
         self.progress(
-            f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, {self.crowd.count} RPCs"
+            f"{now:5.1f} s of {self.experiment.seconds + self.settling_time_s():g}, "
+            f"{self.load_clients.count} RPCs"
         )
         self.reactor.callLater(1.0, self._report_progress)
 
@@ -722,8 +727,8 @@
             if node.node is not None:
                 if not node.process.is_running and not node.process.end_requested:
                     self.network.program_errors.append(f"{node.name} ended by itself")
-                node.leave()
-        self._wait_for_shutdown(self.network.now + self.span() + SHUTDOWN_TIMEOUT_S)
+                node.terminate()
+        self._wait_for_shutdown(self.network.now + self.settling_time_s() + SHUTDOWN_TIMEOUT_S)
 
     def _wait_for_shutdown(self, until: float) -> None:
         """End the run once all nodes have exited, or after the time `until`."""
@@ -761,7 +766,7 @@
         comparable = {name: counts for name, counts in self.counters.items() if name not in killed}
         broken += judge.check_counters(self.history, comparable)
         real_s = time.perf_counter() - started_at
-        return self.ended(
+        return self.create_result(
             broken,
             len(self.history.events),
             real_s,
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -142,7 +142,7 @@
         options = self.create_options() | {
             "name": self.name,
             "control": run.control_path,
-            "begun": run.begun,
+            "begun": run.started_at,
             "seed": run.seed * 100 + self.starts,
             "history": str(run.folder / f"{self.name}.history"),
         }
@@ -296,7 +296,7 @@
             self.process.kill()
         self.node = None
 
-    def leave(self) -> None:
+    def terminate(self) -> None:
         """Send SIGTERM, which starts a graceful shutdown."""
         if self.process is not None:
             self.process.end_requested = True
@@ -349,7 +349,7 @@
         if self.previous_process is old:
             self.previous_process = None
 
-    def false_start(self) -> None:
+    def fail_upgrade(self) -> None:
         """Start a second process that is killed right away; the first one continues to serve."""
         if self.node is None or self.previous_process is not None:
             return
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -20,7 +20,7 @@
 from hookpitch.fakes.origin_server import OriginServer
 from hookpitch.testbed.base_run import CACHE_PORT, NODE_PORT, RunResult
 from hookpitch.testbed.experiment_schema import Experiment
-from hookpitch.testbed.faults import BEFORE_S, schedule_faults
+from hookpitch.testbed.faults import LOAD_START_DELAY_S, schedule_faults
 from hookpitch.testbed.judge import Judge
 from hookpitch.testbed.links import Impairment
 from hookpitch.testbed.nodes import DISCOVERY_PORT, Node, NodeHost
@@ -35,14 +35,14 @@
 
     def __init__(self, x: Experiment, seed: int) -> None:
         super().__init__(x, seed, SimulatedNetwork(seed))
-        self.origin = Origin(self.origin_make(), 0.0, self.chance)
+        self.origin = Origin(self.origin_spec(), 0.0, self.rng)
         self.servers: dict[str, CacheServer] = {}
         self.nodes: dict[str, Node] = {}
         self._build()
 
     def _closed(self, end: Endpoint) -> None:
         """What the network sees of a node's connections."""
-        name = self.names.get(end.machine.address)
+        name = self.node_names.get(end.machine.address)
         if name is None:
             return
         if end.port != NODE_PORT:
@@ -51,7 +51,7 @@
             self.history.add(self.now(), "unread", name, port=end.peer_port)
 
     def _unheard(self, end: Endpoint) -> None:
-        name = self.names.get(end.machine.address)
+        name = self.node_names.get(end.machine.address)
         if name is not None and end.port == NODE_PORT:
             self.history.add(self.now(), "unread", name, port=end.peer_port)
 
@@ -70,7 +70,7 @@
         network.default_link.jitter = x.net.jitter_ms / 1000
         web = network.machine("10.2.0.2").reactor
         self.origin_server = OriginServer(
-            self.origin, web, self.history, self.chance, self._whose, 0.0
+            self.origin, web, self.history, self.rng, self._whose, 0.0
         )
         self.origin_server.size_of = self.size_of
         there = network.machine("10.2.0.1").reactor
@@ -82,16 +82,16 @@
         self.directory.put(FakeEndpoint("o1", f"10.2.0.2:{ORIGIN_PORT}", "origin"))
         if x.fleet.warm:  # nodes find their keys wherever the ring puts them
             for name in self.servers:
-                self.order(name, "warm", x.traffic.keys)
+                self.send_command(name, "warm", x.traffic.keys)
         for n in range(x.nodes.count):
             address = f"10.0.{n >> 8}.{1 + (n & 255)}"
-            self.names[address] = f"n{n}"
+            self.node_names[address] = f"n{n}"
             self.nodes[f"n{n}"] = Node(self, f"n{n}", address)
         for (
             node
         ) in self.nodes.values():  # clients sit beside the nodes: a far network is not between them
             network.connect("10.3.0.1", node.address, x.net.delay_ms / 1000, x.net.jitter_ms / 1000)
-        self.crowd = self.clients(network.machine("10.3.0.1").reactor, 0.0)
+        self.load_clients = self.create_load_clients(network.machine("10.3.0.1").reactor, 0.0)
 
     def _listen(self, which: str = "") -> None:
         """The origin and discovery, or the one that has just started."""
@@ -112,10 +112,10 @@
         """Start a cache server and list it."""
         n = len(self.addresses)
         address = self.addresses.setdefault(name, f"10.1.{n >> 8}.{1 + (n & 255)}")
-        make = self.make(n)
+        make = self.cache_spec(n)
         reactor = self.network.machine(address).reactor
         server = CacheServer(
-            name, make, reactor, self.history, self.origin, self.chance, self._whose, 0.0
+            name, make, reactor, self.history, self.origin, self.rng, self._whose, 0.0
         )
         server.size_of = self.size_of
         self.servers[name] = server
@@ -125,14 +125,14 @@
     def _whose(self, transport: Any) -> str:
         """The node at the other end."""
         address = transport.getPeer().host
-        return self.names.get(address, address)
+        return self.node_names.get(address, address)
 
     # ---- what faults ask for
 
-    def order(self, name: str, what: str, *args: Any) -> None:
+    def send_command(self, name: str, command: str, *args: Any) -> None:
         """Carry out an order at once."""
         fixed = {"origin": self.origin_server, "discovery": self.discovery}
-        execute_command(fixed.get(name) or self.servers[name], what, *args)
+        execute_command(fixed.get(name) or self.servers[name], command, *args)
 
     def kill(self, name: str) -> bool:
         """Kill the machine's process; False where none runs."""
@@ -148,7 +148,7 @@
         machine.kill()
         return True
 
-    def begin(self, name: str) -> None:
+    def start_server(self, name: str) -> None:
         """Start a process on the machine."""
         machine = self.network.machine(self.address(name))
         if machine.running:
@@ -163,43 +163,47 @@
         if name == "discovery":
             self.discovery.begin()
 
-    def stall(self, name: str, seconds: float) -> None:
+    def pause(self, name: str, seconds: float) -> None:
         """Stop the machine's process for so long."""
         if name in self.nodes:
             self.nodes[name].machine.pause(seconds)
         else:
             self.network.machine(self.address(name)).pause(seconds)
 
-    def vanish(self, name: str, gone: bool) -> None:
+    def set_detached(self, name: str, is_detached: bool) -> None:
         """Take the machine off the network, or bring it back."""
         machine = self.network.machine(self.address(name))
-        if gone:
+        if is_detached:
             machine.detach()
         else:
             machine.reattach()
 
     def impair(
-        self, ways: Iterable[tuple[str, str]], by: object, impairment: Impairment | None
+        self, directions: Iterable[tuple[str, str]], owner: object, impairment: Impairment | None
     ) -> None:
         """Impair directions between machines."""
-        for a, b in ways:
-            self.network.impair(self.address(a), self.address(b), by, impairment)
+        for source, destination in directions:
+            self.network.impair(self.address(source), self.address(destination), owner, impairment)
 
-    def sever(self, ways: Iterable[tuple[str, str]]) -> None:
+    def sever(self, directions: Iterable[tuple[str, str]]) -> None:
         """Reset all connections between machines."""
-        for a, b in ways:
-            if "clients" in (a, b):
-                node = a if b == "clients" else b
+        for source, destination in directions:
+            if "clients" in (source, destination):
+                node = source if destination == "clients" else destination
                 for end in [
                     e for m in self.network.machines_at(self.address(node)) for e in m.endpoints
                 ]:
                     if end.peer_address == self.address("clients"):
                         self.history.add(self.now(), "unread", node, port=end.peer_port)
-            self.network.sever(self.address(a), self.address(b))
+            self.network.sever(self.address(source), self.address(destination))
 
-    def call(self, node: str, line: str, kind: str = "", what: str = "") -> None:
+    def run_admin_command(
+        self, node: str, command: str, event_kind: str = "", server: str = ""
+    ) -> None:
         """Carry out an operator's call at once."""
-        self.called(node, line, not self.nodes[node].call(line), kind, what)
+        self.record_admin_answer(
+            node, command, not self.nodes[node].execute_admin_command(command), event_kind, server
+        )
 
     # ---- running
 
@@ -210,17 +214,17 @@
         network = self.network
         for node in self.nodes.values():
             network.call_at(0.0, None, node.start)
-        network.call_at(BEFORE_S, None, self.crowd.start)
+        network.call_at(LOAD_START_DELAY_S, None, self.load_clients.start)
         schedule_faults(self)
-        network.call_at(x.seconds, None, self.crowd.stop)
-        network.run(x.seconds + self.span())
+        network.call_at(x.seconds, None, self.load_clients.stop)
+        network.run(x.seconds + self.settling_time_s())
         for node in self.nodes.values():
             if node.node is not None:  # of one that was killed, the figures were taken then
-                self.counted(node, node.counters)
+                self.add_counters(node, node.counters)
         os.close(self.descriptor)
         self.folder.cleanup()
         judge = Judge(self.rules())
         broken = judge.judge(self.history, self.now()) + judge.check_counters(
             self.history, self.counters
         )
-        return self.ended(broken, network.events_executed, time.perf_counter() - begun)
+        return self.create_result(broken, network.events_executed, time.perf_counter() - begun)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -324,7 +324,7 @@
     ended = run.run()
     assert {violation.rule for violation in ended.violations} == rules, str(ended.violations[:1])
     # The old process has ended.
-    assert run.nodes["n0"].starts == 2 and run.nodes["n0"].elder is None
+    assert run.nodes["n0"].starts == 2 and run.nodes["n0"].previous_process is None
 
 
 def test_only_a_process_that_another_follows_takes_its_time_to_part(
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from hookpitch.testbed.experiment import read
-from hookpitch.testbed.groups import directions, members
+from hookpitch.testbed.groups import directions, group_members
 from hookpitch.testbed.links import Impairment, combine
 from hookpitch.testbed.reactor import MAX_UNREAD_DATAGRAM_BYTES
 from hookpitch.testbed.simulation import SimulatedNetwork
@@ -173,7 +173,7 @@
     nodes, servers = [f"n{i}" for i in range(6)], ["s0", "s1", "s2"]
 
     def group(text: str, seed: int = 1) -> list[str]:
-        return members(text, nodes, servers, seed, 0)
+        return group_members(text, nodes, servers, seed, 0)
 
     assert group("n4 s1, origin") == ["n4", "s1", "origin"] and group("servers") == servers
     assert len(group("0.33 of nodes")) == 2 and len(group("0.01 of servers")) == 1
