--- a/hookpitch/testbed/__init__.py
+++ b/hookpitch/testbed/__init__.py
@@ -1,2 +1,4 @@
-"""The lab: the real node among stand-ins, in virtual time or on loopback, judged by what the
-others saw."""
+"""The lab runs experiments with the real node among fake servers and clients.
+
+A run takes place in virtual time or on loopback, and is judged by what the fakes recorded.
+"""
--- a/hookpitch/testbed/groups.py
+++ b/hookpitch/testbed/groups.py
@@ -1,9 +1,8 @@
-"""Groups of an experiment's parts, as faults name them: a list, a count, a part of the fleet.
+"""Groups of nodes and servers as a fault names them: a list of names, a count, or a fraction.
 
-`s1 s3`, `nodes`, `servers` or `all`, `2 of nodes`, `0.3 of servers`, `origin`, `discovery`,
-`clients`. A
-count or a part is drawn by the run's seed and the fault's place in its file: the same in both
-clocks.
+Examples: `s1 s3`, `nodes`, `servers`, `all` (which means the servers), `2 of nodes`,
+`0.3 of servers`, `origin`, `discovery`, `clients`. The members of a count or a fraction are drawn
+with the run's seed and the fault's place in its file, so that they are the same in both clocks.
 """
 
 from __future__ import annotations
@@ -13,45 +12,50 @@
 from collections.abc import Sequence
 from zlib import crc32
 
-COUNTED = re.compile(r"(\d+|0?\.\d+|1\.0) of (nodes|servers)")
+COUNT_OR_FRACTION = re.compile(r"(\d+|0?\.\d+|1\.0) of (nodes|servers)")
 SINGLE = ("origin", "discovery", "clients")
 
 
 def group_members(
-    text: str, nodes: Sequence[str], servers: Sequence[str], seed: int, place: int
+    text: str, nodes: Sequence[str], servers: Sequence[str], seed: int, draw_id: int
 ) -> list[str]:
-    """The names in a group, in the fleet's order. ValueError says in one line what is wrong."""
-    whole = {"nodes": nodes, "servers": servers, "all": servers}
-    if text in whole:
-        return list(whole[text])
-    counted = COUNTED.fullmatch(text)
-    if counted:
-        of = whole[counted[2]]
-        count = max(1, round(float(counted[1]) * len(of))) if "." in counted[1] else int(counted[1])
-        if not 1 <= count <= len(of):
-            raise ValueError(f"'{text}': there are {len(of)}")
-        drawn = random.Random(crc32(f"{seed} {place} {text}".encode())).sample(list(of), count)
-        return [name for name in of if name in drawn]
+    """Return the names in a group, in the fleet's order; raise ValueError with a one-line reason.
+
+    `draw_id` is a number of the group that it is drawn with, in addition to the seed.
+    """
+    fleets = {"nodes": nodes, "servers": servers, "all": servers}
+    if text in fleets:
+        return list(fleets[text])
+    match = COUNT_OR_FRACTION.fullmatch(text)
+    if match:
+        fleet = fleets[match[2]]
+        count = max(1, round(float(match[1]) * len(fleet))) if "." in match[1] else int(match[1])
+        if not 1 <= count <= len(fleet):
+            raise ValueError(f"'{text}': the count must be from 1 to {len(fleet)}")
+        drawn = random.Random(crc32(f"{seed} {draw_id} {text}".encode())).sample(list(fleet), count)
+        return [name for name in fleet if name in drawn]
     names = text.replace(",", " ").split()
     for name in names:
         if name not in nodes and name not in servers and name not in SINGLE:
-            raise ValueError(f"'{name}' is no node, no server and none of {', '.join(SINGLE)}")
+            raise ValueError(f"'{name}' is neither a node, a server nor one of {', '.join(SINGLE)}")
     if not names:
-        raise ValueError("names nobody")
+        raise ValueError("no name is given")
     return names
 
 
 def directions(
-    a: Sequence[str], b: Sequence[str], nodes: Sequence[str], both: bool
+    sources: Sequence[str], destinations: Sequence[str], nodes: Sequence[str], both_ways: bool
 ) -> list[tuple[str, str]]:
-    """From each of a to each of b, and back where `both`; only what has a link: one end is a
-    node."""
+    """Return the directions from each source to each destination, and back if `both_ways`.
+
+    Only pairs that have a link are included: at least one end is a node.
+    """
     found: dict[tuple[str, str], None] = {}
     known = set(nodes)
-    for x in a:
-        for y in b:
-            if x != y and (x in known or y in known):
-                found[x, y] = None
-                if both:
-                    found[y, x] = None
+    for source in sources:
+        for destination in destinations:
+            if source != destination and (source in known or destination in known):
+                found[source, destination] = None
+                if both_ways:
+                    found[destination, source] = None
     return list(found)
