--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -1,8 +1,9 @@
-"""What a run in virtual time (`run.py`) and one on real processes (`process_run.py`) share.
+"""The common part of a run in virtual time (`run.py`) and on real processes (`process_run.py`).
 
-`BaseRun` holds a run's state and what both clocks do alike: what nodes, cache servers and the
-origin are configured with, the load clients, the judge's rules. What each clock does its own way
-is declared here and raises `NotImplementedError`. Times in ms unless a name says otherwise.
+`BaseRun` holds the state of a run and what is the same in both clocks: the configurations of nodes,
+cache servers and the origin, the load clients, and the judge's rules. Methods whose implementation
+depends on the clock are declared here and raise `NotImplementedError`. Times are in ms unless a
+name says otherwise.
 """
 
 from __future__ import annotations
@@ -29,106 +30,116 @@
 NODE_PORT = 6379
 CACHE_PORT = 6379
 CLOSED_PORT = 9
-SETTLE_S = 2.0  # after the last RPC was asked, before the run ends
-# A node with fewer descriptors closes new connections unread while all of its sockets are busy.
-SOCKETS_FOR_ALL = 256
+SETTLE_S = 2.0  # time from the hard deadline of the last RPC to the end of the run
+# A node with fewer descriptors closes new connections without reading from them while all of its
+# sockets are busy.
+MIN_SOCKETS_FOR_ALL_CLIENTS = 256
 
 
 @dataclass(slots=True)
 class RunResult:
-    """What came of a run."""
+    """The result of a run."""
 
     experiment: Experiment
     seed: int
     history: History
     violations: list[Violation]
-    logs: list[tuple[float, str, str]]
-    counters: dict[str, dict[str, int]]
-    program_errors: list[str]  # what programs raised
+    logs: list[tuple[float, str, str]]  # time in ms, node, text
+    counters: dict[str, dict[str, int]]  # by node: the sums over all its processes
+    program_errors: list[str]  # exceptions that programs did not catch
     event_count: int
-    real_s: float
-    misbehaving_kept_ms: list[float] = field(default_factory=list)
-    connection_limit_hits: int = 0
-    # Why the run could not be judged: the testbed fell behind.
+    real_s: float  # how long the run took
+    # How long each connection of a misbehaving client was kept open.
+    misbehaving_lifetimes_ms: list[float] = field(default_factory=list)
+    connection_limit_hits: int = 0  # RPCs not sent because of the limit of client connections
+    # Why the verdict is void, for example because the testbed was late.
     void_reasons: list[str] = field(default_factory=list)
-    # How late each of the testbed's processes was, in ms.
+    # How late each process of the testbed was at worst.
     lateness_ms: dict[str, float] = field(default_factory=dict)
 
 
 class BaseRun:
     """One run of one experiment with one seed, in either clock."""
 
-    started_at = 0.0  # the run's start on its reactors' clock, in seconds
+    started_at = 0.0  # the start of the run on its reactors' clock, in seconds
     load_clients: LoadClients
     nodes: dict[str, Any]
 
     def __init__(self, experiment: Experiment, seed: int, network: Any) -> None:
-        """`network`: schedules calls; the simulated network, or the wall clock on loopback."""
+        """Prepare a run.
+
+        `network` schedules calls: it is the simulated network, or the wall clock on loopback.
+        """
         self.experiment = experiment
         self.seed = seed
         self.network = network
         self.history = History()
-        self.logs: list[tuple[float, str, str]] = []  # in ms, node, text
+        self.logs: list[tuple[float, str, str]] = []  # time in ms, node, text
         self.rng = random.Random(seed * 7919 + 1)
         self.directory = EndpointDirectory()
         self.counters: dict[str, dict[str, int]] = {}
-        self.addresses: dict[str, str] = {}  # of servers, by name
+        self.addresses: dict[str, str] = {}  # of cache servers, by name
         self.node_names: dict[str, str] = {}  # of nodes, by address
         self.misbehaving_clients: list[MisbehavingClients] = []
         self.keys = KeyDistribution(experiment.traffic.keys, experiment.traffic.skew)
-        self.drained_nodes: dict[str, None] = {}  # nodes that an operator has paused
+        self.drained_nodes: dict[str, None] = {}  # nodes that have accepted PAUSE
 
     def now(self) -> float:
-        """Time since the run's start, in ms."""
+        """Return the time since the start of the run, in ms."""
         return self.network.now * 1000
 
-    # ---- what a clock does its own way
+    # ---- implemented for each clock
 
     def send_command(self, name: str, command: str, *args: Any) -> None:
-        """Give a fake server an order (`fakes/control_commands.py`)."""
+        """Send a fake server a command of `fakes/control_commands.py`."""
         raise NotImplementedError
 
     def kill(self, name: str) -> bool:
-        """Kill the process of a fake server; False where none runs."""
+        """Kill the process of a fake server; return False if none runs."""
         raise NotImplementedError
 
     def start_server(self, name: str) -> None:
-        """Start a fake server that is dead under its name and address: a cache server cold,
-        discovery with versions from the start."""
+        """Start a killed fake server again under its name and address.
+
+        A cache server starts cold, and discovery with its first version.
+        """
         raise NotImplementedError
 
     def pause(self, name: str, seconds: float) -> None:
-        """Stop a process for so many seconds."""
+        """Pause a process for a number of seconds."""
         raise NotImplementedError
 
     def set_detached(self, name: str, is_detached: bool) -> None:
-        """A server's machine leaves the network, or is back."""
+        """Disconnect a server's machine from the network, or connect it again."""
         raise NotImplementedError
 
     def impair(
         self, directions: Iterable[tuple[str, str]], owner: object, impairment: Impairment | None
     ) -> None:
-        """Put what `by` does on some directions; None takes it off."""
+        """Set the owner's impairment of directions; None removes it."""
         raise NotImplementedError
 
     def sever(self, directions: Iterable[tuple[str, str]]) -> None:
-        """Reset all connections of some directions."""
+        """Reset all connections of directions."""
         raise NotImplementedError
 
     def add_server(self, name: str, cold: bool) -> None:
-        """A server new to the list."""
+        """Start a new cache server and have discovery list it."""
         raise NotImplementedError
 
     def run_admin_command(
         self, node: str, command: str, event_kind: str = "", server: str = ""
     ) -> None:
-        """Send an admin command to a node; where it agrees, `kind` goes into the history."""
+        """Send an admin command to a node and record its answer.
+
+        If the node accepts it, an event of `event_kind` about `server` is added to the history.
+        """
         raise NotImplementedError
 
     def record_admin_answer(
         self, node: str, command: str, is_yes: bool, event_kind: str, server: str
     ) -> None:
-        """Record the answer to an operator's call."""
+        """Record whether a node has accepted an admin command."""
         if not is_yes:
             return
         if event_kind:
@@ -138,52 +149,72 @@
         elif command == "RESUME":
             self.drained_nodes.pop(node, None)
 
-    # ---- what both share
+    # ---- the same in both clocks
 
     def listed_address(self, name: str) -> str:
-        """Where a server is dialled, as discovery has it."""
+        """Return a cache server's address as discovery lists it."""
         return f"{self.addresses[name]}:{CACHE_PORT}"
 
-    def create_load_clients(self, reactor: Any, begun: float) -> LoadClients:
-        """The load clients, for all nodes."""
-        t = self.experiment.traffic
-        kinds = [
-            ClientMethod(m.name, m.share, m.wait_ms or m.hard_ms, m.write, m.size)
-            for m in self.experiment.method
+    def create_load_clients(self, reactor: Any, started_at: float) -> LoadClients:
+        """Return the load clients, which use all nodes."""
+        traffic = self.experiment.traffic
+        methods = [
+            ClientMethod(
+                method.name,
+                method.share,
+                method.wait_ms or method.hard_ms,
+                method.write,
+                method.size,
+            )
+            for method in self.experiment.method
         ]
-        manner = ClientBehavior(
-            t.tries, t.pause_ms, t.leaving, t.fresh, t.connections, t.slow_readers, t.halving
+        behavior = ClientBehavior(
+            traffic.tries,
+            traffic.pause_ms,
+            traffic.leaving,
+            traffic.fresh,
+            traffic.connections,
+            traffic.slow_readers,
+            traffic.halving,
         )
-        dials = {name: self.address_for_clients(node) for name, node in self.nodes.items()}
+        addresses = {name: self.address_for_clients(node) for name, node in self.nodes.items()}
         return LoadClients(
-            reactor, self.history, self.seed, dials, kinds, self.keys, t.rate, manner, begun
+            reactor,
+            self.history,
+            self.seed,
+            addresses,
+            methods,
+            self.keys,
+            traffic.rate,
+            behavior,
+            started_at,
         )
 
     def address_for_clients(self, node: Any) -> tuple[str, int]:
-        """Where clients dial a node."""
+        """Return the address at which clients connect to a node."""
         return node.address, NODE_PORT
 
-    def cache_spec(self, n: int) -> CacheSpec:
-        """Of the server with number n."""
-        f = self.experiment.fleet
-        work = {m.name: m.work_ms for m in self.experiment.method}
+    def cache_spec(self, index: int) -> CacheSpec:
+        """Return the specification of the cache server with this index."""
+        fleet = self.experiment.fleet
+        work_ms = {method.name: method.work_ms for method in self.experiment.method}
         return CacheSpec(
-            f.cores,
-            f.line,
-            work,
+            fleet.cores,
+            fleet.line,
+            work_ms,
             1.0,
-            f.keys,
-            f.speeds[n % len(f.speeds)],
-            f.cold_from,
-            f.cold_s * 1000,
-            f.fall_multiple,
-            f.tip_s * 1000,
-            f.connections,
-            connect_work_ms=f.dial_ms,
+            fleet.keys,
+            fleet.speeds[index % len(fleet.speeds)],
+            fleet.cold_from,
+            fleet.cold_s * 1000,
+            fleet.fall_multiple,
+            fleet.tip_s * 1000,
+            fleet.connections,
+            connect_work_ms=fleet.dial_ms,
         )
 
     def origin_spec(self) -> OriginSpec:
-        """What the origin is made with."""
+        """Return the specification of the origin."""
         return OriginSpec(
             self.experiment.origin.cores,
             self.experiment.origin.line,
@@ -191,16 +222,18 @@
         )
 
     def size_of(self, key: str) -> int:
-        """Bytes of a key's value; 0 for a small one."""
-        t = self.experiment.traffic
-        return int(t.large_kb * 1024) if crc32(key.encode()) % 1000 < 1000 * t.large else 0
+        """Return the minimum size of a key's value in bytes; 0 for a small value."""
+        traffic = self.experiment.traffic
+        return (
+            int(traffic.large_kb * 1024) if crc32(key.encode()) % 1000 < 1000 * traffic.large else 0
+        )
 
     def list_server(self, name: str, cold: bool) -> None:
-        """Have discovery list a server as in service."""
-        n = list(self.addresses).index(name)
-        zone = n % self.experiment.fleet.zones
-        born = (self.network.epoch * 1000 + self.now()) if cold else 0.0
-        kind = self.experiment.fleet.kinds[n % len(self.experiment.fleet.kinds)]
+        """Have discovery list a cache server as in service."""
+        index = list(self.addresses).index(name)
+        zone = index % self.experiment.fleet.zones
+        born_ms = (self.network.epoch * 1000 + self.now()) if cold else 0.0
+        kind = self.experiment.fleet.kinds[index % len(self.experiment.fleet.kinds)]
         self.history.add(self.now(), "place", name, what=f"{kind} z{zone}")
         self.send_command(
             "discovery",
@@ -209,15 +242,17 @@
             self.listed_address(name),
             kind,
             f"z{zone}",
-            n,
+            index,
             "in_service",
             1.0,
-            born,
+            born_ms,
         )
 
     def node_config(self, node: Any, discovery: str, net: str = "") -> dict[str, Any]:
-        """A node's configuration as the platform's JSON; `net`: its loopback network, which fills
-        in the addresses that discovery lists."""
+        """Return a node's configuration in the platform's JSON form.
+
+        `net` is the node's loopback subnet, which replaces `{net}` in the listed addresses.
+        """
         experiment = self.experiment
         return {
             "name": node.name,
@@ -233,12 +268,12 @@
         }
 
     def _known_list(self, net: str) -> dict[str, Any]:
-        """The list in a node's configuration: the present one, an outdated one or none."""
+        """Return the endpoint list in a node's configuration: current, outdated or empty."""
         known = self.experiment.nodes.known
-        sequence, listed = self.directory.snapshot()
-        hosts = [host.to_json(net) for host in listed] if known != "none" else []
+        sequence, endpoints = self.directory.snapshot()
+        hosts = [endpoint.to_json(net) for endpoint in endpoints] if known != "none" else []
         if known == "yesterday":
-            hosts = [_outdated(host) for host in hosts if host["class"] != "origin"]
+            hosts = [_outdated_host(host) for host in hosts if host["class"] != "origin"]
         return {"seq": sequence if known == "now" else 0, "whole": True, "hosts": hosts}
 
     def _node_settings(self) -> dict[str, Any]:
@@ -266,8 +301,12 @@
         }
 
     def config_text(self, node: Any, config: dict[str, Any], malformed: int) -> str:
-        """A node's configuration file, with other settings at each second reload; `malformed`, from
-        1: in one of the forms that no node may accept."""
+        """Return the text of a node's configuration file for a reload.
+
+        Every second reload changes some settings, and the next one changes them back. `malformed`
+        from 1 selects a form that a node must reject: truncated, not an object, an empty object, or
+        without methods.
+        """
         if not malformed:
             node.reloads += 1
         if node.reloads % 2:
@@ -282,56 +321,70 @@
         return forms[(malformed - 1) % len(forms)]
 
     def rules(self) -> Rules:
-        """What the judge allows this run."""
-        x = self.experiment
+        """Return the judge's rules for this run."""
+        experiment = self.experiment
         return Rules(
-            retriable={m.name: m.idempotency == "retryable" for m in x.method},
-            # With fewer keys than caches, a node has no use for each of them.
-            reuse_within_ms=float("inf") if x.traffic.keys < x.fleet.caches else REUSE_WITHIN_MS,
-            room_for_all_clients=x.nodes.sockets >= SOCKETS_FOR_ALL,
-            placement=placement_by_method(x),
-            # What is on a longer way was sent so much earlier.
+            retriable={
+                method.name: method.idempotency == "retryable" for method in experiment.method
+            },
+            # With fewer keys than caches, a node does not need all caches.
+            reuse_within_ms=float("inf")
+            if experiment.traffic.keys < experiment.fleet.caches
+            else REUSE_WITHIN_MS,
+            room_for_all_clients=experiment.nodes.sockets >= MIN_SOCKETS_FOR_ALL_CLIENTS,
+            placement=placement_by_method(experiment),
+            # Data that arrives over a link with an additional delay was sent earlier by this delay.
             tolerance_ms=TOLERANCE_MS
-            + sum(f.by or 20.0 for f in x.fault if f.what in ("lag", "far")),
+            + sum(fault.by or 20.0 for fault in experiment.fault if fault.what in ("lag", "far")),
         )
 
     def add_counters(self, node: Any, counters: Counters) -> None:
-        """A process of the node has ended; what it counted is added to what those before it did."""
-        mine = self.counters.setdefault(node.name, {})
+        """Add the counters of a process that has ended to the sums of its node."""
+        totals = self.counters.setdefault(node.name, {})
         for name, count in counters.counts.items():
-            mine[name] = mine.get(name, 0) + count
+            totals[name] = totals.get(name, 0) + count
 
     def settling_time_s(self) -> float:
-        """Seconds from the last RPC to the run's end."""
-        return max(m.hard_ms for m in self.experiment.method) / 1000 + SETTLE_S
+        """Return the seconds from the last RPC to the end of the run."""
+        return max(method.hard_ms for method in self.experiment.method) / 1000 + SETTLE_S
 
     def counter_violations(self) -> list[Violation]:
-        """What the nodes' own counters tell of them."""
+        """Return a violation for each counter of a node that counts internal errors."""
         return [
-            Violation("invariant", self.now(), "", f"{name}: {counter} {mine[counter]} times")
-            for name, mine in self.counters.items()
-            for counter in sorted(mine)
+            Violation(
+                "invariant", self.now(), "", f"{name}: counter {counter} is {counts[counter]}"
+            )
+            for name, counts in self.counters.items()
+            for counter in sorted(counts)
             if counter.startswith("broken.") or counter == "faults"
         ]
 
     def create_result(
-        self, broken: list[Violation], events: int, real_s: float, **rig: Any
+        self,
+        violations: list[Violation],
+        event_count: int,
+        real_s: float,
+        **testbed_fields: Any,
     ) -> RunResult:
-        """The run's result."""
-        kept = [ms for rudes in self.misbehaving_clients for ms in rudes.lifetimes_ms]
+        """Return the result of the run; `testbed_fields` are fields of it on loopback only."""
+        lifetimes_ms = [
+            lifetime_ms
+            for clients in self.misbehaving_clients
+            for lifetime_ms in clients.lifetimes_ms
+        ]
         return RunResult(
             self.experiment,
             self.seed,
             self.history,
-            broken + self.counter_violations(),
+            violations + self.counter_violations(),
             self.logs,
             self.counters,
             self.network.program_errors,
-            events,
+            event_count,
             real_s,
-            kept,
+            lifetimes_ms,
             self.load_clients.connection_limit_hits,
-            **rig,
+            **testbed_fields,
         )
 
 
@@ -347,7 +400,7 @@
     }
 
 
-def _outdated(host: dict[str, Any]) -> dict[str, Any]:
-    """A listed server as one that is gone: another name, and a port where nobody listens."""
+def _outdated_host(host: dict[str, Any]) -> dict[str, Any]:
+    """Return a listed server as one that is gone: renamed, at a port on which nothing listens."""
     address = host["dial"].rpartition(":")[0]
     return host | {"host": f"y{host['host']}", "dial": f"{address}:{CLOSED_PORT}"}
--- a/hookpitch/testbed/metrics.py
+++ b/hookpitch/testbed/metrics.py
@@ -189,7 +189,7 @@
 
 
 def _rude_clients_closed(span: Span) -> float:
-    kept_ms = span.ended.misbehaving_kept_ms
+    kept_ms = span.ended.misbehaving_lifetimes_ms
     return sum(ms <= RUDE_TIMEOUT_MS for ms in kept_ms) / max(1, len(kept_ms))
 
 
