--- a/benchmarks/start_size.py
+++ b/benchmarks/start_size.py
@@ -75,7 +75,7 @@
     text = (
         f"{experiment.name:20} {seed:3} calls {row[0]} dials {row[1]} listed {row[2]} fetches {fetches:6.0f} "  # noqa: E501
         f"served15 {served_early:.3f} served {served:.3f} steady {steady:4.0f} "
-        f"all dials {dials:7.0f} broken {len(result.broken)} {result.broken[:1] or ''}"
+        f"all dials {dials:7.0f} broken {len(result.violations)} {result.violations[:1] or ''}"
     )
     rpcs_by_second = [
         [rpc for rpc in rpcs if index <= rpc.at / 1000 < index + 1] for index in range(20)
