--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -337,7 +337,7 @@
         return self._fakes_options([role])
 
     def _discovery_options(self) -> dict[str, Any]:
-        seq, endpoints = self.directory.whole()
+        seq, endpoints = self.directory.snapshot()
         fields = [list(msgspec.to_builtins(endpoint).values()) for endpoint in endpoints]
         is_restart = self.children["discovery"].starts > 1
         role = {
@@ -456,8 +456,8 @@
         """Apply a command for discovery to the directory here, for the configuration of nodes."""
         if command == "put":
             self.directory.put(FakeEndpoint(*args))
-        elif command == "health" and args[0] in self.directory.hosts:
-            self.directory.health(*args)
+        elif command == "health" and args[0] in self.directory.endpoints:
+            self.directory.set_health(*args)
         elif command == "lag":
             self.directory.lag_ms = args[0]
         elif command == "up" and args[0]:
@@ -708,7 +708,8 @@
     def _report_progress(self) -> None:
         now = self.network.now - self.offset
         self.progress(
-            f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, {self.crowd.count} RPCs"
+            f"{now:5.1f} s of {self.experiment.seconds + self.span():g}, "
+            f"{self.crowd.rpc_count} RPCs"
         )
         self.reactor.callLater(1.0, self._report_progress)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -287,7 +287,7 @@
 """
 
 
-def abort_all_clients(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
+def abort_all_clients(self: ClientRegistry, done: object, spread_ms: float = 0.0) -> None:
     for client in list(self.connections):
         client.transport.abortConnection()
 
@@ -332,9 +332,9 @@
 ) -> None:
     spans, shut_down = list[float](), ClientRegistry.shut_down
 
-    def recording_shut_down(self: ClientRegistry, done: object, over_ms: float = 0.0) -> None:
-        spans.append(over_ms)
-        shut_down(self, done, over_ms)
+    def recording_shut_down(self: ClientRegistry, done: object, spread_ms: float = 0.0) -> None:
+        spans.append(spread_ms)
+        shut_down(self, done, spread_ms)
 
     monkeypatch.setattr(ClientRegistry, "shut_down", recording_shut_down)
     alone = UPGRADE.replace("node_upgrade", "node_leave").replace("suspend", "flush")
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -10,8 +10,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import VALUE, Line, Real, method, tell
-from socket_node import get
+from peers import VALUE, NodeProcess, PeerConnection, method_settings, send_change
+from socket_node import get_command
 from test_members_properties import DETERMINISTIC
 
 from hookpitch.core.resp import ErrorReply
@@ -382,15 +382,20 @@
             self.sock.sendto(self.codec.write(message), self.node)
 
 
-def start_node(folder: Path, caches: int = 2, first: str = "list") -> tuple[Real, FakeMember]:
+def start_node(
+    folder: Path, caches: int = 2, first: str = "list"
+) -> tuple[NodeProcess, FakeMember]:
     """Start a node and a fake member.
 
     `first` is "list" if the member sends its list before the first poll of discovery, which is then
     due 4 s after the start, or "call" if that poll comes first.
     """
     nodes = 400 if first == "list" else 1
-    node, member = Real(folder, caches, methods=[method("read")], balancers=nodes), FakeMember()
-    node.told["seed"] = SEED
+    node, member = (
+        NodeProcess(folder, caches, methods=[method_settings("read")], balancers=nodes),
+        FakeMember(),
+    )
+    node.configuration["seed"] = SEED
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
         own = f"127.0.0.1:{free.getsockname()[1]}"
@@ -398,28 +403,28 @@
         f'[members]\nlisten = "{own}"\nfleet = "f"\nseeds = ["{member.address}"]\n'
     )
     node.environment["HOOKPITCH_CONFIG"] = str(folder / "own.toml")
-    node.told["known"] = {"seq": 5, "whole": True, "hosts": []}
-    node.write()
+    node.configuration["known"] = {"seq": 5, "whole": True, "hosts": []}
+    node.write_configuration()
     return node, member
 
 
-def serving_cache(node: Real, id: str) -> int:
+def serving_cache(node: NodeProcess, id: str) -> int:
     """Return the index of the cache that the node forwards the RPC to."""
-    client = node.client()
-    client.say(get(id, wait=5000))
-    n, line = node.asked()
-    assert line.value()[2] == id.encode()
-    line.say(VALUE)
-    assert client.value() == b"v"
+    client = node.connect_client()
+    client.send(get_command(id, wait=5000))
+    n, line = node.accept_from_any_cache()
+    assert line.receive_value()[2] == id.encode()
+    line.send(VALUE)
+    assert client.receive_value() == b"v"
     line.close()
     return n
 
 
-def polled_since(node: Real) -> bytes:
-    return node.since.partition(b"since=")[2].split()[0]
+def polled_since(node: NodeProcess) -> bytes:
+    return node.poll_head.partition(b"since=")[2].split()[0]
 
 
-def list_document(node: Real, seq: int, *without: int, **health: str) -> dict:
+def list_document(node: NodeProcess, seq: int, *without: int, **health: str) -> dict:
     listed = [h for n, h in enumerate(node.hosts) if n not in without]
     hosts = [h | {"health": health.get(h["host"], h["health"])} for h in listed]
     return {"seq": seq, "whole": True, "hosts": hosts}
@@ -432,20 +437,20 @@
     with node:
         assert member.next_request()[0] == 5
         member.send_list(list_document(node, 9, 1))
-        assert node.log("endpoint_list_accepted")["version"] == 9
-        node.until(lambda: node.count("lists.cached") == 2)
+        assert node.wait_for_log("endpoint_list_accepted")["version"] == 9
+        node.wait_until(lambda: node.counter("lists.cached") == 2)
         # Discovery has not answered yet, and the list has only one cache.
         assert serving_cache(node, "r1") == 0
         # The version of discovery is lower, but discovery takes precedence.
-        watch = node.watch(list_document(node, 7, 0))
+        watch = node.answer_poll(list_document(node, 7, 0))
         assert polled_since(node) == b"0"
-        node.until(lambda: node.count("lists.full") == 1)
+        node.wait_until(lambda: node.counter("lists.full") == 1)
         assert serving_cache(node, "r2") == 1
         member.send_list(list_document(node, 99, 1))
-        tell(watch, node.change(8, 1))
-        node.until(lambda: node.count("lists.delta") == 1)
+        send_change(watch, node.endpoint_change(8, 1))
+        node.wait_until(lambda: node.counter("lists.delta") == 1)
         assert serving_cache(node, "r3") == 1
-        assert node.count("members.lists_taken") == 1
+        assert node.counter("members.lists_taken") == 1
         member.send_request(3)
         version, _, digest, n, count, chunk = member.next_chunk()
         text = zlib.decompress(chunk)
@@ -462,19 +467,19 @@
         if first == "call":
             # The changes in the response apply to the previous list, not to that of the member.
             line = node.discovery.accept()
-            assert b"since=5" in line.head()
+            assert b"since=5" in line.receive_head()
             member.next_request()
             member.send_list(list_document(node, 9, 1))
-            node.until(lambda: node.count("members.lists_taken") == 1)
-            assert node.count("lists.cached") == 1
+            node.wait_until(lambda: node.counter("members.lists_taken") == 1)
+            assert node.counter("lists.cached") == 1
             line.reset()
-            node.until(lambda: node.count("lists.cached") == 2)
+            node.wait_until(lambda: node.counter("lists.cached") == 2)
         else:
             member.next_request()
             member.send_list(list_document(node, 9, 1))
-            node.until(lambda: node.count("lists.cached") == 2)
+            node.wait_until(lambda: node.counter("lists.cached") == 2)
         assert serving_cache(node, "r1") == 0
-        node.watch(list_document(node, 9))
+        node.answer_poll(list_document(node, 9))
         assert polled_since(node) == b"0"
 
 
@@ -484,25 +489,25 @@
         member.next_request()
         # No cache is ready, so no node can start with this list.
         member.send_list(list_document(node, (1 << 61), 0, s1="terminating"))
-        node.until(lambda: node.count("members.lists_wrong") == 1)
+        node.wait_until(lambda: node.counter("members.lists_wrong") == 1)
         member.next_request()
         member.send_list(list_document(node, (1 << 61), 1))
-        node.until(lambda: node.count("lists.cached") == 2)
-        node.watch(
+        node.wait_until(lambda: node.counter("lists.cached") == 2)
+        node.answer_poll(
             list_document(node, 6, 0)
         )  # the version of discovery is far below that of the list from the member
-        node.until(lambda: node.count("lists.full") == 1)
+        node.wait_until(lambda: node.counter("lists.full") == 1)
         assert serving_cache(node, "r1") == 1
 
 
 def test_a_drain_in_a_members_list_takes_effect_at_once(tmp_path: Path) -> None:
     node, member = start_node(tmp_path)
-    node.told["known"] = {"seq": 5, "whole": True, "hosts": node.hosts}
-    node.write()
+    node.configuration["known"] = {"seq": 5, "whole": True, "hosts": node.hosts}
+    node.write_configuration()
     with node:
         member.next_request()
         member.send_list(list_document(node, 9, s0="terminating"))
-        node.until(lambda: node.count("lists.cached") == 2)
+        node.wait_until(lambda: node.counter("lists.cached") == 2)
         # The grace period of the drain applies only to RPCs that were sent before.
         assert {serving_cache(node, f"r{n}") for n in range(6)} == {1}
 
@@ -512,6 +517,6 @@
     with node:
         for _ in range(3):
             assert member.next_request() == (5, b"", 15)
-        client: Line = node.client()
-        client.say(get("r1", wait=300))
-        assert isinstance(client.value(), ErrorReply)
+        client: PeerConnection = node.connect_client()
+        client.send(get_command("r1", wait=300))
+        assert isinstance(client.receive_value(), ErrorReply)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from fleet import ORIGIN, Fleet, deployment, entry
-from socket_node import Sockets, get
+from fleet import ORIGIN_KIND, Fleet, make_deployment, make_endpoint
+from socket_node import NodeOnMemoryNetwork, get_command
 
 from hookpitch.balancer.interface import EndpointState, EndpointUpdate, Outcome
 from hookpitch.cli import main
@@ -30,13 +30,13 @@
 from hookpitch.testbed.experiment import read as read_experiment
 from hookpitch.testbed.run import Run
 
-SERVERS = [entry(f"s{i}") for i in range(6)] + [entry("o1", kind=ORIGIN)]
+SERVERS = [make_endpoint(f"s{i}") for i in range(6)] + [make_endpoint("o1", kind=ORIGIN_KIND)]
 DIALS = {e.id: f"127.0.0.1:{7000 + n}" for n, e in enumerate(SERVERS)}
 
 
 def fleet(**changes: object) -> Fleet:
-    f = Fleet(deployment(nodes=1, slow_start_ms=20000.0, **changes))
-    f.listed(SERVERS, EndpointUpdate.SNAPSHOT)
+    f = Fleet(make_deployment(nodes=1, slow_start_ms=20000.0, **changes))
+    f.update_endpoints(SERVERS, EndpointUpdate.SNAPSHOT)
     return f
 
 
@@ -46,7 +46,9 @@
     for i in range(600):
         rpc = f.arrive("heavy" if rng.random() < 0.3 else f"k{rng.randrange(300)}")
         while (rpc, n := len(f.attempts[rpc]) - 1) in f.in_flight:
-            f.end(rpc, Outcome.RESET if f.attempts[rpc][n].server == "s2" else Outcome.COMPLETED, n)
+            f.end_attempt(
+                rpc, Outcome.RESET if f.attempts[rpc][n].server == "s2" else Outcome.COMPLETED, n
+            )
         if i % 10 == 0:
             f.pass_time(20.0)
     assert f.router.backends["s2"].ejected
@@ -60,10 +62,10 @@
 
 def begun(x: Snapshot, later_ms: float, servers: list = SERVERS) -> Fleet:
     """A node that starts so much later and recalls it."""
-    f = Fleet(deployment(nodes=1, slow_start_ms=20000.0))
+    f = Fleet(make_deployment(nodes=1, slow_start_ms=20000.0))
     f.now = x.written_at_ms + later_ms
     f.router = type(f.router)(f.now, f.deployment)
-    f.listed(servers, EndpointUpdate.CACHED)
+    f.update_endpoints(servers, EndpointUpdate.CACHED)
     restore(f.router, f.now, x)
     return f
 
@@ -105,7 +107,7 @@
     )
     new = begun(learned(f, backends=known), 100.0)
     assert not any(s.ejected for s in new.router.caches)
-    alone = [entry("s3"), entry("o1", kind=ORIGIN)]
+    alone = [make_endpoint("s3"), make_endpoint("o1", kind=ORIGIN_KIND)]
     new = begun(learned(f, backends=known), 100.0, alone)
     assert not new.router.backends["s3"].ejected
     assert new.attempts[new.arrive("k")]
@@ -212,14 +214,14 @@
 # ---- on a disk
 
 
-def node(path: Path, **told: object) -> Sockets:
+def node(path: Path, **told: object) -> NodeOnMemoryNetwork:
     """A node that is up, with its snapshot there."""
-    s = Sockets(1)
+    s = NodeOnMemoryNetwork(1)
     kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **told})
-    s.node.snapshot_store = snapshot_store.SnapshotStore(
-        kept, s.node, lambda work, then: then(snapshot_store.failure_of(work))
+    s.socket_node.snapshot_store = snapshot_store.SnapshotStore(
+        kept, s.socket_node, lambda work, then: then(snapshot_store.run_and_return_error(work))
     )
-    s.node.snapshot_store.restore()
+    s.socket_node.snapshot_store.restore()
     return s
 
 
@@ -255,15 +257,15 @@
     path = tmp_path / "n.snapshot"
     s = node(path)
     assert s.counters.counts["snapshot.none"] == 1
-    s.node.discovery.version = 77
+    s.socket_node.discovery.version = 77
     s.pass_time(11000)
     assert s.counters.counts["snapshot.written"] >= 1
     assert snapshot_store.load_snapshot(str(path)).version == 77
     again = node(path)
     assert again.counters.counts["snapshot.recalled"] == 1
-    assert again.node.discovery.version == 77
-    c = again.client()
-    c.say(get("r1"))
+    assert again.socket_node.discovery.version == 77
+    c = again.connect_client()
+    c.send(get_command("r1"))
     again.pass_time(1)
     assert again.counters.counts["tx.sent"] == 1
 
@@ -284,24 +286,26 @@
     before = b""
     if told != "":
         s = node(path)
-        s.node.snapshot_store.save()
+        s.socket_node.snapshot_store.save()
         before = path.read_bytes()
         before = before[:-1] if told is None else before
         path.write_bytes(before)
-    s = Sockets(1)
+    s = NodeOnMemoryNetwork(1)
     lines: list[str] = []
-    s.node.logger = type(
+    s.socket_node.logger = type(
         "Log", (), {"info": lambda self, event, **more: lines.append(f"{event} {more}")}
     )()
     kept = snapshot_store.SnapshotSettings(str(path), **{"fleet": "f", **(told or {})})
-    s.node.snapshot_store = snapshot_store.SnapshotStore(kept, s.node, lambda *_: None)
+    s.socket_node.snapshot_store = snapshot_store.SnapshotStore(
+        kept, s.socket_node, lambda *_: None
+    )
     if isinstance(told, dict) and "oldest_s" in told:
         s.pass_time(3000)
-    s.node.snapshot_store.restore()
+    s.socket_node.snapshot_store.restore()
     assert len(lines) == 1
     assert said in lines[0]
     assert not before or path.read_bytes() == before
-    assert s.node.host.router.backends["s0"].state == EndpointState.READY
+    assert s.socket_node.host.router.backends["s0"].state == EndpointState.READY
 
 
 def test_a_disk_that_fails_or_stalls_blocks_nothing_and_is_reported_once(tmp_path: Path) -> None:
@@ -309,9 +313,9 @@
     s.pass_time(5000)
     assert s.counters.counts["snapshot.failed"] >= 5
     s = node(tmp_path / "n.snapshot", every_s=0.5)
-    s.node.snapshot_store.run_elsewhere = lambda work, then: None  # it never answers
+    s.socket_node.snapshot_store.run_in_background = lambda work, then: None  # it never answers
     s.pass_time(5000)
-    s.node.shut_down()
+    s.socket_node.shut_down()
     s.pass_time(3000)
     assert s.network.hasStopped  # the node ends nevertheless
 
