--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -265,21 +265,23 @@
 
 def test_a_sync_sends_only_the_partitions_that_differ() -> None:
     network = started_network(60)
-    a, b = network.members["m0"], network.members["m1"]
-    assert a.partition_digests() == b.partition_digests()
-    assert len(set(a.partition_digests())) > PARTITIONS // 2
-    a.set_metadata(b"news")
-    a.take_outbox()
-    b.take_outbox()
-    b.receive(
+    sender, receiver = network.members["m0"], network.members["m1"]
+    assert sender.partition_digests() == receiver.partition_digests()
+    assert len(set(sender.partition_digests())) > PARTITIONS // 2
+    sender.set_metadata(b"news")
+    sender.take_outbox()
+    receiver.take_outbox()
+    receiver.receive(
         network.now,
-        a.address,
-        Message(MessageKind.DIGEST, "m0", a.digest(), partition_digests=a.partition_digests()),
+        sender.address,
+        Message(
+            MessageKind.DIGEST, "m0", sender.digest(), partition_digests=sender.partition_digests()
+        ),
     )
-    sent = [record.name for _, message in b.outbox for record in message.records]
+    sent = [record.name for _, message in receiver.outbox for record in message.records]
     assert "m0" in sent
     assert len(sent) <= 60 // 4
-    assert sum(message.full_sync for _, message in b.outbox) == 1
+    assert sum(message.full_sync for _, message in receiver.outbox) == 1
 
 
 def test_one_way_partitions_between_one_and_some_cause_no_deaths() -> None:
@@ -840,12 +842,12 @@
 
 
 def test_the_admin_endpoint_lists_the_members_where_the_node_is_one() -> None:
-    s = NodeOnMemoryNetwork(1)
-    assert s.socket_node.admin_server.answer(b"MEMBERS") == b"NO no members here"
-    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.socket_node)
+    network = NodeOnMemoryNetwork(1)
+    assert network.socket_node.admin_server.answer(b"MEMBERS") == b"NO no members here"
+    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), network.socket_node)
     suspect = Record("n2", ("10.0.0.2", 7946), 3, MemberState.SUSPECTED, "n9")
-    port.membership.members["n2"] = Member(suspect, s.socket_node.clock.now())
-    lines = s.socket_node.admin_server.answer(b"MEMBERS").decode().splitlines()
+    port.membership.members["n2"] = Member(suspect, network.socket_node.clock.now())
+    lines = network.socket_node.admin_server.answer(b"MEMBERS").decode().splitlines()
     assert lines[0].startswith("view=0 members=1")
     assert lines[-1] == "END"
     assert any(line.startswith("n2 suspected for=") and line.endswith("by=n9") for line in lines)
@@ -866,14 +868,14 @@
 
 
 def test_floods_and_foreign_datagrams_are_bounded_and_raise_nothing() -> None:
-    s = NodeOnMemoryNetwork(1)
-    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), s.socket_node)
+    network = NodeOnMemoryNetwork(1)
+    port = attach(parse_settings({"listen": "10.0.0.1:7946"}), network.socket_node)
     for n in range(5000):
         port.datagramReceived(b"HKM" + bytes([n % 7]) * 40, ("10.0.0.9", 1))
-    counts = s.counters.counts
+    counts = network.counters.counts
     assert counts["members.foreign"] <= 2000
     assert counts["members.flood"] >= 3000
-    assert list(port.membership.members) == [s.socket_node.config.name]
+    assert list(port.membership.members) == [network.socket_node.config.name]
 
 
 # ---- nodes, with faults between them, in both clocks
