--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -1,4 +1,4 @@
-"""A node in virtual time: its place, and the processes that run there."""
+"""A node in virtual time: its machine and the processes that run on it."""
 
 from __future__ import annotations
 
@@ -22,37 +22,41 @@
 
 DISCOVERY_PORT = 8500
 ADMIN_PORT = 15000
-READY_S = 6.0  # by then a new process beside an old one serves
-LOOK_S = 0.1  # between two looks at whether it does
-SEEDS = 3  # nodes that all others know at first
-DISK_S = 0.005  # that a snapshot takes to be written
-ENDED_S = 0.7  # past its longest deadline, an old process is killed
+UPGRADE_READY_TIMEOUT_S = 6.0  # for a new process beside an old one to be ready
+POLL_INTERVAL_S = 0.1  # between two checks of whether the new process is ready
+SEED_MEMBERS = 3  # members whose addresses all others are configured with
+SNAPSHOT_WRITE_S = 0.005  # the time that writing a snapshot takes
+# An old process that still runs this long after the longest deadline is killed.
+TERMINATION_GRACE_S = 0.7
 
 
 class NodeHost(BaseRun):
-    """What the nodes of a run in virtual time ask of it; `run.py` has the run itself."""
+    """What the nodes of a run in virtual time need of it; the run itself is in `run.py`."""
 
     nodes: dict[str, Node]
-    descriptor: int  # stands for the listening socket that an upgraded node's processes inherit
-    folder: TemporaryDirectory[str]  # of the nodes' files
+    descriptor: int  # represents the listening socket that processes of an upgraded node inherit
+    folder: TemporaryDirectory[str]  # for the files of the nodes
 
 
 class _Log:
-    """A node's log lines, kept with their times."""
+    """Records the log lines of a node with their times."""
 
     def __init__(self, run: NodeHost, name: str) -> None:
         self.run = run
         self.name = name
 
     def info(self, event: str, **values: object) -> None:
-        """Keep one log line; lines beyond the bound are dropped."""
+        """Record one log line; lines beyond the limit are dropped."""
         if len(self.run.logs) < 10000:
-            what = f"{event}: {values['what']}" if "what" in values else event
-            self.run.logs.append((self.run.now(), self.name, what))
+            text = f"{event}: {values['what']}" if "what" in values else event
+            self.run.logs.append((self.run.now(), self.name, text))
 
 
 class Node:
-    """A node's place: its machine, and the process that runs there now."""
+    """A node: its machine and the process that runs now.
+
+    `node` is this process, or None while none runs; faults test it in both clocks.
+    """
 
     def __init__(self, run: NodeHost, name: str, address: str) -> None:
         self.run = run
@@ -62,35 +66,34 @@
         self.machine.event_cpu_s = run.experiment.nodes.event_us / 1e6
         self.starts = self.reloads = 0
         self.node: SocketNode | None = None
-        self.previous_process: SocketNode | None = (
-            None  # the process before it, while it still serves
-        )
+        # During an upgrade: the old process, while it still serves.
+        self.previous_process: SocketNode | None = None
         self.counters = Counters()
-        # Where an upgrade is due, the socket is the platform's and every process inherits it.
-        self.upgraded = any(
-            f.what == "node_upgrade" and f.whom == name for f in run.experiment.fault
+        # If the experiment upgrades this node, all its processes inherit the platform's socket.
+        self.inherits_socket = any(
+            fault.what == "node_upgrade" and fault.whom == name for fault in run.experiment.fault
         )
-        if self.upgraded:
+        if self.inherits_socket:
             self.machine.add_inherited_listener(run.descriptor, NODE_PORT, LISTEN_BACKLOG)
         self.admin_port = ADMIN_PORT
 
     def start(self) -> None:
-        """Start a process with a configuration of now."""
+        """Start a process with a configuration as of now."""
         run = self.run
         self.starts = self.starts + 1
         run.history.add(run.now(), "start", self.name)
         machine = self.machine
         self.admin_port = ADMIN_PORT + self.starts - 1
         reactor = machine.start()
-        top = run.node_config(self, f"10.2.0.1:{DISCOVERY_PORT}")
-        config = parse_node_config(top | {"management": f"{self.address}:{self.admin_port}"}, {})
-        if self.upgraded:
-            process = f"{self.starts}"
+        fields = run.node_config(self, f"10.2.0.1:{DISCOVERY_PORT}")
+        config = parse_node_config(fields | {"management": f"{self.address}:{self.admin_port}"}, {})
+        if self.inherits_socket:
+            own_id = f"{self.starts}"
             config = replace(
                 config,
                 inherited_descriptor=run.descriptor,
                 shared_directory=run.folder.name,
-                process_id=process,
+                process_id=own_id,
             )
         network = run.network
         self.counters = Counters()
@@ -100,25 +103,29 @@
             reactor, clock, config, self.counters, log, lambda: machine.cpu_used_s
         )
         if run.experiment.nodes.snapshot_s:
-            kept = SnapshotSettings(
+            settings = SnapshotSettings(
                 f"{run.folder.name}/{{name}}.snapshot",
                 run.experiment.name,
                 run.experiment.nodes.snapshot_s,
             )
-            self.node.snapshot_store = SnapshotStore(kept, self.node, partial(self._away, reactor))
+            self.node.snapshot_store = SnapshotStore(
+                settings, self.node, partial(self._write_in_background, reactor)
+            )
         if run.experiment.nodes.members:
             port = run.experiment.nodes.peer_port
-            seeds = tuple((n.address, port) for n in list(run.nodes.values())[:SEEDS])
+            seeds = tuple((node.address, port) for node in list(run.nodes.values())[:SEED_MEMBERS])
             attach(MemberSettings((self.address, port), run.experiment.name, seeds), self.node)
         self.node.start()
 
     @staticmethod
-    def _away(reactor: Any, work: Callable[[], None], then: Callable[[str], None]) -> None:
-        # A disk that takes a moment: what is killed meanwhile has written nothing.
-        reactor.callLater(DISK_S, lambda: then(failure_of(work)))
+    def _write_in_background(
+        reactor: Any, write: Callable[[], None], on_done: Callable[[str], None]
+    ) -> None:
+        # The disk takes a moment: a process that is killed in the meantime has written nothing.
+        reactor.callLater(SNAPSHOT_WRITE_S, lambda: on_done(failure_of(write)))
 
     def upgrade(self) -> None:
-        """A second process beside the first, which gets SIGTERM once the new one says yes."""
+        """Start a second process; the first one gets SIGTERM once the second is ready."""
         if self.node is None or self.previous_process is not None:
             return
         old = self.node
@@ -127,92 +134,104 @@
         self.previous_process = old
         self.machine = machine.add_process()
         self.start()
-        self._when_ready(old, machine, counters, self.run.now() + READY_S * 1000)
+        self._poll_upgrade(old, machine, counters, self.run.now() + UPGRADE_READY_TIMEOUT_S * 1000)
 
     def fail_upgrade(self) -> None:
-        """A second process that dies as soon as it has begun; the first serves on."""
+        """Start a second process that is killed right away; the first one continues to serve."""
         if self.node is None or self.previous_process is not None:
             return
         old = self.node
         machine = self.machine
         counters = self.counters
-        door = self.admin_port
+        admin_port = self.admin_port
         self.machine = machine.add_process()
         self.start()
         self.run.add_counters(self, self.counters)
         self.machine.kill()
-        if (
-            self.node.hot_restart.shared_state is not None
-        ):  # the kernel lets go of a dead process's locks
+        # The kernel releases the locks of a process that has died.
+        if self.node.hot_restart.shared_state is not None:
             self.node.hot_restart.shared_state.close()
         self.node = old
         self.machine = machine
         self.counters = counters
-        self.admin_port = door
+        self.admin_port = admin_port
 
-    def _when_ready(
-        self, old: SocketNode, machine: Machine, counters: Counters, latest: float
+    def _poll_upgrade(
+        self, old: SocketNode, machine: Machine, counters: Counters, latest_ms: float
     ) -> None:
+        """Check whether the new process is ready; from `latest_ms` on, record that it is late."""
         run = self.run
         if self.node is None:
             return
         if self.node.commands.not_ready_reason():
-            if run.now() > latest:
+            if run.now() > latest_ms:
                 run.history.add(
                     run.now(), "call", self.name, what="late: a new process says no for 6 s"
                 )
             run.network.call_at(
-                run.network.now + LOOK_S, None, self._when_ready, old, machine, counters, latest
+                run.network.now + POLL_INTERVAL_S,
+                None,
+                self._poll_upgrade,
+                old,
+                machine,
+                counters,
+                latest_ms,
             )
             return
 
-        def ended() -> None:
+        def finish_upgrade() -> None:
             if self.previous_process is old:
                 self.previous_process = None
                 run.add_counters(self, counters)
                 machine.kill()
 
-        machine.reactor.on_stopped = lambda: run.network.call_at(run.network.now, None, ended)
+        machine.reactor.on_stopped = lambda: run.network.call_at(
+            run.network.now, None, finish_upgrade
+        )
         old.shut_down()
         run.network.call_at(
-            run.network.now + old.host.stream_timeout_ms / 1000 + ENDED_S, None, ended
+            run.network.now + old.host.stream_timeout_ms / 1000 + TERMINATION_GRACE_S,
+            None,
+            finish_upgrade,
         )
 
     def kill(self) -> None:
-        """Its process dies."""
+        """Kill the process."""
         self.run.history.add(self.run.now(), "stop", self.name)
         self.run.add_counters(self, self.counters)
         self.machine.kill()
         self.node = None
 
     def processes(self) -> list[SocketNode]:
-        """Those that serve now, the elder first."""
-        return [one for one in (self.previous_process, self.node) if one is not None]
+        """Return the processes that serve now, the older one first."""
+        return [process for process in (self.previous_process, self.node) if process is not None]
 
-    def reload(self, wrong: int) -> None:
-        """SIGHUP, with its file written anew."""
+    def reload(self, malformed: int) -> None:
+        """Rewrite the configuration file and reload it; `malformed` from 1: in a wrong form."""
         path = Path(self.run.folder.name) / f"{self.name}.json"
         path.write_text(
             self.run.config_text(
-                self, self.run.node_config(self, f"10.2.0.1:{DISCOVERY_PORT}"), wrong
+                self, self.run.node_config(self, f"10.2.0.1:{DISCOVERY_PORT}"), malformed
             )
         )
         if self.node is not None:
             self.node.reload(partial(load_reloaded_config, {"PROXY_CONFIG": str(path)}))
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Start a graceful shutdown, as SIGTERM does."""
         if self.node is not None:
             self.node.shut_down()
 
     def admin_address(self) -> tuple[str, int]:
-        """Where its admin port listens."""
+        """Return the address of the admin endpoint."""
         return self.address, self.admin_port
 
-    def execute_admin_command(self, line: str) -> str:
-        """An operator's call, answered at once; while two processes are one node, either may be
-        called."""
-        words = line.split()
+    def execute_admin_command(self, command: str) -> str:
+        """Execute an admin command and return the reason for a NO, or an empty text.
+
+        During an upgrade, a command with an argument reaches one of the two processes at random.
+        """
+        words = command.split()
         if len(words) == 1:
             return getattr(self.node.commands, words[0].lower())()
         process = self.run.rng.choice(self.processes())
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -1,7 +1,8 @@
-"""Runs an experiment in virtual time: simulated servers and real nodes on a simulated network.
+"""Runs an experiment in virtual time: fake servers and real nodes on a simulated network.
 
-The nodes are `SocketNode` as it is; their reactor, clock and CPU time come from the simulated
-network. The judge uses nothing that a node says of itself; a node's counters are reported apart.
+The nodes are unmodified `SocketNode`s; their reactor, clock and CPU time come from the simulated
+network. The judge takes the history from the fakes and the network, never from a node; the nodes'
+counters are compared with it and reported separately.
 """
 
 from __future__ import annotations
@@ -33,109 +34,115 @@
 class Run(NodeHost):
     """A run in virtual time."""
 
-    def __init__(self, x: Experiment, seed: int) -> None:
-        super().__init__(x, seed, SimulatedNetwork(seed))
+    def __init__(self, experiment: Experiment, seed: int) -> None:
+        super().__init__(experiment, seed, SimulatedNetwork(seed))
         self.origin = Origin(self.origin_spec(), 0.0, self.rng)
         self.servers: dict[str, CacheServer] = {}
         self.nodes: dict[str, Node] = {}
         self._build()
 
-    def _closed(self, end: Endpoint) -> None:
-        """What the network sees of a node's connections."""
-        name = self.node_names.get(end.machine.address)
+    def _on_endpoint_closed(self, endpoint: Endpoint) -> None:
+        """Record that a node has closed a connection, or left bytes of a client unread."""
+        name = self.node_names.get(endpoint.machine.address)
         if name is None:
             return
-        if end.port != NODE_PORT:
-            self.history.add(self.now(), "closed", name, port=end.port)
-        elif end.receive_buffer:
-            self.history.add(self.now(), "unread", name, port=end.peer_port)
+        if endpoint.port != NODE_PORT:
+            self.history.add(self.now(), "closed", name, port=endpoint.port)
+        elif endpoint.receive_buffer:
+            self.history.add(self.now(), "unread", name, port=endpoint.peer_port)
 
-    def _unheard(self, end: Endpoint) -> None:
-        name = self.node_names.get(end.machine.address)
-        if name is not None and end.port == NODE_PORT:
-            self.history.add(self.now(), "unread", name, port=end.peer_port)
+    def _on_data_after_close(self, endpoint: Endpoint) -> None:
+        """Record that bytes of a client have arrived after the node closed the connection."""
+        name = self.node_names.get(endpoint.machine.address)
+        if name is not None and endpoint.port == NODE_PORT:
+            self.history.add(self.now(), "unread", name, port=endpoint.peer_port)
 
     # ---- building
 
     def _build(self) -> None:
-        x = self.experiment
+        experiment = self.experiment
         network = self.network
-        # What the processes of one node share outside of the network: a descriptor's number and a
-        # folder.
+        # The processes of one node share a descriptor and a folder outside the network.
         self.descriptor = os.open(os.devnull, os.O_RDONLY)
         self.folder = tempfile.TemporaryDirectory(prefix="hookpitch-lab-")
-        network.on_endpoint_closed = self._closed
-        network.on_data_after_close = self._unheard
-        network.default_link.delay = x.net.delay_ms / 1000
-        network.default_link.jitter = x.net.jitter_ms / 1000
-        web = network.machine("10.2.0.2").reactor
+        network.on_endpoint_closed = self._on_endpoint_closed
+        network.on_data_after_close = self._on_data_after_close
+        network.default_link.delay = experiment.net.delay_ms / 1000
+        network.default_link.jitter = experiment.net.jitter_ms / 1000
+        origin_reactor = network.machine("10.2.0.2").reactor
         self.origin_server = OriginServer(
-            self.origin, web, self.history, self.rng, self._whose, 0.0
+            self.origin, origin_reactor, self.history, self.rng, self._node_of, 0.0
         )
         self.origin_server.size_of = self.size_of
-        there = network.machine("10.2.0.1").reactor
-        self.discovery = DiscoveryServer(self.directory, there, self.history, self._whose, 0.0)
-        self.discovery.calls_per_s = x.discovery.calls_per_s
+        discovery_reactor = network.machine("10.2.0.1").reactor
+        self.discovery = DiscoveryServer(
+            self.directory, discovery_reactor, self.history, self._node_of, 0.0
+        )
+        self.discovery.calls_per_s = experiment.discovery.calls_per_s
         self._listen()
-        for n in range(x.fleet.caches):
-            self.add_server(f"s{n}", cold=False)
+        for index in range(experiment.fleet.caches):
+            self.add_server(f"s{index}", cold=False)
         self.directory.put(FakeEndpoint("o1", f"10.2.0.2:{ORIGIN_PORT}", "origin"))
-        if x.fleet.warm:  # nodes find their keys wherever the ring puts them
+        if experiment.fleet.warm:  # All servers hold all keys, wherever the ring places a key.
             for name in self.servers:
-                self.send_command(name, "warm", x.traffic.keys)
-        for n in range(x.nodes.count):
-            address = f"10.0.{n >> 8}.{1 + (n & 255)}"
-            self.node_names[address] = f"n{n}"
-            self.nodes[f"n{n}"] = Node(self, f"n{n}", address)
-        for (
-            node
-        ) in self.nodes.values():  # clients sit beside the nodes: a far network is not between them
-            network.connect("10.3.0.1", node.address, x.net.delay_ms / 1000, x.net.jitter_ms / 1000)
+                self.send_command(name, "warm", experiment.traffic.keys)
+        for index in range(experiment.nodes.count):
+            address = f"10.0.{index >> 8}.{1 + (index & 255)}"
+            self.node_names[address] = f"n{index}"
+            self.nodes[f"n{index}"] = Node(self, f"n{index}", address)
+        # Clients are close to the nodes: a longer delay of the default link does not affect them.
+        for node in self.nodes.values():
+            network.connect(
+                "10.3.0.1",
+                node.address,
+                experiment.net.delay_ms / 1000,
+                experiment.net.jitter_ms / 1000,
+            )
         self.load_clients = self.create_load_clients(network.machine("10.3.0.1").reactor, 0.0)
 
-    def _listen(self, which: str = "") -> None:
-        """The origin and discovery, or the one that has just started."""
+    def _listen(self, started: str = "") -> None:
+        """Have the origin and discovery listen, or only the one that was `started`."""
         for name, server, address, port in (
             ("origin", self.origin_server, "10.2.0.2", ORIGIN_PORT),
             ("discovery", self.discovery, "10.2.0.1", DISCOVERY_PORT),
         ):
-            if which in ("", name):
+            if started in ("", name):
                 server.reactor = self.network.machine(address).start()
                 server.reactor.listenTCP(port, server, interface=address, backlog=4096)
 
     def address(self, name: str) -> str:
-        """The address of anything that has a name."""
+        """Return the address of a node, a server or the clients."""
         fixed = {"origin": "10.2.0.2", "discovery": "10.2.0.1", "clients": "10.3.0.1"}
         return fixed.get(name) or self.addresses.get(name) or self.nodes[name].address
 
     def add_server(self, name: str, cold: bool) -> None:
-        """Start a cache server and list it."""
-        n = len(self.addresses)
-        address = self.addresses.setdefault(name, f"10.1.{n >> 8}.{1 + (n & 255)}")
-        make = self.cache_spec(n)
+        """Start a new cache server and have discovery list it."""
+        index = len(self.addresses)
+        address = self.addresses.setdefault(name, f"10.1.{index >> 8}.{1 + (index & 255)}")
+        spec = self.cache_spec(index)
         reactor = self.network.machine(address).reactor
         server = CacheServer(
-            name, make, reactor, self.history, self.origin, self.rng, self._whose, 0.0
+            name, spec, reactor, self.history, self.origin, self.rng, self._node_of, 0.0
         )
         server.size_of = self.size_of
         self.servers[name] = server
         server.start_process([address], CACHE_PORT, cold)
         self.list_server(name, cold)
 
-    def _whose(self, transport: Any) -> str:
-        """The node at the other end."""
+    def _node_of(self, transport: Any) -> str:
+        """Return the name of the node at the other end."""
         address = transport.getPeer().host
         return self.node_names.get(address, address)
 
-    # ---- what faults ask for
+    # ---- called by faults
 
     def send_command(self, name: str, command: str, *args: Any) -> None:
-        """Carry out an order at once."""
-        fixed = {"origin": self.origin_server, "discovery": self.discovery}
-        execute_command(fixed.get(name) or self.servers[name], command, *args)
+        """Execute a command of a fake server at once."""
+        single_servers = {"origin": self.origin_server, "discovery": self.discovery}
+        execute_command(single_servers.get(name) or self.servers[name], command, *args)
 
     def kill(self, name: str) -> bool:
-        """Kill the machine's process; False where none runs."""
+        """Kill the process of a fake server; return False if none runs."""
         machine = self.network.machine(self.address(name))
         if not machine.running:
             return False
@@ -149,7 +156,7 @@
         return True
 
     def start_server(self, name: str) -> None:
-        """Start a process on the machine."""
+        """Start the process of a fake server, unless it runs."""
         machine = self.network.machine(self.address(name))
         if machine.running:
             return
@@ -164,14 +171,14 @@
             self.discovery.restart_process()
 
     def pause(self, name: str, seconds: float) -> None:
-        """Stop the machine's process for so long."""
+        """Pause the process of a node or a fake server."""
         if name in self.nodes:
             self.nodes[name].machine.pause(seconds)
         else:
             self.network.machine(self.address(name)).pause(seconds)
 
     def set_detached(self, name: str, is_detached: bool) -> None:
-        """Take the machine off the network, or bring it back."""
+        """Disconnect a server's machine from the network, or connect it again."""
         machine = self.network.machine(self.address(name))
         if is_detached:
             machine.detach()
@@ -181,26 +188,28 @@
     def impair(
         self, directions: Iterable[tuple[str, str]], owner: object, impairment: Impairment | None
     ) -> None:
-        """Impair directions between machines."""
+        """Set the owner's impairment of directions; None removes it."""
         for source, destination in directions:
             self.network.impair(self.address(source), self.address(destination), owner, impairment)
 
     def sever(self, directions: Iterable[tuple[str, str]]) -> None:
-        """Reset all connections between machines."""
+        """Reset all connections of directions; a node may not have read all that clients sent."""
         for source, destination in directions:
             if "clients" in (source, destination):
                 node = source if destination == "clients" else destination
-                for end in [
-                    e for m in self.network.machines_at(self.address(node)) for e in m.endpoints
+                for endpoint in [
+                    open_endpoint
+                    for machine in self.network.machines_at(self.address(node))
+                    for open_endpoint in machine.endpoints
                 ]:
-                    if end.peer_address == self.address("clients"):
-                        self.history.add(self.now(), "unread", node, port=end.peer_port)
+                    if endpoint.peer_address == self.address("clients"):
+                        self.history.add(self.now(), "unread", node, port=endpoint.peer_port)
             self.network.sever(self.address(source), self.address(destination))
 
     def run_admin_command(
         self, node: str, command: str, event_kind: str = "", server: str = ""
     ) -> None:
-        """Carry out an operator's call at once."""
+        """Execute an admin command at once and record its answer."""
         self.record_admin_answer(
             node, command, not self.nodes[node].execute_admin_command(command), event_kind, server
         )
@@ -209,22 +218,25 @@
 
     def run(self) -> RunResult:
         """Run the whole experiment and judge it."""
-        begun = time.perf_counter()
-        x = self.experiment
+        started_at = time.perf_counter()
+        experiment = self.experiment
         network = self.network
         for node in self.nodes.values():
             network.call_at(0.0, None, node.start)
         network.call_at(LOAD_START_DELAY_S, None, self.load_clients.start)
         schedule_faults(self)
-        network.call_at(x.seconds, None, self.load_clients.stop)
-        network.run(x.seconds + self.settling_time_s())
+        network.call_at(experiment.seconds, None, self.load_clients.stop)
+        network.run(experiment.seconds + self.settling_time_s())
         for node in self.nodes.values():
-            if node.node is not None:  # of one that was killed, the figures were taken then
+            # The counters of a process that was killed were added when it was killed.
+            if node.node is not None:
                 self.add_counters(node, node.counters)
         os.close(self.descriptor)
         self.folder.cleanup()
         judge = Judge(self.rules())
-        broken = judge.judge(self.history, self.now()) + judge.check_counters(
+        violations = judge.judge(self.history, self.now()) + judge.check_counters(
             self.history, self.counters
         )
-        return self.create_result(broken, network.events_executed, time.perf_counter() - begun)
+        return self.create_result(
+            violations, network.events_executed, time.perf_counter() - started_at
+        )
