--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -16,7 +16,7 @@
 from hookpitch.net.lifecycle import LISTEN_BACKLOG
 from hookpitch.net.node import SocketNode
 from hookpitch.net.node_config import load_reloaded_config, parse_node_config
-from hookpitch.net.snapshot_store import SnapshotSettings, SnapshotStore, failure_of
+from hookpitch.net.snapshot_store import SnapshotSettings, SnapshotStore, run_and_return_error
 from hookpitch.testbed.base_run import NODE_PORT, BaseRun
 from hookpitch.testbed.simulation import Machine
 
@@ -122,7 +122,7 @@
         reactor: Any, write: Callable[[], None], on_done: Callable[[str], None]
     ) -> None:
         # The disk takes a moment: a process that is killed in the meantime has written nothing.
-        reactor.callLater(SNAPSHOT_WRITE_S, lambda: on_done(failure_of(write)))
+        reactor.callLater(SNAPSHOT_WRITE_S, lambda: on_done(run_and_return_error(write)))
 
     def upgrade(self) -> None:
         """Start a second process; the first one gets SIGTERM once the second is ready."""
