--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -1,7 +1,8 @@
-"""Fake servers in a process of their own: cache servers, the origin or discovery of a loopback run.
+"""A process with fake servers of a run on loopback: cache servers, the origin or discovery.
 
-What one process reports to another goes over the control line: which server missed an RPC, and
-what the origin has stored where.
+Cache servers and the origin run in different processes and notify each other over the control
+connections: of the cache server in which an RPC missed, and of the keys that the origin stores in
+or removes from a cache server.
 """
 
 from __future__ import annotations
@@ -24,88 +25,96 @@
 from hookpitch.testbed.child import ControlConnection, EventRecorder, run_child
 
 
-class FarOrigin:
-    """The origin as a cache server's process knows it."""
+class RemoteOrigin:
+    """Represents the origin in a process with cache servers."""
 
-    def __init__(self, line: ControlConnection) -> None:
-        self.line = line
+    def __init__(self, control: ControlConnection) -> None:
+        self.control = control
         self.caches = dict[str, Cache]()
 
     def record_miss(self, rpc: str, cache: Cache) -> None:
-        """Report a miss to the origin's process."""
-        self.line.send("miss", rpc, cache.name)
+        """Report to the origin's process that an RPC missed in a cache server."""
+        self.control.send("miss", rpc, cache.name)
 
 
-class FarCache:
-    """A cache server as the origin's process knows it."""
+class RemoteCache:
+    """Represents a cache server in the process of the origin."""
 
-    def __init__(self, line: ControlConnection, name: str) -> None:
-        self.line = line
+    def __init__(self, control: ControlConnection, name: str) -> None:
+        self.control = control
         self.name = name
 
     def store(self, key: str) -> None:
-        """Ask the cache's process to store a key."""
-        self.line.send("order", self.name, "store", key)
+        """Have the cache server's process store a key."""
+        self.control.send("order", self.name, "store", key)
 
     def drop(self, key: str) -> None:
-        """Ask the cache's process to drop a key."""
-        self.line.send("order", self.name, "drop", key)
+        """Have the cache server's process remove a key."""
+        self.control.send("order", self.name, "drop", key)
 
 
-class Standins:
-    """Those of one process."""
+class FakeServers:
+    """The fake servers of one process."""
 
     def __init__(
-        self, reactor: Any, given: dict[str, Any], history: EventRecorder, line: ControlConnection
+        self,
+        reactor: Any,
+        options: dict[str, Any],
+        history: EventRecorder,
+        control: ControlConnection,
     ) -> None:
+        """Start the servers; each role in the options is handled by the method `_KIND`."""
         self.reactor = reactor
         self.history = history
-        self.line = line
-        self.begun = given["begun"]
-        self.nets = given["nets"]
-        self.chance = random.Random(given["seed"])
-        self.large = given["large"]
-        self.large_size = given["large_size"]
-        self.there: dict[str, CacheServer | OriginServer | DiscoveryServer] = {}
-        for role in given["roles"]:
+        self.control = control
+        self.started_at = options["begun"]  # of the run, on the reactor's clock, in seconds
+        self.nets = options["nets"]  # the nodes' names by subnet
+        self.rng = random.Random(options["seed"])
+        self.large = options["large"]  # the fraction of keys that have a large value
+        self.large_size = options["large_size"]  # bytes of a large value
+        self.servers: dict[str, CacheServer | OriginServer | DiscoveryServer] = {}
+        for role in options["roles"]:
             getattr(self, f"_{role['kind']}")(role)
 
-    def _whose(self, transport: Any) -> str:
-        """The node at the other end, by its net: the first two numbers of the address."""
-        net = ".".join(transport.getPeer().host.split(".")[:2])
-        return self.nets.get(net, net)
+    def _node_of(self, transport: Any) -> str:
+        """Return the name of the node at the other end.
 
-    def _size(self, key: str) -> int:
+        The node's subnet is the first two numbers of the address.
+        """
+        subnet = ".".join(transport.getPeer().host.split(".")[:2])
+        return self.nets.get(subnet, subnet)
+
+    def _size_of(self, key: str) -> int:
         return self.large_size if crc32(key.encode()) % 1000 < 1000 * self.large else 0
 
     def _cache(self, role: dict[str, Any]) -> None:
-        make = msgspec.convert(role["make"], CacheSpec)
-        origin = FarOrigin(self.line)
+        spec = msgspec.convert(role["make"], CacheSpec)
+        origin = RemoteOrigin(self.control)
         server = CacheServer(
             role["name"],
-            make,
+            spec,
             self.reactor,
             self.history,
             origin,
-            self.chance,
-            self._whose,
-            self.begun,
+            self.rng,
+            self._node_of,
+            self.started_at,
         )
-        server.size_of = self._size
-        self.there[role["name"]] = server
+        server.size_of = self._size_of
+        self.servers[role["name"]] = server
         server.start_process([role["address"]], role["port"], role["cold"])
         if role["warm"]:
             execute_command(server, "warm", role["warm"])
 
     def _origin(self, role: dict[str, Any]) -> None:
-        origin = Origin(msgspec.convert(role["make"], OriginSpec), 0.0, self.chance)
+        origin = Origin(msgspec.convert(role["make"], OriginSpec), 0.0, self.rng)
         for name in role["caches"]:
-            origin.caches[name] = FarCache(self.line, name)
+            origin.caches[name] = RemoteCache(self.control, name)
         server = OriginServer(
-            origin, self.reactor, self.history, self.chance, self._whose, self.begun
+            origin, self.reactor, self.history, self.rng, self._node_of, self.started_at
         )
-        server.size_of = self._size
-        self.there["origin"] = server
+        server.size_of = self._size_of
+        self.servers["origin"] = server
         self.reactor.listenTCP(role["port"], server, interface=role["address"], backlog=4096)
 
     def _discovery(self, role: dict[str, Any]) -> None:
@@ -113,33 +122,40 @@
         for fields in role["hosts"]:
             directory.put(FakeEndpoint(*fields))
         directory.version = max(directory.version, role["seq"])
-        server = DiscoveryServer(directory, self.reactor, self.history, self._whose, self.begun)
+        server = DiscoveryServer(
+            directory, self.reactor, self.history, self._node_of, self.started_at
+        )
         server.calls_per_s = role["calls_per_s"]
-        server.network_by_node = {name: net for net, name in self.nets.items()}
-        self.there["discovery"] = server
+        server.network_by_node = {name: subnet for subnet, name in self.nets.items()}
+        self.servers["discovery"] = server
         self.reactor.listenTCP(role["port"], server, interface=role["address"], backlog=4096)
 
-    def order(self, name: str, what: str, *args: Any) -> None:
-        """Carry out one order of the run."""
-        server = self.there[name]
-        if what == "miss" and isinstance(server, OriginServer):
+    def execute(self, name: str, command: str, *args: Any) -> None:
+        """Execute one command of the run for one server."""
+        server = self.servers[name]
+        if command == "miss" and isinstance(server, OriginServer):
             rpc, cache = args
             origin = server.origin
-            origin.record_miss(rpc, origin.caches.setdefault(cache, FarCache(self.line, cache)))
+            origin.record_miss(
+                rpc, origin.caches.setdefault(cache, RemoteCache(self.control, cache))
+            )
         else:
-            execute_command(server, what, *args)
+            execute_command(server, command, *args)
 
 
-def made(
-    reactor: Any, given: dict[str, Any], history: EventRecorder, line: ControlConnection
+def create_handler(
+    reactor: Any, options: dict[str, Any], history: EventRecorder, control: ControlConnection
 ) -> Any:
-    """What carries out orders; ValueError where an address is taken."""
+    """Start the servers and return the function that executes commands for them.
+
+    ValueError is raised if an address is in use.
+    """
     try:
-        return Standins(reactor, given, history, line).order
-    except CannotListenError as fault:
-        place = f"{fault.interface}:{fault.port}"
-        raise ValueError(f"cannot listen on {place}: {fault.socketError}") from None
+        return FakeServers(reactor, options, history, control).execute
+    except CannotListenError as error:
+        address = f"{error.interface}:{error.port}"
+        raise ValueError(f"cannot listen on {address}: {error.socketError}") from None
 
 
 if __name__ == "__main__":
-    sys.exit(run_child(made))
+    sys.exit(run_child(create_handler))
