--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -29,7 +29,7 @@
 
 NODE_PORT = 6379
 CACHE_PORT = 6379
-CLOSED_PORT = 9
+CLOSED_PORT = 9  # nothing listens here
 SETTLE_S = 2.0  # time from the hard deadline of the last RPC to the end of the run
 # A node with fewer descriptors closes new connections without reading from them while all of its
 # sockets are busy.
@@ -79,7 +79,7 @@
         self.directory = EndpointDirectory()
         self.counters: dict[str, dict[str, int]] = {}
         self.addresses: dict[str, str] = {}  # of cache servers, by name
-        self.node_names: dict[str, str] = {}  # of nodes, by address
+        self.node_names: dict[str, str] = {}  # of nodes, by address or, on loopback, by subnet
         self.misbehaving_clients: list[MisbehavingClients] = []
         self.keys = KeyDistribution(experiment.traffic.keys, experiment.traffic.skew)
         self.drained_nodes: dict[str, None] = {}  # nodes that have accepted PAUSE
