--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -1,4 +1,4 @@
-"""Clients on real sockets, at the moments where two events cross; see docs/crossings.md."""
+"""Clients on real sockets when two events happen at the same time; see docs/crossings.md."""
 
 import signal
 import socket
@@ -17,42 +17,44 @@
     method_settings("short", soft_s=0.8) | {"hard_deadline_s": 1.0},
 ]
 QUIT, PING = b"*1\r\n$4\r\nQUIT\r\n", b"*1\r\n$4\r\nPING\r\n"
-GONE_S = 0.12  # a client that closed its connection longer ago than 0.1 s has gone
+DISCONNECTED_S = 0.12  # a client whose connection closed over 0.1 s ago counts as disconnected
 
 
-def real(folder: Path) -> NodeProcess:
+def start_node(folder: Path) -> NodeProcess:
+    """Return a node with one cache and the methods of this file."""
     return NodeProcess(folder, 1, methods=METHODS)
 
 
-def knows(r: NodeProcess, client: PeerConnection) -> None:
-    """The node has taken the client's connection."""
+def wait_until_accepted(node: NodeProcess, client: PeerConnection) -> None:
+    """Wait until the node has accepted the client's connection."""
     client.send(PING)
     assert client.receive_value() == SimpleString(b"PONG")
 
 
-def asks_next(r: NodeProcess, line: PeerConnection, id: str) -> None:
-    """Whatever was asked before, the next command on that connection is this one."""
-    client = r.connect_client()
+def check_next_request(node: NodeProcess, cache_connection: PeerConnection, id: str) -> None:
+    """Check that a new RPC is the next command on the connection, so no other was sent."""
+    client = node.connect_client()
     client.send(get_command(id, wait=5000))
-    assert line.receive_value()[2] == id.encode()
-    line.send(VALUE)
+    assert cache_connection.receive_value()[2] == id.encode()
+    cache_connection.send(VALUE)
     assert client.receive_value() == b"v"
 
 
-def warm(r: NodeProcess) -> PeerConnection:
-    """A connection to the cache, idle."""
-    client = r.connect_client()
+def open_idle_connection(node: NodeProcess) -> PeerConnection:
+    """Serve one RPC and return its connection to the cache, which is idle now."""
+    client = node.connect_client()
     client.send(get_command("warm", wait=5000))
-    line = r.caches[0].accept()
-    line.receive_value()
-    line.send(VALUE)
+    cache_connection = node.caches[0].accept()
+    cache_connection.receive_value()
+    cache_connection.send(VALUE)
     assert client.receive_value() == b"v"
-    return line
+    return cache_connection
 
 
-def listens(r: NodeProcess) -> bool:
+def is_listening(node: NodeProcess) -> bool:
+    """Return whether the node accepts connections."""
     try:
-        socket.create_connection(("127.0.0.1", r.port), timeout=1).close()
+        socket.create_connection(("127.0.0.1", node.port), timeout=1).close()
     except OSError:
         return False
     return True
@@ -62,29 +64,29 @@
 def test_a_request_read_after_its_client_disconnected_is_not_forwarded(
     tmp_path: Path, how: str
 ) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
-        knows(r, client)
-        r.suspend()
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
+        wait_until_accepted(node, client)
+        node.suspend()
         client.send(get_command("r1", wait=5000))
         getattr(client, how)()
-        time.sleep(GONE_S)  # so long the node is held still: it has gone, whatever the node knows
-        r.resume()
-        if how == "fin":  # it may still read
+        time.sleep(DISCONNECTED_S)  # the client is gone before the node resumes
+        node.resume()
+        if how == "fin":  # the client may still read
             assert isinstance(client.receive_value(), ErrorReply)
-        asks_next(r, line, "r2")
+        check_next_request(node, cache_connection, "r2")
 
 
 def test_a_client_that_half_closes_after_its_request_is_answered(
     tmp_path: Path,
 ) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
-        knows(r, client)
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
+        wait_until_accepted(node, client)
         client.send(get_command("r1", wait=5000))
         client.fin()
-        assert line.receive_value()[2] == b"r1"
-        line.send(VALUE)
+        assert cache_connection.receive_value()[2] == b"r1"
+        cache_connection.send(VALUE)
         assert client.receive_value() == b"v"
 
 
@@ -93,39 +95,43 @@
 def test_no_retry_is_sent_for_a_client_that_disconnected_as_a_server_answered(
     tmp_path: Path, how: str, order: str
 ) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
         client.send(get_command("r1", wait=5000))
-        assert line.receive_value()[2] == b"r1"
-        r.suspend()  # both stand in the kernel; the node reads servers before clients
-        for what in (("miss", how), (how, "miss"))[order == "close first"]:
-            if what == "miss":
-                line.send(MISS)
+        assert cache_connection.receive_value()[2] == b"r1"
+        # Both events are in the kernel when the node resumes; it reads servers before clients.
+        node.suspend()
+        for event in (("miss", how), (how, "miss"))[order == "close first"]:
+            if event == "miss":
+                cache_connection.send(MISS)
             else:
-                getattr(client, what)()
-        r.resume()
-        other = r.connect_client()
+                getattr(client, event)()
+        node.resume()
+        other = node.connect_client()
         other.send(command(b"OBJ.SET", b"k", b"w1", b"c=read,d=5000", b"x"))
-        assert b"X-Request-Id: w1\r\n" in r.origin.accept().receive_head(), "sent on for nobody"
+        assert b"X-Request-Id: w1\r\n" in node.origin.accept().receive_head(), (
+            "a retry was sent for a disconnected client"
+        )
 
 
 def test_the_disconnect_of_a_client_with_thousands_of_pending_commands_is_detected(
     tmp_path: Path,
 ) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
         client.send(get_command("r1", wait=5000))
-        assert line.receive_value()[2] == b"r1"
-        client.send(
-            PING * 4200
-        )  # answered behind the first; from 4096 on the node reads no more of it
-        r.wait_until(lambda: r.counter("clients.paused") == 1)
-        client.send(PING * 100)  # so the end of the sending stands behind unread bytes
+        assert cache_connection.receive_value()[2] == b"r1"
+        # These wait for the first answer; the node stops reading at 4096 pending commands.
+        client.send(PING * 4200)
+        node.wait_until(lambda: node.counter("clients.paused") == 1)
+        client.send(PING * 100)  # the end of the stream follows unread bytes
         client.fin()
-        line.send(MISS)
-        other = r.connect_client()
+        cache_connection.send(MISS)
+        other = node.connect_client()
         other.send(command(b"OBJ.SET", b"k", b"w1", b"c=read,d=5000", b"x"))
-        assert b"X-Request-Id: w1\r\n" in r.origin.accept().receive_head(), "sent on for nobody"
+        assert b"X-Request-Id: w1\r\n" in node.origin.accept().receive_head(), (
+            "a retry was sent for a disconnected client"
+        )
         assert isinstance(
             client.receive_value(), ErrorReply
         ) and client.receive_value() == SimpleString(b"PONG")
@@ -135,107 +141,114 @@
 def test_bytes_received_as_a_connection_closes_do_not_lose_its_last_replies(
     tmp_path: Path, last: bytes
 ) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
         client.send(get_command("r1", wait=5000) + last)
-        assert line.receive_value()[2] == b"r1"
-        r.suspend()
-        client.send(get_command("r2", wait=5000) * 3000)  # more than one look takes
-        line.send(VALUE)
-        r.resume()
+        assert cache_connection.receive_value()[2] == b"r1"
+        node.suspend()
+        client.send(get_command("r2", wait=5000) * 3000)  # more than the node reads at once
+        cache_connection.send(VALUE)
+        node.resume()
         assert client.receive_value() == b"v" and type(client.receive_value()) is (
             SimpleString if last == QUIT else ErrorReply
         )
         assert client.wait_for_close() == "fin"
-        asks_next(r, line, "r3")
+        check_next_request(node, cache_connection, "r3")
 
 
 @pytest.mark.parametrize("sent", ["before", "after"])
 def test_a_pipeline_that_continues_during_a_shutdown_ends_between_two_commands(
     tmp_path: Path, sent: str
 ) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
         client.send(get_command("r1", wait=5000))
-        assert line.receive_value()[2] == b"r1"
-        if sent == "before":  # taken: it is owed an answer
+        assert cache_connection.receive_value()[2] == b"r1"
+        if sent == "before":  # the node has accepted it and must answer
             client.send(get_command("r2", wait=5000))
-            line2 = r.caches[0].accept()
-            assert line2.receive_value()[2] == b"r2"
-        r.signal(signal.SIGTERM)
-        r.wait_until(lambda: not listens(r))
-        if sent == "after":  # not read: the client sends it once more, elsewhere
+            second_cache_connection = node.caches[0].accept()
+            assert second_cache_connection.receive_value()[2] == b"r2"
+        node.signal(signal.SIGTERM)
+        node.wait_until(lambda: not is_listening(node))
+        if sent == "after":  # the node does not read it; the client can retry elsewhere
             client.send(get_command("r2", wait=5000))
         else:
-            line2.send(VALUE)
-        line.send(VALUE)
+            second_cache_connection.send(VALUE)
+        cache_connection.send(VALUE)
         assert client.receive_value() == b"v"
         if sent == "before":
             assert client.receive_value() == b"v"
         assert client.wait_for_close() == "fin"
-        assert r.wait_for_exit() == 0
-        assert line.wait_for_close() in ("fin", "reset"), "sent on though its answer could not come"
+        assert node.wait_for_exit() == 0
+        assert cache_connection.wait_for_close() in ("fin", "reset"), (
+            "forwarded though its answer could not be returned"
+        )
         with pytest.raises(EOFError):
             client.receive_value()
 
 
 def test_a_partly_received_command_at_a_shutdown_is_served(tmp_path: Path) -> None:
-    with real(tmp_path) as r:
-        line, client, text = warm(r), r.connect_client(), get_command("r1", wait=5000)
+    with start_node(tmp_path) as node:
+        cache_connection, client, text = (
+            open_idle_connection(node),
+            node.connect_client(),
+            get_command("r1", wait=5000),
+        )
         client.send(text[:30])
-        r.signal(signal.SIGTERM)
-        r.wait_until(lambda: not listens(r))
+        node.signal(signal.SIGTERM)
+        node.wait_until(lambda: not is_listening(node))
         client.send(text[30:])
-        assert line.receive_value()[2] == b"r1"
-        line.send(VALUE)
+        assert cache_connection.receive_value()[2] == b"r1"
+        cache_connection.send(VALUE)
         assert client.receive_value() == b"v" and client.wait_for_close() == "fin"
-        assert r.wait_for_exit() == 0
+        assert node.wait_for_exit() == 0
 
 
 def test_an_rpc_in_flight_at_the_end_of_a_shutdown_is_answered(tmp_path: Path) -> None:
-    with NodeProcess(tmp_path, 1, methods=METHODS[2:]) as r:
-        client, text = r.connect_client(), get_command("r1", method="short", wait=1000)
+    with NodeProcess(tmp_path, 1, methods=METHODS[2:]) as node:
+        client, text = node.connect_client(), get_command("r1", method="short", wait=1000)
         client.send(text[:30])
-        began = time.monotonic()
-        r.signal(signal.SIGTERM)
-        r.wait_until(lambda: not listens(r))
-        r.wait_until(
-            lambda: time.monotonic() > began + 1.1
-        )  # its time ends after the node's, 0.5 + 1.0 + 0.15 s
+        started_at = time.monotonic()
+        node.signal(signal.SIGTERM)
+        node.wait_until(lambda: not is_listening(node))
+        # The deadline of the RPC is after the node's own end of 0.5 + 1.0 + 0.15 s.
+        node.wait_until(lambda: time.monotonic() > started_at + 1.1)
         client.send(text[30:])
-        r.caches[0].accept().receive_value()  # and no answer comes
+        node.caches[0].accept().receive_value()  # the cache does not answer
         assert isinstance(client.receive_value(), ErrorReply) and client.wait_for_close() == "fin"
-        assert r.wait_for_exit() == 0 and time.monotonic() < began + 2.2
+        assert node.wait_for_exit() == 0 and time.monotonic() < started_at + 2.2
 
 
-@pytest.mark.parametrize("before", [True, False])  # the last look at its connection
+@pytest.mark.parametrize("before", [True, False])  # the node's last read of its connection
 def test_an_idle_client_that_sends_during_a_shutdown_is_answered_or_can_retry(
     tmp_path: Path, before: bool
 ) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
-        knows(r, client)
-        r.signal(signal.SIGTERM)
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
+        wait_until_accepted(node, client)
+        node.signal(signal.SIGTERM)
         if before:
-            r.suspend()  # held still while it serves on
+            node.suspend()  # while it still serves
             client.send(get_command("r1", wait=5000))
-            r.resume()
-            assert line.receive_value()[2] == b"r1"
-            line.send(VALUE)
+            node.resume()
+            assert cache_connection.receive_value()[2] == b"r1"
+            cache_connection.send(VALUE)
             assert client.receive_value() == b"v"
         assert client.wait_for_close() == "fin"
         if not before:
             client.send(get_command("r1", wait=5000))
-            assert r.wait_for_exit() == 0
-            assert line.wait_for_close() in ("fin", "reset"), "read after the shutdown and sent on"
+            assert node.wait_for_exit() == 0
+            assert cache_connection.wait_for_close() in ("fin", "reset"), (
+                "read after the shutdown and forwarded"
+            )
 
 
 def test_commands_received_one_byte_at_a_time_are_served(tmp_path: Path) -> None:
-    with real(tmp_path) as r:
-        line, client = warm(r), r.connect_client()
+    with start_node(tmp_path) as node:
+        cache_connection, client = open_idle_connection(node), node.connect_client()
         for byte in get_command("r1", wait=5000):
             client.send(bytes([byte]))
-        assert line.receive_value()[2] == b"r1"
-        for n in range(len(VALUE)):
-            line.send(VALUE[n : n + 1])
+        assert cache_connection.receive_value()[2] == b"r1"
+        for index in range(len(VALUE)):
+            cache_connection.send(VALUE[index : index + 1])
         assert client.receive_value() == b"v"
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -1,4 +1,4 @@
-"""A reload beside what else happens, on real sockets; see docs/crossings.md."""
+"""A reload at the same time as another event, on real sockets; see docs/crossings.md."""
 
 import signal
 import time
@@ -19,42 +19,45 @@
 ]
 
 
-def real(folder: Path, caches: int = 1) -> NodeProcess:
+def start_node(folder: Path, caches: int = 1) -> NodeProcess:
+    """Return a node with the methods of this file and one tenant."""
     return NodeProcess(
         folder, caches, methods=METHODS, customers=[{"name": "small", "quota_per_s": 1.0}]
     )
 
 
-def reload(r: NodeProcess, **settings: Any) -> None:  # noqa: ANN401
-    before = r.counter("config_reloads")
-    r.configuration["settings"] = deepcopy(r.settings) | settings
-    r.write_configuration()
-    r.signal(signal.SIGHUP)
-    r.wait_until(lambda: r.counter("config_reloads") == before + 1)
+def reload(node: NodeProcess, **settings: Any) -> None:  # noqa: ANN401
+    """Reload the node with these settings changed, and wait until it has."""
+    previous_count = node.counter("config_reloads")
+    node.configuration["settings"] = deepcopy(node.settings) | settings
+    node.write_configuration()
+    node.signal(signal.SIGHUP)
+    node.wait_until(lambda: node.counter("config_reloads") == previous_count + 1)
 
 
-def asked(r: NodeProcess, name: str) -> tuple[PeerConnection, PeerConnection]:
-    client = r.connect_client()
-    client.send(get_command("r1", method=name, wait=5000))
-    line = r.caches[0].accept()
-    assert line.receive_value()[2] == b"r1"
-    return client, line
+def send_rpc(node: NodeProcess, method: str) -> tuple[PeerConnection, PeerConnection]:
+    """Send an RPC; return the connections of its client and of its attempt."""
+    client = node.connect_client()
+    client.send(get_command("r1", method=method, wait=5000))
+    connection = node.caches[0].accept()
+    assert connection.receive_value()[2] == b"r1"
+    return client, connection
 
 
 def test_rpcs_in_flight_of_a_removed_method_finish_under_the_old_settings(tmp_path: Path) -> None:
-    with real(tmp_path) as r:
-        client, line = asked(r, "read")
-        reload(r, methods=[method_settings("other")])
-        line.send(MISS)
-        origin = r.origin.accept()
+    with start_node(tmp_path) as node:
+        client, connection = send_rpc(node, "read")
+        reload(node, methods=[method_settings("other")])
+        connection.send(MISS)
+        origin = node.origin.accept()
         assert b"X-Request-Id: r1\r\n" in origin.receive_head()
         origin.send(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
         assert client.receive_value() == b"v"
-        client.send(get_command("r2", method="read"))  # nobody knows it any more
+        client.send(get_command("r2", method="read"))  # the method was removed
         assert isinstance(client.receive_value(), ErrorReply)
         client.send(get_command("r3", method="other", wait=5000))
-        assert line.receive_value()[2] == b"r3"
-        line.send(VALUE)
+        assert connection.receive_value()[2] == b"r3"
+        connection.send(VALUE)
         assert client.receive_value() == b"v"
 
 
@@ -69,34 +72,34 @@
 def test_an_rpc_that_may_have_executed_is_retried_only_if_both_settings_allow(
     tmp_path: Path, new: dict[str, Any]
 ) -> None:
-    with real(tmp_path, 2) as r:
-        client = r.connect_client()
+    with start_node(tmp_path, 2) as node:
+        client = node.connect_client()
         client.send(get_command("r1", method="known", wait=5000))
-        n, line = r.accept_from_any_cache()
-        assert line.receive_value()[2] == b"r1"
-        r.hosts[1 - n]["block"], r.hosts[2]["block"] = (
-            5,
-            9,
-        )  # each of another cell: it knows no repeats
-        r.answer_poll({"seq": 6, "whole": True, "hosts": r.hosts})
-        r.wait_until(lambda: r.counter("lists.full") == 1)
-        reload(r, methods=[METHODS[0], new])
-        if new.get("group") == "cell":  # nor is it asked where it cannot be
-            r.caches[n].listener.close()
-        line.reset()
+        index, connection = node.accept_from_any_cache()
+        assert connection.receive_value()[2] == b"r1"
+        # The servers are in different cells, so they do not deduplicate each other's requests.
+        node.hosts[1 - index]["block"], node.hosts[2]["block"] = (5, 9)
+        node.answer_poll({"seq": 6, "whole": True, "hosts": node.hosts})
+        node.wait_until(lambda: node.counter("lists.full") == 1)
+        reload(node, methods=[METHODS[0], new])
+        if new.get("group") == "cell":  # the server of the first attempt cannot be reached
+            node.caches[index].listener.close()
+        connection.reset()
         assert isinstance(client.receive_value(), ErrorReply)
-        assert r.counter("upstream_requests") == 1 and not r.caches[1 - n].has_pending_connection(0)
+        assert node.counter("upstream_requests") == 1 and not node.caches[
+            1 - index
+        ].has_pending_connection(0)
 
 
 def test_a_relaxed_retry_rule_does_not_apply_to_an_rpc_in_flight(tmp_path: Path) -> None:
-    with real(tmp_path) as r:
-        client, line = asked(r, "once")
-        reload(
-            r, methods=[method_settings("read"), method_settings("once")]
-        )  # it may run again, from now on
-        line.reset()
+    with start_node(tmp_path) as node:
+        client, connection = send_rpc(node, "once")
+        # From now on, retries of the method are allowed.
+        reload(node, methods=[method_settings("read"), method_settings("once")])
+        connection.reset()
         assert (
-            isinstance(client.receive_value(), ErrorReply) and r.counter("upstream_requests") == 1
+            isinstance(client.receive_value(), ErrorReply)
+            and node.counter("upstream_requests") == 1
         )
 
 
@@ -106,78 +109,83 @@
 def test_a_reload_during_a_shutdown_loses_nothing(
     tmp_path: Path, order: list[signal.Signals]
 ) -> None:
-    with real(tmp_path) as r:
-        client, line = asked(r, "read")
-        r.configuration["settings"]["methods"] = [method_settings("other", soft_s=0.1)]
-        r.write_configuration()
-        r.suspend()  # both stand before it as it goes on
+    with start_node(tmp_path) as node:
+        client, connection = send_rpc(node, "read")
+        node.configuration["settings"]["methods"] = [method_settings("other", soft_s=0.1)]
+        node.write_configuration()
+        node.suspend()  # both signals are pending when the node resumes
         for number in order:
-            r.signal(number)
-        r.resume()
-        r.wait_for_log("reloaded")
-        r.wait_for_log("graceful_shutdown_started")
-        line.send(VALUE)
+            node.signal(number)
+        node.resume()
+        node.wait_for_log("reloaded")
+        node.wait_for_log("graceful_shutdown_started")
+        connection.send(VALUE)
         assert client.receive_value() == b"v" and client.wait_for_close() == "fin"
-        assert r.wait_for_exit() == 0
+        assert node.wait_for_exit() == 0
 
 
 @pytest.mark.parametrize(
     "text", ["", "{", '{"discovery": "127.0.0.1:1", "settings": {"methods": []}}', "[]"]
 )
 def test_a_truncated_file_or_one_without_methods_changes_nothing(tmp_path: Path, text: str) -> None:
-    with real(tmp_path) as r:
-        client, line = asked(r, "read")
-        r.path.write_text(text)
-        r.signal(signal.SIGHUP)
-        r.wait_for_log("reload_failed")
-        line.send(VALUE)
-        assert client.receive_value() == b"v" and r.counter("config_reload_errors") == 1
+    with start_node(tmp_path) as node:
+        client, connection = send_rpc(node, "read")
+        node.path.write_text(text)
+        node.signal(signal.SIGHUP)
+        node.wait_for_log("reload_failed")
+        connection.send(VALUE)
+        assert client.receive_value() == b"v" and node.counter("config_reload_errors") == 1
 
 
 def test_a_reload_with_a_new_discovery_address_polls_there_at_once(
     tmp_path: Path,
 ) -> None:
-    with real(tmp_path) as r:
-        old = r.answer_poll(r.endpoint_change(6, 0))
-        r.wait_until(lambda: r.counter("lists.delta") == 1)
-        r.configuration["discovery"] = f"127.0.0.1:{r.origin.port}"  # another peer
-        r.write_configuration()
-        r.signal(signal.SIGHUP)
-        new = r.origin.accept()
+    with start_node(tmp_path) as node:
+        old = node.answer_poll(node.endpoint_change(6, 0))
+        node.wait_until(lambda: node.counter("lists.delta") == 1)
+        # The origin's peer acts as the new discovery.
+        node.configuration["discovery"] = f"127.0.0.1:{node.origin.port}"
+        node.write_configuration()
+        node.signal(signal.SIGHUP)
+        new = node.origin.accept()
         assert b"since=0 " in new.receive_head()
         assert old.wait_for_close() in ("fin", "reset")
-        began = time.monotonic()
-        r.origin.close()  # and it is asked again, while the list of before stands
-        r.wait_until(lambda: r.counter("lists.failed") >= 2)
-        assert time.monotonic() - began < 6.0
-        client, line = asked(r, "read")
-        line.send(VALUE)
+        started_at = time.monotonic()
+        node.origin.close()  # the node polls again and keeps the previous list meanwhile
+        node.wait_until(lambda: node.counter("lists.failed") >= 2)
+        assert time.monotonic() - started_at < 6.0
+        client, connection = send_rpc(node, "read")
+        connection.send(VALUE)
         assert client.receive_value() == b"v"
 
 
 def test_quotas_and_counters_go_by_name_and_not_by_position(tmp_path: Path) -> None:
-    with real(tmp_path) as r:
-        line = None
-        for n in range(3):
-            client = r.connect_client()
-            client.send(get_command(f"a{n}", method="read", wait=5000))
-            line = line or r.caches[0].accept()
-            assert line.receive_value()[2] == b"a%d" % n
-            line.send(VALUE)
+    with start_node(tmp_path) as node:
+        connection = None
+        for index in range(3):
+            client = node.connect_client()
+            client.send(get_command(f"a{index}", method="read", wait=5000))
+            connection = connection or node.caches[0].accept()
+            assert connection.receive_value()[2] == b"a%d" % index
+            connection.send(VALUE)
             assert client.receive_value() == b"v"
-        counted = r.counter("completed.read")
-        shares = [{"name": "new", "quota_per_s": 5.0}, {"name": "small", "quota_per_s": 1.0}]
-        aside = {"mode": "aside", "origin_kind": 2}
+        previous_count = node.counter("completed.read")
+        tenants = [{"name": "new", "quota_per_s": 5.0}, {"name": "small", "quota_per_s": 1.0}]
+        family_info = {"mode": "aside", "origin_kind": 2}
         reload(
-            r,
+            node,
             methods=[method_settings("first"), *reversed(METHODS)],
-            customers=shares,
+            customers=tenants,
             host_types=["box", "std", "origin"],
-            family_info=aside,
+            family_info=family_info,
+        )
+        assert (
+            node.counter("completed.read") == previous_count == 3
+            and node.counter("completed.first") == 0
         )
-        assert r.counter("completed.read") == counted == 3 and r.counter("completed.first") == 0
-        client = r.connect_client()
+        client = node.connect_client()
         client.send(get_command("b1", method="first", wait=5000))
-        assert line.receive_value()[2] == b"b1"  # the origin is still the origin, the cache a cache
-        line.send(VALUE)
-        assert client.receive_value() == b"v" and r.counter("completed.first") == 1
+        # The origin and the cache keep their roles although the host types are renumbered.
+        assert connection.receive_value()[2] == b"b1"
+        connection.send(VALUE)
+        assert client.receive_value() == b"v" and node.counter("completed.first") == 1
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A node's configuration: read or refused in one line at the start, and reloaded on SIGHUP."""
+"""The configuration of a node: read or rejected at the start, and reloaded on SIGHUP."""
 
 import json
 import os
@@ -37,16 +37,18 @@
 
 @pytest.fixture
 def node_file(tmp_path: Path) -> Path:
+    """Return the path of the node's configuration file."""
     return tmp_path / "node.json"
 
 
 def load(node_file: Path, content: object, **environment: str) -> NodeConfig:
+    """Write the configuration file and load it."""
     node_file.write_text(content if isinstance(content, str) else json.dumps(content))
     return load_node_config({"PROXY_CONFIG": str(node_file)} | environment)
 
 
-def run_to_its_end(**environment: str) -> subprocess.CompletedProcess[str]:
-    """A node's process that ends by itself."""
+def run_until_exit(**environment: str) -> subprocess.CompletedProcess[str]:
+    """Run a node's process that exits by itself."""
     return subprocess.run(
         [sys.executable, "-m", "hookpitch"],
         env=environment,
@@ -58,12 +60,12 @@
     )
 
 
-def reloader(
-    sockets: NodeOnMemoryNetwork, node_file: Path, **environment: str
+def reload_on_sighup(
+    node: NodeOnMemoryNetwork, node_file: Path, **environment: str
 ) -> Callable[[], None]:
-    """What SIGHUP does."""
+    """Return a function that reloads the node as SIGHUP does."""
     read_config = partial(load_reloaded_config, {"PROXY_CONFIG": str(node_file)} | environment)
-    return partial(sockets.socket_node.reload, read_config)
+    return partial(node.socket_node.reload, read_config)
 
 
 def test_the_file_and_the_environment_are_read(node_file: Path) -> None:
@@ -119,9 +121,9 @@
         table[path[-1]] = value
     else:
         content = value
-    with pytest.raises(ValueError, match=named) as error:
+    with pytest.raises(ValueError, match=named) as raised:
         load(node_file, content)
-    assert "\n" not in str(error.value)
+    assert "\n" not in str(raised.value)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -150,56 +152,56 @@
     node_file: Path,
 ) -> None:
     node_file.write_text(json.dumps(NODE_FILE | {"settings": {}}))
-    ended = run_to_its_end(PROXY_CONFIG=str(node_file))
-    assert ended.returncode == 2
-    assert ended.stderr == "hookpitch: cannot start: setting methods is missing\n"
+    process = run_until_exit(PROXY_CONFIG=str(node_file))
+    assert process.returncode == 2
+    assert process.stderr == "hookpitch: cannot start: setting methods is missing\n"
 
 
 def test_a_reload_changes_the_discovery_address_and_accepts_lower_versions(node_file: Path) -> None:
-    sockets = NodeOnMemoryNetwork()
+    node = NodeOnMemoryNetwork()
     events = []
-    sockets.info = lambda event, **fields: events.append(event)
-    reload = reloader(sockets, node_file, PROXY_DISCOVERY="h:1")
-    for bad in ("{", "[1]", "{}", '{"discovery": "nowhere"}', '{"discovery": 5}'):
-        node_file.write_text(bad)
+    node.info = lambda event, **fields: events.append(event)
+    reload = reload_on_sighup(node, node_file, PROXY_DISCOVERY="h:1")
+    for invalid in ("{", "[1]", "{}", '{"discovery": "nowhere"}', '{"discovery": 5}'):
+        node_file.write_text(invalid)
         reload()
-        assert events.pop() == "reload_failed", bad
-        assert not events, bad
-        assert sockets.network.connections_to(DISCOVERY_PORT), bad
+        assert events.pop() == "reload_failed", invalid
+        assert not events, invalid
+        assert node.network.connections_to(DISCOVERY_PORT), invalid
     node_file.write_text(json.dumps({"discovery": "127.0.0.3:8600"}))
     reload()
-    sockets.pass_time(1)
-    assert not sockets.network.connections_to(DISCOVERY_PORT)
-    assert b"since=0 " in (line := sockets.network.connections_to(8600)[0]).receive()
-    # Version 5 is held.
-    answer = json.dumps({"seq": 2, "whole": True, "hosts": sockets.hosts[1:]}).encode() + b"\n"
-    line.send(
+    node.pass_time(1)
+    assert not node.network.connections_to(DISCOVERY_PORT)
+    assert b"since=0 " in (connection := node.network.connections_to(8600)[0]).receive()
+    # The node has version 5.
+    answer = json.dumps({"seq": 2, "whole": True, "hosts": node.hosts[1:]}).encode() + b"\n"
+    connection.send(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(answer), answer)
     )
-    assert sockets.socket_node.discovery.version == 2
-    assert sockets.socket_node.host.router.backends["s0"].state == EndpointState.REMOVED
-    reload()  # the same again: the watch goes on
-    sockets.pass_time(1)
-    assert sockets.network.connections_to(8600) == [line]
-    line.close()
-    sockets.pass_time(2000)
-    assert b"since=2 " in sockets.network.connections_to(8600)[0].receive()
+    assert node.socket_node.discovery.version == 2
+    assert node.socket_node.host.router.backends["s0"].state == EndpointState.REMOVED
+    reload()  # the address has not changed: the watch stays open
+    node.pass_time(1)
+    assert node.network.connections_to(8600) == [connection]
+    connection.close()
+    node.pass_time(2000)
+    assert b"since=2 " in node.network.connections_to(8600)[0].receive()
 
 
 def test_a_reload_logs_changed_settings_those_that_need_a_restart_and_a_missing_file(
     node_file: Path,
 ) -> None:
-    sockets = NodeOnMemoryNetwork()
+    node = NodeOnMemoryNetwork()
     events: list[tuple[str, str]] = []
-    sockets.info = lambda event, **fields: events.append(
+    node.info = lambda event, **fields: events.append(
         (event, str(fields.get("changed") or fields.get("setting")))
     )
-    reload = reloader(sockets, node_file)
+    reload = reload_on_sighup(node, node_file)
     content = {"discovery": f"127.0.0.1:{DISCOVERY_PORT}", "settings": deepcopy(SETTINGS)}
     reload()
     assert [event for event, _ in events] == ["reload_failed"]
-    assert sockets.counters.counts["config_reload_errors"] == 1
-    assert "config_changes" not in sockets.counters.counts
+    assert node.counters.counts["config_reload_errors"] == 1
+    assert "config_changes" not in node.counters.counts
     content["settings"]["limits"]["second_copies"] = True
     node_file.write_text(
         json.dumps(content | {"seed": 9, "listen": "127.0.0.1:1", "name": "other"})
@@ -209,11 +211,11 @@
     ignored = [name for event, name in events if event == "change_requires_restart"]
     assert sorted(ignored) == ["listen", "name", "seed"]
     assert events[-1] == ("reloaded", "hedging_allowed")
-    assert sockets.socket_node.host.deployment.seed == sockets.config.deployment.seed
-    assert sockets.socket_node.config.listen_address[1] == 6379
+    assert node.socket_node.host.deployment.seed == node.config.deployment.seed
+    assert node.socket_node.config.listen_address[1] == 6379
     reload()
     assert events[-1] == ("reloaded", "nothing")
-    assert sockets.counters.counts["config_changes"] == 1
+    assert node.counters.counts["config_changes"] == 1
 
 
 def test_sighup_reloads_the_process_and_sigterm_shuts_it_down(node_file: Path) -> None:
@@ -247,56 +249,56 @@
     operator_file = tmp_path / "node.toml"
     node_file.write_text(json.dumps(NODE_FILE))
     operator_file.write_text("[gatewya]\n")
-    ended = run_to_its_end(PROXY_CONFIG=str(node_file), HOOKPITCH_CONFIG=str(operator_file))
-    assert ended.returncode == 2
-    assert ended.stderr.count("\n") == 1
-    assert "gatewya: no such section" in ended.stderr
+    process = run_until_exit(PROXY_CONFIG=str(node_file), HOOKPITCH_CONFIG=str(operator_file))
+    assert process.returncode == 2
+    assert process.stderr.count("\n") == 1
+    assert "gatewya: no such section" in process.stderr
 
 
 def test_reloads_switch_settings_back_and_forth_and_a_wrong_file_changes_nothing(
     node_file: Path,
 ) -> None:
-    sockets = NodeOnMemoryNetwork()
-    reload = reloader(sockets, node_file)
+    node = NodeOnMemoryNetwork()
+    reload = reload_on_sighup(node, node_file)
     old = {"discovery": f"127.0.0.1:{DISCOVERY_PORT}", "settings": SETTINGS}
     new = deepcopy(old)
     new["settings"]["weights"] = "live"
     new["settings"]["limits"]["second_copies"] = True
-    client = sockets.connect_client()
+    client = node.connect_client()
 
     def connections() -> list[MemoryConnection]:
-        return sockets.network.connections_to(7000) + sockets.network.connections_to(7001)
+        return node.network.connections_to(7000) + node.network.connections_to(7001)
 
     for step, content in enumerate((new, "{", old, new)):
         client.send(get_command(f"r{step}"))
-        sockets.pass_time(1)
+        node.pass_time(1)
         if content == "{":
-            wrong = (
+            invalid_settings = (
                 {"weights": "x"},
                 {"overage_gain": -1},
                 {"overage_gain": float("nan")},
                 {"methods": []},
             )
-            for value in ({}, 7, *(SETTINGS | change for change in wrong)):
+            for value in ({}, 7, *(SETTINGS | change for change in invalid_settings)):
                 node_file.write_text(json.dumps(old | {"settings": value}))
                 reload()
-                assert sockets.logged_events[-1] == "reload_failed", value
-                assert sockets.socket_node.host.router.retries.hedging_allowed, value
+                assert node.logged_events[-1] == "reload_failed", value
+                assert node.socket_node.host.router.retries.hedging_allowed, value
         else:
             node_file.write_text(json.dumps(content))
             reload()
-            assert sockets.socket_node.host.router.retries.hedging_allowed == (content is new)
-            assert (sockets.socket_node.host.router.endpoints.nominal_sizes is not None) == (
+            assert node.socket_node.host.router.retries.hedging_allowed == (content is new)
+            assert (node.socket_node.host.router.endpoints.nominal_sizes is not None) == (
                 content is new
             )
-        asked = [data.split(b"\r\n")[6] for line in connections() if (data := line.receive())]
-        assert asked == [b"r%d" % step]  # sent once, and not again
+        commands = [data.split(b"\r\n")[6] for line in connections() if (data := line.receive())]
+        assert commands == [b"r%d" % step]  # sent exactly once
         for line in connections():
             line.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\noutstanding=1\r\n")
-        sockets.pass_time(1)
+        node.pass_time(1)
         assert client.receive() == b"$1\r\nv\r\n"
-    assert sockets.counters.counts["config_changes"] == 3
-    assert sockets.counters.counts["config_reload_errors"] == 6
+    assert node.counters.counts["config_changes"] == 3
+    assert node.counters.counts["config_reload_errors"] == 6
 
 
 def test_sighup_is_ignored_before_the_node_is_imported() -> None:
@@ -309,5 +311,5 @@
     )
     root = Path(__file__).parent.parent
     environment = os.environ | {"PYTHONPATH": str(root)}
-    done = subprocess.run([sys.executable, "-c", script], cwd=root, env=environment)
-    assert done.returncode == 0
+    completed = subprocess.run([sys.executable, "-c", script], cwd=root, env=environment)
+    assert completed.returncode == 0
