--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's wire format, without I/O."""
+"""The parser of discovery's wire format."""
 
 import pytest
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -267,6 +267,7 @@
     client = node.connect_client()
 
     def connections() -> list[MemoryConnection]:
+        """Return the connections to both caches."""
         return node.network.connections_to(7000) + node.network.connections_to(7001)
 
     for step, content in enumerate((new, "{", old, new)):
@@ -291,10 +292,12 @@
             assert (node.socket_node.host.router.endpoints.nominal_sizes is not None) == (
                 content is new
             )
-        commands = [data.split(b"\r\n")[6] for line in connections() if (data := line.receive())]
+        commands = [
+            data.split(b"\r\n")[6] for connection in connections() if (data := connection.receive())
+        ]
         assert commands == [b"r%d" % step]  # sent exactly once
-        for line in connections():
-            line.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\noutstanding=1\r\n")
+        for connection in connections():
+            connection.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\noutstanding=1\r\n")
         node.pass_time(1)
         assert client.receive() == b"$1\r\nv\r\n"
     assert node.counters.counts["config_changes"] == 3
