--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -1,9 +1,9 @@
-"""What operators ask of a node through the admin server: status, metrics, bans and drains.
+"""Operators' commands of the admin server: status, metrics, bans and drains.
 
-A command is checked here and published by `HotRestart`, which hands it to `apply` in every process
-of the node, in the same order. A ban keeps a backend out until it is restored. A drain makes health
-checks fail at once and, `DRAIN_DELAY_MS` later, closes client connections as they become idle;
-resuming ends it.
+A command is checked here and published by `HotRestart`, which passes the command to `apply` in
+every process of the node, in the same order. A banned backend receives no RPCs until it is
+restored. A drain makes health checks fail at once and, `DRAIN_DELAY_MS` later, closes client
+connections as they become idle; RESUME ends the drain.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from hookpitch.net.shared_state import Command, Verb
 from hookpitch.net.startup_monitor import StartupMonitor
 
-DRAIN_DELAY_MS = 500.0  # from PAUSE until idle connections are closed: clients see the check first
+DRAIN_DELAY_MS = 500.0  # from PAUSE until idle connections close; health checks fail first
 NO_SUCH_SERVER = "no such cache server"
 SHUTTING_DOWN = "leaving"
 
 
 class CommandNode(Protocol):
-    """What the commands need of their node."""
+    """The components of a node that the commands use."""
 
     clock: Clock
     host: Host
@@ -37,21 +37,21 @@
 
 
 class OperatorCommands:
-    """The admin server's target. Commands return why they were refused, or ''."""
+    """The target of the admin server; commands return why they were rejected, or ''."""
 
     def __init__(self, node: CommandNode) -> None:
         self._node = node
-        self.draining = False
-        self._drain_changes = 0  # so that a drain's delayed step is skipped once it has ended
+        self.is_draining = False
+        self._drain_changes = 0  # lets the delayed step of a drain that has ended be skipped
 
     # ---- status
 
     def not_ready_reason(self) -> str:
-        """Why health checks should fail, or ''."""
+        """Return why health checks should fail, or ''."""
         state = self._node.lifecycle.state
         if state is State.SHUTTING_DOWN:
             return SHUTTING_DOWN
-        if self.draining:
+        if self.is_draining:
             return "draining"
         if state is State.STARTING:
             return "starting"
@@ -60,7 +60,7 @@
         return ""
 
     def metrics(self) -> list[tuple[str, int]]:
-        """The documented counters and gauges, in a fixed order."""
+        """Return the documented counters and gauges, in a fixed order."""
         host = self._node.host
         counts = host.counters.counts
         by_method = [
@@ -82,19 +82,19 @@
         ]
 
     def membership_lines(self) -> list[str]:
-        """The members as this node sees them; none where it is no member."""
+        """Return one line per member that this node knows; none where the node is not a member."""
         membership = self._node.membership
         return [] if membership is None else membership.lines()
 
     # ---- commands
 
-    def suspend(self, server_id: str) -> str:
+    def suspend(self, backend_id: str) -> str:
         """Ban a backend."""
-        return self._change_ban(Verb.SUSPEND, server_id)
+        return self._change_ban(Verb.SUSPEND, backend_id)
 
-    def restore(self, server_id: str) -> str:
+    def restore(self, backend_id: str) -> str:
         """End a backend's ban."""
-        return self._change_ban(Verb.RESTORE, server_id)
+        return self._change_ban(Verb.RESTORE, backend_id)
 
     def pause(self) -> str:
         """Drain this node."""
@@ -104,10 +104,10 @@
         """End the drain."""
         return self._change_drain(Verb.RESUME)
 
-    def _change_ban(self, verb: Verb, server_id: str) -> str:
-        if not self._node.host.can_ban(server_id):
+    def _change_ban(self, verb: Verb, backend_id: str) -> str:
+        if not self._node.host.can_ban(backend_id):
             return NO_SUCH_SERVER
-        self._node.hot_restart.publish(Command(verb, server_id))
+        self._node.hot_restart.publish(Command(verb, backend_id))
         return ""
 
     def _change_drain(self, verb: Verb) -> str:
@@ -119,16 +119,16 @@
     # ---- in each process
 
     def apply(self, command: Command) -> None:
-        """Carry a published command out; one that changes nothing is ignored."""
+        """Carry out a published command; ignore a command that changes nothing."""
         if command.verb in (Verb.SUSPEND, Verb.RESTORE):
             self._apply_ban(command)
         elif command.verb in (Verb.PAUSE, Verb.RESUME):
             self._apply_drain(command)
 
-    def in_force(self) -> list[Command]:
-        """The commands that would bring a new process to this one's bans and drain."""
-        commands = [Command(Verb.SUSPEND, server_id) for server_id in self._node.host.router.bans]
-        if self.draining:
+    def active_commands(self) -> list[Command]:
+        """Return the commands that would give a new process the bans and drain of this one."""
+        commands = [Command(Verb.SUSPEND, backend_id) for backend_id in self._node.host.router.bans]
+        if self.is_draining:
             commands.append(Command(Verb.PAUSE))
         return commands
 
@@ -143,10 +143,10 @@
     def _apply_drain(self, command: Command) -> None:
         node = self._node
         draining = command.verb is Verb.PAUSE
-        if draining == self.draining:
+        if draining == self.is_draining:
             return
         self._log(command)
-        self.draining = draining
+        self.is_draining = draining
         node.clients.reports_draining = draining
         self._drain_changes += 1
         if draining:
@@ -155,7 +155,7 @@
                 node.clock.now() + DRAIN_DELAY_MS, lambda _: self._close_idle_clients(change)
             )
         elif node.lifecycle.state is not State.SHUTTING_DOWN:
-            node.clients.draining = False
+            node.clients.is_draining = False
 
     def _close_idle_clients(self, change: int) -> None:
         if change == self._drain_changes:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -87,5 +87,5 @@
     void = [report for report in skipped if "void" in str(report.longrepr)]
     if void:
         terminalreporter.write_line(
-            f"void: {len(void)} runs on processes tell nothing, their rigs were late"
+            f"void: {len(void)} runs on processes were inconclusive: the test environment was late"
         )
--- a/tests/random_faults.py
+++ b/tests/random_faults.py
@@ -246,10 +246,12 @@
 
 
 def _reply(kind: str, value: bytes, from_origin: bool) -> bytes:
+    """Return a reply of this kind, in the format of the origin or of a cache."""
     return _origin_reply(kind, value) if from_origin else _cache_reply(kind, value)
 
 
 def _origin_reply(kind: str, value: bytes) -> bytes:
+    """Return an HTTP response of this kind."""
     replies = {"busy": (503, b"X-Not-Run: 1\r\n"), "error": (500, b"")}
     status, extra = replies.get(kind, (200, b""))
     head = b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n" % (status, extra, len(value))
@@ -257,6 +259,7 @@
 
 
 def _cache_reply(kind: str, value: bytes) -> bytes:
+    """Return a RESP reply of this kind."""
     if kind == "miss":
         return b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
     if kind == "busy":
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -248,7 +248,7 @@
     node.socket_node.snapshot_store = snapshot_store.SnapshotStore(
         snapshot_settings,
         node.socket_node,
-        lambda work, then: then(snapshot_store.failure_of(work)),
+        lambda work, then: then(snapshot_store.run_and_return_error(work)),
     )
     node.socket_node.snapshot_store.restore()
     return node
@@ -344,7 +344,9 @@
     node.pass_time(5000)
     assert node.counters.counts["snapshot.failed"] >= 5
     node = start_node(tmp_path / "n.snapshot", every_s=0.5)
-    node.socket_node.snapshot_store.run_elsewhere = lambda work, then: None  # it never completes
+    node.socket_node.snapshot_store.run_in_background = lambda work, then: (
+        None
+    )  # it never completes
     node.pass_time(5000)
     node.socket_node.shut_down()
     node.pass_time(3000)
