--- a/tests/peers.py
+++ b/tests/peers.py
@@ -218,6 +218,7 @@
         """Wait for the `count`-th log line whose event begins with `event`, and return it."""
 
         def matching() -> list[dict[str, Any]]:
+            """Return the log lines whose event begins with `event`."""
             return [line for line in self.logs if line["event"].startswith(event)]
 
         with self._log_changed:
