--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists from another member: requests, chunks, and a node that serves by one."""
+"""Tests of endpoint lists from other members: requests, chunks, and a node that serves by one."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from peers import VALUE, NodeProcess, PeerConnection, method_settings, send_change
 from socket_node import get_command
-from test_members_properties import SAME
+from test_members_properties import REPRODUCIBLE
 
 from hookpitch.core.resp import ErrorReply
 from hookpitch.members.codec import MAX_BYTES, Codec
@@ -26,231 +26,259 @@
 from hookpitch.members.list_chunks import MAX_LIST_BYTES, list_digest
 from hookpitch.members.messages import Message, MessageKind
 
-A, B, C = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
-NOTHING = ListStatus(0, False, False)
-SEED = 17  # whose draws put the first call to discovery late, of 400 nodes
-TEXT = json.dumps([random.Random(n).random() for n in range(2000)]).encode()  # many parts
+HOLDER_A, HOLDER_B, REQUESTER = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
+NO_LIST_STATUS = ListStatus(0, False, False)
+SEED = 17  # by its draws a node of a fleet of 400 calls discovery late
+TEXT = json.dumps([random.Random(n).random() for n in range(2000)]).encode()  # of several chunks
 
 
-class Pair:
-    """One that asks, and tellers by address; what is on its way stands in `flying`."""
+class SimulatedExchange:
+    """A requester, the members that hold lists, and the messages in flight between them.
 
-    def __init__(self, seed: int = 1, **tellers: tuple[ListStatus, bytes]) -> None:
+    `held_lists`: by address, the status and the document of the list that a member holds.
+    """
+
+    def __init__(self, seed: int = 1, **holders: tuple[ListStatus, bytes]) -> None:
         self.rng, self.now, self.counts = random.Random(seed), 0.0, dict[str, int]()
-        self.asker = EndpointExchange(0.0, "n0", self.rng.random, self.count)
-        self.at = {A: tellers.get("a"), B: tellers.get("b")}
-        self.tellers = {
-            at: EndpointExchange(0.0, f"n{at}", self.rng.random, self.count) for at in self.at
+        self.requester = EndpointExchange(0.0, "n0", self.rng.random, self.count)
+        self.held_lists = {HOLDER_A: holders.get("a"), HOLDER_B: holders.get("b")}
+        self.holders = {
+            address: EndpointExchange(0.0, f"n{address}", self.rng.random, self.count)
+            for address in self.held_lists
         }
-        self.own_status, self.taken = NOTHING, list[ReceivedList]()
-        self.flying: list[tuple[tuple, tuple, Message]] = []  # from, to
+        self.own_status, self.accepted = NO_LIST_STATUS, list[ReceivedList]()
+        self.in_flight: list[tuple[tuple, tuple, Message]] = []  # sender, receiver
 
     def count(self, name: str) -> None:
+        """Add one to a counter."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def tick(self, ms: float = 1000.0) -> None:
+        """Let time pass, tick the requester and collect its requests."""
         self.now += ms
-        self.asker.tick(self.now, self.own_status, [at for at, told in self.at.items() if told])
-        self.flying += [(C, to, message) for to, message in self.asker.outbox]
-        self.asker.outbox = []
-
-    def come(self, n: int = 0, keep: bool = False) -> None:
-        source, to, message = self.flying[n] if keep else self.flying.pop(n)
+        self.requester.tick(
+            self.now,
+            self.own_status,
+            [address for address, status in self.held_lists.items() if status],
+        )
+        self.in_flight += [
+            (REQUESTER, receiver, message) for receiver, message in self.requester.outbox
+        ]
+        self.requester.outbox = []
+
+    def deliver(self, index: int = 0, keep: bool = False) -> None:
+        """Deliver one message in flight; `keep`: leave it in flight as a duplicate."""
+        sender, receiver, message = self.in_flight[index] if keep else self.in_flight.pop(index)
         data = Codec("f").write(message)
         assert len(data) <= MAX_BYTES
         assert Codec("f").read(data) == message
-        if to == C:
-            taken = self.asker.handle_chunk(self.now, source, message, self.own_status)
-            if taken is not None:
-                self.taken.append(taken)
-                self.own_status = ListStatus(taken.version, False, False)
+        if receiver == REQUESTER:
+            accepted = self.requester.handle_chunk(self.now, sender, message, self.own_status)
+            if accepted is not None:
+                self.accepted.append(accepted)
+                self.own_status = ListStatus(accepted.version, False, False)
             return
-        told, text = self.at[to]
-        self.tellers[to].handle_request(self.now, source, message, told, lambda: text)
-        self.flying += [(to, source, m) for _, m in self.tellers[to].outbox]
-        self.tellers[to].outbox = []
+        status, document = self.held_lists[receiver]
+        self.holders[receiver].handle_request(self.now, sender, message, status, lambda: document)
+        self.in_flight += [
+            (receiver, sender, answer) for _, answer in self.holders[receiver].outbox
+        ]
+        self.holders[receiver].outbox = []
 
-    def all(self) -> None:
-        while self.flying:
-            self.come()
+    def deliver_all(self) -> None:
+        """Deliver all messages in flight, and the answers to them."""
+        while self.in_flight:
+            self.deliver()
 
 
-FRESH = ListStatus(9, True, True)
-STEPS = ["tick", "come", "lose", "twice", "newer", "told"]
+FRESH_STATUS = ListStatus(9, True, True)
+EVENTS = ["tick", "come", "lose", "twice", "newer", "told"]
 
 
 def test_a_list_in_many_chunks_is_completed_by_requests_for_the_missing_ones() -> None:
-    p = Pair(a=(FRESH, TEXT))
-    p.tick(0.0)
-    p.come()  # the wish
-    assert len(p.flying) == 4  # what one who knows of no list is told at first
-    del p.flying[1]
-    p.all()
-    p.tick()
-    p.come()
-    assert len(p.flying) > 8
-    assert not p.taken
-    p.all()
-    (taken,) = p.taken
-    assert (taken.version, taken.document, taken.source) == (9, TEXT, A)
-    p.all()
-    p.tick(5000.0)
-    p.all()
-    assert len(p.taken) == 1, "what is no newer is not told"
+    exchange = SimulatedExchange(a=(FRESH_STATUS, TEXT))
+    exchange.tick(0.0)
+    exchange.deliver()  # the request
+    # The first chunks, for a requester that does not know the list yet.
+    assert len(exchange.in_flight) == 4
+    del exchange.in_flight[1]
+    exchange.deliver_all()
+    exchange.tick()
+    exchange.deliver()
+    assert len(exchange.in_flight) > 8
+    assert not exchange.accepted
+    exchange.deliver_all()
+    (accepted,) = exchange.accepted
+    assert (accepted.version, accepted.document, accepted.source) == (9, TEXT, HOLDER_A)
+    exchange.deliver_all()
+    exchange.tick(5000.0)
+    exchange.deliver_all()
+    assert len(exchange.accepted) == 1, "a list that is not newer is not sent"
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.2, 0.5])
 def test_lists_survive_loss_reordering_and_duplication(loss: float) -> None:
     for seed in range(20):
-        p = Pair(seed, a=(FRESH, TEXT), b=(ListStatus(9, True, True), TEXT))
+        exchange = SimulatedExchange(
+            seed, a=(FRESH_STATUS, TEXT), b=(ListStatus(9, True, True), TEXT)
+        )
         for _ in range(300):
-            p.tick(400.0)
-            p.rng.shuffle(p.flying)
-            while p.flying:
-                lost = p.rng.random() < loss
-                if lost:
-                    p.flying.pop()
+            exchange.tick(400.0)
+            exchange.rng.shuffle(exchange.in_flight)
+            while exchange.in_flight:
+                is_lost = exchange.rng.random() < loss
+                if is_lost:
+                    exchange.in_flight.pop()
                 else:
-                    p.come(-1, keep=p.rng.random() < 0.2)
-            if p.taken:
+                    exchange.deliver(-1, keep=exchange.rng.random() < 0.2)
+            if exchange.accepted:
                 break
-        assert [t.document for t in p.taken] == [TEXT], seed
+        assert [received.document for received in exchange.accepted] == [TEXT], seed
 
 
 def test_chunks_of_two_lists_never_mix_and_the_newer_prevails() -> None:
-    p = Pair(a=(FRESH, TEXT), b=(ListStatus(10, True, True), TEXT[::-1]))
-    p.tick(0.0)
-    p.come()
-    p.come()
-    p.all()
-    p.tick()
-    p.all()
-    p.tick()
-    p.all()
-    assert p.taken[-1].document == TEXT[::-1]
-    assert all(t.document in (TEXT, TEXT[::-1]) for t in p.taken)
-    # The teller's list changes between two wishes for parts: it begins anew.
-    p = Pair(a=(FRESH, TEXT))
-    p.tick(0.0)
-    p.all()
-    p.at[A] = (ListStatus(11, True, True), TEXT[::-1])
+    exchange = SimulatedExchange(a=(FRESH_STATUS, TEXT), b=(ListStatus(10, True, True), TEXT[::-1]))
+    exchange.tick(0.0)
+    exchange.deliver()
+    exchange.deliver()
+    exchange.deliver_all()
+    exchange.tick()
+    exchange.deliver_all()
+    exchange.tick()
+    exchange.deliver_all()
+    assert exchange.accepted[-1].document == TEXT[::-1]
+    assert all(received.document in (TEXT, TEXT[::-1]) for received in exchange.accepted)
+    # The list changes between two requests for its chunks: the transfer starts again.
+    exchange = SimulatedExchange(a=(FRESH_STATUS, TEXT))
+    exchange.tick(0.0)
+    exchange.deliver_all()
+    exchange.held_lists[HOLDER_A] = (ListStatus(11, True, True), TEXT[::-1])
     for _ in range(4):
-        p.tick()
-        p.all()
-    assert [(t.version, t.document) for t in p.taken] == [(11, TEXT[::-1])]
+        exchange.tick()
+        exchange.deliver_all()
+    assert [(received.version, received.document) for received in exchange.accepted] == [
+        (11, TEXT[::-1])
+    ]
 
 
 @pytest.mark.parametrize(
     ("there", "here"),
     [
-        (ListStatus(9, False, False), NOTHING),  # it was told by no discovery
-        (FRESH, ListStatus(9, False, False)),
-        (FRESH, ListStatus(10, False, False)),  # what is held is as new
+        (ListStatus(9, False, False), NO_LIST_STATUS),  # The list is not from discovery.
+        (FRESH_STATUS, ListStatus(9, False, False)),
+        (FRESH_STATUS, ListStatus(10, False, False)),  # The requester's list is newer.
     ],
 )
 def test_a_list_that_is_second_hand_or_no_newer_is_not_sent(
     there: ListStatus, here: ListStatus
 ) -> None:
-    p = Pair(a=(there, TEXT))
-    p.own_status = here
-    p.tick(0.0)
-    p.all()
-    p.tick()
-    p.all()
-    assert not p.taken
-    assert "members.lists_told" not in p.counts
+    exchange = SimulatedExchange(a=(there, TEXT))
+    exchange.own_status = here
+    exchange.tick(0.0)
+    exchange.deliver_all()
+    exchange.tick()
+    exchange.deliver_all()
+    assert not exchange.accepted
+    assert "members.lists_told" not in exchange.counts
 
 
 def test_a_list_whose_holder_has_long_not_heard_discovery_is_not_sent() -> None:
-    p = Pair(a=(FRESH, b"[]"))
-    p.tellers[A].tick(0.0, FRESH, [])
-    p.at[A] = (ListStatus(9, True, False), b"[]")
-    p.tick(MAX_LIST_AGE_MS - 1000.0)
-    p.all()
-    assert p.taken[0].age_ms == MAX_LIST_AGE_MS - 1000.0
-    p = Pair(a=(FRESH, b"[]"))
-    p.tellers[A].tick(0.0, FRESH, [])
-    p.at[A] = (ListStatus(9, True, False), b"[]")
-    p.tick(MAX_LIST_AGE_MS + 1000.0)
-    p.all()
-    assert not p.taken
-    p = Pair(a=(ListStatus(9, True, False), b"[]"))  # it was never seen to hear discovery
-    p.tick(1000.0)
-    p.all()
-    assert not p.taken
+    exchange = SimulatedExchange(a=(FRESH_STATUS, b"[]"))
+    exchange.holders[HOLDER_A].tick(0.0, FRESH_STATUS, [])
+    exchange.held_lists[HOLDER_A] = (ListStatus(9, True, False), b"[]")
+    exchange.tick(MAX_LIST_AGE_MS - 1000.0)
+    exchange.deliver_all()
+    assert exchange.accepted[0].age_ms == MAX_LIST_AGE_MS - 1000.0
+    exchange = SimulatedExchange(a=(FRESH_STATUS, b"[]"))
+    exchange.holders[HOLDER_A].tick(0.0, FRESH_STATUS, [])
+    exchange.held_lists[HOLDER_A] = (ListStatus(9, True, False), b"[]")
+    exchange.tick(MAX_LIST_AGE_MS + 1000.0)
+    exchange.deliver_all()
+    assert not exchange.accepted
+    # This member never received a list from discovery while the test ran.
+    exchange = SimulatedExchange(a=(ListStatus(9, True, False), b"[]"))
+    exchange.tick(1000.0)
+    exchange.deliver_all()
+    assert not exchange.accepted
 
 
 def test_once_discovery_has_sent_a_list_nothing_is_requested_or_accepted() -> None:
-    p = Pair(a=(FRESH, b"[]"))
-    p.tick(0.0)
-    p.come()
-    p.own_status = ListStatus(3, True, True)  # discovery came first
-    p.all()
-    p.tick(60000.0)
-    assert not p.taken
-    assert not p.flying
+    exchange = SimulatedExchange(a=(FRESH_STATUS, b"[]"))
+    exchange.tick(0.0)
+    exchange.deliver()
+    exchange.own_status = ListStatus(3, True, True)  # the list of discovery arrived first
+    exchange.deliver_all()
+    exchange.tick(60000.0)
+    assert not exchange.accepted
+    assert not exchange.in_flight
 
 
 def test_a_flood_of_requests_is_bounded() -> None:
-    p = Pair(a=(FRESH, TEXT))
-    packs = [0]
+    exchange = SimulatedExchange(a=(FRESH_STATUS, TEXT))
+    pack_count = [0]
 
-    def text() -> bytes:
-        packs[0] += 1
+    def pack_document() -> bytes:
+        """Return the document, and count how often it is packed."""
+        pack_count[0] += 1
         return TEXT
 
-    wish = Message(
+    request = Message(
         MessageKind.LIST_REQUEST, "n9", payload=msgspec.msgpack.encode((0, b"", (1 << 62) - 1))
     )
     for _ in range(3000):
-        p.tellers[A].handle_request(5000.0, B, wish, FRESH, text)
-    assert len(p.tellers[A].outbox) == MAX_CHUNKS_PER_S
-    assert packs[0] == 1
-    assert p.counts["members.lists_busy"] > 2000
+        exchange.holders[HOLDER_A].handle_request(
+            5000.0, HOLDER_B, request, FRESH_STATUS, pack_document
+        )
+    assert len(exchange.holders[HOLDER_A].outbox) == MAX_CHUNKS_PER_S
+    assert pack_count[0] == 1
+    assert exchange.counts["members.lists_busy"] > 2000
 
 
-def made(
+def chunk_message(
     version: object = 9,
     age: object = 0.0,
-    whole: object = None,
-    n: object = 0,
+    digest: object = None,
+    index: object = 0,
     count: object = 1,
-    part: object = b"x",
+    chunk: object = b"x",
 ) -> Message:
-    whole = list_digest(part) if whole is None else whole
+    """Return a message with one chunk; `digest` is that of the complete list."""
+    digest = list_digest(chunk) if digest is None else digest
     return Message(
         MessageKind.LIST_CHUNK,
         "n1",
-        payload=msgspec.msgpack.encode((version, age, whole, n, count, part)),
+        payload=msgspec.msgpack.encode((version, age, digest, index, count, chunk)),
     )
 
 
 def test_a_torn_malformed_or_oversized_list_is_refused() -> None:
     bomb = zlib.compress(b"\0" * (MAX_LIST_BYTES + 1), 9)
     for message in (
-        made(part=bomb[:900], whole=list_digest(bomb)),
-        made(part=zlib.compress(b"[]")[:-2]),
-        made(),
-        made(whole=b"12345678"),
-        made(version=-1),
-        made(version="9"),
-        made(age=-1.0),
-        made(n=1),
-        made(count=65),
-        made(part=b""),
-        made(part=b"x" * 901, whole=b"12345678"),
-        made(age=float("nan")),
+        chunk_message(chunk=bomb[:900], digest=list_digest(bomb)),
+        chunk_message(chunk=zlib.compress(b"[]")[:-2]),
+        chunk_message(),
+        chunk_message(digest=b"12345678"),
+        chunk_message(version=-1),
+        chunk_message(version="9"),
+        chunk_message(age=-1.0),
+        chunk_message(index=1),
+        chunk_message(count=65),
+        chunk_message(chunk=b""),
+        chunk_message(chunk=b"x" * 901, digest=b"12345678"),
+        chunk_message(age=float("nan")),
         Message(MessageKind.LIST_CHUNK, "n1", payload=b"\xff"),
         Message(MessageKind.LIST_CHUNK, "n1"),
     ):
-        p = Pair()
-        assert p.asker.handle_chunk(0.0, A, message, NOTHING) is None, message
-    p = Pair()
-    parts = [bomb[n : n + 900] for n in range(0, len(bomb), 900)]
-    for n, part in enumerate(parts):
-        m = made(part=part, n=n, count=len(parts), whole=list_digest(bomb))
-        assert p.asker.handle_chunk(0.0, A, m, NOTHING) is None
-    assert p.counts["members.lists_wrong"] == 1
+        exchange = SimulatedExchange()
+        assert exchange.requester.handle_chunk(0.0, HOLDER_A, message, NO_LIST_STATUS) is None, (
+            message
+        )
+    exchange = SimulatedExchange()
+    chunks = [bomb[index : index + 900] for index in range(0, len(bomb), 900)]
+    for index, chunk in enumerate(chunks):
+        part = chunk_message(chunk=chunk, index=index, count=len(chunks), digest=list_digest(bomb))
+        assert exchange.requester.handle_chunk(0.0, HOLDER_A, part, NO_LIST_STATUS) is None
+    assert exchange.counts["members.lists_wrong"] == 1
 
 
 @pytest.mark.parametrize(
@@ -258,235 +286,263 @@
     [
         b"",
         b"\xff",
-        *(msgspec.msgpack.encode(x) for x in ((1, 2), (-1, b"", 1), (0, "", 1), (0, b"", 1 << 63))),
+        *(
+            msgspec.msgpack.encode(fields)
+            for fields in ((1, 2), (-1, b"", 1), (0, "", 1), (0, b"", 1 << 63))
+        ),
     ],
 )
 def test_a_malformed_request_is_counted(data: bytes) -> None:
-    p = Pair()
-    p.tellers[A].handle_request(
-        0.0, B, Message(MessageKind.LIST_REQUEST, "n9", payload=data), FRESH, lambda: TEXT
+    exchange = SimulatedExchange()
+    exchange.holders[HOLDER_A].handle_request(
+        0.0,
+        HOLDER_B,
+        Message(MessageKind.LIST_REQUEST, "n9", payload=data),
+        FRESH_STATUS,
+        lambda: TEXT,
     )
-    assert p.counts == {"members.lists_wrong": 1}
-    assert not p.tellers[A].outbox
+    assert exchange.counts == {"members.lists_wrong": 1}
+    assert not exchange.holders[HOLDER_A].outbox
 
 
-@SAME
+@REPRODUCIBLE
 @given(
-    st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 30)), max_size=60), st.integers(0, 99)
+    st.lists(st.tuples(st.sampled_from(EVENTS), st.integers(0, 30)), max_size=60),
+    st.integers(0, 99),
 )
 def test_versions_rise_and_lists_are_complete_whatever_comes(
-    steps: list[tuple[str, int]], seed: int
+    events: list[tuple[str, int]], seed: int
 ) -> None:
-    texts = {9: TEXT, 10: TEXT[::-1]}
-    p = Pair(seed, a=(FRESH, TEXT), b=(ListStatus(10, True, True), TEXT[::-1]))
-    for what, n in steps:
-        if what == "tick":
-            p.tick(100.0 * n)
-        elif what == "newer":
-            version = p.at[A][0].version + 1
-            texts[version] = TEXT[n:]
-            p.at[A] = (ListStatus(version, True, True), texts[version])
-        elif what == "told":
-            p.own_status = ListStatus(
-                p.own_status.version, n > 25 or p.own_status.is_from_discovery, False
+    documents = {9: TEXT, 10: TEXT[::-1]}
+    exchange = SimulatedExchange(
+        seed, a=(FRESH_STATUS, TEXT), b=(ListStatus(10, True, True), TEXT[::-1])
+    )
+    for event, number in events:
+        if event == "tick":
+            exchange.tick(100.0 * number)
+        elif event == "newer":
+            version = exchange.held_lists[HOLDER_A][0].version + 1
+            documents[version] = TEXT[number:]
+            exchange.held_lists[HOLDER_A] = (ListStatus(version, True, True), documents[version])
+        elif event == "told":
+            exchange.own_status = ListStatus(
+                exchange.own_status.version,
+                number > 25 or exchange.own_status.is_from_discovery,
+                False,
+            )
+        elif exchange.in_flight:
+            index = number % len(exchange.in_flight)
+            accepted_before = len(exchange.accepted)
+            had_discovery_list = exchange.own_status.is_from_discovery
+            exchange.in_flight.pop(index) if event == "lose" else exchange.deliver(
+                index, keep=event == "twice"
             )
-        elif p.flying:
-            at = n % len(p.flying)
-            before = len(p.taken)
-            told = p.own_status.is_from_discovery
-            p.flying.pop(at) if what == "lose" else p.come(at, keep=what == "twice")
-            assert len(p.taken) == before or not told
-        versions = [t.version for t in p.taken]
+            assert len(exchange.accepted) == accepted_before or not had_discovery_list
+        versions = [received.version for received in exchange.accepted]
         assert versions == sorted(set(versions))
-        assert all(t.document == texts.get(t.version) or t.version > 9 for t in p.taken)
-    assert all(t.document in texts.values() for t in p.taken)
+        assert all(
+            received.document == documents.get(received.version) or received.version > 9
+            for received in exchange.accepted
+        )
+    assert all(received.document in documents.values() for received in exchange.accepted)
 
 
 # ---- a node's process, and a member under the test's control
 
 
-class Member:
-    """A member's socket: it reads wishes, and tells what the test says."""
+class FakeMember:
+    """A member under the control of the test, on a UDP socket.
+
+    It reads the requests of a node and sends the lists that the test gives.
+    """
 
     def __init__(self) -> None:
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.bind(("127.0.0.1", 0))
-        self.sock.settimeout(15.0)
+        self.udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.udp_socket.bind(("127.0.0.1", 0))
+        self.udp_socket.settimeout(15.0)
         self.codec = Codec("f")
         self.node: tuple[str, int] = ("", 0)
 
     @property
-    def at(self) -> str:
-        return f"127.0.0.1:{self.sock.getsockname()[1]}"
+    def address(self) -> str:
+        """Return the address of the socket."""
+        return f"127.0.0.1:{self.udp_socket.getsockname()[1]}"
 
-    def wish(self) -> tuple:
-        """The next wish for a list: version held, digest, mask."""
+    def receive_request(self) -> tuple:
+        """Return the next request for a list: version held, digest, mask of missing chunks."""
         while True:
-            data, self.node = self.sock.recvfrom(65536)
+            data, self.node = self.udp_socket.recvfrom(65536)
             message = self.codec.read(data)
             if message.kind == MessageKind.LIST_REQUEST:
                 return tuple(msgspec.msgpack.decode(message.payload))
 
-    def ask(self, version: int) -> None:
-        wish = Message(
+    def send_request(self, version: int) -> None:
+        """Request a list that is newer than this version from the node."""
+        request = Message(
             MessageKind.LIST_REQUEST, "n9", payload=msgspec.msgpack.encode((version, b"", 1))
         )
-        self.sock.sendto(self.codec.write(wish), self.node)
+        self.udp_socket.sendto(self.codec.write(request), self.node)
 
-    def part(self) -> tuple:
-        """The next part of a list."""
+    def receive_chunk(self) -> tuple:
+        """Return the fields of the next chunk of a list."""
         while True:
-            message = self.codec.read(self.sock.recvfrom(65536)[0])
+            message = self.codec.read(self.udp_socket.recvfrom(65536)[0])
             if message.kind == MessageKind.LIST_CHUNK:
                 return tuple(msgspec.msgpack.decode(message.payload))
 
-    def tell(self, text: dict, version: int | None = None, age: float = 0.0) -> None:
-        packed = zlib.compress(json.dumps(text).encode())
-        parts = [packed[n : n + 900] for n in range(0, len(packed), 900)]
-        for n, part in enumerate(parts):
-            whole = (
-                text["seq"] if version is None else version,
+    def send_list(self, document: dict, version: int | None = None, age: float = 0.0) -> None:
+        """Send an endpoint list to the node, in chunks."""
+        compressed = zlib.compress(json.dumps(document).encode())
+        chunks = [compressed[index : index + 900] for index in range(0, len(compressed), 900)]
+        for index, chunk in enumerate(chunks):
+            fields = (
+                document["seq"] if version is None else version,
                 age,
-                list_digest(packed),
-                n,
-                len(parts),
-                part,
+                list_digest(compressed),
+                index,
+                len(chunks),
+                chunk,
             )
-            message = Message(MessageKind.LIST_CHUNK, "n9", payload=msgspec.msgpack.encode(whole))
-            self.sock.sendto(self.codec.write(message), self.node)
-
-
-def real(folder: Path, caches: int = 2, first: str = "list") -> tuple[NodeProcess, Member]:
-    """`first`: a member's list before the call to discovery is due (4 s after the start), or the
-    call."""
-    nodes = 400 if first == "list" else 1
-    r, member = (
-        NodeProcess(folder, caches, methods=[method_settings("read")], balancers=nodes),
-        Member(),
+            message = Message(MessageKind.LIST_CHUNK, "n9", payload=msgspec.msgpack.encode(fields))
+            self.udp_socket.sendto(self.codec.write(message), self.node)
+
+
+def node_and_member(
+    folder: Path, caches: int = 2, first: str = "list"
+) -> tuple[NodeProcess, FakeMember]:
+    """Return a node that is not started yet and a fake member of its fleet.
+
+    `first` is what happens first: "list", a list from the member before the call to discovery is
+    due (4 s after the start), or "call", that call.
+    """
+    node_count = 400 if first == "list" else 1
+    node, member = (
+        NodeProcess(folder, caches, methods=[method_settings("read")], balancers=node_count),
+        FakeMember(),
     )
-    r.configuration["seed"] = SEED
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-        free.bind(("127.0.0.1", 0))
-        own = f"127.0.0.1:{free.getsockname()[1]}"
+    node.configuration["seed"] = SEED
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free_socket:
+        free_socket.bind(("127.0.0.1", 0))
+        own_address = f"127.0.0.1:{free_socket.getsockname()[1]}"
     (folder / "own.toml").write_text(
-        f'[members]\nlisten = "{own}"\nfleet = "f"\nseeds = ["{member.at}"]\n'
+        f'[members]\nlisten = "{own_address}"\nfleet = "f"\nseeds = ["{member.address}"]\n'
     )
-    r.environment["HOOKPITCH_CONFIG"] = str(folder / "own.toml")
-    r.configuration["known"] = {"seq": 5, "whole": True, "hosts": []}
-    r.write_configuration()
-    return r, member
+    node.environment["HOOKPITCH_CONFIG"] = str(folder / "own.toml")
+    node.configuration["known"] = {"seq": 5, "whole": True, "hosts": []}
+    node.write_configuration()
+    return node, member
 
 
-def served(r: NodeProcess, id: str) -> int:
-    """Which cache it goes to."""
-    client = r.connect_client()
+def serving_cache(node: NodeProcess, id: str) -> int:
+    """Send an RPC, answer it, and return the number of the cache that received it."""
+    client = node.connect_client()
     client.send(get_command(id, wait=5000))
-    n, line = r.accept_from_any_cache()
-    assert line.receive_value()[2] == id.encode()
-    line.send(VALUE)
+    cache, connection = node.accept_from_any_cache()
+    assert connection.receive_value()[2] == id.encode()
+    connection.send(VALUE)
     assert client.receive_value() == b"v"
-    line.close()
-    return n
+    connection.close()
+    return cache
 
 
-def since(r: NodeProcess) -> bytes:
-    return r.poll_head.partition(b"since=")[2].split()[0]
+def polled_version(node: NodeProcess) -> bytes:
+    """Return the version since which the last poll requested changes."""
+    return node.poll_head.partition(b"since=")[2].split()[0]
 
 
-def told(r: NodeProcess, seq: int, *without: int, **health: str) -> dict:
-    some = [h for n, h in enumerate(r.hosts) if n not in without]
-    hosts = [h | {"health": health.get(h["host"], h["health"])} for h in some]
+def endpoint_list(node: NodeProcess, seq: int, *without: int, **health: str) -> dict:
+    """Return an endpoint list without some hosts, with the health given for others."""
+    listed = [host for index, host in enumerate(node.hosts) if index not in without]
+    hosts = [host | {"health": health.get(host["host"], host["health"])} for host in listed]
     return {"seq": seq, "whole": True, "hosts": hosts}
 
 
 def test_a_node_serves_by_a_members_list_and_then_polls_for_the_whole_one(
     tmp_path: Path,
 ) -> None:
-    r, member = real(tmp_path)
-    with r:
-        assert member.wish()[0] == 5
-        member.tell(told(r, 9, 1))
-        assert r.wait_for_log("endpoint_list_accepted")["version"] == 9
-        r.wait_until(lambda: r.counter("lists.cached") == 2)
-        assert served(r, "r1") == 0  # discovery has said nothing yet; the list has one cache alone
-        watch = r.answer_poll(
-            told(r, 7, 0)
-        )  # an older version, of which it is told by discovery: that goes first
-        assert since(r) == b"0"
-        r.wait_until(lambda: r.counter("lists.full") == 1)
-        assert served(r, "r2") == 1
-        member.tell(told(r, 99, 1))
-        send_change(watch, r.endpoint_change(8, 1))
-        r.wait_until(lambda: r.counter("lists.delta") == 1)
-        assert served(r, "r3") == 1
-        assert r.counter("members.lists_taken") == 1
-        member.ask(3)
-        version, _, whole, n, count, part = member.part()
-        text = zlib.decompress(part)
-        assert (version, n, count, whole) == (8, 0, 1, list_digest(part)), (
-            "it tells what discovery told it"
+    node, member = node_and_member(tmp_path)
+    with node:
+        assert member.receive_request()[0] == 5
+        member.send_list(endpoint_list(node, 9, 1))
+        assert node.wait_for_log("endpoint_list_accepted")["version"] == 9
+        node.wait_until(lambda: node.counter("lists.cached") == 2)
+        # Discovery has not answered yet; the list contains one cache only.
+        assert serving_cache(node, "r1") == 0
+        # Discovery sends an older version, which takes precedence over the list of the member.
+        watch = node.answer_poll(endpoint_list(node, 7, 0))
+        assert polled_version(node) == b"0"
+        node.wait_until(lambda: node.counter("lists.full") == 1)
+        assert serving_cache(node, "r2") == 1
+        member.send_list(endpoint_list(node, 99, 1))
+        send_change(watch, node.endpoint_change(8, 1))
+        node.wait_until(lambda: node.counter("lists.delta") == 1)
+        assert serving_cache(node, "r3") == 1
+        assert node.counter("members.lists_taken") == 1
+        member.send_request(3)
+        version, _, digest, index, count, chunk = member.receive_chunk()
+        document = zlib.decompress(chunk)
+        assert (version, index, count, digest) == (8, 0, 1, list_digest(chunk)), (
+            "the node sends the list from discovery"
         )
-        assert {h["host"] for h in json.loads(text)["hosts"]} == {"s1", "o1"}
+        assert {host["host"] for host in json.loads(document)["hosts"]} == {"s1", "o1"}
 
 
 @pytest.mark.parametrize("first", ["call", "list"])
 def test_a_members_list_and_a_poll_in_flight_cross(tmp_path: Path, first: str) -> None:
-    r, member = real(tmp_path, first=first)
-    with r:
-        if (
-            first == "call"
-        ):  # its changes are since what was held before: they may not be put on this list
-            line = r.discovery.accept()
-            assert b"since=5" in line.receive_head()
-            member.wish()
-            member.tell(told(r, 9, 1))
-            r.wait_until(lambda: r.counter("members.lists_taken") == 1)
-            assert r.counter("lists.cached") == 1
-            line.reset()
-            r.wait_until(lambda: r.counter("lists.cached") == 2)
+    node, member = node_and_member(tmp_path, first=first)
+    with node:
+        if first == "call":
+            # The poll requests the changes since the old version; they do not apply to this list.
+            poll = node.discovery.accept()
+            assert b"since=5" in poll.receive_head()
+            member.receive_request()
+            member.send_list(endpoint_list(node, 9, 1))
+            node.wait_until(lambda: node.counter("members.lists_taken") == 1)
+            assert node.counter("lists.cached") == 1
+            poll.reset()
+            node.wait_until(lambda: node.counter("lists.cached") == 2)
         else:
-            member.wish()
-            member.tell(told(r, 9, 1))
-            r.wait_until(lambda: r.counter("lists.cached") == 2)
-        assert served(r, "r1") == 0
-        r.answer_poll(told(r, 9))
-        assert since(r) == b"0"
+            member.receive_request()
+            member.send_list(endpoint_list(node, 9, 1))
+            node.wait_until(lambda: node.counter("lists.cached") == 2)
+        assert serving_cache(node, "r1") == 0
+        node.answer_poll(endpoint_list(node, 9))
+        assert polled_version(node) == b"0"
 
 
 def test_a_wrong_list_lasts_no_longer_than_an_old_one_would(tmp_path: Path) -> None:
-    r, member = real(tmp_path)
-    with r:
-        member.wish()
-        member.tell(
-            told(r, (1 << 61), 0, s1="terminating")
-        )  # nobody is ready in it: no list to begin with
-        r.wait_until(lambda: r.counter("members.lists_wrong") == 1)
-        member.wish()
-        member.tell(told(r, (1 << 61), 1))
-        r.wait_until(lambda: r.counter("lists.cached") == 2)
-        r.answer_poll(told(r, 6, 0))  # discovery's count, far below the one that was told
-        r.wait_until(lambda: r.counter("lists.full") == 1)
-        assert served(r, "r1") == 1
+    node, member = node_and_member(tmp_path)
+    with node:
+        member.receive_request()
+        # No cache of this list is ready, so the node does not accept it.
+        member.send_list(endpoint_list(node, (1 << 61), 0, s1="terminating"))
+        node.wait_until(lambda: node.counter("members.lists_wrong") == 1)
+        member.receive_request()
+        member.send_list(endpoint_list(node, (1 << 61), 1))
+        node.wait_until(lambda: node.counter("lists.cached") == 2)
+        # The version of discovery is far below the one that the member sent.
+        node.answer_poll(endpoint_list(node, 6, 0))
+        node.wait_until(lambda: node.counter("lists.full") == 1)
+        assert serving_cache(node, "r1") == 1
 
 
 def test_a_drain_in_a_members_list_takes_effect_at_once(tmp_path: Path) -> None:
-    r, member = real(tmp_path)
-    r.configuration["known"] = {"seq": 5, "whole": True, "hosts": r.hosts}
-    r.write_configuration()
-    with r:
-        member.wish()
-        member.tell(told(r, 9, s0="terminating"))
-        r.wait_until(lambda: r.counter("lists.cached") == 2)
-        assert {served(r, f"r{n}") for n in range(6)} == {
-            1
-        }  # its grace is for what is sent already
+    node, member = node_and_member(tmp_path)
+    node.configuration["known"] = {"seq": 5, "whole": True, "hosts": node.hosts}
+    node.write_configuration()
+    with node:
+        member.receive_request()
+        member.send_list(endpoint_list(node, 9, s0="terminating"))
+        node.wait_until(lambda: node.counter("lists.cached") == 2)
+        # The grace period of the drain covers only RPCs that were sent before it.
+        assert {serving_cache(node, f"r{index}") for index in range(6)} == {1}
 
 
 def test_a_node_without_any_list_keeps_requesting_and_answers_with_an_error(tmp_path: Path) -> None:
-    r, member = real(tmp_path)
-    with r:
+    node, member = node_and_member(tmp_path)
+    with node:
         for _ in range(3):
-            assert member.wish() == (5, b"", 15)
-        client: PeerConnection = r.connect_client()
+            assert member.receive_request() == (5, b"", 15)
+        client: PeerConnection = node.connect_client()
         client.send(get_command("r1", wait=300))
         assert isinstance(client.receive_value(), ErrorReply)
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -1,4 +1,4 @@
-"""Properties of membership: the codec under damage anywhere, the state machine in any order."""
+"""Property tests of membership: damaged datagrams, and the state machine in any order of events."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
     rule,
     run_state_machine_as_test,
 )
-from test_members import World
+from test_members import SteppedFleet
 
 from hookpitch.members.codec import HEADER, KINDS, MAX_BYTES, MAX_NAME_CHARS, Codec
 from hookpitch.members.messages import (
@@ -26,8 +26,8 @@
 )
 from hookpitch.members.roster import Roster
 
-# The same examples each time: a run that finds something finds it again.
-SAME = settings(
+# Each run tests the same examples, so that a failure is reproducible.
+REPRODUCIBLE = settings(
     derandomize=True, database=None, deadline=None, suppress_health_check=list(HealthCheck)
 )
 NAMES = st.text(min_size=1, max_size=MAX_NAME_CHARS)
@@ -42,7 +42,7 @@
     COUNTS,
     st.binary(max_size=MAX_METADATA_BYTES),
 )
-MARKED = st.one_of(st.just(()), st.tuples(*[st.integers(0, 65535)] * PARTITIONS))
+PARTITION_DIGESTS = st.one_of(st.just(()), st.tuples(*[st.integers(0, 65535)] * PARTITIONS))
 MESSAGES = st.builds(
     Message,
     st.sampled_from(KINDS),
@@ -51,129 +51,136 @@
     st.text(max_size=MAX_NAME_CHARS),
     st.lists(RECORDS, max_size=MAX_RECORDS_PER_DATAGRAM).map(tuple),
     st.booleans(),
-    MARKED,
+    PARTITION_DIGESTS,
     st.binary(max_size=300),
 )
 
 
-@settings(SAME, max_examples=150)
+@settings(REPRODUCIBLE, max_examples=150)
 @given(MESSAGES)
 def test_a_message_is_read_as_written_within_its_bounds(message: Message) -> None:
     data = Codec("f").write(message)
-    back = Codec("f").read(data)
+    decoded = Codec("f").read(data)
     assert len(data) <= MAX_BYTES
-    assert back.records == message.records[: len(back.records)]
-    assert replace(back, records=message.records) == message
-    if len(back.records) < len(message.records):  # left out: the next would not have fitted
-        one_more = replace(message, records=message.records[: len(back.records) + 1])
+    assert decoded.records == message.records[: len(decoded.records)]
+    assert replace(decoded, records=message.records) == message
+    if len(decoded.records) < len(message.records):  # the next record would not have fitted
+        one_more = replace(message, records=message.records[: len(decoded.records) + 1])
         assert len(Codec("f").write(one_more)) == len(data)
 
 
-@settings(SAME, max_examples=150)
+@settings(REPRODUCIBLE, max_examples=150)
 @given(MESSAGES, st.data())
 def test_a_datagram_truncated_or_altered_at_any_byte_is_refused(
     message: Message, data: st.DataObject
 ) -> None:
     codec = Codec("f")
     whole = codec.write(message)
-    at = data.draw(st.integers(0, len(whole) - 1))
-    turned = bytearray(whole)
-    turned[at] ^= data.draw(st.integers(1, 255))
-    for bad in (whole[:at], bytes(turned), whole + b"x"):
+    offset = data.draw(st.integers(0, len(whole) - 1))
+    altered = bytearray(whole)
+    altered[offset] ^= data.draw(st.integers(1, 255))
+    for damaged in (whole[:offset], bytes(altered), whole + b"x"):
         with pytest.raises(ValueError, match="torn|foreign|version|wrong"):
-            codec.read(bad)
+            codec.read(damaged)
 
 
-@settings(SAME, max_examples=200)
+@settings(REPRODUCIBLE, max_examples=200)
 @given(st.binary(max_size=200), st.data())
 def test_any_body_is_refused_in_one_word_or_within_bounds(body: bytes, data: st.DataObject) -> None:
     codec = Codec("f")
-    if data.draw(st.booleans()):  # near to a true one
-        true = bytearray(codec.write(data.draw(MESSAGES))[HEADER.size :])
+    if data.draw(st.booleans()):  # a valid body with up to three bytes altered
+        altered = bytearray(codec.write(data.draw(MESSAGES))[HEADER.size :])
         for _ in range(data.draw(st.integers(1, 3))):
-            true[data.draw(st.integers(0, len(true) - 1))] = data.draw(st.integers(0, 255))
-        body = bytes(true)
+            altered[data.draw(st.integers(0, len(altered) - 1))] = data.draw(st.integers(0, 255))
+        body = bytes(altered)
     try:
-        m = codec.read(
+        message = codec.read(
             codec.write(Message(MessageKind.GOSSIP, "m"))[:12] + codec.checksum(body) + body
         )
-    except ValueError as fault:
-        assert str(fault) == "wrong"
+    except ValueError as error:
+        assert str(error) == "wrong"
         return
-    assert m.kind in KINDS
-    assert 0 < len(m.sender) <= MAX_NAME_CHARS
-    assert len(m.partition_digests) in (0, PARTITIONS)
+    assert message.kind in KINDS
+    assert 0 < len(message.sender) <= MAX_NAME_CHARS
+    assert len(message.partition_digests) in (0, PARTITIONS)
     assert all(
-        0 < len(r.name) <= MAX_NAME_CHARS and len(r.metadata) <= MAX_METADATA_BYTES
-        for r in m.records
+        0 < len(record.name) <= MAX_NAME_CHARS and len(record.metadata) <= MAX_METADATA_BYTES
+        for record in message.records
     )
 
 
-class Any(RuleBasedStateMachine):
-    """Three members: time, loss, repetition, any order, restarts. `World` checks its invariants at
-    every
-    step: an incarnation never goes back, only its owner raises one, the dead do not return at
-    theirs."""
+class EventMachine(RuleBasedStateMachine):
+    """Three members under loss, duplication, reordering and restarts, while time passes.
+
+    `SteppedFleet` checks its invariants after each event: a recorded incarnation never decreases,
+    only its owner raises it, and a dead member does not return with the incarnation of its death.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World()
+        self.fleet = SteppedFleet()
 
-    @rule(n=st.integers(0, 2), ms=st.sampled_from([1.0, 250.0, 500.0, 2000.0, 4000.0, 20000.0]))
-    def time_passes(self, n: int, ms: float) -> None:
-        self.world.step(("tick", f"m{n}", ms))
+    @rule(index=st.integers(0, 2), ms=st.sampled_from([1.0, 250.0, 500.0, 2000.0, 4000.0, 20000.0]))
+    def time_passes(self, index: int, ms: float) -> None:
+        """Let time pass, then tick one member."""
+        self.fleet.apply_event(("tick", f"m{index}", ms))
 
-    @precondition(lambda self: self.world.flying)
-    @rule(what=st.sampled_from(["come", "lose", "twice"]), i=st.integers(0, 7))
-    def a_datagram(self, what: str, i: int) -> None:
-        self.world.step((what, i % len(self.world.flying)))
+    @precondition(lambda self: self.fleet.in_flight)
+    @rule(event=st.sampled_from(["come", "lose", "twice"]), position=st.integers(0, 7))
+    def datagram_event(self, event: str, position: int) -> None:
+        """Deliver, lose or duplicate one of the datagrams in flight."""
+        self.fleet.apply_event((event, position % len(self.fleet.in_flight)))
 
     @rule()
-    def one_restarts(self) -> None:
-        self.world.step(("restart", "m1"))
+    def member_restarts(self) -> None:
+        """Restart m1."""
+        self.fleet.apply_event(("restart", "m1"))
 
     @invariant()
-    def what_is_sent_is_bounded(self) -> None:
-        for _, _, message in self.world.flying:
+    def datagrams_are_bounded(self) -> None:
+        """Check that each message in flight fits into a datagram."""
+        for _, _, message in self.fleet.in_flight:
             assert len(Codec("f").write(message)) <= MAX_BYTES
 
 
-class Settles(Any):
-    """Whatever has come, once faults end nobody is held dead and views become one."""
+class SettlingMachine(EventMachine):
+    """The same events, after which all members have to be alive in views that are equal."""
 
     def teardown(self) -> None:
-        self.world.settle()
+        """End the faults and check that the members recover."""
+        self.fleet.settle()
 
 
 def test_views_converge_after_any_order_of_events() -> None:
     run_state_machine_as_test(
-        Settles, settings=settings(SAME, max_examples=20, stateful_step_count=40)
+        SettlingMachine, settings=settings(REPRODUCIBLE, max_examples=20, stateful_step_count=40)
     )
 
 
 def test_no_order_of_events_breaks_an_invariant() -> None:
     run_state_machine_as_test(
-        Any, settings=settings(SAME, max_examples=150, stateful_step_count=50)
+        EventMachine, settings=settings(REPRODUCIBLE, max_examples=150, stateful_step_count=50)
     )
 
 
 def test_an_injected_fault_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = Roster.apply
+    original = Roster.apply
 
-    def wrong(self: Roster, now: float, r: Record, evidence: str = "") -> None:
-        if r.name in self.members:
-            self.members[r.name].record = r  # old news, too
-        right(self, now, r, evidence)
+    def apply_any(self: Roster, now: float, record: Record, evidence: str = "") -> None:
+        """Apply a record even if it is out of date."""
+        if record.name in self.members:
+            self.members[record.name].record = record
+        original(self, now, record, evidence)
 
-    monkeypatch.setattr(Roster, "apply", wrong)
+    monkeypatch.setattr(Roster, "apply", apply_any)
     with pytest.raises(AssertionError, match="an incarnation went back|the dead returned"):
-        # Found is enough: it need not be the shortest history, nor the only fault.
-        found = settings(
-            SAME,
+        # The shortest history and further faults are not searched for.
+        search_settings = settings(
+            REPRODUCIBLE,
             max_examples=100,
             stateful_step_count=40,
             phases=[Phase.generate],
             report_multiple_bugs=False,
             print_blob=False,
         )
-        run_state_machine_as_test(Any, settings=found)
+        run_state_machine_as_test(EventMachine, settings=search_settings)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Figures of membership from logs and history; runs without discovery, in both clocks."""
+"""Tests of the figures of membership, and of runs without discovery in both clocks."""
 
 import json
 import subprocess
@@ -18,11 +18,12 @@
 LISTS = ROOT / "experiments" / "members-lists.toml"
 
 
-def event(at: float, kind: str, who: str) -> Event:
-    return Event(at, kind, who)
+def event(at_ms: float, kind: str, name: str) -> Event:
+    """Return one event of a history."""
+    return Event(at_ms, kind, name)
 
 
-EVENTS = [event(0, "start", n) for n in ("n0", "n1", "n2")]
+EVENTS = [event(0, "start", name) for name in ("n0", "n1", "n2")]
 EVENTS += [event(1000, "stop", "n2"), event(9000, "start", "n2")]
 LOGS = [
     (100.0, "n0", "members: n1 alive, incarnation 3"),
@@ -45,20 +46,24 @@
     changes = state_changes(LOGS)
     assert len(changes) == 11
     assert changes[0] == (100.0, "n0", "n1", "alive")
-    value = lambda name, a=0.0, b=20000.0: figure(name, changes, EVENTS, a, b)  # noqa: E731
+    value = lambda name, start_ms=0.0, end_ms=20000.0: figure(  # noqa: E731
+        name, changes, EVENTS, start_ms, end_ms
+    )
     assert value("called_dead") == 1
     assert value("called_dead", 7000.0) == 0
     assert value("found_s") == 1.5
     assert value("agreed_s") == 5.5
-    died = [
-        *EVENTS,
-        event(1005, "stop", "n1"),
-    ]  # some ms later, and it was to say of n2 that it is dead
-    mine = [*(c for c in changes if c.reporter == "n0"), StateChange(7000.0, "n0", "n1", "dead")]
-    assert figure("agreed_s", mine, sorted(died), 0.0, 20000.0) == 6.0
-    assert value("found_s", 2000.0) == 0.0  # nobody was killed in that span
-    assert value("agreed_s", 0.0, 6200.0) == 5.2  # n1 never said so: to the span's end
-    assert value("views_wrong") == 1  # n1 holds n2 for dead still
+    # n1 stops some ms after n2, so it never declares n2 dead.
+    events = [*EVENTS, event(1005, "stop", "n1")]
+    own_changes = [
+        *(change for change in changes if change.reporter == "n0"),
+        StateChange(7000.0, "n0", "n1", "dead"),
+    ]
+    assert figure("agreed_s", own_changes, sorted(events), 0.0, 20000.0) == 6.0
+    assert value("found_s", 2000.0) == 0.0  # no node was killed in this span
+    # n1 does not declare n2 dead within the span, so the time is counted to its end.
+    assert value("agreed_s", 0.0, 6200.0) == 5.2
+    assert value("views_wrong") == 1  # n1 still records n2 as dead
     assert value("views_wrong", 0.0, 8000.0) == 0
     assert running(EVENTS, 5000.0) == {"n0", "n1"}
     assert value("turns") == 4
@@ -77,31 +82,34 @@
 
 
 def test_without_members_the_same_start_serves_less_while_discovery_is_down() -> None:
-    x = load(LISTS)
-    nodes = msgspec.structs.replace(x.nodes, members=False)
-    ended = Run(msgspec.structs.replace(x, nodes=nodes, expected=(), expect=()), 1).run()
-    assert not ended.broken
-    there, here = summary(Run(x, 1).run()), summary(ended)
-    second = lambda s: sum(s["seconds"][n]["served"] for n in range(10, 16)) / 6  # noqa: E731
-    assert second(there) > 0.97
-    assert second(here) < 0.85
+    experiment = load(LISTS)
+    nodes = msgspec.structs.replace(experiment.nodes, members=False)
+    without_run = Run(
+        msgspec.structs.replace(experiment, nodes=nodes, expected=(), expect=()), 1
+    ).run()
+    assert not without_run.broken
+    with_members, without_members = summary(Run(experiment, 1).run()), summary(without_run)
+    served_fraction = lambda figures: (  # noqa: E731
+        sum(figures["seconds"][second]["served"] for second in range(10, 16)) / 6
+    )
+    assert served_fraction(with_members) > 0.97
+    assert served_fraction(without_members) < 0.85
 
 
 def test_nodes_that_start_while_discovery_is_down_serve_by_members_lists_on_processes(
     tmp_path: Path,
 ) -> None:
-    at = tmp_path / "figures.json"
-    words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(LISTS), "--clock", "wall"]
-    words += ["--json", str(at)]
+    figures_path = tmp_path / "figures.json"
+    command = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(LISTS), "--clock", "wall"]
+    command += ["--json", str(figures_path)]
     for _ in range(3):
-        done = subprocess.run(words, cwd=ROOT, text=True, capture_output=True, timeout=120)
-        if done.returncode != 3:
+        completed = subprocess.run(command, cwd=ROOT, text=True, capture_output=True, timeout=120)
+        if completed.returncode != 3:
             break
-    assert done.returncode == 0, (
-        done.stdout + done.stderr
-    )  # void each time has shown nothing: no pass
-    figures = json.loads(at.read_text())
-    assert all(e["holds"] for e in figures["expected"])
+    # Three void runs prove nothing, so the test fails then.
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    figures = json.loads(figures_path.read_text())
+    assert all(expectation["holds"] for expectation in figures["expected"])
     assert len(figures["expected"]) >= 3
     virtual = Run(load(LISTS), 1).run()
     assert all(holds for _, _, holds in check_expectations(virtual))
