--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core's parts, plain and under seeded random runs."""
+"""Tests of the parts of the core, some of them in seeded random runs."""
 
 import random
 
@@ -21,25 +21,27 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_ring_returns_the_bytes_written_in_order(seed: int) -> None:
-    rng, ring, model = random.Random(seed), Ring(), b""
+    rng, ring, expected = random.Random(seed), Ring(), b""
     for _ in range(3000):
         if rng.random() < 0.5:
             data = rng.randbytes(rng.choice([0, 1, 7, 300, 5000]))
             ring.write(data)
-            model += data
+            expected += data
         else:
             count = rng.choice([1, 10, 4000, 20000])
-            assert ring.read(count) == model[:count]
-            model = model[count:]
-        at = rng.randrange(len(model) + 1)
-        assert len(ring) == len(model) and ring.peek(50, at) == model[at : at + 50]
-        assert ring.find_line_end(at) == model.find(b"\n", at)
+            assert ring.read(count) == expected[:count]
+            expected = expected[count:]
+        offset = rng.randrange(len(expected) + 1)
+        assert (
+            len(ring) == len(expected) and ring.peek(50, offset) == expected[offset : offset + 50]
+        )
+        assert ring.find_line_end(offset) == expected.find(b"\n", offset)
     ring.read(len(ring))
     assert ring.capacity <= 16 * INITIAL_CAPACITY
 
 
 def parse(data: bytes, rng: random.Random, commands_only: bool = False) -> list[object]:
-    """All values, the bytes coming in pieces."""
+    """Return all values of the input, which arrives in pieces."""
     ring, values = Ring(), []
     parser = Parser(ring, commands_only)
     while data:
@@ -59,18 +61,18 @@
 def test_values_are_parsed_however_the_input_is_split(seed: int) -> None:
     rng = random.Random(seed)
     big = rng.randbytes(65536)
-    sent = (
+    data = (
         b"*3\r\n" + bulk(big) + bulk(None) + bulk(b"") + b"+OK\r\n-BUSY 5\r\n:-7\r\n*-1\r\n*0\r\n"
     )
-    sent += b"*1\r\n*1\r\n" + bulk(b"\r\n")
-    assert parse(sent, rng) == [[big, None, b""], b"OK", b"BUSY 5", -7, None, [], [[b"\r\n"]]]
-    sent = command(b"PING") + command(b"OBJ.SET", b"k", big)
-    assert parse(sent, rng, True) == [[b"PING"], [b"OBJ.SET", b"k", big]]
+    data += b"*1\r\n*1\r\n" + bulk(b"\r\n")
+    assert parse(data, rng) == [[big, None, b""], b"OK", b"BUSY 5", -7, None, [], [[b"\r\n"]]]
+    data = command(b"PING") + command(b"OBJ.SET", b"k", big)
+    assert parse(data, rng, True) == [[b"PING"], [b"OBJ.SET", b"k", big]]
 
 
 def test_simple_strings_and_error_replies_have_types_of_their_own() -> None:
     values = parse(b"+OK\r\n-OK\r\n", random.Random(1))
-    assert [type(v) for v in values] == [SimpleString, ErrorReply]
+    assert [type(value) for value in values] == [SimpleString, ErrorReply]
 
 
 @pytest.mark.parametrize(
@@ -114,29 +116,40 @@
 
 def test_a_freed_slot_number_names_nothing_even_once_its_slot_is_used_again() -> None:
     slots: SlotTable[str] = SlotTable()
-    a, b = slots.add("a"), slots.add("b")
-    slots.free(a)
-    c = slots.add("c")
-    assert (slots.get(a), slots.get(b), slots.get(c), len(slots)) == (None, "b", "c", 2)
-    slots.free(a)
-    assert slots.get(c) == "c" and slots.values() == ["c", "b"]
+    slot_a, slot_b = slots.add("a"), slots.add("b")
+    slots.free(slot_a)
+    slot_c = slots.add("c")
+    assert (slots.get(slot_a), slots.get(slot_b), slots.get(slot_c), len(slots)) == (
+        None,
+        "b",
+        "c",
+        2,
+    )
+    slots.free(slot_a)
+    assert slots.get(slot_c) == "c" and slots.values() == ["c", "b"]
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_deadlines_run_in_order_and_cancelled_ones_never(seed: int) -> None:
     rng, armed, ran = random.Random(seed), [], []
     deadlines = Deadlines(armed.append)
-    held, due = [], []
-    for n in range(500):
+    pending, due = [], []
+    for number in range(500):
         at = rng.randrange(1000)
-        held.append((deadlines.add(at, lambda now, n=n, at=at: ran.append((at, n))), at, n))
+        pending.append(
+            (
+                deadlines.add(at, lambda now, number=number, at=at: ran.append((at, number))),
+                at,
+                number,
+            )
+        )
         if rng.random() < 0.6:
-            deadlines.cancel(held.pop(rng.randrange(len(held)))[0])
-    due = sorted((at, n) for _, at, n in held)
+            deadlines.cancel(pending.pop(rng.randrange(len(pending)))[0])
+    due = sorted((at, number) for _, at, number in pending)
     assert len(deadlines) == len(due) and armed[-1] <= due[0][0]
     deadlines.run(500)
-    assert ran == [d for d in due if d[0] <= 500]
-    assert armed[-1] == next(d[0] for d in due if d[0] > 500)
+    assert ran == [entry for entry in due if entry[0] <= 500]
+    assert armed[-1] == next(entry[0] for entry in due if entry[0] > 500)
     deadlines.run(2000)
     assert ran == due and not len(deadlines)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,5 +1,7 @@
-"""Seeded random runs: several troubles at once under drawn settings, the four rules checked at
-every step."""
+"""Tests under several random faults at once, with random settings.
+
+The runs are seeded, and the four rules are checked at each step.
+"""
 
 import random
 
@@ -23,11 +25,12 @@
     )
     for _ in range(700):
         fleet.step()
-    fleet.pass_time(30000.0)  # whatever was open has ended by now
+    fleet.pass_time(30000.0)  # every RPC has ended by then
     assert not fleet.open_rpcs
     assert not fleet.router.rpcs, "records outlive their RPCs"
     assert not any(
-        s.fresh_queue or s.retry_queue or s.in_flight for s in fleet.router.backends.values()
+        backend.fresh_queue or backend.retry_queue or backend.in_flight
+        for backend in fleet.router.backends.values()
     )
 
 
@@ -46,22 +49,22 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_rules_hold_on_sockets_whatever_the_peers_do(seed: int) -> None:
-    storm = RandomFaults(seed)
+    faults = RandomFaults(seed)
     for _ in range(500):
-        storm.step()
-    for line in storm.clients:
-        line.is_reading = True
-    storm.node.pass_time(1100)
-    storm.deliver_output()
-    assert not any(storm.unanswered[id(line)] for line in storm.clients), "an RPC was lost"
-    host, counts = storm.node.socket_node.host, storm.node.counters.counts
+        faults.step()
+    for client in faults.clients:
+        client.is_reading = True
+    faults.node.pass_time(1100)
+    faults.deliver_output()
+    assert not any(faults.unanswered[id(client)] for client in faults.clients), "an RPC was lost"
+    host, counts = faults.node.socket_node.host, faults.node.counters.counts
     assert not len(host.rpcs), "records outlive their RPCs"
     assert (
         not [name for name in counts if name.startswith("broken")] and counts["rpcs.completed"] > 10
     )
-    held = [x for x in storm.network.connections if not x.is_closed] + [
-        d for d in storm.network.dials if not d.is_finished
-    ]
-    assert storm.node.socket_node.pools.descriptors_used == sum(
-        x.port != DISCOVERY_PORT for x in held
+    open_connections = [
+        connection for connection in faults.network.connections if not connection.is_closed
+    ] + [dial for dial in faults.network.dials if not dial.is_finished]
+    assert faults.node.socket_node.pools.descriptors_used == sum(
+        connection.port != DISCOVERY_PORT for connection in open_connections
     ), "descriptors are counted wrong"
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -1,4 +1,4 @@
-"""The adapter, run as a process on hand-written exchanges."""
+"""Tests of the simulator adapter, run as a process on hand-written exchanges."""
 
 import json
 import subprocess
@@ -22,10 +22,12 @@
 KEY = "91f03b7c55d20a64"
 
 
-def play(*batches: str) -> tuple[list[list[str]], str]:
-    """The reply to each batch, without timers, and what was complained of."""
-    text = "".join(f"BEGIN_BATCH {5 + i / 100}\n{b}\nEOB\n" for i, b in enumerate(batches))
-    done = subprocess.run(
+def run_batches(*batches: str) -> tuple[list[list[str]], str]:
+    """Run the adapter; return its replies to each batch, without timers, and its error output."""
+    text = "".join(
+        f"BEGIN_BATCH {5 + index / 100}\n{batch}\nEOB\n" for index, batch in enumerate(batches)
+    )
+    completed = subprocess.run(
         [sys.executable, "-m", "hookpitch.simwire"],
         input=text,
         capture_output=True,
@@ -34,13 +36,15 @@
         cwd=Path(__file__).parent.parent,
         timeout=60,
     )
-    replies = [r.split("\n") for r in done.stdout.split("ACK\n")[:-1]]
-    assert done.stdout.count("ACK\n") == len(batches)
-    return [[x for x in r if x and not x.startswith("TIMER")] for r in replies], done.stderr
+    replies = [reply.split("\n") for reply in completed.stdout.split("ACK\n")[:-1]]
+    assert completed.stdout.count("ACK\n") == len(batches)
+    return [
+        [line for line in reply if line and not line.startswith("TIMER")] for reply in replies
+    ], completed.stderr
 
 
 def test_a_miss_is_sent_to_the_origin() -> None:
-    replies, complaints = play(
+    replies, errors = run_batches(
         f"{HELLO}\n{LIST}",
         f"REQUEST node/0 r1 {KEY} 0 0.9 - - - read",
         "SETTLED node/0 r1 0.002 server_a 1 0 2 0 outstanding:3,novel:9",
@@ -48,13 +52,13 @@
         "EXIT node/0",
     )
     assert replies[0] == ["SUBSCRIBE node/0 1"]
-    assert [r.split()[:4] for r in replies[1]] == [["RELAY", "node/0", "r1", "server_a"]]
-    assert [r.split()[:4] for r in replies[2]] == [["RELAY", "node/0", "r1", "server_o"]]
-    assert replies[3:] == [[], []] and complaints == ""
+    assert [reply.split()[:4] for reply in replies[1]] == [["RELAY", "node/0", "r1", "server_a"]]
+    assert [reply.split()[:4] for reply in replies[2]] == [["RELAY", "node/0", "r1", "server_o"]]
+    assert replies[3:] == [[], []] and errors == ""
 
 
 def test_malformed_lines_are_named_and_harm_nothing() -> None:
-    bad = [
+    malformed = [
         "WHATEVER node/0 1",
         "REQUEST node/0 r1",
         f"REQUEST node/0 r2 {KEY} 0 soon - - - read",
@@ -63,16 +67,16 @@
         "PEERS_KNOWN node/0 3 4 1\nENTRY a server_b",
     ]
     good = f"REQUEST node/0 r3 {KEY} 0 0.9 - - - read"
-    replies, complaints = play(f"{HELLO}\n{LIST}", "\n".join(bad), good)
+    replies, errors = run_batches(f"{HELLO}\n{LIST}", "\n".join(malformed), good)
     assert replies[1] == []
-    assert [r.split()[:4] for r in replies[2]] == [["RELAY", "node/0", "r3", "server_a"]]
-    assert len(complaints.splitlines()) == len(bad) and "Traceback" not in complaints
-    for line, said in zip(bad, complaints.splitlines(), strict=True):
-        assert line.split()[0] in said
+    assert [reply.split()[:4] for reply in replies[2]] == [["RELAY", "node/0", "r3", "server_a"]]
+    assert len(errors.splitlines()) == len(malformed) and "Traceback" not in errors
+    for line, error in zip(malformed, errors.splitlines(), strict=True):
+        assert line.split()[0] in error
 
 
 def test_a_missing_setting_is_named() -> None:
-    hello = json.dumps({k: v for k, v in SETTINGS.items() if k != "methods"})
-    replies, complaints = play(f"HELLO node/0 7 {hello}")
+    hello = json.dumps({name: value for name, value in SETTINGS.items() if name != "methods"})
+    replies, errors = run_batches(f"HELLO node/0 7 {hello}")
     assert replies[0] == ["EXCEPTION node/0 setting methods is missing"]
-    assert "methods is missing" in complaints
+    assert "methods is missing" in errors
