--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -18,14 +18,18 @@
     ended = Run(load(path), load(path).seed).run()
     assert not ended.broken, str(ended.broken[0])
     assert not ended.faults
-    assert not [(e.text, value) for e, value, holds in check_expectations(ended) if not holds]
+    assert not [
+        (expectation.text, value)
+        for expectation, value, holds in check_expectations(ended)
+        if not holds
+    ]
 
 
 @pytest.mark.parametrize(
     ("seed", "kinds"),
     [
-        *((5000 + n, fuzz_draw.SINGLE_KINDS) for n in range(8)),
-        *((100 + n, fuzz_draw.GROUP_KINDS) for n in (3, 26, 28, 46, 1, 2)),
+        *((5000 + offset, fuzz_draw.SINGLE_KINDS) for offset in range(8)),
+        *((100 + offset, fuzz_draw.GROUP_KINDS) for offset in (3, 26, 28, 46, 1, 2)),
     ],
 )
 def test_drawn_experiments_break_no_rule(seed: int, kinds: tuple[str, ...]) -> None:
@@ -46,8 +50,8 @@
         return [*rules_broken(ended), *(["rule 9"] if has_silence else [])]
 
     monkeypatch.setattr(fuzz, "rules_broken", with_rule_9)
-    small = fuzz.shrink(drawn, ["rule 9"], most=40)
-    assert [fault.what for fault in small.fault] == [
+    shrunk = fuzz.shrink(drawn, ["rule 9"], most=40)
+    assert [fault.what for fault in shrunk.fault] == [
         "silence"
-    ] and small.traffic.rate < drawn.traffic.rate
-    assert read(fuzz_draw.experiment_text(small)) == small
+    ] and shrunk.traffic.rate < drawn.traffic.rate
+    assert read(fuzz_draw.experiment_text(shrunk)) == shrunk
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes that an earlier build wrote: this build reads them and writes the same ones.
+"""Tests that this build reads the bytes of an earlier build and writes the same bytes.
 
 Two builds work side by side during a rolling upgrade, and a restart reads the file of the build
 before. The bytes below were written by commit 524ff70; they never change with the code's names.
@@ -39,10 +39,10 @@
 
 
 def test_a_snapshot_of_an_earlier_build_is_read_field_by_field() -> None:
-    found = decode(SNAPSHOT)
-    assert (found.fleet, found.node, found.kinds) == ("sydney", "n1", ("small", "origin"))
-    assert (found.written_at_ms, found.version) == (1764757123456.5, 41)
-    cache, origin = found.endpoints
+    snapshot = decode(SNAPSHOT)
+    assert (snapshot.fleet, snapshot.node, snapshot.kinds) == ("sydney", "n1", ("small", "origin"))
+    assert (snapshot.written_at_ms, snapshot.version) == (1764757123456.5, 41)
+    cache, origin = snapshot.endpoints
     assert (cache.id, cache.zone, cache.cell, cache.address) == ("s0", "east", 3, "10.0.0.1:7000")
     assert (cache.started_at_ms, cache.state, cache.kind, cache.size) == (
         1764750000000.0,
@@ -51,7 +51,7 @@
         1.5,
     )
     assert (origin.id, origin.state, origin.kind, origin.address) == ("o1", 1, 1, "10.0.0.9:7001")
-    backend, _ = found.backends
+    backend, _ = snapshot.backends
     assert (backend.id, backend.started_at_ms, backend.concurrency_limit) == (
         "s0",
         1764750000000.0,
@@ -64,18 +64,22 @@
     )
     assert backend.ejection_ms == 4000.0
     assert (backend.ejected_until_ms, backend.warmup_until_ms) == (1764757130000.0, 1764757140000.0)
-    (moved,) = found.moved_buckets
+    (moved,) = snapshot.moved_buckets
     assert (moved.number, moved.kinds, moved.zones) == (77, ("small",), ("east", "west"))
     assert moved.backend_id == "s0"
-    (hot,) = found.hot_buckets
+    (hot,) = snapshot.hot_buckets
     assert (hot.number, hot.kinds, hot.zones, hot.request_count) == (4095, (), ("west",), 17.5)
-    assert (found.request_count, found.work_ms, found.warm_rate_per_s) == (600.25, 4.5, 33.5)
-    assert (found.max_idle_ms, found.banned_ids) == (30000.0, ("s4", "s5"))
+    assert (snapshot.request_count, snapshot.work_ms, snapshot.warm_rate_per_s) == (
+        600.25,
+        4.5,
+        33.5,
+    )
+    assert (snapshot.max_idle_ms, snapshot.banned_ids) == (30000.0, ("s4", "s5"))
 
 
 def test_a_snapshot_is_written_byte_for_byte_as_an_earlier_build_wrote_it() -> None:
     assert encode(decode(SNAPSHOT)) == SNAPSHOT
-    made = Snapshot(
+    snapshot = Snapshot(
         "sydney",
         "n1",
         ("small", "origin"),
@@ -99,8 +103,8 @@
         30000.0,
         ("s4", "s5"),
     )
-    assert made == decode(SNAPSHOT)
-    assert encode(made) == SNAPSHOT
+    assert snapshot == decode(SNAPSHOT)
+    assert encode(snapshot) == SNAPSHOT
 
 
 RECORDS = (
@@ -163,44 +167,48 @@
     assert codec.read(bytes.fromhex(written)) == message
 
 
-WISH = bytes.fromhex("9305c4000f")
-PART = bytes.fromhex(
+REQUEST = bytes.fromhex("9305c4000f")
+CHUNK = bytes.fromhex(
     "9609cb4049000000000000c40868719f1d171b7f810001c42a789cab562a4e2d54b252b0d451502acfc8cf4905b2"
     "4b8a4a5381dc8cfce2926220373ab61600de340bb5"
 )
-TEXT = b'{"seq": 9, "whole": true, "hosts": []}'
-ASKER, HOLDER = ("10.0.0.1", 7), ("10.0.0.2", 7)
+DOCUMENT = b'{"seq": 9, "whole": true, "hosts": []}'
+REQUESTER, HOLDER = ("10.0.0.1", 7), ("10.0.0.2", 7)
 
 
 def test_the_exchange_of_endpoint_lists_speaks_the_bytes_of_an_earlier_build() -> None:
     counts: list[str] = []
-    asker = EndpointExchange(0.0, "n0", lambda: 0.5, counts.append)
-    asker.tick(10.0, ListStatus(5, False, False), [HOLDER])
-    ((to, wish),) = asker.outbox
-    assert to == HOLDER
-    assert wish.payload == WISH
+    requester = EndpointExchange(0.0, "n0", lambda: 0.5, counts.append)
+    requester.tick(10.0, ListStatus(5, False, False), [HOLDER])
+    ((receiver, request),) = requester.outbox
+    assert receiver == HOLDER
+    assert request.payload == REQUEST
     holder = EndpointExchange(0.0, "n2", lambda: 0.5, counts.append)
     holder.tick(100.0, ListStatus(9, True, True), [])
     holder.handle_request(
         150.0,
-        ASKER,
-        Message(MessageKind.LIST_REQUEST, "n0", payload=WISH),
+        REQUESTER,
+        Message(MessageKind.LIST_REQUEST, "n0", payload=REQUEST),
         ListStatus(9, True, False),
-        lambda: TEXT,
+        lambda: DOCUMENT,
+    )
+    ((receiver, chunk),) = holder.outbox
+    assert receiver == REQUESTER
+    # zlib determines the compressed bytes; this program determines all bytes before them.
+    sent, golden = msgspec.msgpack.decode(chunk.payload), msgspec.msgpack.decode(CHUNK)
+    assert (
+        [sent[index] for index in (0, 1, 3, 4)]
+        == [golden[index] for index in (0, 1, 3, 4)]
+        == [9, 50.0, 0, 1]
     )
-    ((to, part),) = holder.outbox
-    assert to == ASKER
-    # The compressed bytes are the library's own; all before them is this program's.
-    sent, golden = msgspec.msgpack.decode(part.payload), msgspec.msgpack.decode(PART)
-    assert [sent[i] for i in (0, 1, 3, 4)] == [golden[i] for i in (0, 1, 3, 4)] == [9, 50.0, 0, 1]
-    assert zlib.decompress(sent[5]) == zlib.decompress(golden[5]) == TEXT
-    taken = asker.handle_chunk(
+    assert zlib.decompress(sent[5]) == zlib.decompress(golden[5]) == DOCUMENT
+    accepted = requester.handle_chunk(
         200.0,
         HOLDER,
-        Message(MessageKind.LIST_CHUNK, "n2", payload=PART),
+        Message(MessageKind.LIST_CHUNK, "n2", payload=CHUNK),
         ListStatus(5, False, False),
     )
-    assert taken is not None
-    assert (taken.version, taken.source) == (9, HOLDER)
-    assert taken.age_ms == 50.0
-    assert json.loads(taken.document)["seq"] == 9
+    assert accepted is not None
+    assert (accepted.version, accepted.source) == (9, HOLDER)
+    assert accepted.age_ms == 50.0
+    assert json.loads(accepted.document)["seq"] == 9
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests passes over just these, and only while they fail."""
+"""Tests that the list of known red tests excuses exactly these, and only while they fail."""
 
 import shutil
 import subprocess
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "code", "said"),
+    ("listed", "code", "output"),
     [
         ("", 1, "1 failed, 1 passed"),
         (
@@ -33,17 +33,19 @@
     ],
 )
 def test_the_list_passes_over_what_fails_and_nothing_else(
-    tmp_path: Path, listed: str, code: int, said: str
+    tmp_path: Path, listed: str, code: int, output: str
 ) -> None:
     (tmp_path / "tests").mkdir()
     shutil.copy(CONFTEST, tmp_path / "tests")
     (tmp_path / "tests" / "test_it.py").write_text(TESTS)
     (tmp_path / "KNOWN-RED.txt").write_text(listed)
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-p", "no:xdist"],
         cwd=tmp_path,
         capture_output=True,
         text=True,
     )
-    assert done.returncode == code and said in done.stdout + done.stderr, done.stdout + done.stderr
+    assert completed.returncode == code and output in completed.stdout + completed.stderr, (
+        completed.stdout + completed.stderr
+    )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -149,7 +149,7 @@
 
 
 def test_the_judge_counts_a_drain_from_the_telling_or_six_seconds_after_the_change() -> None:
-    for at, told, rules in (
+    for at, notified_at, rules in (
         (4040.0, 1000.0, []),
         (4060.0, 1000.0, ["rule 3"]),
         (9900.0, None, []),
@@ -157,8 +157,8 @@
     ):
         history = History()
         history.add(1000.0, "listed", SERVER, what="terminating")
-        if told is not None:
-            history.add(told, "told", NODE, what=f"{SERVER} terminating")
+        if notified_at is not None:
+            history.add(notified_at, "told", NODE, what=f"{SERVER} terminating")
         history.add(at, "asked", NODE, "q1", "read", 500.0, 7)
         history.add(at, "came", SERVER, "q1", NODE, 0.0, 1)
         history.add(at + 1, "sent", SERVER, "q1", "hit")
@@ -171,6 +171,7 @@
 
 
 def add_answered_rpc(history: History, at: float, rpc: str, server: str = SERVER) -> None:
+    """Add the events of an RPC that a server answers."""
     history.add(at, "asked", NODE, rpc, "read", 500.0, 7)
     history.add(at, "came", server, rpc, NODE, 0.0, 1)
     history.add(at + 1, "sent", server, rpc, "hit")
@@ -194,8 +195,8 @@
 ):
     history = History()
     history.add(1000.0, "back", NODE, what=SERVER)
-    for n in range(300):
-        add_answered_rpc(history, 1100.0 + 20 * n, f"q{n}", "s1")
+    for index in range(300):
+        add_answered_rpc(history, 1100.0 + 20 * index, f"q{index}", "s1")
     assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == ["unused"]
     history.add(8000.0, "held", NODE, value=2.0)
     history.add(8100.0, "call", NODE, what="well")
@@ -216,11 +217,11 @@
     None
 ):
     history = History()
-    for n in range(10):
-        add_answered_rpc(history, 1000.0 + 20 * n, f"q{n}")
+    for index in range(10):
+        add_answered_rpc(history, 1000.0 + 20 * index, f"q{index}")
     history.add(2000.0, "asked", NODE, "q99", "read", 500.0, 7)
     history.add(2100.0, "left", NODE, "q99")  # The node may have counted it or not.
-    for done, sent, broken in (
+    for completed, sent, broken in (
         (10, 10, 0),
         (13, 10, 0),
         (15, 10, 1),
@@ -228,11 +229,11 @@
         (11, 14, 1),
         (10, 6, 1),
     ):
-        told = {NODE: {"completed.read": done, "upstream_requests": sent}}
-        assert [violation.rule for violation in Judge(Rules()).check_counters(history, told)] == [
-            "figures"
-        ] * broken, (
-            done,
+        counters = {NODE: {"completed.read": completed, "upstream_requests": sent}}
+        assert [
+            violation.rule for violation in Judge(Rules()).check_counters(history, counters)
+        ] == ["figures"] * broken, (
+            completed,
             sent,
         )
     history.add(3000.0, "cut", NODE)
@@ -260,6 +261,7 @@
     None
 ):
     def rules(lines: str) -> Rules:
+        """Return the rules for an experiment with these lines."""
         return Run(read("name = 'a-b'\n" + lines), 1).rules()
 
     assert rules("").reuse_within_ms == 5000.0 and rules("").room_for_all_clients
@@ -288,6 +290,7 @@
 
 
 def abort_all_clients(self: ClientRegistry, done: object, spread_ms: float = 0.0) -> None:
+    """Abort the clients' connections in place of a graceful shutdown."""
     for client in list(self.connections):
         client.transport.abortConnection()
 
@@ -333,6 +336,7 @@
     spans, shut_down = list[float](), ClientRegistry.shut_down
 
     def recording_shut_down(self: ClientRegistry, done: object, spread_ms: float = 0.0) -> None:
+        """Record the time over which connections are closed, and close them."""
         spans.append(spread_ms)
         shut_down(self, done, spread_ms)
 
@@ -392,9 +396,11 @@
         self.events = events
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Record the time and the number of bytes."""
         self.events.append((round(self.network.now, 4), len(data)))
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
+        """Record the time and the reason."""
         self.events.append((round(self.network.now, 4), type(reason.value).__name__))
 
 
@@ -491,8 +497,10 @@
     network, events = SimulatedNetwork(1), []
     machine = network.machine("1.1.1.1")
     machine.event_cpu_s = 0.01
-    for n in range(5):
-        machine.reactor.callLater(0.001 * n, lambda n=n: events.append((round(network.now, 3), n)))
+    for index in range(5):
+        machine.reactor.callLater(
+            0.001 * index, lambda index=index: events.append((round(network.now, 3), index))
+        )
     cancelled = machine.reactor.callLater(0.002, events.append, "cancelled")
     moved = machine.reactor.callLater(
         0.0025, lambda: events.append((round(network.now, 3), "moved"))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -18,6 +18,7 @@
 
 
 def connected_pair() -> ConnectedPair:
+    """Return two machines between which the connection is established."""
     pair = ConnectedPair()
     pair.network.run(0.25)
     return pair
@@ -102,16 +103,20 @@
 
 
 class RecordingDatagramProtocol(DatagramProtocol):
+    """Records the datagrams that it receives, with the times and the senders."""
+
     def __init__(self, network: SimulatedNetwork) -> None:
         self.network, self.received = network, list[tuple[float, bytes, tuple[str, int]]]()
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
+        """Record the time, the datagram and its sender."""
         self.received.append((round(self.network.now, 4), data, addr))
 
 
 def datagram_network() -> tuple[
     SimulatedNetwork, RecordingDatagramProtocol, RecordingDatagramProtocol
 ]:
+    """Return a network of two machines, and a datagram socket on each."""
     network = SimulatedNetwork(5)
     network.connect(A, B, 0.01)
     socket_a, socket_b = RecordingDatagramProtocol(network), RecordingDatagramProtocol(network)
@@ -143,8 +148,10 @@
         assert least <= len(socket_b.received) - before <= most
     network.impair(A, B, 1, Impairment(reorder=0.3))
     before = len(socket_b.received)
-    for n in range(100):
-        network.call_at(network.now + n * 0.005, None, socket_a.transport.write, b"%d" % n, (B, 7))
+    for index in range(100):
+        network.call_at(
+            network.now + index * 0.005, None, socket_a.transport.write, b"%d" % index, (B, 7)
+        )
     network.run(network.now + 2.0)
     numbers = [int(data) for _, data, _ in socket_b.received[before:]]
     assert sorted(numbers) == list(range(100)) != numbers
@@ -170,9 +177,10 @@
 
 
 def test_groups_are_drawn_by_the_seed_and_links_have_a_node_at_one_end() -> None:
-    nodes, servers = [f"n{i}" for i in range(6)], ["s0", "s1", "s2"]
+    nodes, servers = [f"n{index}" for index in range(6)], ["s0", "s1", "s2"]
 
     def group(text: str, seed: int = 1) -> list[str]:
+        """Return the members of the group that the text describes."""
         return members(text, nodes, servers, seed, 0)
 
     assert group("n4 s1, origin") == ["n4", "s1", "origin"] and group("servers") == servers
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,8 +1,7 @@
-"""Experiments on real processes: nodes, stand-ins and relays, with faults between them, judged
-from outside.
+"""Tests of experiments on real processes: nodes, fakes and relays, with faults between them.
 
-They play five at a time, once; a run whose rig fell behind is void, plays once more, and is then
-left out.
+The runs are judged from outside, and five of them go on at a time. A run whose test environment
+fell behind is void and is repeated once; if it is void again, its test is skipped.
 """
 
 import json
@@ -25,9 +24,9 @@
 
 ROOT = Path(__file__).parent.parent
 FILES = sorted((ROOT / "experiments").glob("processes-*.toml"))
-AT_ONCE = 5
+CONCURRENT_RUNS = 5
 VOID = 3
-# How far the two clocks may be apart: served gain, transmissions an RPC.
+# The largest difference between the two clocks: served gain, attempts per RPC.
 BOUNDS = {"served": 0.05, "transmissions": 0.08}
 PAST_GRACE = """
 name = "test-past-grace"
@@ -49,7 +48,7 @@
 whom = "s1"
 by = 5.5
 """
-WRONG = """
+FAULTY_SITECUSTOMIZE = """
 import os
 if "PROXY_CONFIG" in os.environ:  # a node's process
     from hookpitch.balancer.endpoints import EndpointList
@@ -59,14 +58,23 @@
 """  # noqa: E501
 
 
-class Play:
-    """One run on loopback, as a person starts it."""
+class ExperimentProcess:
+    """One run of an experiment on loopback, started from the command line."""
 
     def __init__(self, path: Path, folder: Path, **environment: str) -> None:
-        self.json = folder / f"{path.stem}.json"
-        words = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(path), "--clock", "wall"]
-        self.popen = subprocess.Popen(
-            [*words, "--json", str(self.json)],
+        self.figures_path = folder / f"{path.stem}.json"
+        command = [
+            sys.executable,
+            "-m",
+            "hookpitch.cli",
+            "lab",
+            "run",
+            str(path),
+            "--clock",
+            "wall",
+        ]
+        self.process = subprocess.Popen(
+            [*command, "--json", str(self.figures_path)],
             cwd=ROOT,
             text=True,
             env=os.environ | environment,
@@ -74,139 +82,165 @@
             stderr=subprocess.STDOUT,
         )
 
-    def end(self, wait: float = 90.0) -> tuple[int, str]:
+    def end(self, timeout_s: float = 90.0) -> tuple[int, str]:
+        """Wait for the end of the run, and return its exit status and output."""
         try:
-            said, _ = self.popen.communicate(timeout=wait)
+            output, _ = self.process.communicate(timeout=timeout_s)
         finally:
-            self.popen.kill()
-            self.popen.wait()
-        return self.popen.returncode, said
+            self.process.kill()
+            self.process.wait()
+        return self.process.returncode, output
 
     def children(self) -> dict[int, str]:
-        """Its processes: what each was started as, by number."""
-        found = {}
+        """Return the command line of each child process, by process id."""
+        commands = {}
         for entry in Path("/proc").iterdir():
             if entry.name.isdigit():
                 try:
                     parent = (entry / "stat").read_text().rpartition(")")[2].split()[1]
-                    if int(parent) == self.popen.pid:
-                        found[int(entry.name)] = (entry / "cmdline").read_text().replace("\0", " ")
+                    if int(parent) == self.process.pid:
+                        commands[int(entry.name)] = (
+                            (entry / "cmdline").read_text().replace("\0", " ")
+                        )
                 except OSError:
                     continue
-        return found
+        return commands
 
-    def when_up(self, nodes: int) -> dict[int, str]:
+    def wait_for_nodes(self, nodes: int) -> dict[int, str]:
+        """Wait until this many nodes run, and return all child processes."""
         for _ in range(600):
             children = self.children()
-            if sum(words.endswith("-m hookpitch ") for words in children.values()) == nodes:
+            if sum(command.endswith("-m hookpitch ") for command in children.values()) == nodes:
                 return children
             time.sleep(0.05)
-        raise AssertionError(f"not up: {self.children()}")
+        raise AssertionError(f"not started: {self.children()}")
 
 
-def all_gone(pids: dict[int, str]) -> bool:
+def have_all_exited(pids: dict[int, str]) -> bool:
+    """Return whether all these processes end within five seconds."""
     for _ in range(100):
-        left = [pid for pid in pids if Path(f"/proc/{pid}").exists()]
-        if not left:
+        remaining = [pid for pid in pids if Path(f"/proc/{pid}").exists()]
+        if not remaining:
             return True
         time.sleep(0.05)
     return False
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> dict[str, tuple[int, str, dict]]:
-    folder, done = tmp_path_factory.mktemp("wall"), {}
-    for n in range(0, len(FILES), AT_ONCE):
-        plays = {path: Play(path, folder) for path in FILES[n : n + AT_ONCE]}
-        for path, play in plays.items():
-            done[path.stem] = *play.end(), play.json
+def completed_runs(tmp_path_factory: pytest.TempPathFactory) -> dict[str, tuple[int, str, dict]]:
+    """Run all experiments; return exit status, output and figures of each, by its name."""
+    folder, ended = tmp_path_factory.mktemp("wall"), {}
+    for index in range(0, len(FILES), CONCURRENT_RUNS):
+        runs = {
+            path: ExperimentProcess(path, folder) for path in FILES[index : index + CONCURRENT_RUNS]
+        }
+        for path, run in runs.items():
+            ended[path.stem] = *run.end(), run.figures_path
     for path in FILES:
-        if done[path.stem][0] == VOID:
-            play = Play(path, folder)
-            done[path.stem] = *play.end(), play.json
+        if ended[path.stem][0] == VOID:
+            run = ExperimentProcess(path, folder)
+            ended[path.stem] = *run.end(), run.figures_path
     return {
-        name: (code, said, json.loads(at.read_text()) if at.exists() else {})
-        for name, (code, said, at) in done.items()
+        name: (code, output, json.loads(figures_path.read_text()) if figures_path.exists() else {})
+        for name, (code, output, figures_path) in ended.items()
     }
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
-def test_an_experiment_holds_on_processes_and_as_in_virtual_time(path: Path, played: dict) -> None:
-    code, said, figures = played[path.stem]
+def test_an_experiment_holds_on_processes_and_as_in_virtual_time(
+    path: Path, completed_runs: dict
+) -> None:
+    code, output, figures = completed_runs[path.stem]
     if code == VOID:
-        pytest.skip(f"void twice, the rig fell behind: {said}")
-    assert code == 0, said
+        pytest.skip(f"void twice, the test environment fell behind: {output}")
+    assert code == 0, output
     virtual = summary(Run(load(path), load(path).seed).run())
     for name, bound in BOUNDS.items():
-        there, here = figures["whole"][name], virtual["whole"][name]
-        assert abs(there - here) <= bound, f"{name}: {there} on processes, {here} in virtual time"
+        on_processes, in_virtual_time = figures["whole"][name], virtual["whole"][name]
+        assert abs(on_processes - in_virtual_time) <= bound, (
+            f"{name}: {on_processes} on processes, {in_virtual_time} in virtual time"
+        )
 
 
-def test_most_runs_on_processes_were_judged(played: dict) -> None:
-    # Danger: a machine on which every rig falls behind shows nothing, in green.
-    void = [name for name, (code, _, _) in played.items() if code == VOID]
-    assert 2 * len(void) < len(played), f"void twice: {void}"
+def test_most_runs_on_processes_were_judged(completed_runs: dict) -> None:
+    # On a machine on which every test environment falls behind, all tests would be
+    # skipped and prove nothing.
+    void = [name for name, (code, _, _) in completed_runs.items() if code == VOID]
+    assert 2 * len(void) < len(completed_runs), f"void twice: {void}"
 
 
 def test_settings_change_there_and_back_under_load_and_bad_files_change_nothing_in_both_clocks(
-    played: dict,
+    completed_runs: dict,
 ) -> None:
-    code, said, figures = played["processes-replaced"]
+    code, output, figures = completed_runs["processes-replaced"]
     if code == VOID:
-        pytest.skip(f"void twice, the rig fell behind: {said}")
-    x = load(ROOT / "experiments" / "processes-replaced.toml")
-    for counters in (figures["counters"]["n1"], summary(Run(x, x.seed).run())["counters"]["n1"]):
+        pytest.skip(f"void twice, the test environment fell behind: {output}")
+    experiment = load(ROOT / "experiments" / "processes-replaced.toml")
+    for counters in (
+        figures["counters"]["n1"],
+        summary(Run(experiment, experiment.seed).run())["counters"]["n1"],
+    ):
         assert (counters["config_changes"], counters["config_reload_errors"]) == (4, 4)
 
 
-def wrong_in_virtual_time(self: EndpointList, s: Backend, state: EndpointState, now: float) -> None:
-    RIGHT(self, s, EndpointState.READY if state == EndpointState.DRAINING else state, now)
+def set_state_ignoring_drains(
+    self: EndpointList, backend: Backend, state: EndpointState, now: float
+) -> None:
+    """Set the state of a backend, but ignore that it drains."""
+    ORIGINAL_SET_STATE(
+        self, backend, EndpointState.READY if state == EndpointState.DRAINING else state, now
+    )
 
 
-RIGHT = EndpointList.set_state
+ORIGINAL_SET_STATE = EndpointList.set_state
 
 
 def test_a_node_that_sends_past_the_grace_is_caught_in_both_clocks(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "past-grace.toml").write_text(PAST_GRACE)
-    (tmp_path / "sitecustomize.py").write_text(WRONG)
+    (tmp_path / "sitecustomize.py").write_text(FAULTY_SITECUSTOMIZE)
     assert not Run(read(PAST_GRACE), 1).run().broken
-    monkeypatch.setattr(EndpointList, "set_state", wrong_in_virtual_time)
-    assert {b.rule for b in Run(read(PAST_GRACE), 1).run().broken} == {"rule 3"}
-    code, said = Play(tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=f"{tmp_path}:{ROOT}").end()
+    monkeypatch.setattr(EndpointList, "set_state", set_state_ignoring_drains)
+    assert {violation.rule for violation in Run(read(PAST_GRACE), 1).run().broken} == {"rule 3"}
+    code, output = ExperimentProcess(
+        tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=f"{tmp_path}:{ROOT}"
+    ).end()
     if code == VOID:
-        pytest.skip(f"void: {said}")
-    assert code == 1 and "rule 3" in said and "to drain" in said
+        pytest.skip(f"void: {output}")
+    assert code == 1 and "rule 3" in output and "to drain" in output
 
 
 def test_a_relay_that_dies_makes_the_run_void_at_once_and_no_process_is_left(
     tmp_path: Path,
 ) -> None:
-    play = Play(ROOT / "experiments" / "processes-half-cut.toml", tmp_path)
-    children = play.when_up(3)
-    (relay,) = [pid for pid, words in children.items() if "testbed.relay" in words]
-    begun = time.monotonic()
+    run = ExperimentProcess(ROOT / "experiments" / "processes-half-cut.toml", tmp_path)
+    children = run.wait_for_nodes(3)
+    (relay,) = [pid for pid, command in children.items() if "testbed.relay" in command]
+    killed_at = time.monotonic()
     os.kill(relay, signal.SIGKILL)
-    code, said = play.end()
-    assert code == VOID and "void: relay0 died" in said and time.monotonic() - begun < 8
-    assert all_gone(children)
+    code, output = run.end()
+    assert code == VOID and "void: relay0 died" in output and time.monotonic() - killed_at < 8
+    assert have_all_exited(children)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGKILL])
 def test_no_process_is_left_where_a_run_is_interrupted_or_killed(
     number: int, tmp_path: Path
 ) -> None:
-    play = Play(ROOT / "experiments" / "processes-half-cut.toml", tmp_path)
-    children = play.when_up(3)
-    play.popen.send_signal(number)
-    code, said = play.end()
-    assert code == (2 if number == signal.SIGINT else -number) and "Traceback" not in said
-    assert len(children) >= 7 and all_gone(children)
+    run = ExperimentProcess(ROOT / "experiments" / "processes-half-cut.toml", tmp_path)
+    children = run.wait_for_nodes(3)
+    run.process.send_signal(number)
+    code, output = run.end()
+    assert code == (2 if number == signal.SIGINT else -number) and "Traceback" not in output
+    assert len(children) >= 7 and have_all_exited(children)
+
 
+class StoppedClock:
+    """A wall clock that stands still."""
 
-class Clock:
     def seconds(self) -> float:
+        """Return the time since the start of the run."""
         return 0.0
 
 
@@ -216,11 +250,11 @@
 def test_every_experiment_plays_in_both_clocks_or_its_reader_says_why_not(
     path: Path, tmp_path: Path
 ) -> None:
-    x = load(path)
-    if any(f.what == "node_slow" for f in x.fault):
+    experiment = load(path)
+    if any(fault.what == "node_slow" for fault in experiment.fault):
         with pytest.raises(
             ValueError, match="virtual time alone: a process's events cannot be charged"
         ):
-            ProcessRun(x, 1, Clock(), tmp_path)
+            ProcessRun(experiment, 1, StoppedClock(), tmp_path)
     else:
-        ProcessRun(x, 1, Clock(), tmp_path)
+        ProcessRun(experiment, 1, StoppedClock(), tmp_path)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -63,6 +63,7 @@
         self.server.settimeout(3)
 
     def execute(self, *command: object) -> None:
+        """Send a command to the relay and wait until it is executed."""
         for message in (command, ("sync",)):
             self.control.write(json.dumps(message) + "\n")
         self.control.flush()
@@ -75,6 +76,7 @@
         source: str = "n0",
         destination: str = "s0",
     ) -> None:
+        """Impair one direction of a link; `backwards`: the direction to the source."""
         self.execute(
             "impair",
             *((destination, source) if backwards else (source, destination)),
@@ -82,12 +84,14 @@
         )
 
     def connect(self) -> tuple[socket.socket, socket.socket]:
+        """Connect through the relay, and return the client's and the server's socket."""
         client = socket.create_connection(LISTEN_ADDRESS, 3)
         server = self.server.accept()[0]
         server.settimeout(3)
         return client, server
 
     def end(self) -> None:
+        """End the relay and check that it exits without an error."""
         self.control.close()  # A relay exits when its control connection is closed.
         assert self.process.wait(5) == 0
         self.server.close()
@@ -95,6 +99,7 @@
 
 @pytest.fixture
 def relay(tmp_path: Path) -> Iterator[RelayProcess]:
+    """Run a relay for the duration of a test."""
     started = RelayProcess(tmp_path)
     try:
         yield started
@@ -105,6 +110,7 @@
 
 
 def receives_nothing(peer: socket.socket, seconds: float = 0.15) -> bool:
+    """Return whether no bytes arrive within this time."""
     peer.settimeout(seconds)
     try:
         return peer.recv(100) is None
@@ -120,10 +126,10 @@
     client, server = relay.connect()
     assert server.getpeername()[0] == SOURCE_HOST
     client.sendall(b"x" * 300000 + b"end")
-    got = b""
-    while not got.endswith(b"end"):
-        got += server.recv(65536)
-    assert len(got) == 300003
+    received = b""
+    while not received.endswith(b"end"):
+        received += server.recv(65536)
+    assert len(received) == 300003
     client.shutdown(socket.SHUT_WR)
     assert server.recv(10) == b""
     # The connection is half-closed: the answer still arrives.
@@ -243,9 +249,9 @@
     if impairment.loss:
         assert receives_nothing(server, least_s * 0.9)
         return
-    got = 0
-    while got < size:
-        got += len(server.recv(65536))
+    received_count = 0
+    while received_count < size:
+        received_count += len(server.recv(65536))
     assert least_s * 0.95 <= time.monotonic() - started_at < least_s + LOADED_MACHINE_S
 
 
@@ -268,6 +274,7 @@
         peer.settimeout(0.4)
 
     def received() -> list[int]:
+        """Return the numbers that n1 receives until no datagram arrives for 0.4 s."""
         numbers = []
         try:
             while True:
@@ -276,8 +283,9 @@
             return numbers
 
     def burst(count: int = 60) -> list[int]:
-        for n in range(count):
-            n0.sendto(b"%d" % n, ADDRESSES_FOR_PEER["n1"])
+        """Send numbered datagrams from n0 to n1, and return the numbers received."""
+        for number in range(count):
+            n0.sendto(b"%d" % number, ADDRESSES_FOR_PEER["n1"])
             time.sleep(0.001)
         return received()
 
@@ -294,7 +302,7 @@
     relay.impair(Impairment(repeat=0.5), destination="n1")
     assert 70 < len(burst()) < 110
     relay.impair(Impairment(reorder=0.3), destination="n1")
-    got = burst()
-    assert sorted(got) == list(range(60)) != got
+    numbers = burst()
+    assert sorted(numbers) == list(range(60)) != numbers
     n0.close()
     n1.close()
