--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -174,7 +174,7 @@
 
 def test_a_pause_counts_no_failures_and_restarts_the_wait_for_silent_backends() -> None:
     fleet = Fleet(make_deployment())
-    fleet.update_endpoints([make_endpoint(f"s{i}") for i in range(4)])
+    fleet.update_endpoints([make_endpoint(f"s{number}") for number in range(4)])
     for index in range(12):
         fleet.arrive(f"k{index}")
     fleet.now += 150.0
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -158,7 +158,9 @@
 ]
 
 
-@pytest.mark.parametrize(("message", "written"), DATAGRAMS, ids=[m.kind.name for m, _ in DATAGRAMS])
+@pytest.mark.parametrize(
+    ("message", "written"), DATAGRAMS, ids=[sent.kind.name for sent, _ in DATAGRAMS]
+)
 def test_a_datagram_is_read_and_written_byte_for_byte_as_an_earlier_build_wrote_it(
     message: Message, written: str
 ) -> None:
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -92,7 +92,7 @@
 
 
 FRESH_STATUS = ListStatus(9, True, True)
-EVENTS = ["tick", "come", "lose", "twice", "newer", "told"]
+EVENTS = ["tick", "deliver", "lose", "duplicate", "new_version", "discovery_list"]
 
 
 def test_a_list_in_many_chunks_is_completed_by_requests_for_the_missing_ones() -> None:
@@ -320,11 +320,11 @@
     for event, number in events:
         if event == "tick":
             exchange.tick(100.0 * number)
-        elif event == "newer":
+        elif event == "new_version":
             version = exchange.held_lists[HOLDER_A][0].version + 1
             documents[version] = TEXT[number:]
             exchange.held_lists[HOLDER_A] = (ListStatus(version, True, True), documents[version])
-        elif event == "told":
+        elif event == "discovery_list":
             exchange.own_status = ListStatus(
                 exchange.own_status.version,
                 number > 25 or exchange.own_status.is_from_discovery,
@@ -335,7 +335,7 @@
             accepted_before = len(exchange.accepted)
             had_discovery_list = exchange.own_status.is_from_discovery
             exchange.in_flight.pop(index) if event == "lose" else exchange.deliver(
-                index, keep=event == "twice"
+                index, keep=event == "duplicate"
             )
             assert len(exchange.accepted) == accepted_before or not had_discovery_list
         versions = [received.version for received in exchange.accepted]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -79,12 +79,14 @@
     network.kill(["m1"])
     network.advance(10)
     lines = [
-        (logger, text) for _, logger, text in network.logs if text.startswith("m1 suspected by ")
+        (reporter, text)
+        for _, reporter, text in network.logs
+        if text.startswith("m1 suspected by ")
     ]
     accusations = [
-        text for logger, text in lines if f" by {logger}, no answer here nor to m" in text
+        text for reporter, text in lines if f" by {reporter}, no answer here nor to m" in text
     ]
-    forwarded = [text for logger, text in lines if f" by {logger}" not in text]
+    forwarded = [text for reporter, text in lines if f" by {reporter}" not in text]
     assert accusations
     assert forwarded
     assert all(", incarnation " in text for _, text in lines)
@@ -376,7 +378,7 @@
     silenced = [name for name in ("m2", "m9") if network.members[name].is_silenced]
     assert len(silenced) == 1
     assert any(
-        logger in silenced and "conflict member=m2" in text for _, logger, text in network.logs
+        reporter in silenced and "conflict member=m2" in text for _, reporter, text in network.logs
     )
     last_incarnation = max(
         member.members["m2"].record.incarnation for member in network.members.values()
@@ -536,7 +538,7 @@
             ("tick", name, ms) for name in self.members for ms in (500.0, 4000.0)
         ]
         for index in range(min(3, len(self.in_flight))):
-            events += [("come", index), ("lose", index), ("twice", index)]
+            events += [("deliver", index), ("lose", index), ("duplicate", index)]
         return events + [("restart", "m1")]
 
     def apply_event(self, event: tuple) -> None:
@@ -566,7 +568,7 @@
             }
         else:
             source, receiver, message = self.in_flight[event[1]]
-            if event[0] != "twice":
+            if event[0] != "duplicate":
                 del self.in_flight[event[1]]
             if event[0] != "lose":
                 self.members[receiver].receive(self.now, self.addresses[source], message)
@@ -597,7 +599,7 @@
             for _ in range(200):  # answers may cause further answers
                 if not self.in_flight:
                     break
-                self.apply_event(("come", 0))
+                self.apply_event(("deliver", 0))
             if self.now >= started_at + HEALED_MS:
                 for name, member in self.members.items():
                     dead = [
@@ -728,6 +730,7 @@
     """Return a replacement that settles the first version of the view and no later one."""
 
     def settle_once(self: Membership, now: float) -> None:
+        """Settle the view if no version of it has settled yet."""
         if self.view.version < 1:
             original(self, now)
 
@@ -765,6 +768,7 @@
     """Return a replacement that raises the incarnation of the member that it suspects."""
 
     def raise_and_suspect(self: Membership, now: float, probe: Probe) -> None:
+        """Raise the incarnation of the probed member, then suspect it."""
         suspect = self.members.get(probe.target)
         if suspect is not None and suspect.record.state == MemberState.ALIVE:
             suspect.record = replace(suspect.record, incarnation=suspect.record.incarnation + 1)
@@ -777,6 +781,7 @@
     """Return a replacement that also applies records that are out of date."""
 
     def apply_all(self: Roster, now: float, record: Record, evidence: str = "") -> None:
+        """Replace the record of a known member whatever its incarnation."""
         if record.name in self.members:
             self.members[record.name].record = record
         else:
--- a/tests/test_members_properties.py
+++ b/tests/test_members_properties.py
@@ -126,7 +126,7 @@
         self.fleet.apply_event(("tick", f"m{index}", ms))
 
     @precondition(lambda self: self.fleet.in_flight)
-    @rule(event=st.sampled_from(["come", "lose", "twice"]), position=st.integers(0, 7))
+    @rule(event=st.sampled_from(["deliver", "lose", "duplicate"]), position=st.integers(0, 7))
     def datagram_event(self, event: str, position: int) -> None:
         """Deliver, lose or duplicate one of the datagrams in flight."""
         self.fleet.apply_event((event, position % len(self.fleet.in_flight)))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -146,7 +146,7 @@
     }
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", FILES, ids=lambda file: file.stem)
 def test_an_experiment_holds_on_processes_and_as_in_virtual_time(
     path: Path, completed_runs: dict
 ) -> None:
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize(
-    "path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda p: p.stem
+    "path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda file: file.stem
 )
 def test_every_experiment_plays_in_both_clocks_or_its_reader_says_why_not(
     path: Path, tmp_path: Path
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,9 @@
     rng = random.Random(seed)
     fleet = Fleet(random_deployment(rng), seed)
     sizes = [rng.choice([0.5, 1.0, 2.0]) for _ in range(rng.randint(1, 9))]
-    servers = [make_endpoint(f"s{i}", size=size, kind=i % 2) for i, size in enumerate(sizes)]
+    servers = [
+        make_endpoint(f"s{index}", size=size, kind=index % 2) for index, size in enumerate(sizes)
+    ]
     origin = [make_endpoint("o1", kind=ORIGIN_KIND)] if rng.random() < 0.9 else []
     fleet.update_endpoints(
         servers + origin, rng.choice([EndpointUpdate.CACHED, EndpointUpdate.SNAPSHOT])
@@ -39,7 +41,8 @@
     for _ in range(2):
         fleet = Fleet(random_deployment(random.Random(5)), 5)
         fleet.update_endpoints(
-            [make_endpoint(f"s{i}") for i in range(6)] + [make_endpoint("o1", kind=ORIGIN_KIND)]
+            [make_endpoint(f"s{index}") for index in range(6)]
+            + [make_endpoint("o1", kind=ORIGIN_KIND)]
         )
         for _ in range(500):
             fleet.step()
