--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 import pytest
 from fleet import Fleet, make_deployment, make_endpoint
 from socket_node import ORIGIN_PORT, NodeOnMemoryNetwork, get_command
-from test_sockets import VALUE, serve
+from test_sockets import VALUE, answer_caches
 from test_start import NODE_FILE
 
 from hookpitch.balancer.interface import Method, Tenant
@@ -146,7 +146,7 @@
     fleet = Fleet(
         make_deployment(methods=METHODS, tenants=(Tenant("small", 1e-6),), max_retry_after_ms=300.0)
     )
-    fleet.update_endpoints([make_endpoint("s0")])
+    fleet.receive_endpoints([make_endpoint("s0")])
     counts = {"low": 0, "high": 0, "small": 0}
     for index in range(4000):
         fleet.now += 1
@@ -174,7 +174,7 @@
 
 def test_a_pause_counts_no_failures_and_restarts_the_wait_for_silent_backends() -> None:
     fleet = Fleet(make_deployment())
-    fleet.update_endpoints([make_endpoint(f"s{number}") for number in range(4)])
+    fleet.receive_endpoints([make_endpoint(f"s{number}") for number in range(4)])
     for index in range(12):
         fleet.arrive(f"k{index}")
     fleet.now += 150.0
@@ -262,7 +262,7 @@
     node.pass_time(500)
     client.receive()
     client.send(get_command("r99"))
-    assert serve(node) and b"v" in client.receive()
+    assert answer_caches(node) and b"v" in client.receive()
 
 
 def test_at_the_connection_limit_new_clients_are_rejected_and_backends_can_be_reached() -> None:
@@ -286,7 +286,7 @@
         "one final answer to each"
     )
     clients[0].send(get_command("again"))
-    assert serve(node) and b"v" in clients[0].receive()
+    assert answer_caches(node) and b"v" in clients[0].receive()
 
 
 def test_a_graceful_shutdown_serves_what_the_kernel_has_accepted() -> None:
@@ -311,7 +311,7 @@
     node.socket_node.shut_down()
     node.pass_time(501)
     for _ in range(20):
-        serve(node)
+        answer_caches(node)
     node.pass_time(1200)
     assert len(clients) == 40 and all(
         connection.receive() and connection.is_closed for connection in clients
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -14,7 +14,7 @@
 def make_fleet(cache_count: int = 4, **changes: object) -> Fleet:
     """Return a router and its backends: some caches and an origin."""
     fleet = Fleet(make_deployment(**changes))
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint(f"s{index}") for index in range(cache_count)]
         + [make_endpoint("o1", kind=ORIGIN_KIND)],
         EndpointUpdate.CACHED,
@@ -72,7 +72,7 @@
         if bucket.assigned is not bucket.primary
     ]
     assert moved and all(bucket.primary.id == "s0" for bucket in moved)
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint(moved[0].assigned.id, EndpointState.DRAINING)], EndpointUpdate.DELTA
     )
     assert moved[0].assigned.state == EndpointState.READY  # its buckets return home
@@ -80,7 +80,7 @@
 
 def test_time_in_a_queue_ends_before_the_hard_deadline() -> None:
     fleet = make_fleet(1)
-    ids = [fleet.arrive(f"k{index}", grace=30.0) for index in range(50)]
+    ids = [fleet.arrive(f"k{index}", deadline_in_ms=30.0) for index in range(50)]
     fleet.pass_time(31.0)
     assert not fleet.open_rpcs and set(ids) == set(fleet.answers)
 
@@ -129,7 +129,7 @@
     for index in range(600):
         fleet.end_attempt(fleet.arrive(f"k{index}"), Outcome.COMPLETED)
         fleet.pass_time(10.0)
-    fleet.update_endpoints([make_endpoint("s4", started=fleet.now)], EndpointUpdate.DELTA)
+    fleet.receive_endpoints([make_endpoint("s4", started=fleet.now)], EndpointUpdate.DELTA)
     sent_before = len(fleet.sends)
     for index in range(150):
         fleet.end_attempt(fleet.arrive(f"k{index}"), Outcome.COMPLETED)
@@ -156,7 +156,7 @@
     ):
         fleet = Fleet(make_deployment(poll_interval_ms=0.0, **changes))
         assert fleet.answers[fleet.arrive("k")] == "exhausted"  # there is no endpoint list yet
-        fleet.update_endpoints([])
+        fleet.receive_endpoints([])
         assert fleet.answers[fleet.arrive("")] == "exhausted"
 
 
@@ -222,7 +222,7 @@
 def test_a_router_that_starts_with_only_warming_caches_serves_some_rpcs() -> None:
     fleet = Fleet(make_deployment())
     caches = [make_endpoint(f"s{index}", started=fleet.now - 1) for index in range(4)]
-    fleet.update_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
+    fleet.receive_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
     for index in range(100):
         rpc = fleet.arrive(f"k{index}")
         fleet.pass_time(120.0)  # of a soft deadline of 400 ms
@@ -264,10 +264,10 @@
 def test_removed_backends_are_forgotten_and_an_id_that_returns_warms_up_as_new() -> None:
     fleet = make_fleet(2)
     for index in range(2, 40):  # a backend with a new id replaces each one
-        fleet.update_endpoints(
+        fleet.receive_endpoints(
             [make_endpoint(f"s{index}", started=fleet.now - 1)], EndpointUpdate.DELTA
         )
-        fleet.update_endpoints(
+        fleet.receive_endpoints(
             [make_endpoint(f"s{index - 2}", EndpointState.REMOVED)], EndpointUpdate.DELTA
         )
         for _ in range(5):
@@ -276,7 +276,7 @@
                 fleet.end_attempt(fleet.in_flight[0][0], Outcome.COMPLETED)
             fleet.pass_time(500.0)
     assert len(fleet.router.backends) <= 6 and len(fleet.router.caches) <= 5
-    fleet.update_endpoints([make_endpoint("s0", started=fleet.now - 1)], EndpointUpdate.DELTA)
+    fleet.receive_endpoints([make_endpoint("s0", started=fleet.now - 1)], EndpointUpdate.DELTA)
     assert (
         fleet.router.backends["s0"].warmup_until > fleet.now
         and fleet.router.backends["s0"].response_count == 0
@@ -288,7 +288,7 @@
     eased: bool,
 ) -> None:
     fleet = Fleet(make_deployment(hedging_allowed=False))
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [
             make_endpoint("s1"),
             make_endpoint("s2"),
@@ -321,7 +321,7 @@
     for index in range(200):  # until the rate of warm caches is known
         fleet.end_attempt(fleet.arrive(f"k{index}"), Outcome.COMPLETED)
         fleet.pass_time(20.0)
-    fleet.update_endpoints([make_endpoint("s1", started=fleet.now)], EndpointUpdate.DELTA)
+    fleet.receive_endpoints([make_endpoint("s1", started=fleet.now)], EndpointUpdate.DELTA)
     warming, sent_before = fleet.router.backends["s1"], len(fleet.sends)
     for index in range(600):
         fleet.end_attempt(fleet.arrive(f"k{index}"), Outcome.COMPLETED)
@@ -332,7 +332,7 @@
         == 2.0
     )
     assert any(receiver == "s1" for _, receiver, _ in fleet.sends[sent_before:])
-    fleet.update_endpoints([make_endpoint("s2", started=fleet.now)], EndpointUpdate.DELTA)
+    fleet.receive_endpoints([make_endpoint("s2", started=fleet.now)], EndpointUpdate.DELTA)
     # The gain that one backend earned applies to all backends that warm up.
     assert fleet.router.backends["s2"].warmup_gain * fleet.router.slow_start.warmup_gain == 2.0
     for index in range(600):
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -20,7 +20,7 @@
 def make_fleet(cache_count: int = 6, **changes: object) -> Fleet:
     """Return a router and its backends: some caches and an origin."""
     fleet = Fleet(make_deployment(**({"max_attempts": 5} | changes)))
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint(f"s{index}") for index in range(cache_count)]
         + [make_endpoint("o1", kind=ORIGIN_KIND)],
         EndpointUpdate.CACHED,
@@ -105,7 +105,7 @@
 def test_removal_is_advisory_where_configured_and_draining_binds() -> None:
     fleet = make_fleet(2, removal_is_advisory=True)
     fleet.pass_time(5000.0)
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint("s0", EndpointState.REMOVED), make_endpoint("s1", EndpointState.REMOVED)],
         EndpointUpdate.DELTA,
     )
@@ -116,11 +116,11 @@
     assert rpc in fleet.open_rpcs and len(fleet.sends) == 1  # one RPC at a time probes a backend
     fleet.end_attempt(rpc, Outcome.COMPLETED)
     assert not fleet.router.backends[fleet.sends[0][1]].ejected
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint("s0", EndpointState.DRAINING), make_endpoint("s1", EndpointState.DRAINING)],
         EndpointUpdate.DELTA,
     )
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint("s0", EndpointState.REMOVED), make_endpoint("s1", EndpointState.REMOVED)],
         EndpointUpdate.DELTA,
     )
@@ -133,7 +133,7 @@
         fleet = make_fleet(1, removal_is_advisory=is_advisory)
         fleet.end_attempt(fleet.arrive("k"), Outcome.COMPLETED)
         # The cache is missing in a full list.
-        fleet.update_endpoints([make_endpoint("o1", kind=ORIGIN_KIND)])
+        fleet.receive_endpoints([make_endpoint("o1", kind=ORIGIN_KIND)])
         rpc = fleet.arrive("k")
         assert (rpc in fleet.open_rpcs) == is_advisory and len(fleet.sends) == 1 + is_advisory
 
@@ -334,7 +334,7 @@
         Method("status", 400.0, 1000.0, 1.0, kinds=("std",)),
     )
     fleet = Fleet(make_deployment(methods=both_methods, kinds=("fast", "std")))
-    fleet.update_endpoints([make_endpoint(f"s{index}", kind=index % 2) for index in range(6)])
+    fleet.receive_endpoints([make_endpoint(f"s{index}", kind=index % 2) for index in range(6)])
     fractions = {cache.kind: cache.unconstrained_fraction for cache in fleet.router.caches}
     assert fractions[0] == 1.0 and fractions[1] == 0.5
     home_kinds = [fleet.router.placement.bucket(number).primary.kind for number in range(400)]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -965,8 +965,8 @@
 def test_nodes_detect_a_death_and_no_other_in_virtual_time() -> None:
     run = Run(load(FAULTS), 1)
     ended = run.run()
-    assert not ended.broken
-    assert not ended.faults
+    assert not ended.violations
+    assert not ended.program_errors
     logs = [
         (time_ms, reporter, text.removeprefix("members: "))
         for time_ms, reporter, text in ended.logs
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -73,7 +73,7 @@
 
 def test_an_expectation_about_members_requires_members() -> None:
     text = 'name = "x-y"\nexpect = ["called_dead <= 0"]\n'
-    with pytest.raises(ValueError, match="'called_dead' wants nodes.members"):
+    with pytest.raises(ValueError, match="'called_dead' requires nodes.members"):
         read(text)
     assert (
         read(text + "[nodes]\npeer_port = 7946\nmembers = true\n").expected[0].figure
@@ -87,7 +87,7 @@
     without_run = Run(
         msgspec.structs.replace(experiment, nodes=nodes, expected=(), expect=()), 1
     ).run()
-    assert not without_run.broken
+    assert not without_run.violations
     with_members, without_members = summary(Run(experiment, 1).run()), summary(without_run)
     served_fraction = lambda figures: (  # noqa: E731
         sum(figures["seconds"][second]["served"] for second in range(10, 16)) / 6
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -2,7 +2,7 @@
 
 import pytest
 from socket_node import DISCOVERY_PORT, NodeOnMemoryNetwork, get_command
-from test_sockets import serve, watch
+from test_sockets import answer_caches, send_from_discovery
 
 from hookpitch.startup.phases import (
     CONNECT_TIMEOUT_MS,
@@ -63,20 +63,20 @@
     node = NodeOnMemoryNetwork(1)
     client = node.connect_client()
     client.send(get_command("r1"))
-    serve(node)
+    answer_caches(node)
     assert client.receive()
     assert node.counters.counts.get("start.phase", 0) == 0
     figures = dict(node.socket_node.commands.metrics())
     assert figures["start_phase"] == Phase.AWAITING_ENDPOINTS
     assert node.socket_node.commands.not_ready_reason() == ""
     node.pass_time(300)
-    watch(node, {"seq": 6, "whole": True, "hosts": node.hosts})
+    send_from_discovery(node, {"seq": 6, "whole": True, "hosts": node.hosts})
     for index in range(40):
         client.send(get_command(f"q{index}", key=f"k{index}"))
-        serve(node)
+        answer_caches(node)
         node.pass_time(300)
         if index % 6 == 5:
-            watch(node, b"")
+            send_from_discovery(node, b"")
     assert dict(node.socket_node.commands.metrics())["start_phase"] == Phase.STEADY
     assert node.counters.counts["start.listed_ms"] < 1000
 
@@ -94,5 +94,5 @@
     node = NodeOnMemoryNetwork(1)
     node.socket_node.host.router.backends.clear()  # no list contained any
     assert node.socket_node.commands.not_ready_reason() == "no list of servers yet"
-    watch(node, {"seq": 6, "whole": True, "hosts": NodeOnMemoryNetwork(1).hosts})
+    send_from_discovery(node, {"seq": 6, "whole": True, "hosts": NodeOnMemoryNetwork(1).hosts})
     assert node.socket_node.commands.not_ready_reason() == ""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -27,7 +27,7 @@
     methods = (method, Method("page", 400.0, 1000.0, 1.0))
     fleet = Fleet(make_deployment(methods=methods, kinds=("fast", "std"), **changes))
     caches = [make_endpoint(f"s{index}", kind=index % 2) for index in range(cache_count)]
-    fleet.update_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
+    fleet.receive_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
     return fleet
 
 
@@ -73,7 +73,7 @@
         fleet.arrive(f"k{index}", "status")
     ring = fleet.router.ring.points = CountingRing(fleet.router.ring.points)
     for index in range(1, 12, 2):  # the caches of kind std drain, one after the other
-        fleet.update_endpoints(
+        fleet.receive_endpoints(
             [make_endpoint(f"s{index}", EndpointState.DRAINING, kind=1)], EndpointUpdate.DELTA
         )
     assert not [
@@ -105,7 +105,7 @@
 
 def test_a_backend_of_another_kind_that_alone_is_ready_gets_nothing() -> None:
     fleet = make_fleet(6)
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint(f"s{index}", EndpointState.REMOVED, kind=1) for index in (1, 3, 5)],
         EndpointUpdate.DELTA,
     )
@@ -117,7 +117,7 @@
 
 def test_a_backend_without_kind_or_zone_gets_unconstrained_methods_only() -> None:
     fleet = make_fleet(0, Method("status", 400.0, 1000.0, 1.0, zones=("zone1",)))
-    fleet.update_endpoints([make_endpoint("s1", kind=-2)])
+    fleet.receive_endpoints([make_endpoint("s1", kind=-2)])
     fleet.router.backends["s1"].zone = ""
     fleet.router.endpoints.rebuild_ring([])
     assert fleet.answers[fleet.arrive("k")] == "exhausted" and not fleet.sends
@@ -129,7 +129,7 @@
     rpc = fleet.arrive("k")
     assert fleet.attempts[rpc][0].server == "s1"
     fleet.end_attempt(rpc, Outcome.COMPLETED)
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         [make_endpoint("s1", kind=0), make_endpoint("s0", kind=1)], EndpointUpdate.DELTA
     )
     fleet.arrive("k")
@@ -188,8 +188,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     experiment = load(Path(__file__).parent.parent / "experiments" / "core-placement.toml")
-    assert not Run(experiment, experiment.seed).run().broken
+    assert not Run(experiment, experiment.seed).run().violations
     monkeypatch.setattr(Placement, "allows", lambda *_: True)
     assert "placement" in {
-        violation.rule for violation in Run(experiment, experiment.seed).run().broken
+        violation.rule for violation in Run(experiment, experiment.seed).run().violations
     }
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -200,9 +200,9 @@
 ) -> None:
     (tmp_path / "past-grace.toml").write_text(PAST_GRACE)
     (tmp_path / "sitecustomize.py").write_text(FAULTY_SITECUSTOMIZE)
-    assert not Run(read(PAST_GRACE), 1).run().broken
+    assert not Run(read(PAST_GRACE), 1).run().violations
     monkeypatch.setattr(EndpointList, "set_state", set_state_ignoring_drains)
-    assert {violation.rule for violation in Run(read(PAST_GRACE), 1).run().broken} == {"rule 3"}
+    assert {violation.rule for violation in Run(read(PAST_GRACE), 1).run().violations} == {"rule 3"}
     code, output = ExperimentProcess(
         tmp_path / "past-grace.toml", tmp_path, PYTHONPATH=f"{tmp_path}:{ROOT}"
     ).end()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,7 @@
         make_endpoint(f"s{index}", size=size, kind=index % 2) for index, size in enumerate(sizes)
     ]
     origin = [make_endpoint("o1", kind=ORIGIN_KIND)] if rng.random() < 0.9 else []
-    fleet.update_endpoints(
+    fleet.receive_endpoints(
         servers + origin, rng.choice([EndpointUpdate.CACHED, EndpointUpdate.SNAPSHOT])
     )
     for _ in range(700):
@@ -40,7 +40,7 @@
     runs = []
     for _ in range(2):
         fleet = Fleet(random_deployment(random.Random(5)), 5)
-        fleet.update_endpoints(
+        fleet.receive_endpoints(
             [make_endpoint(f"s{index}") for index in range(6)]
             + [make_endpoint("o1", kind=ORIGIN_KIND)]
         )
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -17,7 +17,7 @@
 def make_node(nodes: int, seed: int = 7, **changes: object) -> Fleet:
     """Return the router of one of `nodes` nodes, with eight caches and an origin."""
     node = Fleet(make_deployment(nodes=nodes, seed=seed, **changes), seed)
-    node.update_endpoints(SERVERS, EndpointUpdate.CACHED)
+    node.receive_endpoints(SERVERS, EndpointUpdate.CACHED)
     return node
 
 
@@ -28,7 +28,7 @@
     for step in range(50):
         for router in routers:
             if step == 30:
-                router.update_endpoints(
+                router.receive_endpoints(
                     [make_endpoint("s9", started=started)], EndpointUpdate.DELTA
                 )
             router.pass_time(500.0)
