--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -75,7 +75,8 @@
     fleet.receive_endpoints(
         [make_endpoint(moved[0].assigned.id, EndpointState.DRAINING)], EndpointUpdate.DELTA
     )
-    assert moved[0].assigned.state == EndpointState.READY  # its buckets return home
+    # The buckets of a draining cache return to their primary caches.
+    assert moved[0].assigned.state == EndpointState.READY
 
 
 def test_time_in_a_queue_ends_before_the_hard_deadline() -> None:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,7 +1,7 @@
 """Tests of what counts as a failure of a backend.
 
-RPCs that fail at any backend count against none. The tests also cover backends that fail by turns,
-and lists and load reports that are wrong.
+RPCs that fail at every backend count against none of them. The tests also cover backends that fail
+by turns, and lists and load reports that are wrong.
 """
 
 import pytest
@@ -198,7 +198,7 @@
     errors: bool,
 ) -> None:
     fleet = make_fleet(3, nodes=2)
-    # The slow backend s1 reports that it is idle; RPCs that fail at any backend may come on top.
+    # The slow backend s1 reports that it is idle; RPCs that fail at every backend may come on top.
     for index in range(400):
         if errors and index % 2 == 0:
             assert end_all_attempts(fleet, fleet.arrive(f"bad{index}")) <= 2
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -31,14 +31,15 @@
 from hookpitch.testbed.membership_simulation import MembershipSimulation
 from hookpitch.testbed.run import Run
 
-# Measured from the end of the last fault.
-HEALED_MS, SAME_MS = 20000.0, 45000.0
+# Within these times after the last fault no running member is recorded as dead, and all views are
+# equal.
+RECOVERY_LIMIT_MS, CONVERGENCE_LIMIT_MS = 20000.0, 45000.0
 ROOT = Path(__file__).parent.parent
 FAULTS = ROOT / "experiments" / "members-faults.toml"
 
 
 def started_network(count: int, seed: int = 1) -> MembershipSimulation:
-    """Start a fleet, and let its members agree on their view."""
+    """Start members on a simulated network, and let them agree on their view."""
     network = MembershipSimulation(count, seed)
     assert network.advance_until(network.agreed, 30) < 12
     network.advance(10)
@@ -586,12 +587,12 @@
         """Run without further faults and check that the members recover.
 
         Members tick when they are due, and all datagrams arrive. No running member is recorded as
-        dead after `HEALED_MS`, and all views are equal after `SAME_MS`.
+        dead after `RECOVERY_LIMIT_MS`, and all views are equal after `CONVERGENCE_LIMIT_MS`.
         """
         started_at = self.now
         for member in self.members.values():
             member.due = min(member.due, self.now + PROBE_PERIOD_MS)
-        while self.now < started_at + SAME_MS:
+        while self.now < started_at + CONVERGENCE_LIMIT_MS:
             self.now += 250.0
             for name, member in self.members.items():
                 if self.now >= member.due:
@@ -600,7 +601,7 @@
                 if not self.in_flight:
                     break
                 self.apply_event(("deliver", 0))
-            if self.now >= started_at + HEALED_MS:
+            if self.now >= started_at + RECOVERY_LIMIT_MS:
                 for name, member in self.members.items():
                     dead = [
                         other
