--- a/benchmarks/start_size.py
+++ b/benchmarks/start_size.py
@@ -66,7 +66,7 @@
         figure("fetches_per_s", result, rpcs, second, second + 1)
         for second in range(int(experiment.seconds))
     )
-    early = [rpc for rpc in rpcs if rpc.at < 15000]
+    early = [rpc for rpc in rpcs if rpc.asked_at < 15000]
     served_early, served = (
         figure("served", result, records, 0.0, experiment.seconds) for records in (early, rpcs)
     )
@@ -78,7 +78,7 @@
         f"all dials {dials:7.0f} broken {len(result.violations)} {result.violations[:1] or ''}"
     )
     rpcs_by_second = [
-        [rpc for rpc in rpcs if index <= rpc.at / 1000 < index + 1] for index in range(20)
+        [rpc for rpc in rpcs if index <= rpc.asked_at / 1000 < index + 1] for index in range(20)
     ]
     by_second = [figure("served", result, records, 0, 0) for records in rpcs_by_second]
     text += "\n  served by second " + " ".join(f"{fraction:.2f}" for fraction in by_second)
--- a/hookpitch/cli/lab/fuzz.py
+++ b/hookpitch/cli/lab/fuzz.py
@@ -42,15 +42,18 @@
 def _fault_kinds(only: str | None) -> Sequence[str]:
     """Return the kinds of faults that the option names, or all kinds."""
     from hookpitch.testbed.experiment_schema import LINK_FAULTS, PROCESS_FAULTS
-    from hookpitch.testbed.fuzz_draw import KINDS
+    from hookpitch.testbed.fuzz_draw import FAULT_KINDS
 
     groups = {"links": LINK_FAULTS, "processes": PROCESS_FAULTS}
     words = only.split(",") if only else []
     kinds = [kind for word in words for kind in groups.get(word, (word,))]
     for kind in kinds:
-        if kind not in KINDS:
-            fail(f"--only: unknown kind '{kind}', expected links, processes, {', '.join(KINDS)}")
-    return kinds or KINDS
+        if kind not in FAULT_KINDS:
+            fail(
+                f"--only: unknown kind '{kind}', expected links, processes, "
+                f"{', '.join(FAULT_KINDS)}"
+            )
+    return kinds or FAULT_KINDS
 
 
 def _fuzz_on_processes(runs: int, seed: int, keep: Path | None, kinds: Sequence[str]) -> bool:
@@ -67,9 +70,9 @@
 
     findings = fuzzing.fuzz(runs, seed, lambda text: click.echo(text, err=True), kinds)
     for finding in findings:
-        click.echo(f"seed {finding.seed}: {', '.join(finding.broken)}\n  {finding.first}")
+        click.echo(f"seed {finding.seed}: {', '.join(finding.rules)}\n  {finding.first_violation}")
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
-            (keep / f"{finding.small.name}.toml").write_text(experiment_text(finding.small))
+            (keep / f"{finding.smallest.name}.toml").write_text(experiment_text(finding.smallest))
     click.echo(f"{runs} runs, {len(findings)} found")
     return bool(findings)
--- a/hookpitch/cli/lab/run.py
+++ b/hookpitch/cli/lab/run.py
@@ -67,9 +67,9 @@
     if json_path is not None:
         json_path.write_text(json.dumps(results if len(results) > 1 else results[0], indent=1))
     if report is not None:
-        from hookpitch.testbed.report import page
+        from hookpitch.testbed.report import render_page
 
-        report.write_text("".join(page(figures) for figures in results))
+        report.write_text("".join(render_page(figures) for figures in results))
     sys.exit(_exit_code(results))
 
 
--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -14,7 +14,7 @@
 from hookpitch.testbed.base_run import RunResult
 from hookpitch.testbed.experiment import read
 from hookpitch.testbed.experiment_schema import Experiment
-from hookpitch.testbed.fuzz_draw import KINDS, draw, experiment_text
+from hookpitch.testbed.fuzz_draw import FAULT_KINDS, draw_experiment, experiment_text
 from hookpitch.testbed.run import Run
 
 PARALLEL_RUNS = 4  # on loopback
@@ -22,35 +22,35 @@
 REPORT_EVERY = 20  # runs
 
 
-def reread(experiment: Experiment) -> Experiment:
+def validate(experiment: Experiment) -> Experiment:
     """The same, checked as a file is; ValueError where its faults do not go together."""
     return read(experiment_text(experiment), experiment.name)
 
 
-def rules_broken(ended: RunResult) -> list[str]:
+def violated_rules(ended: RunResult) -> list[str]:
     """The rules that were broken, each once; `program` where a program raised."""
     program = {"program"} if ended.program_errors else set()
     return sorted({violation.rule for violation in ended.violations} | program)
 
 
 @dataclass(slots=True)
-class Found:
+class Finding:
     """A drawn experiment that broke rules, and the smallest that still does."""
 
     seed: int
-    broken: list[str]
-    small: Experiment
-    first: str  # the text of the small one's first violation
+    rules: list[str]
+    smallest: Experiment
+    first_violation: str  # the text of the small one's first violation
 
 
 def fuzz(
-    runs: int, seed: int, report: Callable[[str], None], kinds: Sequence[str] = KINDS
-) -> list[Found]:
+    runs: int, seed: int, report: Callable[[str], None], kinds: Sequence[str] = FAULT_KINDS
+) -> list[Finding]:
     """Run so many drawn experiments in virtual time and shrink what breaks a rule."""
     found = []
     for number in range(runs):
-        experiment = draw(seed + number, kinds)
-        broken = rules_broken(attempt(experiment))
+        experiment = draw_experiment(seed + number, kinds)
+        broken = violated_rules(run_in_virtual_time(experiment))
         if broken:
             report(f"seed {seed + number}: {', '.join(broken)}")
             found.append(_shrunk(seed + number, experiment, broken))
@@ -59,14 +59,14 @@
     return found
 
 
-def _shrunk(seed: int, experiment: Experiment, broken: list[str]) -> Found:
+def _shrunk(seed: int, experiment: Experiment, broken: list[str]) -> Finding:
     small = shrink(experiment, broken)
-    again = attempt(small)
+    again = run_in_virtual_time(small)
     first = str(again.violations[0]) if again.violations else "; ".join(again.program_errors[:1])
-    return Found(seed, broken, small, first)
+    return Finding(seed, broken, small, first)
 
 
-def attempt(experiment: Experiment) -> RunResult:
+def run_in_virtual_time(experiment: Experiment) -> RunResult:
     """Run it once in virtual time; what a program raises is recorded and does not end the run."""
     run = Run(experiment, experiment.seed)
     run.network.raises_program_errors = False
@@ -81,7 +81,7 @@
 
     def __init__(self, folder: Path, seed: int, kinds: Sequence[str]) -> None:
         self.path = folder / f"fuzz-{seed}.toml"
-        self.path.write_text(experiment_text(draw(seed, kinds)))
+        self.path.write_text(experiment_text(draw_experiment(seed, kinds)))
         command = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(self.path)]
         self.process = subprocess.Popen(
             [*command, "--clock", "wall"],
@@ -100,7 +100,7 @@
     runs: int,
     seed: int,
     report: Callable[[str], None],
-    kinds: Sequence[str] = KINDS,
+    kinds: Sequence[str] = FAULT_KINDS,
     keep: Path | None = None,
 ) -> tuple[int, int]:
     """Run drawn experiments on loopback, `PARALLEL_RUNS` at a time: how many broke a rule, and how
@@ -139,17 +139,17 @@
             if attempts > most:
                 break
             if _breaks(candidate, set(broken)):
-                smaller = reread(candidate)
+                smaller = validate(candidate)
                 break
     return smaller or experiment
 
 
 def _breaks(candidate: Experiment, rules: set[str]) -> bool:
     try:
-        candidate = reread(candidate)
+        candidate = validate(candidate)
     except ValueError:
         return False
-    return bool(rules & set(rules_broken(attempt(candidate))))
+    return bool(rules & set(violated_rules(run_in_virtual_time(candidate))))
 
 
 def _smaller(experiment: Experiment) -> Iterator[Experiment]:
--- a/hookpitch/testbed/fuzz_draw.py
+++ b/hookpitch/testbed/fuzz_draw.py
@@ -29,9 +29,9 @@
     Traffic,
 )
 
-KINDS = tuple(what for what in FAULTS if what not in VIRTUAL_ONLY)
-GROUP_KINDS = LINK_FAULTS + PROCESS_FAULTS  # whose targets are groups
-SINGLE_KINDS = tuple(what for what in KINDS if what not in GROUP_KINDS)
+FAULT_KINDS = tuple(what for what in FAULTS if what not in VIRTUAL_ONLY)
+GROUP_FAULT_KINDS = LINK_FAULTS + PROCESS_FAULTS  # whose targets are groups
+SINGLE_FAULT_KINDS = tuple(what for what in FAULT_KINDS if what not in GROUP_FAULT_KINDS)
 ENDING = ("node_kill", "node_leave", "node_upgrade")
 SECONDS = 8.0
 FIRST_FAULT_S = 1.5
@@ -48,14 +48,14 @@
     kept: bool = True
 
 
-def draw(seed: int, kinds: Sequence[str] = SINGLE_KINDS) -> Experiment:
+def draw_experiment(seed: int, kinds: Sequence[str] = SINGLE_FAULT_KINDS) -> Experiment:
     """An experiment of any form that a file may have; the same for the same seed and `kinds` of
     faults."""
     rng = random.Random(seed)
     caches = rng.randint(1, 8)
     nodes = rng.randint(1, 3)
     methods = [_draw_method(rng, number) for number in range(rng.randint(1, 3))]
-    faults = _FaultDraw(rng, nodes, caches).draw(kinds)
+    faults = _FaultDraw(rng, nodes, caches).draw_all(kinds)
     fleet = _draw_fleet(rng, caches)
     # A core that events take up whole has nothing left to answer with, which is no fault.
     event_us = rng.choice([0.0, 0.0, 100.0])
@@ -123,7 +123,7 @@
         self._added = 0
         self._faults: list[Fault] = []
 
-    def draw(self, kinds: Sequence[str]) -> list[Fault]:
+    def draw_all(self, kinds: Sequence[str]) -> list[Fault]:
         """One to six faults, fewer where some go with no other."""
         for _ in range(self._rng.randint(1, 6)):
             what = self._rng.choice(kinds)
@@ -154,7 +154,7 @@
             return Target(f"n{self._rng.randrange(self._nodes)}")
         if what in SERVER_FAULTS:
             return Target(f"s{self._rng.randrange(self._caches)}")
-        if what in GROUP_KINDS:
+        if what in GROUP_FAULT_KINDS:
             return self._group_target(what)
         return Target()
 
--- a/hookpitch/testbed/metrics.py
+++ b/hookpitch/testbed/metrics.py
@@ -32,17 +32,17 @@
     rpc: str
     method: str
     node: str
-    at: float
-    soft: float
+    asked_at: float
+    soft_deadline_ms: float
     gain: float
-    answer: str = ""  # empty: none; left: its client went away
-    took: float = 0.0
+    outcome: str = ""  # empty: none; left: its client went away
+    latency_ms: float = 0.0
     transmissions: int = 0
 
     @property
-    def served(self) -> bool:
+    def is_served(self) -> bool:
         """Whether it was completed before its soft deadline."""
-        return self.answer == "completed" and self.took <= self.soft
+        return self.outcome == "completed" and self.latency_ms <= self.soft_deadline_ms
 
 
 class Span(NamedTuple):
@@ -55,7 +55,7 @@
 
     def kept(self) -> list[RpcRecord]:
         """RPCs whose clients waited for an answer."""
-        return [rpc for rpc in self.rpcs if rpc.answer != "left"]
+        return [rpc for rpc in self.rpcs if rpc.outcome != "left"]
 
     def events(self) -> list[Event]:
         """All events of the span."""
@@ -87,9 +87,9 @@
             continue
         if event.kind == "came":
             record.transmissions += 1
-        elif event.kind in ("answered", "lost", "left") and not record.answer:
-            record.answer = event.what if event.kind == "answered" else event.kind
-            record.took = event.at - record.at
+        elif event.kind in ("answered", "lost", "left") and not record.outcome:
+            record.outcome = event.what if event.kind == "answered" else event.kind
+            record.latency_ms = event.at - record.asked_at
     return list(found.values())
 
 
@@ -123,26 +123,26 @@
     gain = sum(rpc.gain for rpc in kept)
     if not gain:
         return 1.0
-    return sum(rpc.gain for rpc in kept if rpc.served) / gain
+    return sum(rpc.gain for rpc in kept if rpc.is_served) / gain
 
 
 def _share_answered(answer: str) -> Callable[[Span], float]:
     def share(span: Span) -> float:
         kept = span.kept()
-        return sum(rpc.answer == answer for rpc in kept) / max(1, len(kept))
+        return sum(rpc.outcome == answer for rpc in kept) / max(1, len(kept))
 
     return share
 
 
 def _late(span: Span) -> float:
     kept = span.kept()
-    late = sum(rpc.answer == "completed" and rpc.took > rpc.soft for rpc in kept)
+    late = sum(rpc.outcome == "completed" and rpc.latency_ms > rpc.soft_deadline_ms for rpc in kept)
     return late / max(1, len(kept))
 
 
 def _latency(share: float) -> Callable[[Span], float]:
     def latency(span: Span) -> float:
-        took = sorted(rpc.took for rpc in span.kept() if rpc.answer == "completed")
+        took = sorted(rpc.latency_ms for rpc in span.kept() if rpc.outcome == "completed")
         return quantile(took, share)
 
     return latency
@@ -153,17 +153,17 @@
 
 
 def _seconds_to_steady(span: Span) -> float:
-    return steady_s(span.rpcs, span.since_s, span.until_s)
+    return time_to_steady_s(span.rpcs, span.since_s, span.until_s)
 
 
-def steady_s(rpcs: Sequence[RpcRecord], since_s: float, until_s: float) -> float:
+def time_to_steady_s(rpcs: Sequence[RpcRecord], since_s: float, until_s: float) -> float:
     """Seconds until the served gain of each second stays at 95% of what it is in the last five."""
 
     def served(first: float, last: float) -> float:
-        some = [r for r in rpcs if first * 1000 <= r.at < last * 1000 and r.answer != "left"]
+        some = [r for r in rpcs if first * 1000 <= r.asked_at < last * 1000 and r.outcome != "left"]
         if not some:
             return 1.0
-        return sum(r.gain for r in some if r.served) / max(1e-9, sum(r.gain for r in some))
+        return sum(r.gain for r in some if r.is_served) / max(1e-9, sum(r.gain for r in some))
 
     aim = STEADY_SHARE * served(until_s - STEADY_LAST_S, until_s)
     seconds = range(int(since_s), int(until_s) - STEADY_LAST_S)
@@ -201,7 +201,7 @@
 
 
 def _list_calls(span: Span) -> float:
-    return most_a_second(e.at for e in span.events() if e.kind == "called")
+    return max_per_second(e.at for e in span.events() if e.kind == "called")
 
 
 def _dials_at_one(span: Span) -> float:
@@ -209,19 +209,19 @@
     for event in span.events():
         if event.kind == "dialled":
             by_server.setdefault(event.who, []).append(event.at)
-    return max((most_a_second(times) for times in by_server.values()), default=0.0)
+    return max((max_per_second(times) for times in by_server.values()), default=0.0)
 
 
-def most_a_second(times: Iterable[float]) -> float:
+def max_per_second(times: Iterable[float]) -> float:
     """The most that fell into one second, of times in ms."""
     return float(max(Counter(int(at // 1000) for at in times).values(), default=0))
 
 
 def _seconds_to_list(span: Span) -> float:
-    return listed_s(span.ended.history.events)
+    return longest_time_to_list_s(span.ended.history.events)
 
 
-def listed_s(events: Iterable[Event]) -> float:
+def longest_time_to_list_s(events: Iterable[Event]) -> float:
     """Seconds from its start to its first list, of the node for which that took longest; a node
     that never got one counts to the end, unless it was killed before."""
     started: dict[str, float] = {}
@@ -270,7 +270,7 @@
         some = [
             rpc
             for rpc in rpcs
-            if since_ms <= rpc.at < until_ms and expectation.method in ("", rpc.method)
+            if since_ms <= rpc.asked_at < until_ms and expectation.method in ("", rpc.method)
         ]
         value = figure(expectation.figure, ended, some, expectation.since, expectation.until)
         holds = value >= expectation.bound if expectation.least else value <= expectation.bound
@@ -340,7 +340,7 @@
 def _figures_by_second(ended: RunResult, rpcs: Sequence[RpcRecord]) -> list[dict[str, float]]:
     found = []
     for second in range(int(ended.experiment.seconds)):
-        some = [rpc for rpc in rpcs if second * 1000 <= rpc.at < (second + 1) * 1000]
+        some = [rpc for rpc in rpcs if second * 1000 <= rpc.asked_at < (second + 1) * 1000]
         figures = _figures(SECOND_FIGURES, ended, some, second, second + 1)
         found.append({"asked": len(some), **figures})
     return found
--- a/hookpitch/testbed/report.py
+++ b/hookpitch/testbed/report.py
@@ -21,7 +21,7 @@
 )
 
 
-def drawn(summary: dict[str, Any]) -> str:
+def render_timelines(summary: dict[str, Any]) -> str:
     """The time lines as SVG."""
     import matplotlib
 
@@ -48,7 +48,7 @@
     return out.getvalue()[out.getvalue().index("<svg") :]
 
 
-def page(summary: dict[str, Any]) -> str:
+def render_page(summary: dict[str, Any]) -> str:
     """The page, from the figures that `metrics.summary` gives."""
     title = html.escape(f"{summary['name']}, seed {summary['seed']}")
     broken = html.escape("\n\n".join(summary["broken"]) or "none")
@@ -61,7 +61,7 @@
             f"<h1>{title}</h1><p>{summary['rpcs']} RPCs, digest {summary['digest']}</p>",
             f"<h2>Rules broken</h2><pre>{broken}</pre>",
             f"<h2>Expected</h2><table>{expected}</table>",
-            f"<h2>Time lines</h2>{drawn(summary)}<ul>{faults}</ul>",
+            f"<h2>Time lines</h2>{render_timelines(summary)}<ul>{faults}</ul>",
             f"<h2>Figures</h2><table>{rows}</table>",
         )
     )
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -24,12 +24,12 @@
 @pytest.mark.parametrize(
     ("seed", "kinds"),
     [
-        *((5000 + n, fuzz_draw.SINGLE_KINDS) for n in range(8)),
-        *((100 + n, fuzz_draw.GROUP_KINDS) for n in (3, 26, 28, 46, 1, 2)),
+        *((5000 + n, fuzz_draw.SINGLE_FAULT_KINDS) for n in range(8)),
+        *((100 + n, fuzz_draw.GROUP_FAULT_KINDS) for n in (3, 26, 28, 46, 1, 2)),
     ],
 )
 def test_drawn_experiments_break_no_rule(seed: int, kinds: tuple[str, ...]) -> None:
-    ended = fuzz.attempt(fuzz.reread(fuzz_draw.draw(seed, kinds)))
+    ended = fuzz.run_in_virtual_time(fuzz.validate(fuzz_draw.draw_experiment(seed, kinds)))
     assert not ended.violations, str(ended.violations[0])
     assert not ended.program_errors
 
@@ -37,15 +37,15 @@
 def test_a_failing_experiment_is_shrunk_to_a_file_that_plays_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    drawn = fuzz_draw.draw(7)
-    rules_broken = fuzz.rules_broken
+    drawn = fuzz_draw.draw_experiment(7)
+    violated_rules = fuzz.violated_rules
 
     def with_rule_9(ended: object) -> list[str]:
         """Pretend that any experiment with a silence violates a further rule."""
         has_silence = any(fault.what == "silence" for fault in ended.experiment.fault)
-        return [*rules_broken(ended), *(["rule 9"] if has_silence else [])]
+        return [*violated_rules(ended), *(["rule 9"] if has_silence else [])]
 
-    monkeypatch.setattr(fuzz, "rules_broken", with_rule_9)
+    monkeypatch.setattr(fuzz, "violated_rules", with_rule_9)
     small = fuzz.shrink(drawn, ["rule 9"], most=40)
     assert [fault.what for fault in small.fault] == [
         "silence"
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -26,7 +26,8 @@
     x = load(next(f for f in FILES if f.stem == "start-into-trouble"))
     ended = Run(x, 1).run()
     starts = Counter(e.who for e in ended.history.events if e.kind == "start")
-    rpcs = [s for s in rpc_records(x, ended.history.events) if s.at > 7000.0]  # they are up again
+    # By then the restarted nodes are running again.
+    rpcs = [s for s in rpc_records(x, ended.history.events) if s.asked_at > 7000.0]
     new, old = ([s for s in rpcs if (starts[s.node] > 1) is again] for again in (True, False))
     assert len(new) > 500
     assert len(old) > 500
