--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -275,7 +275,7 @@
             retriable={m.name: m.idempotency == "retryable" for m in x.method},
             # With fewer keys than caches, a node has no use for each of them.
             reuse_within_ms=float("inf") if x.traffic.keys < x.fleet.caches else REUSE_WITHIN_MS,
-            room_for_all_clients=x.nodes.sockets >= SOCKETS_FOR_ALL,
+            has_descriptors_for_all_clients=x.nodes.sockets >= SOCKETS_FOR_ALL,
             placement=placement_by_method(x),
             # What is on a longer way was sent so much earlier.
             tolerance_ms=TOLERANCE_MS
--- a/hookpitch/testbed/judgement.py
+++ b/hookpitch/testbed/check_context.py
@@ -47,14 +47,14 @@
             if e.kind == "apart"
         ]
 
-    def excuse(self, process: str, since: float, until: float) -> bool:
+    def had_outage(self, process: str, since: float, until: float) -> bool:
         """Whether the process was stopped, or died, in that span."""
         return any(
             outage.process == process and outage.begin <= until and outage.end >= since
             for outage in self._outages
         )
 
-    def healed_at(self, outside: str, node: str, since: float, until: float) -> float:
+    def restored_at(self, outside: str, node: str, since: float, until: float) -> float:
         """When the last partition that touches the span ends; `since` where there is none."""
         ends = (
             partition.end
@@ -66,7 +66,7 @@
         return max(ends, default=since)
 
 
-class Judgement:
+class CheckContext:
     """One history under judgement: its RPCs, its outages and the violations found so far."""
 
     def __init__(self, rules: Rules, history: History) -> None:
@@ -79,7 +79,7 @@
             if event.rpc:
                 self.events_by_rpc.setdefault(event.rpc, []).append(event)
 
-    def report(self, rule: str, at: float, rpc: str, reason: str) -> None:
+    def report_violation(self, rule: str, at: float, rpc: str, reason: str) -> None:
         """Record a violation, with what is known of its RPC."""
         events = tuple(self.events_by_rpc.get(rpc, ()))
         self.violations.append(Violation(rule, at, rpc, reason, events))
--- a/hookpitch/testbed/judge.py
+++ b/hookpitch/testbed/judge.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 
 from hookpitch.fakes.history import History
+from hookpitch.testbed.check_context import CheckContext
 from hookpitch.testbed.counter_checks import check_counters
-from hookpitch.testbed.judgement import Judgement
 from hookpitch.testbed.rpc_checks import RpcChecks
 from hookpitch.testbed.rules import Rules, Violation
 from hookpitch.testbed.server_checks import ServerChecks
@@ -24,11 +24,11 @@
 
     def judge(self, history: History, end: float) -> list[Violation]:
         """All violations, ordered by time; `end`: when the run ended."""
-        judgement = Judgement(self.rules, history)
-        RpcChecks(judgement).check_all(end)
-        ServerChecks(judgement).check_all()
-        judgement.violations.sort(key=lambda one: (one.at, one.rpc, one.rule))
-        return judgement.violations
+        context = CheckContext(self.rules, history)
+        RpcChecks(context).check_all(end)
+        ServerChecks(context).check_all()
+        context.violations.sort(key=lambda one: (one.at, one.rpc, one.rule))
+        return context.violations
 
     def check_counters(
         self, history: History, counters: Mapping[str, Mapping[str, int]]
--- a/hookpitch/testbed/rules.py
+++ b/hookpitch/testbed/rules.py
@@ -20,7 +20,7 @@
     notified_within_ms: float = 6000.0
     # A server that an operator restored is used again by then.
     reuse_within_ms: float = REUSE_WITHIN_MS
-    room_for_all_clients: bool = True  # nodes have descriptors for every honest client
+    has_descriptors_for_all_clients: bool = True  # nodes have descriptors for every honest client
     most_transmissions: int = 3
     hedging_allowed: bool = False
     # By method: whether it may run more than once. A method that is missing may.
--- a/hookpitch/testbed/server_checks.py
+++ b/hookpitch/testbed/server_checks.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from hookpitch.fakes.history import Event
-from hookpitch.testbed.judgement import Judgement
+from hookpitch.testbed.check_context import CheckContext
 
 INFINITY = float("inf")
 ADMIN_TIMEOUT_MS = 1000.0  # that an operator waits for an answer
@@ -37,10 +37,10 @@
 class ServerChecks:
     """Checks the events that concern servers rather than one RPC."""
 
-    def __init__(self, judgement: Judgement) -> None:
-        self._judgement = judgement
-        self._rules = judgement.rules
-        self._outages = judgement.outages
+    def __init__(self, context: CheckContext) -> None:
+        self._context = context
+        self._rules = context.rules
+        self._outages = context.outages
         # By (node, server): since when the node has to leave the server alone.
         self._notified: dict[tuple[str, str], float] = {}
         self._banned: dict[tuple[str, str], float] = {}
@@ -66,7 +66,7 @@
             "leaving": self._on_trouble,
             "fell": self._on_overload,
         }
-        events = self._judgement.history.events
+        events = self._context.history.events
         for event in events:
             handler = handlers.get(event.kind)
             if handler is not None:
@@ -82,7 +82,7 @@
         if health == "in_service":
             self._notified.pop((event.who, server), None)
             return
-        known_at = self._outages.healed_at("discovery", event.who, event.at, event.at)
+        known_at = self._outages.restored_at("discovery", event.who, event.at, event.at)
         self._notified.setdefault((event.who, server), known_at)
 
     def _on_listed(self, event: Event) -> None:
@@ -95,7 +95,7 @@
     def _on_transmission(self, event: Event) -> None:
         node, server = event.what, event.who
         self._traffic.append(Mark(event.at, node))
-        if not self._outages.excuse(server, event.at - self._rules.tolerance_ms, event.at):
+        if not self._outages.had_outage(server, event.at - self._rules.tolerance_ms, event.at):
             changed = self._out_of_service.get(server, INFINITY)
             latest = changed + self._rules.notified_within_ms
             drained = min(self._notified.get((node, server), INFINITY), latest)
@@ -107,7 +107,7 @@
     def _check_left_alone(self, event: Event, since: float, cause: str) -> None:
         if event.at > since + self._rules.drain_grace_ms + self._rules.tolerance_ms:
             reason = f"sent to {event.who} {event.at - since:.0f} ms after it was {cause}"
-            self._judgement.report("rule 3", event.at, event.rpc, reason)
+            self._context.report_violation("rule 3", event.at, event.rpc, reason)
 
     def _on_banned(self, event: Event) -> None:
         self._banned.setdefault((event.who, event.what), event.at)
@@ -124,29 +124,29 @@
         self._on_trouble(event)
 
     def _on_client_cut(self, event: Event) -> None:
-        if not self._rules.room_for_all_clients:
+        if not self._rules.has_descriptors_for_all_clients:
             return
-        if not self._outages.excuse(event.who, event.at - HEAD_TIMEOUT_MS, event.at):
+        if not self._outages.had_outage(event.who, event.at - HEAD_TIMEOUT_MS, event.at):
             reason = f"{event.who} closed an honest client that was still writing"
-            self._judgement.report("head", event.at, "", reason)
+            self._context.report_violation("head", event.at, "", reason)
 
     def _on_held(self, event: Event) -> None:
         reason = f"{event.who} holds {event.value:.0f} clients' connections in a drain"
-        self._judgement.report("drain", event.at, "", reason)
+        self._context.report_violation("drain", event.at, "", reason)
         self._on_trouble(event)
 
     def _on_admin_call(self, event: Event) -> None:
         if event.what == "well":
             return
-        if not self._outages.excuse(event.who, event.at - ADMIN_TIMEOUT_MS, event.at):
-            self._judgement.report("door", event.at, "", f"{event.who}: {event.what}")
+        if not self._outages.had_outage(event.who, event.at - ADMIN_TIMEOUT_MS, event.at):
+            self._context.report_violation("door", event.at, "", f"{event.who}: {event.what}")
 
     def _on_trouble(self, event: Event) -> None:
         self._trouble.append(Mark(event.at, event.who))
 
     def _on_overload(self, event: Event) -> None:
         reason = f"{event.who} was pushed over while cold: {event.value:.1f} times its work"
-        self._judgement.report("rule 4", event.at, event.rpc, reason)
+        self._context.report_violation("rule 4", event.at, event.rpc, reason)
 
     # ---- at the end
 
@@ -163,4 +163,4 @@
             )
             if sent >= BUSY_RPCS and not troubled:
                 reason = f"{node} did not use {server} again after it was called back"
-                self._judgement.report("unused", at, "", reason)
+                self._context.report_violation("unused", at, "", reason)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -237,7 +237,7 @@
         )
     history.add(3000.0, "cut", NODE)
     assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == ["head"]
-    assert not Judge(Rules(room_for_all_clients=False)).judge(history, 60000.0)
+    assert not Judge(Rules(has_descriptors_for_all_clients=False)).judge(history, 60000.0)
 
 
 def test_the_judge_takes_no_crossing_for_a_second_copy_and_no_death_for_a_ban() -> None:
@@ -262,10 +262,10 @@
     def rules(lines: str) -> Rules:
         return Run(read("name = 'a-b'\n" + lines), 1).rules()
 
-    assert rules("").reuse_within_ms == 5000.0 and rules("").room_for_all_clients
+    assert rules("").reuse_within_ms == 5000.0 and rules("").has_descriptors_for_all_clients
     assert (
         rules("[traffic]\nkeys = 1").reuse_within_ms == float("inf")
-        and not rules("[nodes]\nsockets = 64").room_for_all_clients
+        and not rules("[nodes]\nsockets = 64").has_descriptors_for_all_clients
     )
 
 
