--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -24,7 +24,7 @@
 def start_network(count: int, seed: int) -> MembershipSimulation:
     """Return a simulated network of `count` members that agree, after 60 s of steady state."""
     network = MembershipSimulation(count, seed)
-    if network.advance_until(network.agreed, 60) >= 60:
+    if network.advance_until(network.has_converged, 60) >= 60:
         raise ValueError(f"seed {seed}: {count} members did not agree within 60 s")
     network.advance(60)
     network.logs.clear()
@@ -38,7 +38,7 @@
 
 def bytes_per_second(network: MembershipSimulation, bytes_before: int, seconds: float) -> float:
     """Return the bytes a second of one member, on average over `seconds`."""
-    return (sum(network.bytes.values()) - bytes_before) / len(network.members) / seconds
+    return (sum(network.bytes_sent.values()) - bytes_before) / len(network.members) / seconds
 
 
 def measure_detection(count: int, part: float, seed: int) -> tuple[float, ...]:
@@ -49,10 +49,11 @@
     ]
     network.kill(killed)
     is_suspected = lambda: any(  # noqa: E731
-        network.believers(killed[0], state) for state in (MemberState.SUSPECTED, MemberState.DEAD)
+        network.members_believing(killed[0], state)
+        for state in (MemberState.SUSPECTED, MemberState.DEAD)
     )
     first = network.advance_until(is_suspected, 30, 0.1)
-    agreed = first + network.advance_until(network.agreed, 60, 0.1)
+    agreed = first + network.advance_until(network.has_converged, 60, 0.1)
     return first, agreed, float(count_declared_dead(network) - len(killed))
 
 
@@ -61,7 +62,7 @@
 ) -> tuple[float, ...]:
     """Apply a fault for `seconds`; return the wrong declarations, traffic and recovery time."""
     network = start_network(count, seed)
-    bytes_before = sum(network.bytes.values())
+    bytes_before = sum(network.bytes_sent.values())
     if kind == "lossy":
         network.loss = loss
     elif kind == "deaf":
@@ -74,7 +75,7 @@
         network.advance(seconds)
     traffic = bytes_per_second(network, bytes_before, seconds)
     network.loss, network.extra_loss = 0.0, {}
-    recovery_s = network.advance_until(network.agreed, 120)
+    recovery_s = network.advance_until(network.has_converged, 120)
     return float(count_declared_dead(network)), traffic, recovery_s
 
 
--- a/hookpitch/testbed/membership.py
+++ b/hookpitch/testbed/membership.py
@@ -51,7 +51,7 @@
     return sorted(found)
 
 
-def running(events: Sequence[Event], at: float) -> set[str]:
+def running_nodes(events: Sequence[Event], at: float) -> set[str]:
     """Nodes that run at that time and have not been asked to leave."""
     found: set[str] = set()
     for event in events:
@@ -103,7 +103,7 @@
         return 0.0
     worst = 0.0
     for member, killed_at in killed.items():
-        reporters = running(span.events, killed_at + KILLED_TOGETHER_MS) - killed.keys()
+        reporters = running_nodes(span.events, killed_at + KILLED_TOGETHER_MS) - killed.keys()
         first_reports = [
             min(
                 (
@@ -123,7 +123,7 @@
 
 def _wrong_views(span: Span) -> float:
     """Pairs of running members of which, at the span's end, one does not hold the other alive."""
-    members = running(span.events, span.until)
+    members = running_nodes(span.events, span.until)
     started = {e.who: e.at for e in span.events if e.kind == "start" and e.at < span.until}
     wrong = 0
     for reporter in members:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -37,7 +37,7 @@
 
 def up(count: int, seed: int = 1) -> MembershipSimulation:
     net = MembershipSimulation(count, seed)
-    assert net.advance_until(net.agreed, 30) < 12
+    assert net.advance_until(net.has_converged, 30) < 12
     net.advance(10)
     net.logs.clear()
     return net
@@ -56,12 +56,15 @@
     net = up(count)
     net.kill(["m1"])
     first = net.advance_until(
-        lambda: net.believers("m1", MemberState.SUSPECTED) or net.believers("m1", MemberState.DEAD),
+        lambda: (
+            net.members_believing("m1", MemberState.SUSPECTED)
+            or net.members_believing("m1", MemberState.DEAD)
+        ),
         20,
         0.1,
     )
     agreed = first + net.advance_until(
-        lambda: len(net.believers("m1", MemberState.DEAD)) == count - 1, 30, 0.1
+        lambda: len(net.members_believing("m1", MemberState.DEAD)) == count - 1, 30, 0.1
     )
     assert first < 3.5
     assert agreed < 9.0
@@ -88,26 +91,26 @@
     net.advance(1)
     # Its machine's clock is an hour behind now: nothing that others hold is told by clocks.
     behind = 3600000.0
-    m = Membership(net.now - behind, "m2", net.address_of("m2"), net.seeds, net.rng.random)
+    m = Membership(net.now - behind, "m2", net.address_of("m2"), net.seed_addresses, net.rng.random)
     assert m is not old
     net.members["m2"] = m
-    net.down.discard("m2")
+    net.killed.discard("m2")
     receive, tick = m.receive, m.tick
     m.receive = lambda now, source, message: receive(now - behind, source, message)  # type: ignore[method-assign]
 
     def run() -> None:
         tick(net.now - behind)
-        net.flush("m2", m)
+        net.send_outbox("m2", m)
         net.schedule(max(1.0, m.due - (net.now - behind)), run)
 
     run()
-    assert net.advance_until(net.agreed, 20) < 15
+    assert net.advance_until(net.has_converged, 20) < 15
     assert all(net.members[n].members["m2"].record.incarnation > before for n in net.running())
 
 
 def test_three_hundred_members_that_join_within_a_second_find_one_another() -> None:
-    net = MembershipSimulation(300, seeds=3)
-    assert net.advance_until(net.agreed, 60, 0.5) < 30
+    net = MembershipSimulation(300, seed_count=3)
+    assert net.advance_until(net.has_converged, 60, 0.5) < 30
     assert not deaths(net)
 
 
@@ -119,7 +122,7 @@
         net.start(f"m{n}")
     for n in (20, 21, 22):
         net.start(f"m{n}")
-    assert net.advance_until(net.agreed, 60) < 30
+    assert net.advance_until(net.has_converged, 60) < 30
     assert {"m20", "m21", "m22"} <= set(net.members["m5"].active_members())
 
 
@@ -129,7 +132,7 @@
     before = {n: net.members[n].view.version for n in net.running()}
     net.kill(gone)
     net.advance(20)
-    assert net.agreed()
+    assert net.has_converged()
     assert deaths(net) == set(gone)
     for n in net.running():
         view = net.members[n].view
@@ -181,7 +184,7 @@
         net.suspend([f"m{3 * n}"], seconds)
         net.advance(5)
     assert not deaths(net)
-    assert net.advance_until(net.agreed, 10) < 10
+    assert net.advance_until(net.has_converged, 10) < 10
 
 
 def test_a_long_suspension_is_a_death_and_a_return_with_a_higher_incarnation() -> None:
@@ -189,8 +192,8 @@
     before = net.members["m7"].members["m7"].record.incarnation
     net.suspend(["m7"], 20.0)
     net.advance(15)
-    assert len(net.believers("m7", MemberState.DEAD)) == 19
-    assert net.advance_until(net.agreed, 30) < 15
+    assert len(net.members_believing("m7", MemberState.DEAD)) == 19
+    assert net.advance_until(net.has_converged, 30) < 15
     assert deaths(net) == {"m7"}  # and it has not taken the others for dead meanwhile
     assert all(net.members[n].members["m7"].record.incarnation > before for n in net.running())
 
@@ -207,12 +210,12 @@
     net = up(60)
     net.loss = 0.2
     net.advance(10)
-    before = sum(net.bytes.values())
+    before = sum(net.bytes_sent.values())
     net.advance(40)
     # Danger: each accusation and its refutation are told round the fleet, some twenty times by each
     # member.
     assert sum(m.counts.get("accusations", 0) for m in net.members.values()) <= 6
-    assert (sum(net.bytes.values()) - before) / 60 / 40 < 1800
+    assert (sum(net.bytes_sent.values()) - before) / 60 / 40 < 1800
 
 
 def test_a_third_suspended_at_once_causes_no_deaths() -> None:
@@ -256,7 +259,7 @@
 
 def test_one_way_partitions_between_one_and_some_cause_no_deaths() -> None:
     net = up(20)
-    net.partition(["m3"], ["m4", "m6", "m7", "m9"], both=False)
+    net.partition(["m3"], ["m4", "m6", "m7", "m9"], both_ways=False)
     net.advance(30)
     assert not deaths(net)
 
@@ -266,7 +269,7 @@
     # comes round.
     net = up(8)
     others = [f"m{n}" for n in range(8) if n != 3]
-    net.partition([o for o in others if o != "m4"], ["m3"], both=False)
+    net.partition([o for o in others if o != "m4"], ["m3"], both_ways=False)
     net.advance(240)
     m = net.members["m3"]
     before = m.counts["accusations"]
@@ -281,7 +284,7 @@
     for seed in range(1, 6):
         net = up(12, seed)
         others = [f"m{n}" for n in range(12) if n != 3]
-        net.partition(others, ["m3"], both=False)
+        net.partition(others, ["m3"], both_ways=False)
         net.advance(10)
         net.partitioned.clear()
         net.advance(15)
@@ -295,7 +298,7 @@
     m.members["m5"].refuted_suspicions_at.extend([net.now - 2000.0, net.now - 1000.0, net.now])
     net.kill(["m5"])
     net.advance(12)
-    assert len(net.believers("m5", MemberState.DEAD)) == 7
+    assert len(net.members_believing("m5", MemberState.DEAD)) == 7
 
 
 def test_a_partitioned_rack_reports_its_visible_fraction_and_rejoins() -> None:
@@ -308,7 +311,7 @@
     assert net.members["m9"].view.members == tuple(sorted(rest))
     assert 0.6 < net.members["m9"].view.visible_fraction < 0.7
     net.partitioned.clear()
-    assert net.advance_until(net.agreed, 60) < 40
+    assert net.advance_until(net.has_converged, 60) < 40
 
 
 def test_a_restart_faster_than_detection_raises_the_incarnation() -> None:
@@ -318,7 +321,7 @@
     net.advance(0.4)
     net.start("m5")
     net.advance(6)
-    assert net.agreed()
+    assert net.has_converged()
     assert not deaths(net)
     assert net.members["m5"].members["m5"].record.incarnation > before
 
@@ -329,11 +332,11 @@
         net.now,
         "m2",
         net.address_of("m9"),
-        net.seeds,
+        net.seed_addresses,
         net.rng.random,
-        net.logger("m9"),
+        net.make_logger("m9"),
     )
-    net.run("m9", net.members["m9"])
+    net.run_member("m9", net.members["m9"])
     net.advance(30)
     silent = [n for n in ("m2", "m9") if net.members[n].is_silenced]
     assert len(silent) == 1
@@ -356,27 +359,27 @@
     assert held
     assert net.members[held[0]].counts["flapping"] >= 1
     net.advance(40)
-    assert net.agreed()
+    assert net.has_converged()
     assert all("m4" in net.members[n].view.members for n in net.running())
 
 
 def test_a_member_without_a_seed_joins_when_one_is_up() -> None:
-    net = MembershipSimulation(4, seeds=1)
+    net = MembershipSimulation(4, seed_count=1)
     net.kill(["m0"])
     net.advance(8)
     assert all(net.members[n].active_members() == [n] for n in ("m1", "m2", "m3"))
     net.start("m0")
-    assert net.advance_until(net.agreed, 30) < 20
+    assert net.advance_until(net.has_converged, 30) < 20
 
 
 def test_a_member_that_leaves_is_not_called_dead() -> None:
     net = up(12)
     m = net.members["m3"]
     m.leave(net.now)
-    net.flush("m3", m)
+    net.send_outbox("m3", m)
     net.kill(["m3"])
     net.advance(4)
-    assert len(net.believers("m3", MemberState.LEFT)) == 11
+    assert len(net.members_believing("m3", MemberState.LEFT)) == 11
     assert not deaths(net)
 
 
@@ -395,9 +398,9 @@
     for count in (12, 60):
         net = up(count)
         net.advance(30)
-        before, begun = sum(net.bytes.values()), net.now
+        before, begun = sum(net.bytes_sent.values()), net.now
         net.advance(30)
-        rates.append((sum(net.bytes.values()) - before) / count / (net.now - begun) * 1000)
+        rates.append((sum(net.bytes_sent.values()) - before) / count / (net.now - begun) * 1000)
     assert max(rates) < 1000
     assert rates[1] < 1.6 * rates[0]
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,7 +10,7 @@
 
 from hookpitch.fakes.history import Event
 from hookpitch.testbed.experiment import load, read
-from hookpitch.testbed.membership import StateChange, figure, running, state_changes
+from hookpitch.testbed.membership import StateChange, figure, running_nodes, state_changes
 from hookpitch.testbed.metrics import check_expectations, summary
 from hookpitch.testbed.run import Run
 
@@ -60,7 +60,7 @@
     assert value("agreed_s", 0.0, 6200.0) == 5.2  # n1 never said so: to the span's end
     assert value("views_wrong") == 1  # n1 holds n2 for dead still
     assert value("views_wrong", 0.0, 8000.0) == 0
-    assert running(EVENTS, 5000.0) == {"n0", "n1"}
+    assert running_nodes(EVENTS, 5000.0) == {"n0", "n1"}
     assert value("turns") == 4
     with pytest.raises(ValueError):
         value("served")
