--- a/hookpitch/testbed/report.py
+++ b/hookpitch/testbed/report.py
@@ -1,4 +1,4 @@
-"""A run as one HTML page: time lines with the faults marked, figures, and what broke."""
+"""Renders a run as an HTML page: broken rules, expectations, timelines with faults, and figures."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import io
 from typing import Any
 
-LINES = (
+TIMELINES = (
     ("served", "gain served in time"),
     ("exhausted", "exhausted"),
     ("misses", "misses at caches"),
     ("p99_ms", "p99, ms"),
-    ("transmissions", "transmissions an RPC"),
-    ("fetches_per_s", "fetches a second"),
+    ("transmissions", "transmissions per RPC"),
+    ("fetches_per_s", "fetches per second"),
 )
 STYLE = (
     "body{font:15px sans-serif;max-width:60em;margin:2em auto;color:#222}"
@@ -22,7 +22,7 @@
 
 
 def render_timelines(summary: dict[str, Any]) -> str:
-    """The time lines as SVG."""
+    """Return the timelines of a run as SVG."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -30,10 +30,15 @@
     from matplotlib import pyplot
 
     seconds = summary["seconds"]
-    figure, axes = pyplot.subplots(len(LINES), 1, sharex=True, figsize=(9, 1.6 * len(LINES)))
-    for axis, (name, title) in zip(axes, LINES, strict=True):
+    figure, axes = pyplot.subplots(
+        len(TIMELINES), 1, sharex=True, figsize=(9, 1.6 * len(TIMELINES))
+    )
+    for axis, (name, title) in zip(axes, TIMELINES, strict=True):
         axis.plot(
-            range(len(seconds)), [s[name] for s in seconds], drawstyle="steps-post", linewidth=1.4
+            range(len(seconds)),
+            [second[name] for second in seconds],
+            drawstyle="steps-post",
+            linewidth=1.4,
         )
         axis.set_ylabel(title, fontsize=8, rotation=0, ha="right", va="center")
         axis.margins(x=0)
@@ -42,27 +47,29 @@
                 fault["at"], max(fault["end"], fault["at"] + 0.1), color="#d55", alpha=0.15
             )
     axes[-1].set_xlabel("seconds")
-    out = io.StringIO()
-    figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
+    output = io.StringIO()
+    figure.savefig(output, format="svg", bbox_inches="tight", metadata={"Date": None})
     pyplot.close(figure)
-    return out.getvalue()[out.getvalue().index("<svg") :]
+    return output.getvalue()[output.getvalue().index("<svg") :]
 
 
 def render_page(summary: dict[str, Any]) -> str:
-    """The page, from the figures that `metrics.summary` gives."""
+    """Return the HTML page for the figures that `metrics.summary` returns."""
     title = html.escape(f"{summary['name']}, seed {summary['seed']}")
     broken = html.escape("\n\n".join(summary["broken"]) or "none")
-    expected = "".join(_expected_row(one) for one in summary["expected"])
-    faults = "".join(_fault_item(fault) for fault in summary["faults"])
-    rows = "".join(f"<tr><td>{k}</td><td>{v:g}</td></tr>" for k, v in summary["whole"].items())
+    expected_rows = "".join(_expected_row(expected) for expected in summary["expected"])
+    fault_items = "".join(_fault_item(fault) for fault in summary["faults"])
+    figure_rows = "".join(
+        f"<tr><td>{name}</td><td>{value:g}</td></tr>" for name, value in summary["whole"].items()
+    )
     return "".join(
         (
             f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style>",
             f"<h1>{title}</h1><p>{summary['rpcs']} RPCs, digest {summary['digest']}</p>",
             f"<h2>Rules broken</h2><pre>{broken}</pre>",
-            f"<h2>Expected</h2><table>{expected}</table>",
-            f"<h2>Time lines</h2>{render_timelines(summary)}<ul>{faults}</ul>",
-            f"<h2>Figures</h2><table>{rows}</table>",
+            f"<h2>Expected</h2><table>{expected_rows}</table>",
+            f"<h2>Timelines</h2>{render_timelines(summary)}<ul>{fault_items}</ul>",
+            f"<h2>Figures</h2><table>{figure_rows}</table>",
         )
     )
 
