--- a/hookpitch/testbed/check_context.py
+++ b/hookpitch/testbed/check_context.py
@@ -1,6 +1,7 @@
-"""State that the checks of one history share: the outages that excuse a node, and the findings.
+"""Holds the state that the checks of a history share: outages, partitions and violations.
 
-Times in ms. Nothing here is asked of a node; all of it was recorded by the testbed.
+A process is not blamed for what it did or missed during an outage or a partition. Both were
+recorded by the testbed, not reported by nodes. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class Outage(NamedTuple):
-    """A span in which a process was stopped or died."""
+    """A span of time in which a process was paused or ended."""
 
     process: str
     begin: float
@@ -20,46 +21,51 @@
 
 
 class Partition(NamedTuple):
-    """A span in which a node's link to clients or discovery was impaired."""
+    """A span of time in which the link between a node and its clients or discovery was broken."""
 
-    outside: str  # clients or discovery
+    peer: str  # `clients` or `discovery`
     node: str
     begin: float
     end: float
 
 
 class Outages:
-    """The outages and partitions of a history."""
+    """Holds the outages and partitions of a history, for queries by time."""
 
     def __init__(self, history: History, tolerance_ms: float) -> None:
         events = history.events
         self._outages = [
-            Outage(e.who, e.at, e.at + e.value + tolerance_ms) for e in events if e.kind == "away"
+            Outage(event.who, event.at, event.at + event.value + tolerance_ms)
+            for event in events
+            if event.kind == "away"
         ]
         self._outages += [
-            Outage(e.who, e.at - tolerance_ms, e.at + tolerance_ms)
-            for e in events
-            if e.kind == "stop"
+            Outage(event.who, event.at - tolerance_ms, event.at + tolerance_ms)
+            for event in events
+            if event.kind == "stop"
         ]
         self._partitions = [
-            Partition(e.what, e.who, e.at, e.at + e.value + tolerance_ms)
-            for e in events
-            if e.kind == "apart"
+            Partition(event.what, event.who, event.at, event.at + event.value + tolerance_ms)
+            for event in events
+            if event.kind == "apart"
         ]
 
     def had_outage(self, process: str, since: float, until: float) -> bool:
-        """Whether the process was stopped, or died, in that span."""
+        """Return whether a process was paused or ended at any time from `since` to `until`."""
         return any(
             outage.process == process and outage.begin <= until and outage.end >= since
             for outage in self._outages
         )
 
-    def restored_at(self, outside: str, node: str, since: float, until: float) -> float:
-        """When the last partition that touches the span ends; `since` where there is none."""
+    def restored_at(self, peer: str, node: str, since: float, until: float) -> float:
+        """Return the end of the last partition that overlaps a span of time.
+
+        Returns `since` if no partition overlaps the span from `since` to `until`.
+        """
         ends = (
             partition.end
             for partition in self._partitions
-            if (partition.outside, partition.node) == (outside, node)
+            if (partition.peer, partition.node) == (peer, node)
             and partition.begin <= until
             and partition.end >= since
         )
@@ -67,7 +73,7 @@
 
 
 class CheckContext:
-    """One history under judgement: its RPCs, its outages and the violations found so far."""
+    """Holds a history, its events by RPC, its outages and the violations found so far."""
 
     def __init__(self, rules: Rules, history: History) -> None:
         self.rules = rules
@@ -80,6 +86,6 @@
                 self.events_by_rpc.setdefault(event.rpc, []).append(event)
 
     def report_violation(self, rule: str, at: float, rpc: str, reason: str) -> None:
-        """Record a violation, with what is known of its RPC."""
+        """Record a violation, together with all events of its RPC."""
         events = tuple(self.events_by_rpc.get(rpc, ()))
         self.violations.append(Violation(rule, at, rpc, reason, events))
--- a/hookpitch/testbed/counter_checks.py
+++ b/hookpitch/testbed/counter_checks.py
@@ -1,4 +1,4 @@
-"""Compares what nodes counted with what clients and servers saw."""
+"""Compares the counters of nodes with what clients and servers observed."""
 
 from __future__ import annotations
 
@@ -9,30 +9,32 @@
 from hookpitch.fakes.history import History
 from hookpitch.testbed.rules import Violation
 
-TOLERATED_COUNT = 3  # a node's counter may be off by so many,
-TOLERATED_SHARE = 0.01  # or by such a share of what the others saw
-# A node's counter by the client's outcome.
+# A node's counter may differ from what was observed by this count or this fraction, whichever is
+# larger.
+TOLERATED_COUNT = 3
+TOLERATED_FRACTION = 0.01
+# The counter of a node for each outcome at a client.
 COUNTERS = {"completed": "completed", "exhausted": "rejected", "errored": "failed"}
 
 
 class Comparison(NamedTuple):
-    """One counter of a node, as the others saw it."""
+    """Holds a counter of a node, as clients and servers observed it."""
 
     counter: str
     observed: int
-    tolerated_share: float
-    uncertain: int  # events that the node may have counted or not
+    tolerated_fraction: float
+    uncertain: int  # events that the node may or may not have counted
 
 
-class Observed:
-    """What clients and servers saw of each node."""
+class Observations:
+    """Holds what clients and servers observed of each node."""
 
     def __init__(self, history: History) -> None:
-        self.methods = {e.rpc: e.what for e in history.events if e.kind == "asked"}
-        self._outcomes: Counter[tuple[str, str]] = Counter()  # by node, counter
-        self._unanswered: Counter[tuple[str, str]] = Counter()  # by node, method
-        self._transmissions: Counter[str] = Counter()
-        self._closed: Counter[str] = Counter()  # connections, by node
+        self.methods = {event.rpc: event.what for event in history.events if event.kind == "asked"}
+        self._outcomes: Counter[tuple[str, str]] = Counter()  # by node and counter
+        self._unanswered: Counter[tuple[str, str]] = Counter()  # by node and method
+        self._transmissions: Counter[str] = Counter()  # by node
+        self._closed: Counter[str] = Counter()  # by node: connections that the node closed
         for event in history.events:
             if event.kind == "asked":
                 self._unanswered[event.who, event.what] += 1
@@ -46,13 +48,16 @@
                 self._closed[event.who] += 1
 
     def comparisons(self, node: str) -> list[Comparison]:
-        """All counters of a node that others saw, too. An RPC whose client left may be counted or
-        not, and so may a transmission that was cut off on its way."""
-        found = [
+        """Return the counters of a node whose values clients and servers observed.
+
+        The node may or may not have counted an RPC whose client left, and a transmission whose
+        connection was closed while it was on its way.
+        """
+        comparisons = [
             Comparison(
                 "upstream_requests",
                 self._transmissions[node],
-                2 * TOLERATED_SHARE,
+                2 * TOLERATED_FRACTION,
                 self._closed[node],
             )
         ]
@@ -61,23 +66,26 @@
                 counter = f"{outcome}.{method}"
                 observed = self._outcomes[node, counter]
                 unanswered = self._unanswered[node, method]
-                found.append(Comparison(counter, observed, TOLERATED_SHARE, unanswered))
-        return found
+                comparisons.append(Comparison(counter, observed, TOLERATED_FRACTION, unanswered))
+        return comparisons
 
 
 def check_counters(history: History, counters: Mapping[str, Mapping[str, int]]) -> list[Violation]:
-    """Violations of nodes whose counters are off; `counters`: by node, all its processes added."""
-    observed = Observed(history)
+    """Return a violation for each counter that differs too much from what was observed.
+
+    `counters` has, by node, the sums over all its processes.
+    """
+    observations = Observations(history)
     violations = []
     for node, counts in sorted(counters.items()):
-        for counter, seen, share, uncertain in observed.comparisons(node):
+        for counter, observed, fraction, uncertain in observations.comparisons(node):
             count = counts.get(counter, 0)
-            tolerated = max(TOLERATED_COUNT, share * seen)
-            if seen - tolerated <= count <= seen + tolerated + uncertain:
+            tolerated = max(TOLERATED_COUNT, fraction * observed)
+            if observed - tolerated <= count <= observed + tolerated + uncertain:
                 continue
             reason = (
-                f"{node} counted {counter} {count}, the others saw {seen} "
-                f"and at most {uncertain} more"
+                f"{node} counted {counter} {count} times, but clients and servers observed "
+                f"{observed} and at most {uncertain} more"
             )
             violations.append(Violation("figures", 0.0, "", reason))
     return violations
--- a/hookpitch/testbed/judge.py
+++ b/hookpitch/testbed/judge.py
@@ -1,7 +1,9 @@
-"""Judges a recorded history by the four rules: what clients, servers, origin and discovery saw.
+"""Judges a recorded history by the four rules of a deployment.
 
-It asks nothing of the node. A violation names its rule and comes with the whole history of its
-RPC. Times in ms; on sockets each limit is `Rules.tolerance_ms` longer.
+A history has what clients, servers, origin and discovery observed. What nodes report of
+themselves is not used, except that `check_counters` compares their counters with the history. A
+violation names the rule and contains all events of its RPC. Times are in milliseconds; every time
+limit is extended by `Rules.tolerance_ms`.
 """
 
 from __future__ import annotations
@@ -17,21 +19,21 @@
 
 
 class Judge:
-    """Applies one deployment's rules to histories."""
+    """Applies the rules of one deployment to histories."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
 
     def judge(self, history: History, end: float) -> list[Violation]:
-        """All violations, ordered by time; `end`: when the run ended."""
+        """Return all violations, ordered by time; `end` is the time at which the run ended."""
         context = CheckContext(self.rules, history)
         RpcChecks(context).check_all(end)
         ServerChecks(context).check_all()
-        context.violations.sort(key=lambda one: (one.at, one.rpc, one.rule))
+        context.violations.sort(key=lambda violation: (violation.at, violation.rpc, violation.rule))
         return context.violations
 
     def check_counters(
         self, history: History, counters: Mapping[str, Mapping[str, int]]
     ) -> list[Violation]:
-        """Violations of nodes that counted other than clients and servers saw."""
+        """Return a violation for each counter that differs from what was observed."""
         return check_counters(history, counters)
--- a/hookpitch/testbed/rules.py
+++ b/hookpitch/testbed/rules.py
@@ -1,4 +1,4 @@
-"""What a deployment allows, and the record of one rule that a run violated. Times in ms."""
+"""Defines the rules of a deployment and the record of a violation. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -13,31 +13,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the deployment allows."""
+    """Holds the limits and permissions of a deployment."""
 
     drain_grace_ms: float = 3000.0
-    # A change of discovery counts as known by then, whether or not the node was notified.
+    # After this time, a node counts as informed of a change in discovery, whether or not discovery
+    # notified the node.
     notified_within_ms: float = 6000.0
-    # A server that an operator restored is used again by then.
+    # Within this time, a node uses a server again that an operator restored.
     reuse_within_ms: float = REUSE_WITHIN_MS
-    has_descriptors_for_all_clients: bool = True  # nodes have descriptors for every honest client
+    has_descriptors_for_all_clients: bool = True  # that follow the protocol
     most_transmissions: int = 3
     hedging_allowed: bool = False
-    # By method: whether it may run more than once. A method that is missing may.
+    # By method: whether an RPC may be executed more than once; true for a method without an entry.
     retriable: Mapping[str, bool] = field(default_factory=dict)
-    # By method: the only kinds and the only zones that it may be sent to; an empty one: any.
+    # By method: the types and the zones of servers that RPCs may be sent to; empty: any.
     placement: Mapping[str, tuple[Sequence[str], Sequence[str]]] = field(default_factory=dict)
-    # On loopback nothing reports what the network did. `overlap_ms`: for how long two
-    # transmissions may seem to be in flight; `crossing_ms`: how soon after an RPC was sent its
-    # connection's end counts as one that crossed it.
+    # The loopback network does not report when a node closes a connection. Two transmissions may
+    # therefore seem to be in flight at once for up to `overlap_ms`, and a connection that ends
+    # within `crossing_ms` after an RPC was sent counts as closed before the node read the RPC.
     overlap_ms: float = 0.0
     crossing_ms: float = 0.0
-    tolerance_ms: float = TOLERANCE_MS  # on each time limit
+    tolerance_ms: float = TOLERANCE_MS  # added to each time limit
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One rule that was broken; its text is the rule, the reason and the RPC's whole history."""
+    """Holds a broken rule; its text is the rule, the reason and all events of the RPC."""
 
     rule: str
     at: float
@@ -47,9 +48,11 @@
 
     def __str__(self) -> str:
         rpc = f", RPC {self.rpc}" if self.rpc else ""
-        head = f"{self.rule} at {self.at:.1f} ms{rpc}: {self.reason}"
+        headline = f"{self.rule} at {self.at:.1f} ms{rpc}: {self.reason}"
         lines = [
-            f"    {e.at:10.3f}  {e.kind:9} {e.who:10} {e.what} {e.value:g}".rstrip()
-            for e in self.events
+            (
+                f"    {event.at:10.3f}  {event.kind:9} {event.who:10} {event.what} {event.value:g}"
+            ).rstrip()
+            for event in self.events
         ]
-        return "\n".join([head, *lines])
+        return "\n".join([headline, *lines])
--- a/hookpitch/testbed/server_checks.py
+++ b/hookpitch/testbed/server_checks.py
@@ -1,7 +1,7 @@
-"""The rules for servers and nodes over a whole history: draining, bans by hand, admin commands.
+"""Checks the rules for servers and nodes: draining, bans by operators, admin commands, overload.
 
-Reads the events once, in order. Times in ms. The texts of violations are part of the testbed's
-interface.
+The events of a history are read once, in order. Times are in milliseconds. The results of a run
+contain the texts of violations.
 """
 
 from __future__ import annotations
@@ -12,46 +12,47 @@
 from hookpitch.testbed.check_context import CheckContext
 
 INFINITY = float("inf")
-ADMIN_TIMEOUT_MS = 1000.0  # that an operator waits for an answer
-HEAD_TIMEOUT_MS = 2000.0  # that a client may take to write its request
-# RPCs that a node has to send in the time in which it must use a restored server: with fewer, not
-# using it is no fault.
-BUSY_RPCS = 200
+ADMIN_TIMEOUT_MS = 1000.0  # for which an operator waits for an answer
+REQUEST_TIMEOUT_MS = 2000.0  # within which a client has to write its request
+# A node that sent fewer RPCs than this within `Rules.reuse_within_ms` need not have sent any of
+# them to the restored server.
+MIN_RPCS_FOR_REUSE = 200
 
 
 class Restored(NamedTuple):
-    """A server that an operator restored at a node."""
+    """Holds which server an operator restored at which node, and when."""
 
     node: str
     server: str
     at: float
 
 
-class Mark(NamedTuple):
-    """Something that happened to a node or server."""
+class Occurrence(NamedTuple):
+    """Holds when something happened to a node or server."""
 
     at: float
     name: str
 
 
 class ServerChecks:
-    """Checks the events that concern servers rather than one RPC."""
+    """Checks the events that concern a server or a node rather than a single RPC."""
 
     def __init__(self, context: CheckContext) -> None:
         self._context = context
         self._rules = context.rules
         self._outages = context.outages
-        # By (node, server): since when the node has to leave the server alone.
+        # By (node, server): since when the node knows that the server is out of service, and since
+        # when an operator has banned the server there.
         self._notified: dict[tuple[str, str], float] = {}
         self._banned: dict[tuple[str, str], float] = {}
         self._out_of_service: dict[str, float] = {}  # by server: since when
         self._restored: list[Restored] = []
         self._last_used: dict[tuple[str, str], float] = {}  # by (node, server)
-        self._traffic: list[Mark] = []  # of nodes
-        self._trouble: list[Mark] = []  # of nodes and servers
+        self._transmissions: list[Occurrence] = []  # of nodes
+        self._faults: list[Occurrence] = []  # of nodes and servers
 
     def check_all(self) -> None:
-        """Report what is violated."""
+        """Report all violations."""
         handlers = {
             "told": self._on_notified,
             "listed": self._on_listed,
@@ -59,11 +60,11 @@
             "banned": self._on_banned,
             "back": self._on_restored,
             "stop": self._on_stop,
-            "cut": self._on_client_cut,
-            "held": self._on_held,
+            "cut": self._on_client_cut_off,
+            "held": self._on_drain_incomplete,
             "call": self._on_admin_call,
-            "down": self._on_trouble,
-            "leaving": self._on_trouble,
+            "down": self._on_fault,
+            "leaving": self._on_fault,
             "fell": self._on_overload,
         }
         events = self._context.history.events
@@ -90,50 +91,52 @@
             self._out_of_service.pop(event.who, None)
             return
         self._out_of_service.setdefault(event.who, event.at)
-        self._on_trouble(event)
+        self._on_fault(event)
 
     def _on_transmission(self, event: Event) -> None:
         node, server = event.what, event.who
-        self._traffic.append(Mark(event.at, node))
+        self._transmissions.append(Occurrence(event.at, node))
         if not self._outages.had_outage(server, event.at - self._rules.tolerance_ms, event.at):
-            changed = self._out_of_service.get(server, INFINITY)
-            latest = changed + self._rules.notified_within_ms
-            drained = min(self._notified.get((node, server), INFINITY), latest)
-            self._check_left_alone(event, drained, "told to drain")
-            banned = self._banned.get((node, server), INFINITY)
-            self._check_left_alone(event, banned, "left out by hand")
+            out_of_service_since = self._out_of_service.get(server, INFINITY)
+            latest = out_of_service_since + self._rules.notified_within_ms
+            drained_since = min(self._notified.get((node, server), INFINITY), latest)
+            self._check_not_used(event, drained_since, "reported as out of service")
+            banned_since = self._banned.get((node, server), INFINITY)
+            self._check_not_used(event, banned_since, "banned by an operator")
         self._last_used[node, server] = event.at
 
-    def _check_left_alone(self, event: Event, since: float, cause: str) -> None:
+    def _check_not_used(self, event: Event, since: float, cause: str) -> None:
         if event.at > since + self._rules.drain_grace_ms + self._rules.tolerance_ms:
             reason = f"sent to {event.who} {event.at - since:.0f} ms after it was {cause}"
             self._context.report_violation("rule 3", event.at, event.rpc, reason)
 
     def _on_banned(self, event: Event) -> None:
         self._banned.setdefault((event.who, event.what), event.at)
-        self._trouble.append(Mark(event.at, event.what))
+        self._faults.append(Occurrence(event.at, event.what))
 
     def _on_restored(self, event: Event) -> None:
         self._banned.pop((event.who, event.what), None)
         self._restored.append(Restored(event.who, event.what, event.at))
-        self._traffic.append(Mark(event.at, ""))
+        self._transmissions.append(Occurrence(event.at, ""))
 
     def _on_stop(self, event: Event) -> None:
-        # A node knows of bans from admin commands alone; the next process was not given them.
+        # A node learns of a ban only by an admin command, which its next process has not received.
         self._banned = {pair: at for pair, at in self._banned.items() if pair[0] != event.who}
-        self._on_trouble(event)
+        self._on_fault(event)
 
-    def _on_client_cut(self, event: Event) -> None:
+    def _on_client_cut_off(self, event: Event) -> None:
         if not self._rules.has_descriptors_for_all_clients:
             return
-        if not self._outages.had_outage(event.who, event.at - HEAD_TIMEOUT_MS, event.at):
-            reason = f"{event.who} closed an honest client that was still writing"
+        if not self._outages.had_outage(event.who, event.at - REQUEST_TIMEOUT_MS, event.at):
+            reason = (
+                f"{event.who} closed the connection of a client that was still writing a request"
+            )
             self._context.report_violation("head", event.at, "", reason)
 
-    def _on_held(self, event: Event) -> None:
-        reason = f"{event.who} holds {event.value:.0f} clients' connections in a drain"
+    def _on_drain_incomplete(self, event: Event) -> None:
+        reason = f"{event.who} still has {event.value:.0f} client connections after its drain"
         self._context.report_violation("drain", event.at, "", reason)
-        self._on_trouble(event)
+        self._on_fault(event)
 
     def _on_admin_call(self, event: Event) -> None:
         if event.what == "well":
@@ -141,26 +144,30 @@
         if not self._outages.had_outage(event.who, event.at - ADMIN_TIMEOUT_MS, event.at):
             self._context.report_violation("door", event.at, "", f"{event.who}: {event.what}")
 
-    def _on_trouble(self, event: Event) -> None:
-        self._trouble.append(Mark(event.at, event.who))
+    def _on_fault(self, event: Event) -> None:
+        self._faults.append(Occurrence(event.at, event.who))
 
     def _on_overload(self, event: Event) -> None:
-        reason = f"{event.who} was pushed over while cold: {event.value:.1f} times its work"
+        reason = f"{event.who} was overloaded while cold: {event.value:.1f} times its capacity"
         self._context.report_violation("rule 4", event.at, event.rpc, reason)
 
-    # ---- at the end
+    # ---- after the last event
 
     def _check_restored(self, end: float) -> None:
-        """A busy node uses a server again soon after an operator restored it."""
+        """Report busy nodes that did not use a server again after an operator restored it."""
         for node, server, at in self._restored:
             until = at + self._rules.reuse_within_ms
             if end <= until or self._last_used.get((node, server), -1.0) >= at:
                 continue
-            sent = sum(mark.name == node and at < mark.at <= until for mark in self._traffic)
-            # What a node does not do as either is down or banned again is no fault.
-            troubled = any(
-                mark.name in (node, server) and at < mark.at <= until for mark in self._trouble
+            sent = sum(
+                transmission.name == node and at < transmission.at <= until
+                for transmission in self._transmissions
+            )
+            # Not using the server is no violation if the node or the server had a fault, or the
+            # server was banned again.
+            has_fault = any(
+                fault.name in (node, server) and at < fault.at <= until for fault in self._faults
             )
-            if sent >= BUSY_RPCS and not troubled:
-                reason = f"{node} did not use {server} again after it was called back"
+            if sent >= MIN_RPCS_FOR_REUSE and not has_fault:
+                reason = f"{node} did not use {server} again after an operator restored it"
                 self._context.report_violation("unused", at, "", reason)
