--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -1,4 +1,4 @@
-"""Runs drawn experiments, and shrinks one that breaks a rule to a small file that reproduces it."""
+"""Runs random experiments, and shrinks one that breaks a rule to a small one that breaks it too."""
 
 from __future__ import annotations
 
@@ -17,57 +17,62 @@
 from hookpitch.testbed.fuzz_draw import FAULT_KINDS, draw_experiment, experiment_text
 from hookpitch.testbed.run import Run
 
-PARALLEL_RUNS = 4  # on loopback
-VOID_STATUS = 3  # the exit status of a run whose testbed fell behind
-REPORT_EVERY = 20  # runs
+PARALLEL_RUNS = 4  # on real processes
+VOID_EXIT_CODE = 3  # of a run that is void because its testbed fell behind
+RUNS_PER_REPORT = 20
 
 
 def validate(experiment: Experiment) -> Experiment:
-    """The same, checked as a file is; ValueError where its faults do not go together."""
+    """Return an equal experiment, written as a file and checked like one.
+
+    Raises ValueError if the file is invalid, for instance because two of its faults conflict.
+    """
     return read(experiment_text(experiment), experiment.name)
 
 
-def violated_rules(ended: RunResult) -> list[str]:
-    """The rules that were broken, each once; `program` where a program raised."""
-    program = {"program"} if ended.program_errors else set()
-    return sorted({violation.rule for violation in ended.violations} | program)
+def violated_rules(result: RunResult) -> list[str]:
+    """Return the name of each violated rule once, and `program` if a program raised an error."""
+    program = {"program"} if result.program_errors else set()
+    return sorted({violation.rule for violation in result.violations} | program)
 
 
 @dataclass(slots=True)
 class Finding:
-    """A drawn experiment that broke rules, and the smallest that still does."""
+    """Holds a random experiment that violated rules, and its smallest variant that still does."""
 
     seed: int
     rules: list[str]
     smallest: Experiment
-    first_violation: str  # the text of the small one's first violation
+    first_violation: str  # or the first program error, of the smallest experiment
 
 
 def fuzz(
     runs: int, seed: int, report: Callable[[str], None], kinds: Sequence[str] = FAULT_KINDS
 ) -> list[Finding]:
-    """Run so many drawn experiments in virtual time and shrink what breaks a rule."""
-    found = []
+    """Run random experiments in virtual time, and shrink those that violate a rule."""
+    findings = []
     for number in range(runs):
         experiment = draw_experiment(seed + number, kinds)
-        broken = violated_rules(run_in_virtual_time(experiment))
-        if broken:
-            report(f"seed {seed + number}: {', '.join(broken)}")
-            found.append(_shrunk(seed + number, experiment, broken))
-        elif number % REPORT_EVERY == REPORT_EVERY - 1:
-            report(f"{number + 1} runs, {len(found)} found")
-    return found
+        rules = violated_rules(run_in_virtual_time(experiment))
+        if rules:
+            report(f"seed {seed + number}: {', '.join(rules)}")
+            findings.append(_shrink_finding(seed + number, experiment, rules))
+        elif number % RUNS_PER_REPORT == RUNS_PER_REPORT - 1:
+            report(f"{number + 1} runs, {len(findings)} found")
+    return findings
 
 
-def _shrunk(seed: int, experiment: Experiment, broken: list[str]) -> Finding:
-    small = shrink(experiment, broken)
-    again = run_in_virtual_time(small)
-    first = str(again.violations[0]) if again.violations else "; ".join(again.program_errors[:1])
-    return Finding(seed, broken, small, first)
+def _shrink_finding(seed: int, experiment: Experiment, rules: list[str]) -> Finding:
+    smallest = shrink(experiment, rules)
+    result = run_in_virtual_time(smallest)
+    first_violation = (
+        str(result.violations[0]) if result.violations else "; ".join(result.program_errors[:1])
+    )
+    return Finding(seed, rules, smallest, first_violation)
 
 
 def run_in_virtual_time(experiment: Experiment) -> RunResult:
-    """Run it once in virtual time; what a program raises is recorded and does not end the run."""
+    """Run an experiment once in virtual time; record errors of programs instead of raising them."""
     run = Run(experiment, experiment.seed)
     run.network.raises_program_errors = False
     return run.run()
@@ -76,11 +81,11 @@
 # ---- on processes
 
 
-class _LoopbackRun:
-    """One drawn experiment on real processes, in a process of its own."""
+class _ProcessRun:
+    """Runs one random experiment on real processes, in a child process."""
 
-    def __init__(self, folder: Path, seed: int, kinds: Sequence[str]) -> None:
-        self.path = folder / f"fuzz-{seed}.toml"
+    def __init__(self, directory: Path, seed: int, kinds: Sequence[str]) -> None:
+        self.path = directory / f"fuzz-{seed}.toml"
         self.path.write_text(experiment_text(draw_experiment(seed, kinds)))
         command = [sys.executable, "-m", "hookpitch.cli", "lab", "run", str(self.path)]
         self.process = subprocess.Popen(
@@ -90,10 +95,10 @@
             text=True,
         )
 
-    def keep(self, folder: Path) -> None:
-        """Copy its file."""
-        folder.mkdir(parents=True, exist_ok=True)
-        (folder / self.path.name).write_text(self.path.read_text())
+    def copy_file(self, directory: Path) -> None:
+        """Copy the experiment's file to a directory, which is created if necessary."""
+        directory.mkdir(parents=True, exist_ok=True)
+        (directory / self.path.name).write_text(self.path.read_text())
 
 
 def fuzz_on_processes(
@@ -103,48 +108,56 @@
     kinds: Sequence[str] = FAULT_KINDS,
     keep: Path | None = None,
 ) -> tuple[int, int]:
-    """Run drawn experiments on loopback, `PARALLEL_RUNS` at a time: how many broke a rule, and how
-    many were void. The file of one that broke a rule is kept in `keep`."""
-    broken = 0
+    """Run random experiments on real processes, `PARALLEL_RUNS` at a time.
+
+    Returns how many runs failed and how many were void. Copies the files of failed runs to the
+    directory `keep`.
+    """
+    failed = 0
     void = 0
-    with tempfile.TemporaryDirectory(prefix="hookpitch-fuzz-") as folder:
+    with tempfile.TemporaryDirectory(prefix="hookpitch-fuzz-") as directory:
         for first in range(0, runs, PARALLEL_RUNS):
             last = min(runs, first + PARALLEL_RUNS)
-            batch = [_LoopbackRun(Path(folder), seed + n, kinds) for n in range(first, last)]
+            batch = [
+                _ProcessRun(Path(directory), seed + number, kinds) for number in range(first, last)
+            ]
             for run in batch:
                 output, _ = run.process.communicate()
-                if run.process.returncode == VOID_STATUS:
+                if run.process.returncode == VOID_EXIT_CODE:
                     void += 1
                 elif run.process.returncode:
-                    broken += 1
+                    failed += 1
                     report(f"{run.path.stem}: {output.strip()}")
                     if keep is not None:
-                        run.keep(keep)
-            report(f"{last} runs, {broken} found, {void} void")
-    return broken, void
+                        run.copy_file(keep)
+            report(f"{last} runs, {failed} found, {void} void")
+    return failed, void
 
 
 # ---- shrinking
 
 
-def shrink(experiment: Experiment, broken: list[str], most: int = 60) -> Experiment:
-    """The smallest that still breaks one of the same rules, of `most` attempts."""
+def shrink(experiment: Experiment, rules: list[str], max_attempts: int = 60) -> Experiment:
+    """Return the smallest variant found that still violates one of the rules.
+
+    At most `max_attempts` variants are run.
+    """
     attempts = 0
     smaller: Experiment | None = experiment
-    while smaller is not None and attempts < most:
+    while smaller is not None and attempts < max_attempts:
         experiment = smaller
         smaller = None
-        for candidate in _smaller(experiment):
+        for candidate in _smaller_variants(experiment):
             attempts += 1
-            if attempts > most:
+            if attempts > max_attempts:
                 break
-            if _breaks(candidate, set(broken)):
+            if _violates_any(candidate, set(rules)):
                 smaller = validate(candidate)
                 break
     return smaller or experiment
 
 
-def _breaks(candidate: Experiment, rules: set[str]) -> bool:
+def _violates_any(candidate: Experiment, rules: set[str]) -> bool:
     try:
         candidate = validate(candidate)
     except ValueError:
@@ -152,17 +165,17 @@
     return bool(rules & set(violated_rules(run_in_virtual_time(candidate))))
 
 
-def _smaller(experiment: Experiment) -> Iterator[Experiment]:
-    """Experiments that have one thing less."""
+def _smaller_variants(experiment: Experiment) -> Iterator[Experiment]:
+    """Yield variants of an experiment that are each smaller in one respect."""
     replace = msgspec.structs.replace
     faults = experiment.fault
     methods = experiment.method
     traffic = experiment.traffic
-    for n in range(len(faults)):
-        yield replace(experiment, fault=faults[:n] + faults[n + 1 :])
+    for index in range(len(faults)):
+        yield replace(experiment, fault=faults[:index] + faults[index + 1 :])
     if len(methods) > 1:
-        for n in range(len(methods)):
-            yield replace(experiment, method=methods[:n] + methods[n + 1 :])
+        for index in range(len(methods)):
+            yield replace(experiment, method=methods[:index] + methods[index + 1 :])
     if experiment.nodes.count > 1:
         yield replace(experiment, nodes=replace(experiment.nodes, count=1))
     if experiment.fleet.caches > 1:
@@ -170,9 +183,9 @@
         yield replace(experiment, fleet=fleet)
     if traffic.rate > 10:
         yield replace(experiment, traffic=replace(traffic, rate=traffic.rate / 2))
-    for name, plain in (("tries", 0), ("leaving", 0.0), ("fresh", 0.0)):
-        if getattr(traffic, name) != plain:
-            yield replace(experiment, traffic=replace(traffic, **{name: plain}))
-    last = max((fault.end for fault in faults), default=1.0) + 1.0
-    if last < experiment.seconds:
-        yield replace(experiment, seconds=round(last, 2))
+    for name, default_value in (("tries", 0), ("leaving", 0.0), ("fresh", 0.0)):
+        if getattr(traffic, name) != default_value:
+            yield replace(experiment, traffic=replace(traffic, **{name: default_value}))
+    end = max((fault.end for fault in faults), default=1.0) + 1.0
+    if end < experiment.seconds:
+        yield replace(experiment, seconds=round(end, 2))
--- a/hookpitch/testbed/fuzz_draw.py
+++ b/hookpitch/testbed/fuzz_draw.py
@@ -1,6 +1,6 @@
-"""Draws experiments from a seed, and writes an experiment as a file.
+"""Draws random experiments from a seed, and formats experiments as files.
 
-The order of the draws is part of the interface: the same seed is the same experiment.
+The order of the draws must not change, so that a seed yields the same experiment in every version.
 """
 
 from __future__ import annotations
@@ -29,41 +29,44 @@
     Traffic,
 )
 
-FAULT_KINDS = tuple(what for what in FAULTS if what not in VIRTUAL_ONLY)
-GROUP_FAULT_KINDS = LINK_FAULTS + PROCESS_FAULTS  # whose targets are groups
-SINGLE_FAULT_KINDS = tuple(what for what in FAULT_KINDS if what not in GROUP_FAULT_KINDS)
-ENDING = ("node_kill", "node_leave", "node_upgrade")
-SECONDS = 8.0
+FAULT_KINDS = tuple(kind for kind in FAULTS if kind not in VIRTUAL_ONLY)
+GROUP_FAULT_KINDS = LINK_FAULTS + PROCESS_FAULTS  # their targets are groups
+SINGLE_FAULT_KINDS = tuple(kind for kind in FAULT_KINDS if kind not in GROUP_FAULT_KINDS)
+NODE_EXIT_FAULTS = ("node_kill", "node_leave", "node_upgrade")
+RUN_S = 8.0
 FIRST_FAULT_S = 1.5
-# SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM.
-LEAVING_S = 4.0
+# SIGKILL is sent this long after SIGTERM: at least the longest deadline plus 0.7 s.
+GRACEFUL_SHUTDOWN_S = 4.0
 
 
 class Target(NamedTuple):
-    """Whom a drawn fault meets."""
+    """Holds what a random fault applies to; the fields are those of `Fault`."""
 
-    whom: str = ""
-    to: str = ""
+    name: str = ""  # of a node, a server or a group
+    peer: str = ""  # at the other end of the links
     spread: float = 0.0
-    kept: bool = True
+    is_kept: bool = True
 
 
 def draw_experiment(seed: int, kinds: Sequence[str] = SINGLE_FAULT_KINDS) -> Experiment:
-    """An experiment of any form that a file may have; the same for the same seed and `kinds` of
-    faults."""
+    """Return a random experiment with faults of the given kinds.
+
+    The same seed and the same kinds give the same experiment.
+    """
     rng = random.Random(seed)
     caches = rng.randint(1, 8)
     nodes = rng.randint(1, 3)
     methods = [_draw_method(rng, number) for number in range(rng.randint(1, 3))]
     faults = _FaultDraw(rng, nodes, caches).draw_all(kinds)
     fleet = _draw_fleet(rng, caches)
-    # A core that events take up whole has nothing left to answer with, which is no fault.
+    # With a longer time per event, a node could need its whole core for events and answer nothing,
+    # which is no defect.
     event_us = rng.choice([0.0, 0.0, 100.0])
     traffic = _draw_traffic(rng)
     return Experiment(
         name=f"fuzz-{seed}",
         about="drawn",
-        seconds=SECONDS,
+        seconds=RUN_S,
         seed=seed,
         fleet=fleet,
         origin=Origin(cores=rng.choice([1, 8]), work_ms=rng.choice([5.0, 40.0])),
@@ -76,13 +79,13 @@
 
 
 def _draw_method(rng: random.Random, number: int) -> Method:
-    soft = rng.choice([60.0, 200.0, 500.0])
+    soft_ms = rng.choice([60.0, 200.0, 500.0])
     write = number > 0 and rng.random() < 0.4
     idempotency = rng.choice(["retryable", "dedup", "fragile"]) if write else "retryable"
     return Method(
         name=f"m{number}",
-        soft_ms=soft,
-        hard_ms=soft * rng.choice([1.5, 3.0]),
+        soft_ms=soft_ms,
+        hard_ms=soft_ms * rng.choice([1.5, 3.0]),
         write=write,
         gain=rng.choice([1.0, 4.0]),
         idempotency="fragile" if idempotency == "dedup" else idempotency,
@@ -120,98 +123,103 @@
         self._rng = rng
         self._nodes = nodes
         self._caches = caches
-        self._added = 0
+        self._added_servers = 0
         self._faults: list[Fault] = []
 
     def draw_all(self, kinds: Sequence[str]) -> list[Fault]:
-        """One to six faults, fewer where some go with no other."""
+        """Draw one to six faults, and return those that do not conflict with an earlier one."""
         for _ in range(self._rng.randint(1, 6)):
-            what = self._rng.choice(kinds)
-            target = self._target(what)
-            lasting = self._lasting(what)
-            if not self._conflicts(what, target.whom):
-                self._faults.append(self._fault(what, target, lasting))
+            kind = self._rng.choice(kinds)
+            target = self._draw_target(kind)
+            duration_s = self._draw_duration_s(kind)
+            if not self._conflicts(kind, target.name):
+                self._faults.append(self._draw_fault(kind, target, duration_s))
         return self._faults
 
-    def _fault(self, what: str, target: Target, lasting: float) -> Fault:
-        by = float(self._rng.random() < 0.3) if what == "node_upgrade" else 0.0
+    def _draw_fault(self, kind: str, target: Target, duration_s: float) -> Fault:
+        strength = float(self._rng.random() < 0.3) if kind == "node_upgrade" else 0.0
         return Fault(
-            at=round(self._rng.uniform(FIRST_FAULT_S, SECONDS), 2),
-            what=what,
-            whom=target.whom,
-            lasting=lasting,
-            by=by,
-            to=target.to,
+            at=round(self._rng.uniform(FIRST_FAULT_S, RUN_S), 2),
+            what=kind,
+            whom=target.name,
+            lasting=duration_s,
+            by=strength,
+            to=target.peer,
             spread=target.spread,
-            kept=target.kept,
+            kept=target.is_kept,
         )
 
-    def _target(self, what: str) -> Target:
-        if what == "add":
-            self._added += 1
-            return Target(f"x{self._added - 1}")
-        if what in NODE_FAULTS:
+    def _draw_target(self, kind: str) -> Target:
+        if kind == "add":
+            self._added_servers += 1
+            return Target(f"x{self._added_servers - 1}")
+        if kind in NODE_FAULTS:
             return Target(f"n{self._rng.randrange(self._nodes)}")
-        if what in SERVER_FAULTS:
+        if kind in SERVER_FAULTS:
             return Target(f"s{self._rng.randrange(self._caches)}")
-        if what in GROUP_FAULT_KINDS:
-            return self._group_target(what)
+        if kind in GROUP_FAULT_KINDS:
+            return self._draw_group_target(kind)
         return Target()
 
-    def _group_target(self, what: str) -> Target:
+    def _draw_group_target(self, kind: str) -> Target:
         rng = self._rng
-        some = rng.choice([f"n{rng.randrange(self._nodes)}", "nodes", "0.5 of nodes"])
+        nodes = rng.choice([f"n{rng.randrange(self._nodes)}", "nodes", "0.5 of nodes"])
         server = f"s{rng.randrange(self._caches)}"
         other = rng.choice([server, "0.4 of servers", "origin", "discovery"])
-        if what in PROCESS_FAULTS:
-            whom = some if what == "reload" else rng.choice([some, other])
-            return Target(whom, spread=rng.choice([0.0, 1.0]))
+        if kind in PROCESS_FAULTS:
+            name = nodes if kind == "reload" else rng.choice([nodes, other])
+            return Target(name, spread=rng.choice([0.0, 1.0]))
         other = rng.choice([other, other, "clients"])
-        forward = rng.random() < 0.5
-        whom = some if forward else other
-        to = other if forward else some
-        return Target(whom, to, kept=rng.random() < 0.6)
-
-    def _lasting(self, what: str) -> float:
-        longest = 0.0 if what in LASTING_SERVER_FAULTS else 2.0  # 0: to the run's end
-        lasting = self._rng.choice([0.2, 1.0, 3.0, longest])
-        return LEAVING_S if what == "node_leave" else lasting
-
-    def _conflicts(self, what: str, whom: str) -> bool:
-        """A node is either replaced or ends, and a restart goes with no upgrade."""
-        if what in ENDING:
-            others = [f for f in self._faults if f.whom == whom and f.what != what]
-            if any(fault.what in ENDING for fault in others):
+        from_nodes = rng.random() < 0.5
+        name = nodes if from_nodes else other
+        peer = other if from_nodes else nodes
+        return Target(name, peer, is_kept=rng.random() < 0.6)
+
+    def _draw_duration_s(self, kind: str) -> float:
+        # 0: the fault lasts to the end of the run.
+        last_choice_s = 0.0 if kind in LASTING_SERVER_FAULTS else 2.0
+        duration_s = self._rng.choice([0.2, 1.0, 3.0, last_choice_s])
+        return GRACEFUL_SHUTDOWN_S if kind == "node_leave" else duration_s
+
+    def _conflicts(self, kind: str, name: str) -> bool:
+        """Return whether a fault conflicts with the faults drawn so far.
+
+        A node is killed, leaves or is upgraded, but not several of these, and an experiment has
+        no restart together with an upgrade.
+        """
+        if kind in NODE_EXIT_FAULTS:
+            others = [fault for fault in self._faults if fault.whom == name and fault.what != kind]
+            if any(fault.what in NODE_EXIT_FAULTS for fault in others):
                 return True
-        drawn = {fault.what for fault in self._faults}
-        if what == "restart":
-            return "node_upgrade" in drawn
-        return what == "node_upgrade" and "restart" in drawn
+        drawn_kinds = {fault.what for fault in self._faults}
+        if kind == "restart":
+            return "node_upgrade" in drawn_kinds
+        return kind == "node_upgrade" and "restart" in drawn_kinds
 
 
 # ---- files
 
 
 def experiment_text(experiment: Experiment) -> str:
-    """The experiment as a file; what has its default is left out."""
-    top = msgspec.to_builtins(experiment)
-    top.pop("expected", None)
+    """Return an experiment as the text of its file, without settings that have their defaults."""
+    document = msgspec.to_builtins(experiment)
+    document.pop("expected", None)
     defaults = msgspec.to_builtins(Experiment(name="a-b"))
     lines = [
         f"{name} = {_toml(value)}"
-        for name, value in top.items()
+        for name, value in document.items()
         if not isinstance(value, dict | list | tuple)
     ]
-    if top.get("expect"):
-        lines.append(f"expect = {_toml(list(top['expect']))}")
-    for name, table in top.items():
+    if document.get("expect"):
+        lines.append(f"expect = {_toml(list(document['expect']))}")
+    for name, table in document.items():
         if not isinstance(table, dict):
             continue
-        changed = {key: v for key, v in table.items() if v != defaults[name].get(key)}
+        changed = {key: value for key, value in table.items() if value != defaults[name].get(key)}
         if changed:
             lines += ["", f"[{name}]", *_table_lines(changed)]
     for name in ("method", "fault"):
-        for table in top.get(name, ()):
+        for table in document.get(name, ()):
             lines += ["", f"[[{name}]]", *_table_lines(table)]
     return "\n".join(lines) + "\n"
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -46,7 +46,7 @@
         return [*violated_rules(ended), *(["rule 9"] if has_silence else [])]
 
     monkeypatch.setattr(fuzz, "violated_rules", with_rule_9)
-    small = fuzz.shrink(drawn, ["rule 9"], most=40)
+    small = fuzz.shrink(drawn, ["rule 9"], max_attempts=40)
     assert [fault.what for fault in small.fault] == [
         "silence"
     ] and small.traffic.rate < drawn.traffic.rate
