--- a/hookpitch/testbed/metrics.py
+++ b/hookpitch/testbed/metrics.py
@@ -210,8 +210,8 @@
 
 
 def _misbehaving_clients_closed(span: Span) -> float:
-    kept_ms = span.result.misbehaving_kept_ms
-    return sum(ms <= PROTOCOL_ERROR_TIMEOUT_MS for ms in kept_ms) / max(1, len(kept_ms))
+    lifetimes_ms = span.result.misbehaving_lifetimes_ms
+    return sum(ms <= PROTOCOL_ERROR_TIMEOUT_MS for ms in lifetimes_ms) / max(1, len(lifetimes_ms))
 
 
 def _sum_of_counter(counter: str) -> Callable[[Span], float]:
