--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -81,21 +81,26 @@
     ("rules", "events"),
     [
         ([], [CAME, SENT, ANSWERED]),
-        (["rule 1"], [CAME]),  # No answer.
-        (["rule 1"], [CAME, SENT, (1560.0, *ANSWERED[1:])]),  # The answer is late.
+        # No answer.
+        (["rule 1"], [CAME]),
+        # A late answer.
+        (["rule 1"], [CAME, SENT, (1560.0, *ANSWERED[1:])]),
+        # Two answers.
         (
             ["rule 1"],
             [CAME, SENT, ANSWERED, (1012.0, "answered", NODE, "q1", "exhausted")],
-        ),  # Two answers.
+        ),
+        # The value of another key.
         (
             ["rule 1"],
             [CAME, SENT, (1011.0, "answered", NODE, "q1", "wrong")],
-        ),  # The value of another key.
+        ),
         (["rule 1"], [CAME, SENT, (1011.0, "lost", NODE, "q1", "", 0.0, 7)]),
+        # The node has not read the RPC.
         (
             [],
             [(1001.0, "unread", NODE, "", "", 0.0, 7), (1002.0, "lost", NODE, "q1", "", 0.0, 7)],
-        ),  # The node has not read the RPC.
+        ),
         (
             ["rule 1"],
             [
@@ -298,18 +303,20 @@
 @pytest.mark.parametrize(
     ("owner", "method", "replacement", "rules"),
     [
+        # The new process does not know of the ban.
         (
             SharedState,
             "read_new",
             lambda self: iter(()),
             {"rule 3"},
-        ),  # The new process does not know of the ban.
+        ),
+        # The old process aborts its clients' connections.
         (
             ClientRegistry,
             "shut_down",
             abort_all_clients,
             {"rule 1"},
-        ),  # The old process aborts its clients' connections.
+        ),
         (Counters, "add", lambda self, name, by=1: None, {"figures"}),
         (None, "", None, set()),
     ],
