--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -331,7 +331,9 @@
             reuse_within_ms=float("inf")
             if experiment.traffic.keys < experiment.fleet.caches
             else REUSE_WITHIN_MS,
-            room_for_all_clients=experiment.nodes.sockets >= MIN_SOCKETS_FOR_ALL_CLIENTS,
+            has_descriptors_for_all_clients=(
+                experiment.nodes.sockets >= MIN_SOCKETS_FOR_ALL_CLIENTS
+            ),
             placement=placement_by_method(experiment),
             # Data that arrives over a link with an additional delay was sent earlier by this delay.
             tolerance_ms=TOLERANCE_MS
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -57,7 +57,7 @@
 NODE, SERVER = "n0", "s0"
 
 
-def broken_rules(*events: tuple) -> list[str]:
+def violated_rules(*events: tuple) -> list[str]:
     """Return the names of the rules that a history violates.
 
     The history begins with one RPC that is sent at 1000 ms with a deadline of 500 ms.
@@ -74,28 +74,33 @@
 
 CAME = (1001.0, "came", SERVER, "q1", NODE, 0.0, 1)
 SENT = (1010.0, "sent", SERVER, "q1", "hit")
-DONE = (1011.0, "answered", NODE, "q1", "completed")
+ANSWERED = (1011.0, "answered", NODE, "q1", "completed")
 
 
 @pytest.mark.parametrize(
     ("rules", "events"),
     [
-        ([], [CAME, SENT, DONE]),
-        (["rule 1"], [CAME]),  # No answer.
-        (["rule 1"], [CAME, SENT, (1560.0, *DONE[1:])]),  # The answer is late.
+        ([], [CAME, SENT, ANSWERED]),
+        # No answer.
+        (["rule 1"], [CAME]),
+        # A late answer.
+        (["rule 1"], [CAME, SENT, (1560.0, *ANSWERED[1:])]),
+        # Two answers.
         (
             ["rule 1"],
-            [CAME, SENT, DONE, (1012.0, "answered", NODE, "q1", "exhausted")],
-        ),  # Two answers.
+            [CAME, SENT, ANSWERED, (1012.0, "answered", NODE, "q1", "exhausted")],
+        ),
+        # The value of another key.
         (
             ["rule 1"],
             [CAME, SENT, (1011.0, "answered", NODE, "q1", "wrong")],
-        ),  # The value of another key.
+        ),
         (["rule 1"], [CAME, SENT, (1011.0, "lost", NODE, "q1", "", 0.0, 7)]),
+        # The node has not read the RPC.
         (
             [],
             [(1001.0, "unread", NODE, "", "", 0.0, 7), (1002.0, "lost", NODE, "q1", "", 0.0, 7)],
-        ),  # The node has not read the RPC.
+        ),
         (
             ["rule 1"],
             [
@@ -113,7 +118,7 @@
                 (1005.0, "came", "s1", "q1", NODE, 0.0, 2),
                 (1006.0, "sent", "s1", "q1", "miss"),
                 SENT,
-                DONE,
+                ANSWERED,
             ],
         ),
         (
@@ -131,21 +136,27 @@
                 (1004.0, "sent", SERVER, "q1", "error"),
                 (1005.0, "came", "s1", "q1", NODE, 0.0, 2),
                 (1006.0, "sent", "s1", "q1", "hit"),
-                DONE,
+                ANSWERED,
             ],
         ),
         (
             ["rule 2"],
-            [CAME, (1002.0, "effect", SERVER, "q1"), (1003.0, "effect", SERVER, "q1"), SENT, DONE],
+            [
+                CAME,
+                (1002.0, "effect", SERVER, "q1"),
+                (1003.0, "effect", SERVER, "q1"),
+                SENT,
+                ANSWERED,
+            ],
         ),
-        (["rule 4"], [CAME, SENT, DONE, (1100.0, "fell", SERVER, "", "", 3.5)]),
-        (["unknown"], [CAME, SENT, DONE, (1100.0, "came", SERVER, "q9", NODE, 0.0, 2)]),
+        (["rule 4"], [CAME, SENT, ANSWERED, (1100.0, "fell", SERVER, "", "", 3.5)]),
+        (["unknown"], [CAME, SENT, ANSWERED, (1100.0, "came", SERVER, "q9", NODE, 0.0, 2)]),
     ],
 )
 def test_the_judge_names_what_is_broken_and_nothing_else(
     rules: list[str], events: list[tuple]
 ) -> None:
-    assert broken_rules(*events) == rules
+    assert violated_rules(*events) == rules
 
 
 def test_the_judge_counts_a_drain_from_the_telling_or_six_seconds_after_the_change() -> None:
@@ -164,8 +175,8 @@
         history.add(at + 1, "sent", SERVER, "q1", "hit")
         history.add(at + 2, "answered", NODE, "q1", "completed")
         assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == rules
-    (broken,) = Judge(Rules()).judge(history, 60000.0)
-    assert "answered" in str(broken) and "came" in str(broken), (
+    (violation,) = Judge(Rules()).judge(history, 60000.0)
+    assert "answered" in str(violation) and "came" in str(violation), (
         "the violation contains the whole history of the RPC"
     )
 
@@ -221,7 +232,7 @@
         add_answered_rpc(history, 1000.0 + 20 * index, f"q{index}")
     history.add(2000.0, "asked", NODE, "q99", "read", 500.0, 7)
     history.add(2100.0, "left", NODE, "q99")  # The node may have counted it or not.
-    for completed, sent, broken in (
+    for completed, sent, violations in (
         (10, 10, 0),
         (13, 10, 0),
         (15, 10, 1),
@@ -232,13 +243,10 @@
         counters = {NODE: {"completed.read": completed, "upstream_requests": sent}}
         assert [
             violation.rule for violation in Judge(Rules()).check_counters(history, counters)
-        ] == ["figures"] * broken, (
-            completed,
-            sent,
-        )
+        ] == ["figures"] * violations, (completed, sent)
     history.add(3000.0, "cut", NODE)
     assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == ["head"]
-    assert not Judge(Rules(room_for_all_clients=False)).judge(history, 60000.0)
+    assert not Judge(Rules(has_descriptors_for_all_clients=False)).judge(history, 60000.0)
 
 
 def test_the_judge_takes_no_crossing_for_a_second_copy_and_no_death_for_a_ban() -> None:
@@ -264,10 +272,10 @@
         """Return the rules for an experiment with these lines."""
         return Run(read("name = 'a-b'\n" + lines), 1).rules()
 
-    assert rules("").reuse_within_ms == 5000.0 and rules("").room_for_all_clients
+    assert rules("").reuse_within_ms == 5000.0 and rules("").has_descriptors_for_all_clients
     assert (
         rules("[traffic]\nkeys = 1").reuse_within_ms == float("inf")
-        and not rules("[nodes]\nsockets = 64").room_for_all_clients
+        and not rules("[nodes]\nsockets = 64").has_descriptors_for_all_clients
     )
 
 
@@ -298,18 +306,20 @@
 @pytest.mark.parametrize(
     ("owner", "method", "replacement", "rules"),
     [
+        # The new process does not know of the ban.
         (
             SharedState,
             "read_new",
             lambda self: iter(()),
             {"rule 3"},
-        ),  # The new process does not know of the ban.
+        ),
+        # The old process aborts its clients' connections.
         (
             ClientRegistry,
             "shut_down",
             abort_all_clients,
             {"rule 1"},
-        ),  # The old process aborts its clients' connections.
+        ),
         (Counters, "add", lambda self, name, by=1: None, {"figures"}),
         (None, "", None, set()),
     ],
@@ -324,8 +334,8 @@
     if owner is not None:
         monkeypatch.setattr(owner, method, replacement)
     run = Run(read(UPGRADE), 1)
-    ended = run.run()
-    assert {violation.rule for violation in ended.violations} == rules, str(ended.violations[:1])
+    result = run.run()
+    assert {violation.rule for violation in result.violations} == rules, str(result.violations[:1])
     # The old process has ended.
     assert run.nodes["n0"].starts == 2 and run.nodes["n0"].previous_process is None
 
@@ -333,18 +343,18 @@
 def test_only_a_process_that_another_follows_takes_its_time_to_part(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    spans, shut_down = list[float](), ClientRegistry.shut_down
+    close_spans_ms, shut_down = list[float](), ClientRegistry.shut_down
 
     def recording_shut_down(self: ClientRegistry, done: object, spread_ms: float = 0.0) -> None:
         """Record the time over which connections are closed, and close them."""
-        spans.append(spread_ms)
+        close_spans_ms.append(spread_ms)
         shut_down(self, done, spread_ms)
 
     monkeypatch.setattr(ClientRegistry, "shut_down", recording_shut_down)
     alone = UPGRADE.replace("node_upgrade", "node_leave").replace("suspend", "flush")
     for text in (UPGRADE, alone):
         assert not Run(read(text), 1).run().violations
-    assert spans[0] > 0 and spans[1:] == [0.0]
+    assert close_spans_ms[0] > 0 and close_spans_ms[1:] == [0.0]
 
 
 # ---- files
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -41,7 +41,7 @@
 def started_network(count: int, seed: int = 1) -> MembershipSimulation:
     """Start members on a simulated network, and let them agree on their view."""
     network = MembershipSimulation(count, seed)
-    assert network.advance_until(network.agreed, 30) < 12
+    assert network.advance_until(network.has_converged, 30) < 12
     network.advance(10)
     network.logs.clear()
     return network
@@ -61,14 +61,14 @@
     network.kill(["m1"])
     detected_s = network.advance_until(
         lambda: (
-            network.believers("m1", MemberState.SUSPECTED)
-            or network.believers("m1", MemberState.DEAD)
+            network.members_believing("m1", MemberState.SUSPECTED)
+            or network.members_believing("m1", MemberState.DEAD)
         ),
         20,
         0.1,
     )
     agreed_s = detected_s + network.advance_until(
-        lambda: len(network.believers("m1", MemberState.DEAD)) == count - 1, 30, 0.1
+        lambda: len(network.members_believing("m1", MemberState.DEAD)) == count - 1, 30, 0.1
     )
     assert detected_s < 3.5
     assert agreed_s < 9.0
@@ -106,22 +106,26 @@
     # The clock of the restarted machine is an hour behind; records of others carry no clock times.
     behind_ms = 3600000.0
     member = Membership(
-        network.now - behind_ms, "m2", network.address_of("m2"), network.seeds, network.rng.random
+        network.now - behind_ms,
+        "m2",
+        network.address_of("m2"),
+        network.seed_addresses,
+        network.rng.random,
     )
     assert member is not old_member
     network.members["m2"] = member
-    network.down.discard("m2")
+    network.killed.discard("m2")
     receive, tick = member.receive, member.tick
     member.receive = lambda now, source, message: receive(now - behind_ms, source, message)  # type: ignore[method-assign]
 
     def run() -> None:
         """Tick the member with the time of its own clock."""
         tick(network.now - behind_ms)
-        network.flush("m2", member)
+        network.send_outbox("m2", member)
         network.schedule(max(1.0, member.due - (network.now - behind_ms)), run)
 
     run()
-    assert network.advance_until(network.agreed, 20) < 15
+    assert network.advance_until(network.has_converged, 20) < 15
     assert all(
         network.members[name].members["m2"].record.incarnation > old_incarnation
         for name in network.running()
@@ -129,8 +133,8 @@
 
 
 def test_three_hundred_members_that_join_within_a_second_find_one_another() -> None:
-    network = MembershipSimulation(300, seeds=3)
-    assert network.advance_until(network.agreed, 60, 0.5) < 30
+    network = MembershipSimulation(300, seed_count=3)
+    assert network.advance_until(network.has_converged, 60, 0.5) < 30
     assert not declared_dead(network)
 
 
@@ -142,7 +146,7 @@
         network.start(f"m{index}")
     for index in (20, 21, 22):
         network.start(f"m{index}")
-    assert network.advance_until(network.agreed, 60) < 30
+    assert network.advance_until(network.has_converged, 60) < 30
     assert {"m20", "m21", "m22"} <= set(network.members["m5"].active_members())
 
 
@@ -152,7 +156,7 @@
     old_versions = {name: network.members[name].view.version for name in network.running()}
     network.kill(killed)
     network.advance(20)
-    assert network.agreed()
+    assert network.has_converged()
     assert declared_dead(network) == set(killed)
     for name in network.running():
         view = network.members[name].view
@@ -212,7 +216,7 @@
         network.suspend([f"m{3 * index}"], seconds)
         network.advance(5)
     assert not declared_dead(network)
-    assert network.advance_until(network.agreed, 10) < 10
+    assert network.advance_until(network.has_converged, 10) < 10
 
 
 def test_a_long_suspension_is_a_death_and_a_return_with_a_higher_incarnation() -> None:
@@ -220,8 +224,8 @@
     old_incarnation = network.members["m7"].members["m7"].record.incarnation
     network.suspend(["m7"], 20.0)
     network.advance(15)
-    assert len(network.believers("m7", MemberState.DEAD)) == 19
-    assert network.advance_until(network.agreed, 30) < 15
+    assert len(network.members_believing("m7", MemberState.DEAD)) == 19
+    assert network.advance_until(network.has_converged, 30) < 15
     assert declared_dead(network) == {"m7"}  # m7 itself declared nobody dead
     assert all(
         network.members[name].members["m7"].record.incarnation > old_incarnation
@@ -241,12 +245,12 @@
     network = started_network(60)
     network.loss = 0.2
     network.advance(10)
-    bytes_before = sum(network.bytes.values())
+    bytes_before = sum(network.bytes_sent.values())
     network.advance(40)
     # Each accusation and its refutation go round the whole fleet; each member sends both some
     # twenty times.
     assert sum(member.counts.get("accusations", 0) for member in network.members.values()) <= 6
-    assert (sum(network.bytes.values()) - bytes_before) / 60 / 40 < 1800
+    assert (sum(network.bytes_sent.values()) - bytes_before) / 60 / 40 < 1800
 
 
 def test_a_third_suspended_at_once_causes_no_deaths() -> None:
@@ -294,7 +298,7 @@
 
 def test_one_way_partitions_between_one_and_some_cause_no_deaths() -> None:
     network = started_network(20)
-    network.partition(["m3"], ["m4", "m6", "m7", "m9"], both=False)
+    network.partition(["m3"], ["m4", "m6", "m7", "m9"], both_ways=False)
     network.advance(30)
     assert not declared_dead(network)
 
@@ -304,7 +308,7 @@
     # reach m3 by way of m4.
     network = started_network(8)
     others = [f"m{index}" for index in range(8) if index != 3]
-    network.partition([name for name in others if name != "m4"], ["m3"], both=False)
+    network.partition([name for name in others if name != "m4"], ["m3"], both_ways=False)
     network.advance(240)
     member = network.members["m3"]
     accusations_before = member.counts["accusations"]
@@ -320,7 +324,7 @@
     for seed in range(1, 6):
         network = started_network(12, seed)
         others = [f"m{index}" for index in range(12) if index != 3]
-        network.partition(others, ["m3"], both=False)
+        network.partition(others, ["m3"], both_ways=False)
         network.advance(10)
         network.partitioned.clear()
         network.advance(15)
@@ -336,7 +340,7 @@
     )
     network.kill(["m5"])
     network.advance(12)
-    assert len(network.believers("m5", MemberState.DEAD)) == 7
+    assert len(network.members_believing("m5", MemberState.DEAD)) == 7
 
 
 def test_a_partitioned_rack_reports_its_visible_fraction_and_rejoins() -> None:
@@ -349,7 +353,7 @@
     assert network.members["m9"].view.members == tuple(sorted(rest))
     assert 0.6 < network.members["m9"].view.visible_fraction < 0.7
     network.partitioned.clear()
-    assert network.advance_until(network.agreed, 60) < 40
+    assert network.advance_until(network.has_converged, 60) < 40
 
 
 def test_a_restart_faster_than_detection_raises_the_incarnation() -> None:
@@ -359,7 +363,7 @@
     network.advance(0.4)
     network.start("m5")
     network.advance(6)
-    assert network.agreed()
+    assert network.has_converged()
     assert not declared_dead(network)
     assert network.members["m5"].members["m5"].record.incarnation > old_incarnation
 
@@ -370,11 +374,11 @@
         network.now,
         "m2",
         network.address_of("m9"),
-        network.seeds,
+        network.seed_addresses,
         network.rng.random,
-        network.logger("m9"),
+        network.make_logger("m9"),
     )
-    network.run("m9", network.members["m9"])
+    network.run_member("m9", network.members["m9"])
     network.advance(30)
     silenced = [name for name in ("m2", "m9") if network.members[name].is_silenced]
     assert len(silenced) == 1
@@ -404,27 +408,27 @@
     assert damping
     assert network.members[damping[0]].counts["flapping"] >= 1
     network.advance(40)
-    assert network.agreed()
+    assert network.has_converged()
     assert all("m4" in network.members[name].view.members for name in network.running())
 
 
 def test_a_member_without_a_seed_joins_when_one_is_up() -> None:
-    network = MembershipSimulation(4, seeds=1)
+    network = MembershipSimulation(4, seed_count=1)
     network.kill(["m0"])
     network.advance(8)
     assert all(network.members[name].active_members() == [name] for name in ("m1", "m2", "m3"))
     network.start("m0")
-    assert network.advance_until(network.agreed, 30) < 20
+    assert network.advance_until(network.has_converged, 30) < 20
 
 
 def test_a_member_that_leaves_is_not_called_dead() -> None:
     network = started_network(12)
     member = network.members["m3"]
     member.leave(network.now)
-    network.flush("m3", member)
+    network.send_outbox("m3", member)
     network.kill(["m3"])
     network.advance(4)
-    assert len(network.believers("m3", MemberState.LEFT)) == 11
+    assert len(network.members_believing("m3", MemberState.LEFT)) == 11
     assert not declared_dead(network)
 
 
@@ -445,10 +449,13 @@
     for count in (12, 60):
         network = started_network(count)
         network.advance(30)
-        bytes_before, started_at = sum(network.bytes.values()), network.now
+        bytes_before, started_at = sum(network.bytes_sent.values()), network.now
         network.advance(30)
         rates.append(
-            (sum(network.bytes.values()) - bytes_before) / count / (network.now - started_at) * 1000
+            (sum(network.bytes_sent.values()) - bytes_before)
+            / count
+            / (network.now - started_at)
+            * 1000
         )
     assert max(rates) < 1000
     assert rates[1] < 1.6 * rates[0]
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -31,7 +31,7 @@
     result = Run(experiment, 1).run()
     starts = Counter(event.who for event in result.history.events if event.kind == "start")
     # After 7 s the restarted nodes are up again.
-    rpcs = [rpc for rpc in rpc_records(experiment, result.history.events) if rpc.at > 7000.0]
+    rpcs = [rpc for rpc in rpc_records(experiment, result.history.events) if rpc.asked_at > 7000.0]
     restarted, running = (
         [rpc for rpc in rpcs if (starts[rpc.node] > 1) is is_restarted]
         for is_restarted in (True, False)
