--- a/hookpitch/balancer/attempt_outcomes.py
+++ b/hookpitch/balancer/attempt_outcomes.py
@@ -13,7 +13,7 @@
 from hookpitch.balancer.rpc import Attempt
 from hookpitch.balancer.slow_start import SlowStart
 
-REJECTION_WEIGHT = 0.1  # of a rejection, which counts as an answer at the soft deadline
+REJECTION_WEIGHT = 0.1  # in the mean latency, where a rejection counts as the soft deadline
 FAILURE_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED)
 
 
@@ -84,7 +84,7 @@
         return now - self._local_delay.read_delay_ms >= rpc.objective
 
     def _record_rejection(self, attempt: Attempt, now: float) -> None:
-        """Record that an overloaded backend rejected an attempt, and discount the send.
+        """Record that an overloaded backend rejected an attempt, and leave its send uncounted.
 
         The send rate of warm backends sets what warming backends are sent. With the rejected sends
         in that rate, the warming backends would be overloaded.
--- a/hookpitch/balancer/attempt_timers.py
+++ b/hookpitch/balancer/attempt_timers.py
@@ -73,7 +73,10 @@
             self._record_silence(attempt, now)
 
     def _is_silence_ignored(self, attempt: Attempt) -> bool:
-        """Return whether to keep waiting: the origin has answered nothing since this attempt."""
+        """Return whether the silence of an attempt is ignored.
+
+        The origin's is, as long as the origin has answered nothing since the attempt was sent.
+        """
         backend = attempt.backend
         return backend is self._table.origin and backend.last_response_at < attempt.sent_at
 
@@ -88,13 +91,13 @@
         ):
             self._retries.cancel_or_hedge(attempt, now)
 
-    def _should_try_another(self, attempt: Attempt, low_pressure: bool) -> bool:
+    def _should_try_another(self, attempt: Attempt, has_low_pressure: bool) -> bool:
         """Return whether to try another backend; retries must not add to an overload."""
         backend, origin = attempt.backend, self._table.origin
         if self._retries.hedging_allowed:
             if origin is None:
-                return low_pressure
+                return has_low_pressure
             return origin.latency_ms < attempt.rpc.method.soft_ms / 3
         if backend.last_response_at > attempt.sent_at:
-            return low_pressure  # the backend answers other RPCs, so this answer is lost
+            return has_low_pressure  # the backend answers other RPCs, so this answer is lost
         return backend.consecutive_failures > 1
--- a/hookpitch/balancer/backend.py
+++ b/hookpitch/balancer/backend.py
@@ -102,7 +102,7 @@
         # Adaptive concurrency (concurrency.py).
         self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         self.min_concurrency_limit = 1.0
-        self.limit_growth = 1.0
+        self.limit_growth = 1.0  # factor of the limit's growth; reduced by the first slow answer
         self.latency_ms = 0.0  # moving average over answers
         self.baseline_latency_ms = 0.0  # lowest value of the moving average, rising slowly
         self.paused_until = NEVER  # implements a limit below one
@@ -123,7 +123,8 @@
         self.cpu_load = 0.0
         self.memory_load = 0.0
         self.ring_points = 0
-        self.unconstrained_fraction = 1.0  # of its ring points open to unconstrained buckets
+        # The part of its ring points that is open to buckets without constraints.
+        self.unconstrained_fraction = 1.0
 
     def update_availability(self, now: float) -> None:
         """Recompute `available` from the state, the ejection and the warm-up."""
@@ -138,7 +139,8 @@
     def record_report(self, report: Report) -> None:
         """Update the smoothed load from a load report.
 
-        The load is the reported utilisation, else the RPCs in flight, else the queue length.
+        The load is the reported utilisation, else the RPCs in flight, else the queue length plus
+        one; without any of these it is -1, the value of an unknown load.
         """
         load = report.get("utilisation", report.get("inflight", report.get("queue", -2.0) + 1))
         if self.reported_load >= 0:
@@ -147,7 +149,7 @@
             self.reported_load += load + 1
 
     def update_send_rate(self, span_ms: float) -> None:
-        """Update the send rate from the sends of the last span."""
+        """Set the send rate to the mean of its value and the sends per second of the last span."""
         self.send_rate = self.send_rate / 2 + self.send_count * 500 / span_ms
         self.send_count = 0
 
--- a/hookpitch/balancer/concurrency.py
+++ b/hookpitch/balancer/concurrency.py
@@ -61,7 +61,7 @@
 
     def start_origin(self, origin: Backend, nodes: int) -> None:
         """Set the origin's first limits: this node's part of the sum, up to the node's maximum."""
-        if origin.min_concurrency_limit == 1.0:
+        if origin.min_concurrency_limit == 1.0:  # the value of a new backend: no limits set yet
             fleet_limit, node_limit = MIN_ORIGIN_LIMITS
             origin.min_concurrency_limit = min(node_limit, fleet_limit / nodes)
             fleet_limit, node_limit = INITIAL_ORIGIN_LIMITS
--- a/hookpitch/balancer/endpoints.py
+++ b/hookpitch/balancer/endpoints.py
@@ -135,7 +135,10 @@
         backend.update_availability(now)
 
     def rebuild_ring(self, resized: list[Backend]) -> None:
-        """Update the origin, the ring and all assignments after the backends have changed."""
+        """Update the origin, the ring and all assignments after the backends have changed.
+
+        `resized`: the backends that have no ring points yet, or the points for another size.
+        """
         table, ring = self._table, self._ring
         ready = [
             backend for backend in table.backends.values() if backend.state == EndpointState.READY
@@ -168,7 +171,9 @@
         """Store the listed values; return whether the backend needs new ring points."""
         size = max(endpoint.size, MIN_SIZE)
         if self.nominal_sizes is not None:
-            # Sizes that vary with load would change the ring with every list.
+            # Sizes that vary with load would change the ring with every list. So the largest size
+            # seen is used, and the RPCs in flight are computed from the reduction of the listed
+            # size (see `Deployment.weights_reflect_load`).
             nominal = max(size, self.nominal_sizes.get(endpoint.kind, 0.0))
             self.nominal_sizes[endpoint.kind] = nominal
             backend.reported_load = (nominal / size - 1) * nominal
--- a/hookpitch/balancer/interface.py
+++ b/hookpitch/balancer/interface.py
@@ -1,6 +1,6 @@
 """The types that the router and its host exchange.
 
-A host (the node on sockets, or the adapter of the bench) creates one `router.Router` for each
+A host (the node on sockets, or the adapter of the simulator) creates one `router.Router` for each
 instance from a `Deployment` and calls its input methods as events occur. It then calls
 `decide(now, host)` until that returns False; each call hands at most one decision to the host.
 Times are milliseconds (float) of the host's clock. The host chooses the ids of RPCs and backends,
@@ -46,12 +46,12 @@
 
 
 class EndpointUpdate(IntEnum):
-    """The kind of a message from discovery."""
+    """The kind of an endpoint update."""
 
-    CACHED = 0
-    DELTA = 2
-    SNAPSHOT = 3
-    FAILED = 4
+    CACHED = 0  # a list to use until discovery sends one
+    DELTA = 2  # the endpoints that have changed
+    SNAPSHOT = 3  # all endpoints
+    FAILED = 4  # discovery sent no list; the list in use stays
 
 
 class Idempotency(IntEnum):
@@ -154,7 +154,8 @@
     # If set, removal from the list alone is not binding: only a backend seen draining is sent
     # nothing new.
     removal_is_advisory: bool = False
-    # Bonus in the goal for each tenfold fall of the loss, and how many falls earn it in full.
+    # The bonus in the operators' goal for each tenfold reduction of the loss (one more "nine" of
+    # availability), and the number of such reductions that earn it in full.
     availability_bonus_per_nine: float = 0.0
     availability_bonus_nines: float = 3.0
 
--- a/hookpitch/balancer/load_shedding.py
+++ b/hookpitch/balancer/load_shedding.py
@@ -37,7 +37,8 @@
 
     def __init__(self, draws: DrawSequence, quotas: Quotas) -> None:
         # The fleet's load.
-        self.arrival_count = 1  # RPCs within quota, in this rate window
+        # RPCs within quota in this rate window. It starts at 1, because `update` divides by it.
+        self.arrival_count = 1
         self.rejected_count = 0  # of these arrivals, rejected or answered late
         self.pressure = 0.0
         self.shed_fraction = 0.0
@@ -75,6 +76,7 @@
             band = self._bands.get(rpc.method.name, FULL_BAND)
             if band.start + band.width * self._draws.fraction() < self.shed_fraction:
                 rpc.rejected = True
+                # An RPC over quota counts neither as an arrival nor as a sign of an overload.
                 rpc.over_quota = True
         if not rpc.over_quota:
             self.arrival_count += 1
--- a/hookpitch/balancer/placement.py
+++ b/hookpitch/balancer/placement.py
@@ -75,7 +75,8 @@
         self.buckets: dict[tuple[int, Constraints, Constraints], Bucket] = {}
         self.recent_requests = 0.0  # of all buckets
         self.total_size = 1.0  # of the caches that are not removed
-        # Ready caches allowed by each set of constraints; with none, the ring is not walked.
+        # The number of ready caches that each set of constraints allows; at 0, the ring is not
+        # searched.
         self.allowed_counts: dict[tuple[Constraints, Constraints], int] = {}
         self._seed = seed
         self._table = table
@@ -146,6 +147,7 @@
         for cache in self.ready_from(bucket):
             if cache in preference:
                 continue
+            # The exponent makes each cache's chance to be preferred proportional to its size.
             draw = crc32(b"%d/%d/" % (self._seed, bucket.point) + cache.id.encode()) / 2**32
             preference[cache] = draw ** (1 / cache.size)
             remaining_size -= cache.size
@@ -184,6 +186,7 @@
         for position in range(start, start + length):
             point = points[position % length]
             cache = caches[point & INDEX_MASK]
+            # The low byte of a point's hash decides whether unconstrained buckets may use it.
             if cache.state == EndpointState.READY and (
                 self.allows(bucket, cache)
                 if constrained
