--- a/hookpitch/core/admission.py
+++ b/hookpitch/core/admission.py
@@ -27,18 +27,18 @@
 WINDOWS_PER_SOFT_DEADLINE = 4
 RATE_GROWTH = 1.15  # factor per window within the target: from a tenth to all in 17 windows
 DROP_RATE_FACTOR = 1.3  # a rate above this multiple of the arrivals limits nothing
-MIN_STEP = 0.6  # one window lowers the rate to this fraction of what was admitted, at the lowest
-MAX_STEP = 0.97  # and to this fraction, at the highest
-MIN_USEFUL_CPU_FRACTION = 0.6  # of the CPU time used goes to admitted RPCs, whatever the wait
-# Above this multiple of the target wait that fraction shrinks: what would be admitted on top is too
-# late by the time it is read.
+MIN_STEP = 0.6  # one window lowers the rate to at least this fraction of what was admitted
+MAX_STEP = 0.97  # one window lowers the rate to at most this fraction of what was admitted
+MIN_USEFUL_CPU_FRACTION = 0.6  # of the CPU time used: the part left to admitted RPCs, at the least
+# Above this multiple of the target wait that part shrinks, because the RPCs that would be admitted
+# in addition are too late by the time they are read.
 LONG_WAIT_FACTOR = 1.25
 MIN_COST_SAMPLE = 8  # RPCs in a window whose CPU time is taken as a measure of one RPC
 COST_SMOOTHING = 0.2  # weight of the newest window in the CPU time of one RPC
 ARRIVALS_SMOOTHING = 0.5  # weight of the newest window in the arrival rate
 MAX_SHED_FRACTION = 0.98  # some RPCs are always admitted, or nothing would be measured
-PAUSE_FACTOR = 1.0  # times the target wait: a loop this late that used no CPU time was paused
-WINDOWS_AFTER_PAUSE = 2  # not measured: the window that a pause ends, and the one after it
+PAUSE_FACTOR = 1.0  # times the target wait: a loop this late that used little CPU time was paused
+WINDOWS_AFTER_PAUSE = 2  # not measured: the window of the pause, and that which reads the backlog
 
 
 class Admission:
--- a/hookpitch/core/decision_runner.py
+++ b/hookpitch/core/decision_runner.py
@@ -51,12 +51,12 @@
     @contextmanager
     def deferred(self) -> Iterator[None]:
         """Defer all decisions while the block of this context manager runs."""
-        before = self._running
+        was_running = self._running
         self._running = True
         try:
             yield
         finally:
-            self._running = before
+            self._running = was_running
 
     def _finish_unsent(self, now: float, attempt: Attempt) -> None:
         host = self._host
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -296,9 +296,9 @@
     # ---- overload of this node
 
     def loop_late(self, now: float, late_ms: float, cpu_ms: float) -> None:
-        """Detect whether the process was paused, as the event loop runs its timers late.
+        """Check whether the event loop is late because the process was paused, and record a pause.
 
-        `late_ms`: how late; `cpu_ms`: CPU time used since the last window.
+        `late_ms`: how late it runs its timers; `cpu_ms`: CPU time used since the last window.
         """
         if self.admission.detect_pause(late_ms, cpu_ms):
             self.counters.add("node.away")
--- a/hookpitch/startup/snapshot_format.py
+++ b/hookpitch/startup/snapshot_format.py
@@ -138,8 +138,8 @@
     body = _verified_body(data)
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
-    except msgspec.MsgspecError as fault:
-        raise SnapshotFormatError(f"invalid body: {fault}") from None
+    except msgspec.MsgspecError as error:
+        raise SnapshotFormatError(f"invalid body: {error}") from None
     # This rejects NaN, too, as every comparison with NaN is false.
     if not all(0 <= number < MAX_NUMBER for number in _numbers(snapshot)):
         raise SnapshotFormatError(f"contains a number outside the range 0 to {MAX_NUMBER:g}")
--- a/hookpitch/startup/snapshot_state.py
+++ b/hookpitch/startup/snapshot_state.py
@@ -45,7 +45,7 @@
 MIN_WEIGHT = 0.25
 MIN_HOT_REQUESTS = 2.0
 MAX_IDLE_MS = 1e9
-MAX_EJECTION_FACTOR = 8
+MAX_EJECTION_FACTOR = 8  # times the base ejection: the longest ejection that is restored
 
 
 class RestoredBackend(NamedTuple):
