--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -28,7 +28,7 @@
 
 
 class Adapter:
-    """Reads batches from `source`, writes replies to `sink` and faults to `errors`."""
+    """Reads batches from `source`, writes replies to `sink` and error messages to `errors`."""
 
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.nodes: dict[str, SimulatedNode] = {}
@@ -209,5 +209,6 @@
 
 def main() -> None:
     """Run the adapter on standard input and output."""
+    # Most objects that the imports created live as long as the process, so scanning them is wasted.
     gc.freeze()
     Adapter(sys.stdin, sys.stdout, sys.stderr).run()
--- a/hookpitch/simwire/codec.py
+++ b/hookpitch/simwire/codec.py
@@ -1,7 +1,7 @@
 """The simulator's line protocol, without I/O: parses the values of a line, and formats times.
 
 A line is the name of a message and its values, separated by spaces; `-` represents an absent value,
-and times are decimal seconds. Messages contain times in milliseconds and the types of
+and times are decimal seconds. The message classes below hold times in milliseconds and the types of
 `balancer.interface`.
 """
 
@@ -121,14 +121,14 @@
     """Parse an ENTRY line; the kind is a number or one of `kind_names`."""
     values = line.split(" ")
     if len(values) != 8 or values[0] != "ENTRY":
-        raise WireError(f"expected 8 words, the first of them ENTRY, got {len(values)}")
-    _, zone, cell, started, server, condition, kind, size = values
+        raise WireError(f"expected ENTRY and 7 values, got {values[0]!r} and {len(values) - 1}")
+    _, zone, cell, started, backend_id, state_number, kind, size = values
     return Endpoint(
-        id=server,
+        id=backend_id,
         zone=zone,
         cell=0 if cell == ABSENT else int(cell),
         started_ms=parse_ms(started),
-        state=EndpointState(int(condition)),
+        state=EndpointState(int(state_number)),
         kind=_parse_kind(kind, kind_names),
         size=1.0 if size == ABSENT else float(size),
     )
