--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -1,9 +1,10 @@
 """The common part of a run in virtual time (`run.py`) and on real processes (`process_run.py`).
 
-`BaseRun` holds the state of a run and what is the same in both clocks: the configurations of nodes,
-cache servers and the origin, the load clients, and the judge's rules. Methods whose implementation
-depends on the clock are declared here and raise `NotImplementedError`. Times are in ms unless a
-name says otherwise.
+A run is in one of two clocks: virtual time, or the wall clock for real processes. `BaseRun` holds
+the state of a run and what is the same in both clocks: the configurations of nodes, cache servers
+and the origin, the load clients, and the judge's rules. Methods whose implementation depends on the
+clock are declared here and raise `NotImplementedError`. Times are in ms unless a name says
+otherwise.
 """
 
 from __future__ import annotations
@@ -110,17 +111,20 @@
         raise NotImplementedError
 
     def set_detached(self, name: str, is_detached: bool) -> None:
-        """Disconnect a server's machine from the network, or connect it again."""
+        """Detach a server's machine from the network, or attach it again."""
         raise NotImplementedError
 
     def impair(
         self, directions: Iterable[tuple[str, str]], owner: object, impairment: Impairment | None
     ) -> None:
-        """Set the owner's impairment of directions; None removes it."""
+        """Set the impairment that `owner`, a fault, applies to directions; None removes it.
+
+        A direction is a source and a destination, by name.
+        """
         raise NotImplementedError
 
     def sever(self, directions: Iterable[tuple[str, str]]) -> None:
-        """Reset all connections of directions."""
+        """Reset all connections between the two ends of each direction."""
         raise NotImplementedError
 
     def add_server(self, name: str, cold: bool) -> None:
@@ -368,7 +372,10 @@
         real_s: float,
         **testbed_fields: Any,
     ) -> RunResult:
-        """Return the result of the run; `testbed_fields` are fields of it on loopback only."""
+        """Return the result of the run.
+
+        `testbed_fields` are the fields of the result that only a run on loopback has.
+        """
         lifetimes_ms = [
             lifetime_ms
             for clients in self.misbehaving_clients
--- a/hookpitch/testbed/check_context.py
+++ b/hookpitch/testbed/check_context.py
@@ -1,7 +1,8 @@
 """Holds the state that the checks of a history share: outages, partitions and violations.
 
 A process is not blamed for what it did or missed during an outage or a partition. Both were
-recorded by the testbed, not reported by nodes. Times are in milliseconds.
+recorded by the testbed, not reported by nodes, and include the tolerance. Times are in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Outage(NamedTuple):
-    """A span of time in which a process was paused or ended."""
+    """A span of time in which a process was paused, or around the moment at which it ended."""
 
     process: str
     begin: float
--- a/hookpitch/testbed/counter_checks.py
+++ b/hookpitch/testbed/counter_checks.py
@@ -9,8 +9,8 @@
 from hookpitch.fakes.history import History
 from hookpitch.testbed.rules import Violation
 
-# A node's counter may differ from what was observed by this count or this fraction, whichever is
-# larger.
+# A node's counter may differ from the observed count by this number or by this fraction of the
+# observed count, whichever is larger.
 TOLERATED_COUNT = 3
 TOLERATED_FRACTION = 0.01
 # The counter of a node for each outcome at a client.
@@ -18,7 +18,7 @@
 
 
 class Comparison(NamedTuple):
-    """Holds a counter of a node, as clients and servers observed it."""
+    """Holds the name of a node's counter and the count that clients and servers observed."""
 
     counter: str
     observed: int
--- a/hookpitch/testbed/experiment_schema.py
+++ b/hookpitch/testbed/experiment_schema.py
@@ -97,7 +97,8 @@
     "node_upgrade",
 )
 SHARE_FAULTS = ("lossy", "doubled", "shuffled", "starved")  # the `by` of these is a fraction
-VIRTUAL_ONLY = {  # by kind: why a run on processes cannot have this fault
+# By kind: why a run on processes cannot have this fault.
+VIRTUAL_ONLY = {
     "node_slow": (
         "a process's events cannot be charged one by one; `starved` takes CPU away in both clocks"
     ),
@@ -107,7 +108,10 @@
 class StrictTable(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename={"lasting": "for"}
 ):
-    """A table of the file; an unknown key in it is an error."""
+    """A table of the file; an unknown key in it is an error.
+
+    The key `for`, a keyword of Python, is the field `lasting`.
+    """
 
 
 class Fleet(StrictTable):
@@ -119,10 +123,11 @@
     keys: int = 4000  # keys that a server can hold
     cold_from: float = 0.2  # the fraction of its speed at which a cold server starts
     cold_s: float = 20.0  # the time until a cold server has its full speed
-    fall_multiple: float = 3.0  # load that crashes a cold server, as a multiple of its capacity
-    tip_s: float = 1.5  # the time over which that load is measured
+    # A cold server counts as crashed when its load is above this multiple of its capacity.
+    fall_multiple: float = 3.0
+    tip_s: float = 1.5  # the time over which the load of a cold server is measured
     connections: int = 100  # connections that a server accepts
-    dial_ms: float = 0.2  # work for a new connection
+    dial_ms: float = 0.2  # CPU time of a new connection
     zones: int = 3
     warm: bool = True  # whether servers hold the most popular keys at the start
     speeds: tuple[float, ...] = (1.0,)  # assigned to the servers in rotation
@@ -174,10 +179,8 @@
     write: bool = False
     size: int = 64  # bytes of the value of a write
     wait_ms: float = 0.0  # how long clients wait for the answer; 0: until the hard deadline
-    # The only server types and the only zones (z0, z1, ...) that the method may be sent to; empty:
-    # any.
-    allowed_on: tuple[str, ...] = ()
-    runs_in: tuple[str, ...] = ()
+    allowed_on: tuple[str, ...] = ()  # the only server types for its RPCs; empty: any
+    runs_in: tuple[str, ...] = ()  # the only zones (z0, z1, ...) for its RPCs; empty: any
 
 
 class Traffic(StrictTable):
@@ -190,7 +193,7 @@
     pause_ms: float = 30.0  # the delay before a retry
     leaving: float = 0.0  # the fraction of RPCs whose client closes its connection early
     fresh: float = 0.0  # the fraction of RPCs that have a connection of their own
-    connections: int = 200  # open connections to a node
+    connections: int = 200  # the most open connections to one node
     large: float = 0.0  # the fraction of keys that have a large value
     large_kb: float = 256.0  # the size of a large value
     slow_readers: float = 0.0  # the fraction of connections that read in small pieces, with pauses
@@ -210,7 +213,9 @@
     at: float  # seconds of the run
     what: str  # the kind
     whom: str = ""  # the target: a name, or a group as described in `groups.py`
-    lasting: float = 0.0  # the key `for` of the file; 0: until the end of the run
+    # The key `for` of the file, in seconds. With 0, a fault lasts until the end of the run or, if
+    # `faults.py` states a default for its kind, for that time.
+    lasting: float = 0.0
     by: float = 0.0  # the strength, of kinds that have one; 0: the kind's default
     to: str = ""  # the other end of the links, a name or a group
     spread: float = 0.0  # the time over which the members of a group are affected, one by one
@@ -218,7 +223,7 @@
 
     @property
     def end(self) -> float:
-        """When the fault ends, in seconds of the run."""
+        """When the fault ends, in seconds of the run; equal to `at` if `lasting` is 0."""
         return self.at + self.lasting
 
 
@@ -257,21 +262,22 @@
 
     expected: tuple[Expectation, ...] = ()
 
-    def group(self, number: int, seed: int, to: bool = False) -> list[str]:
-        """Return the names of a fault's targets, or of those at the other end of its links.
+    def group(self, number: int, seed: int, is_other_end: bool = False) -> list[str]:
+        """Return the names of a fault's targets, or of the group at the other end of its links.
 
-        `number` is the fault's index. A group is drawn with the run's seed. `to` selects the other
-        end.
+        `number` is the fault's index, and `seed` the run's seed, with which a group is drawn.
         """
         fault = self.fault[number]
         names = fleet_names(self)
-        text = fault.to if to else fault.whom
-        return group_members(text, names.nodes, names.servers, seed, group_draw_id(number, to))
+        text = fault.to if is_other_end else fault.whom
+        return group_members(
+            text, names.nodes, names.servers, seed, group_draw_id(number, is_other_end)
+        )
 
     def directions(self, number: int, seed: int) -> list[tuple[str, str]]:
         """Return the directions of links that a fault affects."""
         targets = self.group(number, seed)
-        other_end = self.group(number, seed, to=True)
+        other_end = self.group(number, seed, is_other_end=True)
         both_ways = self.fault[number].what != "half_cut"
         return directions(targets, other_end, fleet_names(self).nodes, both_ways)
 
@@ -290,9 +296,9 @@
     return FleetNames([f"n{index}" for index in range(file.nodes.count)], list(servers))
 
 
-def group_draw_id(number: int, to: bool) -> int:
-    """Return a number of its own for each end of each fault, with which a group is drawn."""
-    return 2 * number + to
+def group_draw_id(number: int, is_other_end: bool) -> int:
+    """Return a number that is different for each end of each fault, to draw its group with."""
+    return 2 * number + is_other_end
 
 
 def placement_by_method(
--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -23,9 +23,9 @@
 
 
 def validate(experiment: Experiment) -> Experiment:
-    """Return an equal experiment, written as a file and checked like one.
+    """Format an experiment as the text of a file, and return what is read from this text.
 
-    Raises ValueError if the file is invalid, for instance because two of its faults conflict.
+    Raises ValueError if the text is invalid, for instance because two of its faults conflict.
     """
     return read(experiment_text(experiment), experiment.name)
 
@@ -43,7 +43,8 @@
     seed: int
     rules: list[str]
     smallest: Experiment
-    first_violation: str  # or the first program error, of the smallest experiment
+    # The text of the smallest variant's first violation or, if it has none, first program error.
+    first_violation: str
 
 
 def fuzz(
--- a/hookpitch/testbed/fuzz_draw.py
+++ b/hookpitch/testbed/fuzz_draw.py
@@ -40,12 +40,12 @@
 
 
 class Target(NamedTuple):
-    """Holds what a random fault applies to; the fields are those of `Fault`."""
+    """Holds what a random fault applies to: four fields of `Fault`."""
 
-    name: str = ""  # of a node, a server or a group
-    peer: str = ""  # at the other end of the links
+    name: str = ""  # `Fault.whom`: a node, a server or a group
+    peer: str = ""  # `Fault.to`
     spread: float = 0.0
-    is_kept: bool = True
+    is_kept: bool = True  # `Fault.kept`
 
 
 def draw_experiment(seed: int, kinds: Sequence[str] = SINGLE_FAULT_KINDS) -> Experiment:
@@ -176,7 +176,7 @@
         return Target(name, peer, is_kept=rng.random() < 0.6)
 
     def _draw_duration_s(self, kind: str) -> float:
-        # 0: the fault lasts to the end of the run.
+        # With 0, the fault lasts to the end of the run.
         last_choice_s = 0.0 if kind in LASTING_SERVER_FAULTS else 2.0
         duration_s = self._rng.choice([0.2, 1.0, 3.0, last_choice_s])
         return GRACEFUL_SHUTDOWN_S if kind == "node_leave" else duration_s
--- a/hookpitch/testbed/groups.py
+++ b/hookpitch/testbed/groups.py
@@ -2,7 +2,8 @@
 
 Examples: `s1 s3`, `nodes`, `servers`, `all` (which means the servers), `2 of nodes`,
 `0.3 of servers`, `origin`, `discovery`, `clients`. The members of a count or a fraction are drawn
-with the run's seed and the fault's place in its file, so that they are the same in both clocks.
+with the run's seed and the fault's place in its file, so that a run in virtual time and one on real
+processes have the same members.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 ) -> list[str]:
     """Return the names in a group, in the fleet's order; raise ValueError with a one-line reason.
 
-    `draw_id` is a number of the group that it is drawn with, in addition to the seed.
+    `draw_id` is a number of this group. Groups with the same text but different numbers are drawn
+    independently of one another.
     """
     fleets = {"nodes": nodes, "servers": servers, "all": servers}
     if text in fleets:
@@ -50,12 +52,12 @@
 
     Only pairs that have a link are included: at least one end is a node.
     """
-    found: dict[tuple[str, str], None] = {}
+    pairs: dict[tuple[str, str], None] = {}
     known = set(nodes)
     for source in sources:
         for destination in destinations:
             if source != destination and (source in known or destination in known):
-                found[source, destination] = None
+                pairs[source, destination] = None
                 if both_ways:
-                    found[destination, source] = None
-    return list(found)
+                    pairs[destination, source] = None
+    return list(pairs)
--- a/hookpitch/testbed/judge.py
+++ b/hookpitch/testbed/judge.py
@@ -1,5 +1,10 @@
 """Judges a recorded history by the four rules of a deployment.
 
+Rule 1: an RPC gets one answer, in time, and is not sent afterwards. Rule 2: an RPC that is not
+idempotent takes effect at most once, and is not sent again once a server may have executed it.
+Rule 3: after a grace period, a node sends nothing to a server that is out of service or banned.
+Rule 4: a cold server is not overloaded. Other checks have a name instead of a number.
+
 A history has what clients, servers, origin and discovery observed. What nodes report of
 themselves is not used, except that `check_counters` compares their counters with the history. A
 violation names the rule and contains all events of its RPC. Times are in milliseconds; every time
--- a/hookpitch/testbed/membership.py
+++ b/hookpitch/testbed/membership.py
@@ -100,6 +100,11 @@
 
 
 def _seconds_from_kill(span: Span, states: tuple[str, ...], choose: Callable[..., float]) -> float:
+    """Return the seconds from the first kill until every killed member was reported in a state.
+
+    A report of any of `states` counts. `choose` is `min` if one member that still runs has to
+    report a killed member, and `max` if all of them have to.
+    """
     changes = span.changes_within()
     killed = {
         event.who: event.at
@@ -129,9 +134,9 @@
 
 
 def _wrong_views(span: Span) -> float:
-    """Return the number of pairs of running members whose first does not see the second as alive.
+    """Return in how many pairs of running members the first does not see the second as alive.
 
-    What the first reported last before the end of the span counts.
+    The last report of the first member before the end of the span counts. Pairs are ordered.
     """
     members = running_nodes(span.events, span.until)
     started_at = {
--- a/hookpitch/testbed/membership_simulation.py
+++ b/hookpitch/testbed/membership_simulation.py
@@ -176,7 +176,7 @@
     # ---- faults
 
     def kill(self, names: Iterable[str]) -> None:
-        """Stop members for good, or until they are started again."""
+        """Stop members until they are started again."""
         self.killed.update(names)
 
     def suspend(self, names: Iterable[str], seconds: float) -> None:
--- a/hookpitch/testbed/metrics.py
+++ b/hookpitch/testbed/metrics.py
@@ -184,9 +184,9 @@
             1e-9, sum(rpc.gain for rpc in awaited)
         )
 
-    least = STEADY_FRACTION * served(until_s - STEADY_WINDOW_S, until_s)
+    threshold = STEADY_FRACTION * served(until_s - STEADY_WINDOW_S, until_s)
     seconds = range(int(since_s), int(until_s) - STEADY_WINDOW_S)
-    below = [second for second in seconds if served(second, second + 1) < least]
+    below = [second for second in seconds if served(second, second + 1) < threshold]
     return float(below[-1] + 1 - since_s) if below else 0.0
 
 
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -31,7 +31,7 @@
 
 
 class NodeHost(BaseRun):
-    """What the nodes of a run in virtual time need of it; the run itself is in `run.py`."""
+    """The attributes of a run in virtual time that its nodes use; the run is in `run.py`."""
 
     nodes: dict[str, Node]
     descriptor: int  # represents the listening socket that processes of an upgraded node inherit
@@ -55,7 +55,8 @@
 class Node:
     """A node: its machine and the process that runs now.
 
-    `node` is this process, or None while none runs; faults test it in both clocks.
+    The attribute `node` is this process, or None while no process runs. Faults read this attribute,
+    which the nodes of a run on real processes have as well.
     """
 
     def __init__(self, run: NodeHost, name: str, address: str) -> None:
@@ -78,7 +79,7 @@
         self.admin_port = ADMIN_PORT
 
     def start(self) -> None:
-        """Start a process with a configuration as of now."""
+        """Start a process with the current configuration and an admin port of its own."""
         run = self.run
         self.starts = self.starts + 1
         run.history.add(run.now(), "start", self.name)
@@ -159,7 +160,10 @@
     def _poll_upgrade(
         self, old: SocketNode, machine: Machine, counters: Counters, latest_ms: float
     ) -> None:
-        """Check whether the new process is ready; from `latest_ms` on, record that it is late."""
+        """Shut the old process down once the new one is ready; until then, check again.
+
+        Each check after `latest_ms` records that the new process is late.
+        """
         run = self.run
         if self.node is None:
             return
@@ -207,7 +211,10 @@
         return [process for process in (self.previous_process, self.node) if process is not None]
 
     def reload(self, malformed: int) -> None:
-        """Rewrite the configuration file and reload it; `malformed` from 1: in a wrong form."""
+        """Write a new configuration file and have the process load it.
+
+        `malformed` from 1 selects one of the malformed texts of `config_text`.
+        """
         path = Path(self.run.folder.name) / f"{self.name}.json"
         path.write_text(
             self.run.config_text(
--- a/hookpitch/testbed/report.py
+++ b/hookpitch/testbed/report.py
@@ -84,6 +84,6 @@
 
 
 def _fault_item(fault: dict[str, Any]) -> str:
-    what = html.escape(fault["what"])
-    whom = html.escape(fault["whom"])
-    return f"<li>{fault['at']:g} s to {fault['end']:g} s: {what} {whom}</li>"
+    kind = html.escape(fault["what"])
+    target = html.escape(fault["whom"])
+    return f"<li>{fault['at']:g} s to {fault['end']:g} s: {kind} {target}</li>"
--- a/hookpitch/testbed/rpc_checks.py
+++ b/hookpitch/testbed/rpc_checks.py
@@ -26,7 +26,11 @@
 
 
 class RpcChecks:
-    """Checks every RPC of a history on its own."""
+    """Checks every RPC of a history on its own.
+
+    A variable that is named after a kind of event (`asked`, `came`, `lost`) is an event of that
+    kind.
+    """
 
     def __init__(self, context: CheckContext) -> None:
         events = context.history.events
@@ -76,18 +80,18 @@
             self._context.report_violation("unknown", events[0].at, rpc, reason)
             return
         deadline = asked.at + asked.value
-        # The time of an RPC that a partition delayed counts from when the partition ended.
-        restored = self._outages.restored_at("clients", asked.who, asked.at, deadline)
+        # The deadline of an RPC that a partition delayed counts from the end of the partition.
+        restored_at = self._outages.restored_at("clients", asked.who, asked.at, deadline)
         final_events = [event for event in events if event.kind in FINAL_CLIENT_EVENTS]
-        self._check_answers(rpc, asked, final_events, restored)
+        self._check_answers(rpc, asked, final_events, restored_at)
         ended_at = min((event.at for event in final_events), default=INFINITY)
-        if restored == asked.at:
+        if restored_at == asked.at:
             self._check_deadline(rpc, asked, ended_at, end)
         send_until = min(ended_at, deadline) + self._rules.tolerance_ms
         # A node behind a partition knows neither that its client has left nor when the client sent
         # the RPC.
-        if restored > asked.at:
-            send_until = restored + asked.value + self._rules.tolerance_ms
+        if restored_at > asked.at:
+            send_until = restored_at + asked.value + self._rules.tolerance_ms
         self._check_transmissions(rpc, asked, events, send_until)
         effects = [event for event in events if event.kind == "effect"]
         if len(effects) > 1 and not self._rules.retriable.get(asked.what, True):
@@ -96,13 +100,13 @@
             )
 
     def _check_answers(
-        self, rpc: str, asked: Event, final_events: list[Event], restored: float
+        self, rpc: str, asked: Event, final_events: list[Event], restored_at: float
     ) -> None:
         answers = [event for event in final_events if event.kind == "answered"]
         if len(answers) > 1:
             self._context.report_violation("rule 1", answers[1].at, rpc, "answered twice")
         lost = next((event for event in final_events if event.kind == "lost"), None)
-        if lost is not None and restored <= asked.at and not self._is_excused_loss(asked, lost):
+        if lost is not None and restored_at <= asked.at and not self._is_excused_loss(asked, lost):
             reason = "its connection ended without an answer"
             self._context.report_violation("rule 1", lost.at, rpc, reason)
         if any(answer.what == "wrong" for answer in answers):
@@ -157,10 +161,10 @@
                 ]
                 in_flight.append(InFlight(event.who, INFINITY))
                 continue
-            ended = next((other for other in in_flight if other.server == event.who), None)
-            if ended is not None:
-                in_flight.remove(ended)
-                self._check_duplicate(rpc, ended, event.at)
+            finished = next((other for other in in_flight if other.server == event.who), None)
+            if finished is not None:
+                in_flight.remove(finished)
+                self._check_duplicate(rpc, finished, event.at)
             if event.kind != "sent" or event.what not in NOT_EXECUTED:
                 may_have_executed = True
         for unanswered in in_flight:
@@ -169,7 +173,7 @@
     def _check_send_time(self, rpc: str, asked: Event, came: Event, send_until: float) -> None:
         if came.at <= send_until:
             return
-        # A server that was stopped reads, when it continues, what was sent before.
+        # A server that was paused reads the RPC only when it continues, however early it was sent.
         if self._outages.had_outage(came.who, came.at - self._rules.tolerance_ms, came.at):
             return
         if self._outages.had_outage(asked.who, asked.at, came.at):
@@ -179,7 +183,8 @@
 
     def _check_placement(self, rpc: str, method: str, came: Event) -> None:
         place = self._places.get(came.who)
-        if not place:  # The origin has no place, and every method may be sent to it.
+        # The origin has no place, and every method may be sent to it.
+        if not place:
             return
         allowed_types, allowed_zones = self._rules.placement.get(method, ((), ()))
         if (allowed_types and place[0] not in allowed_types) or (
--- a/hookpitch/testbed/rules.py
+++ b/hookpitch/testbed/rules.py
@@ -21,7 +21,8 @@
     notified_within_ms: float = 6000.0
     # Within this time, a node uses a server again that an operator restored.
     reuse_within_ms: float = REUSE_WITHIN_MS
-    has_descriptors_for_all_clients: bool = True  # that follow the protocol
+    # Whether a node has a descriptor for every client that follows the protocol.
+    has_descriptors_for_all_clients: bool = True
     most_transmissions: int = 3
     hedging_allowed: bool = False
     # By method: whether an RPC may be executed more than once; true for a method without an entry.
--- a/hookpitch/testbed/run.py
+++ b/hookpitch/testbed/run.py
@@ -42,7 +42,7 @@
         self._build()
 
     def _on_endpoint_closed(self, endpoint: Endpoint) -> None:
-        """Record that a node has closed a connection, or left bytes of a client unread."""
+        """Record that a node closed a connection to a server, or left a client's bytes unread."""
         name = self.node_names.get(endpoint.machine.address)
         if name is None:
             return
@@ -62,7 +62,7 @@
     def _build(self) -> None:
         experiment = self.experiment
         network = self.network
-        # The processes of one node share a descriptor and a folder outside the network.
+        # The processes of a node share a descriptor and a folder, which are not simulated.
         self.descriptor = os.open(os.devnull, os.O_RDONLY)
         self.folder = tempfile.TemporaryDirectory(prefix="hookpitch-lab-")
         network.on_endpoint_closed = self._on_endpoint_closed
@@ -83,7 +83,8 @@
         for index in range(experiment.fleet.caches):
             self.add_server(f"s{index}", cold=False)
         self.directory.put(FakeEndpoint("o1", f"10.2.0.2:{ORIGIN_PORT}", "origin"))
-        if experiment.fleet.warm:  # All servers hold all keys, wherever the ring places a key.
+        # A warm server holds the keys from the start, because the ring may place any key there.
+        if experiment.fleet.warm:
             for name in self.servers:
                 self.send_command(name, "warm", experiment.traffic.keys)
         for index in range(experiment.nodes.count):
@@ -178,7 +179,7 @@
             self.network.machine(self.address(name)).pause(seconds)
 
     def set_detached(self, name: str, is_detached: bool) -> None:
-        """Disconnect a server's machine from the network, or connect it again."""
+        """Detach a server's machine from the network, or attach it again."""
         machine = self.network.machine(self.address(name))
         if is_detached:
             machine.detach()
@@ -188,12 +189,16 @@
     def impair(
         self, directions: Iterable[tuple[str, str]], owner: object, impairment: Impairment | None
     ) -> None:
-        """Set the owner's impairment of directions; None removes it."""
+        """Set the impairment that `owner`, a fault, applies to directions; None removes it."""
         for source, destination in directions:
             self.network.impair(self.address(source), self.address(destination), owner, impairment)
 
     def sever(self, directions: Iterable[tuple[str, str]]) -> None:
-        """Reset all connections of directions; a node may not have read all that clients sent."""
+        """Reset all connections between the two ends of each direction.
+
+        A node may not have read all bytes of a client, so the client's connections are recorded as
+        unread.
+        """
         for source, destination in directions:
             if "clients" in (source, destination):
                 node = source if destination == "clients" else destination
--- a/hookpitch/testbed/server_checks.py
+++ b/hookpitch/testbed/server_checks.py
@@ -12,7 +12,7 @@
 from hookpitch.testbed.check_context import CheckContext
 
 INFINITY = float("inf")
-ADMIN_TIMEOUT_MS = 1000.0  # for which an operator waits for an answer
+ADMIN_TIMEOUT_MS = 1000.0  # how long an operator waits for an answer
 REQUEST_TIMEOUT_MS = 2000.0  # within which a client has to write its request
 # A node that sent fewer RPCs than this within `Rules.reuse_within_ms` need not have sent any of
 # them to the restored server.
@@ -41,9 +41,9 @@
         self._context = context
         self._rules = context.rules
         self._outages = context.outages
-        # By (node, server): since when the node knows that the server is out of service, and since
-        # when an operator has banned the server there.
+        # By (node, server): since when the node knows that the server is out of service.
         self._notified: dict[tuple[str, str], float] = {}
+        # By (node, server): since when an operator has banned the server at the node.
         self._banned: dict[tuple[str, str], float] = {}
         self._out_of_service: dict[str, float] = {}  # by server: since when
         self._restored: list[Restored] = []
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -63,7 +63,7 @@
         history: EventRecorder,
         control: ControlConnection,
     ) -> None:
-        """Start the servers; each role in the options is handled by the method `_KIND`."""
+        """Start a server for each role in the options, with the method named after its kind."""
         self.reactor = reactor
         self.history = history
         self.control = control
