--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -44,9 +44,9 @@
 def measure_detection(count: int, part: float, seed: int) -> tuple[float, ...]:
     """Kill members; return the times to suspicion and agreement, and the wrong declarations."""
     network = start_network(count, seed)
-    killed = [f"m{n}" for n in range(1, count, max(1, round(1 / part)) if part else count)] or [
-        "m1"
-    ]
+    killed = [
+        f"m{index}" for index in range(1, count, max(1, round(1 / part)) if part else count)
+    ] or ["m1"]
     network.kill(killed)
     is_suspected = lambda: any(  # noqa: E731
         network.members_believing(killed[0], state)
@@ -68,8 +68,9 @@
     elif kind == "deaf":
         network.extra_loss["m3"] = loss
     if kind == "pause":
-        for n in range(20):
-            network.suspend([f"m{(7 * n) % count}"], loss)
+        # For `pause`, `loss` is the length of each suspension in seconds.
+        for index in range(20):
+            network.suspend([f"m{(7 * index) % count}"], loss)
             network.advance(seconds / 20)
     else:
         network.advance(seconds)
@@ -82,7 +83,7 @@
 def format_summary(name: str, values: list[float]) -> str:
     """Return one line with the median, the 99th percentile and the extremes of the values."""
     ordered = sorted(values)
-    at = lambda q: ordered[min(len(ordered) - 1, int(q * len(ordered)))]  # noqa: E731
+    at = lambda fraction: ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]  # noqa: E731
     return f"  {name}: median {at(0.5):.1f}, 99th {at(0.99):.1f}, least {ordered[0]:.1f}, most {ordered[-1]:.1f}"  # noqa: E501
 
 
@@ -108,8 +109,8 @@
     with ProcessPoolExecutor(jobs) as pool:
         rows = list(pool.map(measure, range(1, seeds + 1)))
     click.echo(f"{kind} {count} part={part:g} loss={loss:g} seconds={seconds:g} seeds={seeds}")
-    for n, name in enumerate(names):
-        click.echo(format_summary(name, [row[n] for row in rows]))
+    for index, name in enumerate(names):
+        click.echo(format_summary(name, [row[index] for row in rows]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -55,7 +55,7 @@
 
 
 class FakeHttpServer(asyncio.Protocol):
-    """Serves discovery, and an origin for which there should be no use."""
+    """Serves discovery, and an origin that should receive no requests."""
 
     hosts: list[dict[str, object]] = []
 
@@ -115,14 +115,14 @@
         self.data += data
         while self.in_flight:
             if self.data.startswith(b"$"):
-                head, found, rest = self.data.partition(b"\r\n")
-                length = int(head[1:]) + 2 if found else 0
-                if not found or len(rest) < length:
+                header, line_end, rest = self.data.partition(b"\r\n")
+                length = int(header[1:]) + 2 if line_end else 0
+                if not line_end or len(rest) < length:
                     return
                 self.data, result = rest[length:], "completed"
             else:
-                line, found, rest = self.data.partition(b"\r\n")
-                if not found:
+                line, line_end, rest = self.data.partition(b"\r\n")
+                if not line_end:
                     return
                 self.data, result = rest, "exhausted" if line.startswith(b"-BUSY") else "errored"
             self.load.rpc_finished(self, self.in_flight.pop(0), result)
@@ -356,7 +356,7 @@
                 node.kill()
                 for process in processes:
                     process.kill()
-    # Older builds log the second form; they may be named with --against.
+    # `--against` may name an older build, which logs the second text.
     ejections = ("backend_ejected", "off the path")
     figures["ejections"] = sum(any(text in line["event"] for text in ejections) for line in lines)
     figures["broken"] = {
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -39,7 +39,8 @@
             try:
                 data = key.fileobj.recv(65536)
                 key.fileobj.sendall(data)
-            except OSError:  # the client has finished its measurement
+            except OSError:
+                # The client has finished its measurement.
                 data = b""
             if not data:
                 selector.unregister(key.fileobj)
--- a/benchmarks/start_size.py
+++ b/benchmarks/start_size.py
@@ -83,6 +83,7 @@
     by_second = [figure("served", result, records, 0, 0) for records in rpcs_by_second]
     text += "\n  served by second " + " ".join(f"{fraction:.2f}" for fraction in by_second)
     if why:
+        # The second, the server and the node of each connection attempt.
         dialled = [
             (int(event.at // 1000), event.who, event.what)
             for event in result.history.events
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -16,7 +16,9 @@
 
 def main(words: list[str]) -> int:
     """Send one command and print the reply; return the exit code."""
-    rpc_id = os.urandom(8).hex()  # has to be new for every RPC
+    # Every RPC needs an id that no other RPC has.
+    rpc_id = os.urandom(8).hex()
+    # The fields after the id are the method (`c`) and the time limit in milliseconds (`d`).
     match words:
         case ["get", key]:
             parts = ["OBJ.GET", key, rpc_id, "c=read,d=900"]
