--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -208,7 +208,7 @@
     ).end()
     if code == VOID:
         pytest.skip(f"void: {output}")
-    assert code == 1 and "rule 3" in output and "to drain" in output
+    assert code == 1 and "rule 3" in output and "reported as out of service" in output
 
 
 def test_a_relay_that_dies_makes_the_run_void_at_once_and_no_process_is_left(
