--- a/hookpitch/members/settings.py
+++ b/hookpitch/members/settings.py
@@ -45,11 +45,11 @@
     seeds = table.get("seeds", [])
     dial = table.get("dial", {})
     if not isinstance(fleet, str):
-        raise SettingsError(f"fleet: expected a name, got {fleet!r}")
+        raise SettingsError(f"fleet: expected a string, found {fleet!r:.80}")
     if not isinstance(seeds, list):
-        raise SettingsError(f"seeds: expected a list of addresses, got {seeds!r}")
+        raise SettingsError(f"seeds: expected a list of addresses, found {seeds!r:.80}")
     if not isinstance(dial, dict):
-        raise SettingsError(f"dial: expected a table of addresses by address, got {dial!r}")
+        raise SettingsError(f"dial: expected a table of addresses by address, found {dial!r:.80}")
     return Settings(
         listen=_address(table.get("listen"), "listen"),
         fleet=fleet,
@@ -64,7 +64,9 @@
 def _address(text: object, name: str) -> Address:
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
-        raise SettingsError(f"{name}: expected an address with a port (host:port), got {text!r}")
+        raise SettingsError(
+            f"{name}: expected an address of the form host:port, found {text!r:.80}"
+        )
     return parse_host(host), int(port)
 
 
--- a/hookpitch/net/operator_settings.py
+++ b/hookpitch/net/operator_settings.py
@@ -45,9 +45,9 @@
     for name, table in tables.items():
         if name not in SECTION_PARSERS:
             known = ", ".join(sorted(SECTION_PARSERS))
-            raise ConfigError(f"{path}: {name}: no such section; the sections are {known}")
+            raise ConfigError(f"{path}: {name}: unknown section, expected one of {known}")
         if not isinstance(table, dict):
-            raise ConfigError(f"{path}: {name} is a {type(table).__name__}, expected a section")
+            raise ConfigError(f"{path}: {name}: expected a section, found {table!r:.80}")
         try:
             sections[name] = _section_parser(name)(table)
         except ValueError as error:
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -68,10 +68,10 @@
     known = SnapshotSettings.__slots__
     for name in table:
         if name not in known:
-            raise ConfigError(f"{name}: no such setting; the settings are {', '.join(known)}")
+            raise ConfigError(f"{name}: unknown setting, expected one of {', '.join(known)}")
     path = table.get("path")
     if not isinstance(path, str) or not path or "\0" in path:
-        raise ConfigError(f"path: expected the name of a file, found {path!r:.80}")
+        raise ConfigError(f"path: expected the path of a file, found {path!r:.80}")
     fleet = table.get("fleet", "")
     if not isinstance(fleet, str):
         raise ConfigError(f"fleet: expected a string, found {fleet!r:.80}")
