--- a/hookpitch/cli/check.py
+++ b/hookpitch/cli/check.py
@@ -21,6 +21,7 @@
     """Check the file and return a summary of it. Raise ValueError or OSError if it is invalid."""
     if path.suffix == ".json":
         return _describe_node(path)
+    # The operator's file and an experiment are both TOML files; the content tells them apart.
     text = path.read_text(encoding="utf-8")
     if "[lab]" in text or "\n[[fault]]" in text or text.startswith("name ="):
         return _describe_experiment(path, text)
--- a/hookpitch/cli/lab/run.py
+++ b/hookpitch/cli/lab/run.py
@@ -129,9 +129,9 @@
     for text in figures["programs"][:MAX_LINES]:
         click.echo(f"  raised: {text}")
     if figures["rig"]:
-        who, late_ms = max(figures["rig"].items(), key=lambda item: item[1])
+        name, late_ms = max(figures["rig"].items(), key=lambda item: item[1])
         click.echo(
-            f"  the test environment was at most {late_ms:.0f} ms late ({who}); "
+            f"  the test environment was at most {late_ms:.0f} ms late ({name}); "
             "bounds are extended by twice that"
         )
     for text in figures["broken"][:MAX_LINES]:
--- a/hookpitch/fakes/cache_server.py
+++ b/hookpitch/fakes/cache_server.py
@@ -199,7 +199,7 @@
     def stop_process(self) -> None:
         """End the process and discard its keys.
 
-        The machine ends the connections.
+        The machine on which the process runs closes the connections.
         """
         self.history.add(self.now(), "down", self.name)
         for job in list(self._replies):
--- a/hookpitch/fakes/discovery_server.py
+++ b/hookpitch/fakes/discovery_server.py
@@ -173,8 +173,8 @@
         network = self.network_by_node.get(watcher.node, "")
         watcher.write_line(encode_list(changes.version, changes.is_snapshot, endpoints, network))
 
-    def _record_notified(self, watcher: DiscoveryConnection, what: str) -> None:
-        self.history.add(self.now(), "told", watcher.node, what=what)
+    def _record_notified(self, watcher: DiscoveryConnection, change: str) -> None:
+        self.history.add(self.now(), "told", watcher.node, what=change)
 
     def _heartbeat(self) -> None:
         self.reactor.callLater(HEARTBEAT_S, self._heartbeat)
--- a/hookpitch/fakes/load_clients.py
+++ b/hookpitch/fakes/load_clients.py
@@ -155,8 +155,8 @@
             self.in_flight.clear()
             self.transport.abortConnection()
 
-    def _record(self, kind: str, rpc_id: str, what: str = "") -> None:
-        self.clients.history.add(self.clients.now(), kind, self.node, rpc_id, what)
+    def _record(self, kind: str, rpc_id: str, result: str = "") -> None:
+        self.clients.history.add(self.clients.now(), kind, self.node, rpc_id, result)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Record the RPCs in flight as lost and count the connection as closed."""
@@ -250,7 +250,7 @@
         self.nodes_in_use = list(nodes)  # the nodes that new RPCs are sent to
         self.rpc_count = 0  # including retries
         self.connection_limit_hits = 0
-        self._stopped = False
+        self._is_stopped = False
         self._due_ms = 0.0
 
     def now(self) -> float:
@@ -264,14 +264,14 @@
 
     def stop(self) -> None:
         """Stop sending RPCs."""
-        self._stopped = True
+        self._is_stopped = True
 
     def _schedule_next(self) -> None:
         self._due_ms += self.rng.expovariate(max(MIN_RATE_PER_S, self.rate_per_s)) * MS_PER_S
         self.reactor.callLater(max(0.0, self._due_ms - self.now()) / MS_PER_S, self._send_next)
 
     def _send_next(self) -> None:
-        if self._stopped:
+        if self._is_stopped:
             return
         weights = [method.weight for method in self.methods]
         method = self.rng.choices(self.methods, weights)[0]
@@ -309,7 +309,7 @@
     def rpc_finished(self, rpc: ClientRpc, result: str) -> None:
         """Schedule a retry of an RPC that was not completed, if its client has retries left."""
         behavior = self.behavior
-        if result == COMPLETED or rpc.retry_count >= behavior.max_retries or self._stopped:
+        if result == COMPLETED or rpc.retry_count >= behavior.max_retries or self._is_stopped:
             return
         delay_s = behavior.retry_delay_ms / MS_PER_S
         self.reactor.callLater(delay_s, self._send, rpc.method, rpc.key, rpc.retry_count + 1)
--- a/hookpitch/fakes/origin_server.py
+++ b/hookpitch/fakes/origin_server.py
@@ -151,7 +151,7 @@
     def stop_process(self) -> None:
         """End the process and cancel all its jobs.
 
-        The machine ends the connections.
+        The machine on which the process runs closes the connections.
         """
         for job in list(self._connections):
             self.cancel(job)
--- a/hookpitch/fakes/traffic.py
+++ b/hookpitch/fakes/traffic.py
@@ -24,7 +24,7 @@
     """How clients behave; all fractions are between 0 and 1."""
 
     max_retries: int = 0  # retries of an RPC that is not completed
-    retry_delay_ms: float = 30.0
+    retry_delay_ms: float = 30.0  # from the failure of an RPC until its retry
     early_close_fraction: float = 0.0  # RPCs whose client closes before its timeout
     single_use_fraction: float = 0.0  # RPCs that have a connection of their own
     max_connections: int = 200  # open connections to one node
--- a/hookpitch/members/endpoint_exchange.py
+++ b/hookpitch/members/endpoint_exchange.py
@@ -63,8 +63,8 @@
 class ListStatus:
     """The state of this node's own endpoint list.
 
-    `is_from_discovery`: discovery has sent this process a list. `is_watch_open`: besides, the watch
-    at discovery is open, so that the list is up to date.
+    `is_from_discovery`: discovery has sent this process a list. `is_watch_open`: in addition, the
+    watch on discovery is open, so the list is up to date.
     """
 
     version: int
--- a/hookpitch/members/failure_detector.py
+++ b/hookpitch/members/failure_detector.py
@@ -28,7 +28,7 @@
 PROBE_ATTEMPTS = 2
 # The number of members that are asked to probe indirectly.
 INDIRECT_PROBES = 4
-# The highest health penalty; timeouts of probes are then 1 + 4 times as long.
+# The highest health penalty, at which timeouts of probes are 1 + MAX_HEALTH_PENALTY times as long.
 MAX_HEALTH_PENALTY = 4
 MAX_FIRST_SEQUENCE = 1e6
 
@@ -163,16 +163,16 @@
         return now >= self.probe.started_at + PROBE_PERIOD_MS * self.health.timeout_factor
 
     def next_due(self, latest: float) -> float:
-        """Return when the next timeout of the current probe ends, at most `latest`."""
+        """Return when the next timeout of the current probe ends, or `latest` if that is sooner."""
         if self.probe is None:
             return latest
         timeout_ms = DIRECT_TIMEOUT_MS if self.probe.awaits_direct_answer else PROBE_PERIOD_MS
         return min(self.probe.started_at + timeout_ms * self.health.timeout_factor, latest)
 
-    def extend_timeouts(self, ms: float) -> None:
+    def extend_timeouts(self, suspended_ms: float) -> None:
         """Give the current probe more time, because this member was suspended."""
         if self.probe is not None:
-            self.probe.started_at += ms
+            self.probe.started_at += suspended_ms
 
     def _next_target(self) -> Member | None:
         while True:
--- a/hookpitch/members/port.py
+++ b/hookpitch/members/port.py
@@ -240,7 +240,9 @@
             endpoints=len(endpoints),
         )
         self._accepted_version = received.version
-        dial_addresses = {id: self._dial_address(address) for id, address in addresses.items()}
+        dial_addresses = {
+            endpoint_id: self._dial_address(address) for endpoint_id, address in addresses.items()
+        }
         self._pending_list = _EndpointList(endpoints, dial_addresses)
         self._apply_pending_list()
 
--- a/hookpitch/members/roster.py
+++ b/hookpitch/members/roster.py
@@ -59,10 +59,10 @@
 
     # ---- timeouts
 
-    def extend_timeouts(self, ms: float) -> None:
+    def extend_timeouts(self, suspended_ms: float) -> None:
         """Extend all timeouts by a time in which this member was suspended."""
         for name in self._with_timeout:
-            self.members[name].state_since += ms
+            self.members[name].state_since += suspended_ms
 
     def restart_timeouts(self, now: float) -> None:
         """Restart all timeouts."""
--- a/hookpitch/members/suspicion.py
+++ b/hookpitch/members/suspicion.py
@@ -48,7 +48,8 @@
     """Return whether this member's suspicions of `member` were recently refuted too often.
 
     If the path between the two is cut in one direction, this member would otherwise suspect
-    forever a member that all others can reach.
+    forever a member that all others can reach. Because the window is extended by `SUPPRESSION_MS`
+    here, a single refutation after a suppression can begin the next one.
     """
     refuted_at = member.refuted_suspicions_at
     if len(refuted_at) < MAX_REFUTED_SUSPICIONS:
--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -17,7 +17,7 @@
 from hookpitch.core.deadlines import Deadline
 from hookpitch.net.clock import Clock
 
-MAX_WAITING_CONNECTIONS = 8  # one more closes the one that has waited longest
+MAX_WAITING_CONNECTIONS = 8  # a further connection closes the one that has waited longest
 MAX_CLOSING_CONNECTIONS = 4  # further connections, whose answers are still being read
 CONNECTION_TIMEOUT_MS = 3000.0  # from the accept of a connection until it is aborted
 MAX_LINE_BYTES = 512
@@ -78,7 +78,7 @@
             self._answer_and_close(NO + b"a line has at most %d bytes" % MAX_LINE_BYTES)
 
     def _answer_and_close(self, answer: bytes) -> None:
-        """Send an answer and close; bytes that are unread at the deadline are discarded."""
+        """Send an answer and close; the deadline discards bytes that the operator has not read."""
         self._server.waiting.pop(self, None)
         self.transport.write(answer + b"\n")
         self.transport.loseConnection()
@@ -114,7 +114,11 @@
         }
 
     def buildProtocol(self, addr: Any) -> AdminConnection | None:  # noqa: ANN401 - Twisted's own type
-        """Return a protocol, or None to close the connection where too many are open."""
+        """Return a protocol, or None to close the connection where too many are open.
+
+        Operators that do not read their answers could otherwise hold any number of connections
+        until their deadlines.
+        """
         if self.connections >= MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS:
             return None
         return AdminConnection(self)
--- a/hookpitch/net/backend_pool.py
+++ b/hookpitch/net/backend_pool.py
@@ -102,8 +102,8 @@
             if now < attempt.start_by:
                 connection.begin(attempt)
                 return
-            # Rule 2: when the router chose this attempt, the backends still recognized a duplicate
-            # of its RPC; by now they may have forgotten it.
+            # When the router chose this attempt, the backends still recognized a duplicate of its
+            # RPC. By now they may have forgotten the RPC and would run it twice, against rule 2.
             self.host.counters.add("tx.begun_too_late")
             self.host.attempt_finished(now, attempt, Outcome.OBSOLETE)
         self.release(connection)
@@ -209,8 +209,8 @@
     def stop(self) -> None:
         """Stop sending to the backend: return waiting attempts to the host, end unused connections.
 
-        Rules 3 and 4: a connect that succeeds late may find its backend draining, removed or
-        warming up.
+        A connect that succeeds late may find its backend draining or removed, which may be sent
+        nothing new (rule 3), or warming up, when it must not be overloaded (rule 4).
         """
         waiting = self.waiting
         self.waiting = deque()
--- a/hookpitch/net/buffered_protocol.py
+++ b/hookpitch/net/buffered_protocol.py
@@ -152,7 +152,10 @@
             self._start_writing()
 
     def send_chunks(self, chunks: Iterable[bytes]) -> None:
-        """Send large chunks without a copy; `send` may be called again once they are written."""
+        """Send large chunks without a copy; `send` must not be called until they are written.
+
+        The output buffer is written first, so later bytes in the buffer would overtake the chunks.
+        """
         self._chunks.extend(chunks)
         if not self.write_pending:
             self._start_writing()
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -238,7 +238,7 @@
     def drain(self, include_unused: bool = False, spread_ms: float = 0.0) -> None:
         """Close idle connections over `spread_ms`, and busy ones once they are idle.
 
-        Clients whose connections were all closed at once would still write to some of them.
+        If hundreds were closed at once, clients would still write to some closed connections.
         """
         self.is_draining = True
         now = self.clock.now()
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -3,7 +3,8 @@
 State: the current version, the current watch, and the updates with a version lower than the current
 one ("older" versions). Invariants: there is at most one watch at a time; the version never
 decreases, except when the discovery service changes, or after more than `MAX_OLDER_VERSIONS`
-updates and heartbeats in a row with an older version.
+updates and heartbeats in a row with an older version. A heartbeat counts for the version of the
+latest update on its watch.
 """
 
 from __future__ import annotations
@@ -23,7 +24,8 @@
 DEFAULT_POLL_INTERVAL_MS = 10000.0
 CONNECT_TIMEOUT_FACTOR = 4  # multiple of the timeout of a connect to a backend
 MAX_OBJECT_BYTES = 1 << 22  # default size limit of one list or change
-MAX_OLDER_VERSIONS = 3  # updates and heartbeats in a row that do not lower the current version
+# Updates and heartbeats in a row with an older version; a further one makes that version current.
+MAX_OLDER_VERSIONS = 3
 NO_VERSION = -1
 
 
@@ -194,7 +196,7 @@
         self.host.record_malformed(
             "versions", f"received version {update.version} is older than version {self.version}"
         )
-        # Rule 3: nothing new may be sent to an endpoint that is draining or removed, whatever the
+        # Nothing new may be sent to an endpoint that is draining or removed (rule 3), whatever the
         # version of the update.
         unavailable = [
             endpoint for endpoint in update.endpoints if endpoint.state != EndpointState.READY
--- a/hookpitch/net/hot_restart.py
+++ b/hookpitch/net/hot_restart.py
@@ -120,8 +120,8 @@
         capacity = self._capacity
         node.logger.info("process_count_changed", count=process_count)
         node.host.router.set_process_count(node.clock.now(), process_count)
-        # The limits do not fall below the number of open connections, as connections over the limit
-        # would be closed with RPCs unread; they only keep that number from growing.
+        # A limit does not fall below the number of open connections, as connections over the limit
+        # would be closed with RPCs unread. The limit only keeps that number from growing.
         node.pools.max_descriptors = max(
             capacity.backend_connections // process_count,
             min(capacity.backend_connections, node.pools.descriptors_used),
--- a/hookpitch/net/lifecycle.py
+++ b/hookpitch/net/lifecycle.py
@@ -30,7 +30,8 @@
     from hookpitch.net.snapshot_store import SnapshotStore
 
 LISTEN_BACKLOG = 4096
-FIRST_LIST_TIMEOUT_MS = 1500.0  # a process with an inherited socket serves at the latest then
+# After this time, a process with an inherited socket serves even without a list from discovery.
+FIRST_LIST_TIMEOUT_MS = 1500.0
 SHUTDOWN_DELAY_MS = 500.0  # from the start of the shutdown until the node stops listening
 IDLE_CLOSE_SPREAD_MS = 400.0  # time over which idle connections close while another process serves
 FINAL_RESPONSE_MS = 150.0  # time after the longest deadline for writing the last responses
@@ -89,7 +90,7 @@
     def __init__(self, node: LifecycleNode) -> None:
         self._node = node
         self.state = State.STARTING
-        self.listening_port: Any = None  # on which clients connect
+        self.listening_port: Any = None  # the port to which clients connect
         self._admin_port: Any = None
         self._final_snapshot_begun = False
 
--- a/hookpitch/net/node_config.py
+++ b/hookpitch/net/node_config.py
@@ -49,7 +49,8 @@
     inherited_descriptor: int | None = None  # an inherited listening socket's file descriptor
     shared_directory: str = ""  # shared by all processes of this node; empty: not shared
     process_id: str = ""  # unique among this node's processes; empty: the operating system's id
-    restart_only: Mapping[str, Any] = field(default_factory=dict)  # file values, by name
+    # The values that the file has for the names in RESTART_ONLY, to be compared on a reload.
+    restart_only: Mapping[str, Any] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +59,7 @@
 
     discovery_address: Address
     deployment: Deployment | None  # None where the file has no settings: the current ones stay
-    restart_only: Mapping[str, Any]  # file values, by name
+    restart_only: Mapping[str, Any]  # the values that the file has for the names in RESTART_ONLY
 
 
 def load_node_config(environment: Mapping[str, str]) -> NodeConfig:
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -7,8 +7,8 @@
 
 Lines are appended under a lock, so all readers see the same order, and each reader continues from
 its previous position. While a process runs, it holds a lock on a file of its own, by which the
-other processes find it. A line that is incomplete, of another version or wrong is skipped; the
-first such line is reported. See docs/design.md.
+other processes find it. A line that is incomplete, of another version or wrong is skipped; only
+the first such line is reported. See docs/design.md.
 """
 
 from __future__ import annotations
@@ -117,7 +117,7 @@
 
     def _read_data(self) -> bytes:
         size = os.fstat(self._file).st_size
-        if size < self._read_bytes:  # another process has rewritten it
+        if size < self._read_bytes:  # another process has rewritten the file
             self._read_bytes = 0
         unread_bytes = size - self._read_bytes
         if unread_bytes == 0:
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -3,7 +3,7 @@
 Without the section this module is not imported.
 
     [snapshot]
-    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: the node's; the directory has to exist
+    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: node's name; the directory has to exist
     fleet = "sydney"                              # snapshots of another fleet are ignored
     every_s = 10.0
     oldest_s = 3600.0
@@ -40,7 +40,7 @@
 MAX_EVERY_S = 3600.0
 MIN_OLDEST_S = 1.0
 MAX_OLDEST_S = 1e9
-# The age of a snapshot that is further ahead of this clock is unknown.
+# A snapshot whose time is further ahead of this clock is not restored, as its age is unknown.
 MAX_CLOCK_SKEW_MS = 3600000.0
 # The time between two writes is the interval times a random factor from INTERVAL_BASE to
 # INTERVAL_BASE + INTERVAL_JITTER, so that nodes that share a disk do not all write at once.
--- a/hookpitch/service.py
+++ b/hookpitch/service.py
@@ -29,7 +29,7 @@
 def run() -> int:
     """Run a node until it has shut down; return the exit code.
 
-    SIGHUP has to be ignored when this is called; the signal gets a handler once there is a node.
+    The caller has to ignore SIGHUP before the call; the signal gets a handler once a node exists.
     """
     try:
         config = load_node_config(os.environ)
@@ -51,6 +51,8 @@
         _start(node)
     except CannotListenError as error:
         return _cannot_start(error)
+    # Objects that exist now live as long as the process. Frozen, they are skipped by later garbage
+    # collections, which are then shorter.
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
