--- a/hookpitch/net/hot_restart.py
+++ b/hookpitch/net/hot_restart.py
@@ -60,7 +60,7 @@
         self._capacity = capacity
         self.shared_state: SharedState | None = None
         self.process_count = 1  # at the last count
-        self._count_processes = False  # whether the number of processes may have changed
+        self._needs_process_count = False  # whether the number of processes may have changed
 
     def start(self) -> None:
         """Open the shared file and begin to poll it."""
@@ -96,9 +96,9 @@
         if self.shared_state is None:
             return
         self._apply_new_commands()
-        if self._count_processes:
+        if self._needs_process_count:
             self._divide_capacity(1 + len(self.shared_state.find_other_processes()))
-            self._count_processes = self.process_count > 1
+            self._needs_process_count = self.process_count > 1
         self.shared_state.compact(self._node.commands.active_commands())
         self._node.clock.deadlines.add(now + POLL_INTERVAL_MS, self._poll)
 
@@ -107,7 +107,7 @@
             return
         for command in self.shared_state.read_new():
             if command.verb is Verb.START:
-                self._count_processes = True
+                self._needs_process_count = True
             else:
                 self._node.commands.apply(command)
 
--- a/hookpitch/net/lifecycle.py
+++ b/hookpitch/net/lifecycle.py
@@ -92,7 +92,7 @@
         self.state = State.STARTING
         self.listening_port: Any = None  # the port to which clients connect
         self._admin_port: Any = None
-        self._final_snapshot_begun = False
+        self._has_begun_final_snapshot = False
 
     # ---- start
 
@@ -216,10 +216,10 @@
     def _end(self) -> None:
         node = self._node
         store = node.snapshot_store
-        if store is not None and not self._final_snapshot_begun:
+        if store is not None and not self._has_begun_final_snapshot:
             # The last snapshot holds what the node has learned since the previous one. A disk that
             # stalls must not delay the end of the process for long.
-            self._final_snapshot_begun = True
+            self._has_begun_final_snapshot = True
             store.save()
             wait_ms = FINAL_SNAPSHOT_MS if store.is_writing else 0.0
             node.clock.deadlines.add(node.clock.now() + wait_ms, lambda _: self._end())
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -42,7 +42,9 @@
     def __init__(self, node: CommandNode) -> None:
         self._node = node
         self.is_draining = False
-        self._drain_changes = 0  # lets the delayed step of a drain that has ended be skipped
+        # The number of drains begun and ended. The delayed step of a drain is skipped if the number
+        # has changed since the drain began.
+        self._drain_change_count = 0
 
     # ---- status
 
@@ -148,17 +150,17 @@
         self._log(command)
         self.is_draining = draining
         node.clients.reports_draining = draining
-        self._drain_changes += 1
+        self._drain_change_count += 1
         if draining:
-            change = self._drain_changes
+            change_count = self._drain_change_count
             node.clock.deadlines.add(
-                node.clock.now() + DRAIN_DELAY_MS, lambda _: self._close_idle_clients(change)
+                node.clock.now() + DRAIN_DELAY_MS, lambda _: self._close_idle_clients(change_count)
             )
         elif node.lifecycle.state is not State.SHUTTING_DOWN:
             node.clients.is_draining = False
 
-    def _close_idle_clients(self, change: int) -> None:
-        if change == self._drain_changes:
+    def _close_idle_clients(self, change_count: int) -> None:
+        if change_count == self._drain_change_count:
             self._node.clients.drain()
 
     def _log(self, command: Command) -> None:
--- a/hookpitch/net/prioritized_reactor.py
+++ b/hookpitch/net/prioritized_reactor.py
@@ -22,14 +22,14 @@
 LOW_PRIORITY = (Server, Port)  # clients' connections and their listening socket
 
 
-class AdminConnection(Server):
-    """An operator's connection, which is handled before clients' connections."""
+class AdminTransport(Server):
+    """The transport of an operator's connection, which is handled before clients' connections."""
 
 
 class AdminPort(Port):
     """The operators' listening socket, which is handled before clients' connections."""
 
-    transport = AdminConnection
+    transport = AdminTransport
 
 
 class PrioritizedReactor(EPollReactor):
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -82,7 +82,7 @@
         is wrong. `process_id` defaults to the operating system's process id.
         """
         self._on_damage = on_damage
-        self._damage_reported = False
+        self._has_reported_damage = False
         self._process_id = process_id or str(os.getpid())
         self._stem = Path(directory) / f"hookpitch-{quote(name, safe='')}"
         self._file = _open(f"{self._stem}.calls", os.O_RDWR | os.O_CREAT | os.O_APPEND)
@@ -172,9 +172,9 @@
         os.close(self._file)
 
     def _report_damage(self, reason: str) -> None:
-        if self._damage_reported:  # otherwise a damaged file would be reported at each read
+        if self._has_reported_damage:  # otherwise a damaged file would be reported at each read
             return
-        self._damage_reported = True
+        self._has_reported_damage = True
         self._on_damage(reason)
 
 
