--- a/hookpitch/fakes/cache.py
+++ b/hookpitch/fakes/cache.py
@@ -73,7 +73,7 @@
         self.spec = spec
         self.rng = rng
         self.started_ms = now_ms if cold else -NEVER_MS
-        self.connections = 0
+        self.connection_count = 0
         self.slowdown = 1.0  # a fault: jobs take this many times as long
         self.peak_overload = 0.0  # the highest load while cold, as a multiple of the capacity
         self._running: list[tuple[float, int, Job]] = []  # a heap ordered by completion time
@@ -96,7 +96,7 @@
             )
             warmup_factor = spec.cold_start_speed + speed_gain
         table_factor = 1.0
-        if self.connections >= spec.max_connections:
+        if self.connection_count >= spec.max_connections:
             table_factor = 1 - spec.full_table_slowdown
         return spec.speed * warmup_factor * table_factor / self.slowdown
 
@@ -106,15 +106,15 @@
 
     def accept_connection(self) -> bool:
         """Add a connection to the table; return False if the table is full."""
-        if self.connections >= self.spec.max_connections:
+        if self.connection_count >= self.spec.max_connections:
             return False
-        self.connections += 1
+        self.connection_count += 1
         self._connect_work_ms += self.spec.connect_work_ms
         return True
 
     def release_connection(self) -> None:
         """Remove a connection from the table."""
-        self.connections -= 1
+        self.connection_count -= 1
 
     def begin(self, now_ms: float, job: Job) -> bool:
         """Run or queue a job; return False if the queue is full."""
--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -98,7 +98,7 @@
         self._target = target
         self.count = count
         self.waiting: dict[AdminConnection, None] = {}  # those without a line, the oldest first
-        self.connections = 0  # number of open ones, also those whose answer is being written
+        self.connection_count = 0  # open ones, also those whose answer is being written
         self._commands: dict[bytes, Callable[[], str]] = {
             b"STATUS": target.not_ready_reason,
             b"PAUSE": target.pause,
@@ -119,13 +119,13 @@
         Operators that do not read their answers could otherwise hold any number of connections
         until their deadlines.
         """
-        if self.connections >= MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS:
+        if self.connection_count >= MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS:
             return None
         return AdminConnection(self)
 
     def connection_opened(self, connection: AdminConnection) -> None:
         """Wait for a connection's line; abort the oldest one where too many wait."""
-        self.connections += 1
+        self.connection_count += 1
         self.waiting[connection] = None
         if len(self.waiting) > MAX_WAITING_CONNECTIONS:
             oldest = next(iter(self.waiting))
@@ -139,7 +139,7 @@
     def connection_closed(self, connection: AdminConnection) -> None:
         """Remove a closed connection."""
         self.waiting.pop(connection, None)
-        self.connections -= 1
+        self.connection_count -= 1
         self._clock.deadlines.cancel(connection.deadline)
 
     def answer(self, line: bytes) -> bytes:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -84,15 +84,15 @@
     ]
     silent_callers[0].send(b"STAT")
     assert send_admin_command(node, b"STATUS\n") == b"YES\n"
-    assert node.socket_node.admin_server.connections == MAX_WAITING_CONNECTIONS - 1
+    assert node.socket_node.admin_server.connection_count == MAX_WAITING_CONNECTIONS - 1
     while (protocol := node.socket_node.admin_server.buildProtocol(None)) is not None:
         MemoryConnection(node.network, protocol, 0)
     assert (
-        node.socket_node.admin_server.connections
+        node.socket_node.admin_server.connection_count
         == MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS
     )
     node.pass_time(CONNECTION_TIMEOUT_MS + 1)
-    assert node.socket_node.admin_server.connections == 0
+    assert node.socket_node.admin_server.connection_count == 0
     assert not node.socket_node.admin_server.waiting
 
 
