--- a/hookpitch/members/settings.py
+++ b/hookpitch/members/settings.py
@@ -5,8 +5,8 @@
 fleet = "sydney"
 seeds = ["10.0.0.5:7946", "10.0.0.6:7946"]  # some members that are usually up
 
-[members.dial]                              # an address as other members send it, and the one
-"10.9.0.7:7946" = "10.0.0.7:7946"           # at which this node reaches it, where they differ
+[members.dial]                              # only for addresses that this node cannot reach as sent
+"10.9.0.7:7946" = "10.0.0.7:7946"           # address that members send = address to dial instead
 """
 
 from __future__ import annotations
--- a/hookpitch/members/suspicion.py
+++ b/hookpitch/members/suspicion.py
@@ -16,9 +16,9 @@
 MIN_SUSPICION_MS = 3300.0
 # Suspicions last longer in a fleet of more than 2 ** BASE_FLEET_LOG2 = 512 members.
 BASE_FLEET_LOG2 = 9
-# A suspicion that no other member confirms lasts this many times as long.
+# A suspicion that no other member confirms lasts this many times the shortest time.
 MAX_SUSPICION_FACTOR = 2.0
-# A suspicion that this number of other members confirm is the shortest.
+# A suspicion that is confirmed by this number of other members lasts the shortest time.
 CONFIRMATIONS_FOR_MIN_SUSPICION = 2
 MAX_ACCUSERS = 8
 # Suspicions of one member are suppressed once `MAX_REFUTED_SUSPICIONS` were refuted in this window.
--- a/hookpitch/members/view.py
+++ b/hookpitch/members/view.py
@@ -20,7 +20,8 @@
 class View:
     """One version of the view: the names of the members that are part of the fleet.
 
-    `visible_fraction` is the number of these members divided by that of these and the dead ones.
+    `visible_fraction` is the number of these members divided by the number of these and all dead
+    members.
     """
 
     version: int
