--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -300,7 +300,7 @@
             return
         self.tear_down()
 
-    def restored(self) -> None:
+    def impairment_changed(self) -> None:
         """Continue after a change of a direction: forward, or reset if data or a reset was lost."""
         if self.is_closed:
             return
@@ -382,7 +382,7 @@
         if mode != self.mode:
             self._set_mode(mode)
         for connection in list(self.connections):
-            connection.restored()
+            connection.impairment_changed()
 
     def _set_mode(self, mode: str) -> None:
         """Change how connection attempts are handled."""
