--- a/hookpitch/testbed/child.py
+++ b/hookpitch/testbed/child.py
@@ -147,7 +147,7 @@
     options = json.loads(Path(sys.argv[1]).read_text())
     reactor.seconds = time.monotonic
     history = EventRecorder(options["history"])
-    handlers: list[Callable[..., None]] = []  # one, once it is created
+    handlers: list[Callable[..., None]] = []  # the command handler, once it is created
     control = ControlConnection(lambda *message: handlers[0](*message), reactor.stop)
 
     def on_connected() -> None:
--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -1,5 +1,6 @@
-"""Faults: what each kind does when it begins and when it ends, the same for both clocks.
+"""Faults: what each kind does when it begins and when it ends.
 
+They are the same in both clocks: in virtual time (`run.py`) and in real time (`process_run.py`).
 Each kind is a small method of `ScheduledFault` with the name that experiment files use, and
 `NAME_ends` undoes it. A fault asks its run for what depends on the clock (`kill`, `start_server`,
 `pause`, `impair`, `sever`) and sends commands to fake servers (`fakes/control_commands.py`). Doc
@@ -23,7 +24,8 @@
 DRAIN_TIMEOUT_S = 4.0  # after this time a drained node must hold no client connection
 LOAD_BALANCER_DETECTION_S = 3.0  # until the load balancer notices that a node has died
 CPU_SLICE_S = 0.1  # a fraction of each slice is taken away
-# The history records when a node cannot reach these, because the judge's rules depend on it.
+# A fault of the link between a node and one of these goes into the history as an `apart` event,
+# because the judge's rules depend on it.
 RECORDED_PARTITION_PEERS = ("clients", "discovery")
 
 
@@ -36,9 +38,9 @@
         self.fault = fault
 
     def schedule(self, offset: float = 0.0) -> None:
-        """Schedule the begin and the end of the fault.
+        """Schedule the beginning and the end of the fault.
 
-        `offset` is the time of the network's clock at which the experiment began.
+        `offset` is the time on the network's clock at which the experiment began.
         """
         run = self.run
         fault = self.fault
@@ -115,7 +117,7 @@
         self.run.impair(self._directions(), self.index, None)
 
     def _toggle(self, directions: list[tuple[str, str]], is_down: bool, until: float) -> None:
-        """Set the links down for `by` seconds (1), then up for as long, and so on."""
+        """Cut the links for `by` seconds (1), restore them for as long, and so on."""
         if self.run.network.now < until - 1e-9:
             self.run.impair(directions, self.index, self._impairment() if is_down else None)
             self._call_later(self.fault.by or 1.0, self._toggle, directions, not is_down, until)
@@ -179,7 +181,7 @@
     def reload(self, name: str) -> None:
         """Rewrite the node's configuration file and have the node reload it.
 
-        Every second reload changes some settings, and the next one changes them back. `by` from 1
+        The first reload changes some settings, the second changes them back, and so on. `by` from 1
         selects a malformed file: truncated, not an object, an empty object, or without methods.
         """
         if self.run.nodes[name].node is not None:
@@ -242,7 +244,8 @@
 
         At the end, the server starts again, cold.
         """
-        if self.fault.whom not in self.run.directory.endpoints:  # It was removed before.
+        if self.fault.whom not in self.run.directory.endpoints:
+            # The server was removed before.
             return
         self.run.send_command("discovery", "health", self.fault.whom, "terminating")
         self._call_later(self.fault.by or 5.0, self._remove_server)
@@ -254,7 +257,8 @@
 
     def drain_ends(self) -> None:
         """Start the server again; do nothing if it has not been removed yet."""
-        self.crash_ends()  # This leaves a server that still runs as it is.
+        # A server that still runs is left as it is.
+        self.crash_ends()
 
     def add(self) -> None:
         """Add a new server to the fleet, cold."""
@@ -503,7 +507,7 @@
         self.run.keys.hot_fraction = self.fault.by or 0.2
 
     def hot_key_ends(self) -> None:
-        """Draw all keys as the experiment defines it."""
+        """Draw all keys as the experiment defines them."""
         self.run.keys.hot_fraction = 0.0
 
     def rude(self) -> None:
--- a/hookpitch/testbed/links.py
+++ b/hookpitch/testbed/links.py
@@ -1,4 +1,6 @@
-"""Impairments of one direction of a link, for both clocks, and how overlapping ones combine.
+"""Impairments of one direction of a link, and how overlapping ones combine.
+
+They are the same in both clocks: in virtual time (`simulation.py`) and in real time (`relay.py`).
 
 A direction is a pair of names: source and destination. Each fault sets and removes its own
 `Impairment` of a direction, so that the end of one fault does not undo another that overlaps it.
@@ -47,9 +49,9 @@
     """Combine several impairments of one direction into one with the same effect."""
     delay_ms = 0.0
     jitter_ms = 0.0
-    not_lost = 1.0
-    not_repeated = 1.0
-    in_order = 1.0
+    delivery_probability = 1.0
+    single_probability = 1.0
+    in_order_probability = 1.0
     bandwidth = UNLIMITED
     silent = False
     kept = True
@@ -58,9 +60,9 @@
     for impairment in impairments:
         delay_ms += impairment.delay_ms
         jitter_ms += impairment.jitter_ms
-        not_lost *= 1 - impairment.loss
-        not_repeated *= 1 - impairment.repeat
-        in_order *= 1 - impairment.reorder
+        delivery_probability *= 1 - impairment.loss
+        single_probability *= 1 - impairment.repeat
+        in_order_probability *= 1 - impairment.reorder
         bandwidth = min(bandwidth, impairment.bandwidth)
         silent = silent or impairment.silent
         kept = kept and (impairment.kept or not impairment.silent)
@@ -69,9 +71,9 @@
     return Impairment(
         delay_ms=delay_ms,
         jitter_ms=jitter_ms,
-        loss=1 - not_lost,
-        repeat=1 - not_repeated,
-        reorder=1 - in_order,
+        loss=1 - delivery_probability,
+        repeat=1 - single_probability,
+        reorder=1 - in_order_probability,
         bandwidth=bandwidth,
         silent=silent,
         kept=kept,
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -37,7 +37,8 @@
 
 CACHE_PORT = 26379
 ORIGIN_PORT = 28080
-# The second number of the loopback addresses: of the first node's subnet, and of the fake servers'.
+# The second numbers of the loopback addresses in a run whose first block is block 0: of the first
+# node's subnet, and of the fake servers' subnet.
 FIRST_NODE_SUBNET = 10
 FIRST_FAKES_SUBNET = 200
 BLOCK_COUNT = 8
@@ -51,13 +52,17 @@
 START_TIMEOUT_S = 60.0  # for all processes to be ready
 MAX_LATENESS_MS = 150.0  # a run in which a process of the testbed was later than this is void
 OVERLAP_MS = 5.0  # how far a relay's and a server's records of the same moment may differ
-# A connection that ends this soon after an RPC was sent on it may have crossed the RPC on the way.
+# If a connection ends this soon after an RPC was sent on it, the two may have crossed on the way.
 CROSSING_MS = 20.0
 ADMIN_TIMEOUT_S = 1.0
 
 
 class _WallClock:
-    """The part of a simulated network that runs and faults use: the time and scheduled calls."""
+    """The clock of a run in real time.
+
+    It has the part of a `SimulatedNetwork` that runs and faults use: the time, scheduled calls and
+    the list of program errors.
+    """
 
     def __init__(self, reactor: Any) -> None:
         self.reactor = reactor
@@ -149,8 +154,8 @@
         """Prepare a run; `progress` is called once per second with a line on its progress."""
         for index, fault in enumerate(experiment.fault):
             if fault.what in VIRTUAL_ONLY:
-                why = f"'{fault.what}' is for virtual time alone: {VIRTUAL_ONLY[fault.what]}"
-                raise ValueError(f"{experiment.name}: fault[{index}].what: {why}")
+                reason = f"'{fault.what}' is for virtual time alone: {VIRTUAL_ONLY[fault.what]}"
+                raise ValueError(f"{experiment.name}: fault[{index}].what: {reason}")
         if experiment.nodes.count > MAX_NODES:
             raise ValueError(
                 f"{experiment.name}: nodes.count: {experiment.nodes.count} exceeds the maximum "
@@ -274,7 +279,7 @@
         return child
 
     def _assign_address(self, name: str) -> None:
-        """Give a cache server the last two numbers of its addresses in all subnets."""
+        """Assign a cache server the last two numbers of its address, the same in all subnets."""
         index = len(self.addresses)
         self.addresses.setdefault(name, f"{100 + index // 250}.{1 + index % 250}")
 
@@ -300,7 +305,7 @@
             is_cold = cold or child.starts > 1
             roles = []
             for server in servers:
-                make = msgspec.to_builtins(self.cache_spec(list(self.addresses).index(server)))
+                spec = msgspec.to_builtins(self.cache_spec(list(self.addresses).index(server)))
                 warm_keys = (
                     self.experiment.traffic.keys
                     if self.experiment.fleet.warm and not is_cold
@@ -310,7 +315,7 @@
                     {
                         "kind": "cache",
                         "name": server,
-                        "make": make,
+                        "make": spec,
                         "address": self._listen_host(server),
                         "port": CACHE_PORT,
                         "cold": is_cold,
@@ -324,12 +329,12 @@
         return child
 
     def _origin_options(self) -> dict[str, Any]:
-        make = msgspec.to_builtins(self.origin_spec())
+        spec = msgspec.to_builtins(self.origin_spec())
         names = list(self.addresses)
         host = f"{self.fakes_subnet}.3.2"
         role = {
             "kind": "origin",
-            "make": make,
+            "make": spec,
             "address": host,
             "port": ORIGIN_PORT,
             "caches": names,
@@ -354,7 +359,8 @@
     def _relay_options(self, nodes: list[str]) -> dict[str, Any]:
         """Return the links of some nodes.
 
-        A node connects to addresses in its own subnet, and its peers see it at one of them.
+        A node connects only to addresses in its own subnet. Servers see its connections come from
+        that subnet; a peer sees them come from the address at which the peer reaches the node.
         """
         tcp: list[list[Any]] = []
         udp: list[list[Any]] = []
@@ -371,13 +377,13 @@
                     f"{subnet}.3.2",
                 ]
             )
-            for host, target, port in (
+            for host_number, target, port in (
                 (2, "origin", ORIGIN_PORT),
                 (1, "discovery", DISCOVERY_PORT),
             ):
-                target_address = [f"{self.fakes_subnet}.3.{host}", port]
+                target_address = [f"{self.fakes_subnet}.3.{host_number}", port]
                 tcp.append(
-                    [name, target, [f"{subnet}.2.{host}", port], target_address, source_host]
+                    [name, target, [f"{subnet}.2.{host_number}", port], target_address, source_host]
                 )
             for server in self.addresses:
                 tcp.append(self._server_link(name, server))
@@ -419,14 +425,14 @@
         return f"{self.subnets[node]}.200.{1 + int(peer[1:])}", self.experiment.nodes.peer_port
 
     def server_addresses(self, subnet: str) -> list[str]:
-        """Return where the node of a subnet reaches the origin and each present cache server."""
+        """Return the addresses at which a node reaches the origin and each present cache server."""
         return [
             f"{subnet}.2.2:{ORIGIN_PORT}",
             *(f"{subnet}.{host}:{CACHE_PORT}" for host in self.addresses.values()),
         ]
 
     def listed_address(self, name: str) -> str:
-        """Return a server's address; the node's subnet is filled in for `{net}` later."""
+        """Return a server's address in the endpoint list; each node's subnet replaces `{net}`."""
         return f"{{net}}.{self.addresses[name]}:{CACHE_PORT}"
 
     def address_for_clients(self, node: NodeProcess) -> tuple[str, int]:
@@ -453,7 +459,10 @@
             child.send_command(name, command, *args)
 
     def _update_directory(self, command: str, *args: Any) -> None:
-        """Apply a command for discovery to the directory here, for the configuration of nodes."""
+        """Apply a command for discovery to this process's directory as well.
+
+        The configuration of nodes that start is written from it.
+        """
         if command == "put":
             self.directory.put(FakeEndpoint(*args))
         elif command == "health" and args[0] in self.directory.endpoints:
@@ -485,14 +494,14 @@
         child.on_ready.append(lambda: self.refuse_connections(name, False))
         child.start()
 
-    def refuse_connections(self, name: str, refuse: bool) -> None:
+    def refuse_connections(self, name: str, is_refusing: bool) -> None:
         """Set whether the links to a process refuse connections, as its kernel would."""
         if name in self.nodes:
             peers = self.nodes if self.experiment.nodes.peer_port else ()
             directions = [("clients", name), *((peer, name) for peer in peers if peer != name)]
         else:
             directions = [(node, name) for node in self.nodes]
-        self.impair(directions, "down", Impairment(refusing=True) if refuse else None)
+        self.impair(directions, "down", Impairment(refusing=True) if is_refusing else None)
 
     def pause(self, name: str, seconds: float) -> None:
         """Pause a process; the lateness of a paused testbed process is excused."""
@@ -841,7 +850,7 @@
 def serve_fleet(
     experiment: Experiment, node_file: Path | None, report: Callable[[str], None]
 ) -> None:
-    """Run the fake servers of an experiment on loopback until the process is ended.
+    """Run the fake servers and the faults of an experiment on loopback until the process is ended.
 
     `node_file`: where to write the configuration of a node that can use them.
     """
@@ -861,8 +870,8 @@
             if node_file is not None:
                 node_file.write_text(json.dumps(config, indent=1))
                 report(f"node configuration file: {node_file}")
-            ready = f"{len(run.addresses)} cache servers, the origin and discovery are ready"
-            report(f"{ready}; a node is to listen on {config['listen']}")
+            summary = f"{len(run.addresses)} cache servers, the origin and discovery are ready"
+            report(f"{summary}; a node is to listen on {config['listen']}")
             schedule_faults(run, run.network.now)
 
         try:
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -1,7 +1,7 @@
 """The processes of a run on loopback: nodes, relays and fake servers, from start to end.
 
 Every process dies with the one that has started it, however that one ends (prctl(2),
-PR_SET_PDEATHSIG), and is ended by its own process id alone.
+PR_SET_PDEATHSIG), and gets signals by its own process id alone, never by its name.
 """
 
 from __future__ import annotations
@@ -102,7 +102,7 @@
         """Return the addresses at which a node reaches the origin and each cache server."""
         raise NotImplementedError
 
-    def refuse_connections(self, name: str, refuse: bool) -> None:
+    def refuse_connections(self, name: str, is_refusing: bool) -> None:
         """Set whether connections to a process are refused."""
         raise NotImplementedError
 
@@ -209,7 +209,7 @@
         return self.address, ADMIN_PORT + self.starts
 
     def start(self) -> None:
-        """Start a process with a configuration as of now."""
+        """Start a process, with its configuration files written anew."""
         run = self.run
         self.starts = self.starts + 1
         path = run.folder / f"{self.name}.json"
@@ -260,8 +260,8 @@
                 if other != self.name:
                     host, port = run.peer_address(self.name, other)
                     lines.append(f'"{address}" = "{host}:{port}"')
-                    # What another node says of a server names the server's address in that node's
-                    # subnet.
+                    # The other node's gossip names a server by its address in the other node's
+                    # subnet; here that address stands for the one in this node's subnet.
                     own_addresses = run.server_addresses(self.subnet)
                     their_addresses = run.server_addresses(run.subnets[other])
                     lines += [
@@ -280,7 +280,11 @@
         }
 
     def reload(self, malformed: int) -> None:
-        """Rewrite the configuration file and send SIGHUP; `malformed` from 1: in a wrong form."""
+        """Rewrite the configuration file and send SIGHUP.
+
+        `malformed` from 1 selects a form of the file that the node must reject; 0 is for a valid
+        one.
+        """
         (self.run.folder / f"{self.name}.json").write_text(
             self.run.config_text(self, self.config(), malformed)
         )
--- a/hookpitch/testbed/reactor.py
+++ b/hookpitch/testbed/reactor.py
@@ -141,9 +141,11 @@
 
     def enqueue(self, endpoint: Endpoint) -> None:
         """Queue a connection that the kernel has accepted."""
-        endpoint.machine.endpoints.pop(endpoint)  # No process has a descriptor for it yet.
+        # No process has a descriptor for the connection yet.
+        endpoint.machine.endpoints.pop(endpoint)
         self.accept_queue.append(endpoint)
-        for port in self.ports:  # All processes wake up; the first one takes the connection.
+        # All processes wake up; the first one takes the connection.
+        for port in self.ports:
             self.network.call_at(self.network.now, port.machine, port.doRead)
 
 
@@ -157,7 +159,8 @@
         self.sessionno = 0
         machine.listening_ports[self] = None
         listener.ports.append(self)
-        for _ in listener.accept_queue:  # Accepted while no process read from the socket.
+        # These connections were accepted by the kernel while no process read from the socket.
+        for _ in listener.accept_queue:
             machine.network.call_at(machine.network.now, machine, self.doRead)
         factory.doStart()
 
@@ -178,7 +181,8 @@
         machine.endpoints[endpoint] = None
         self.sessionno += 1
         if machine.open_descriptors > machine.descriptors:
-            endpoint.drop(reset=False)  # On EMFILE, Twisted accepts the connection and closes it.
+            # On EMFILE, Twisted accepts the connection and closes it.
+            endpoint.drop(reset=False)
             return
         protocol = self.factory.buildProtocol(endpoint.getPeer())
         if protocol is None:
@@ -243,6 +247,7 @@
             if destination is not None:
                 destination.datagram_arrives(bytes(data), source)
 
+        # The headers of IP and UDP add 28 bytes.
         network.datagram(self.machine.address, host, len(data) + 28, deliver)
 
     def datagram_arrives(self, data: bytes, source: tuple[str, int]) -> None:
@@ -311,13 +316,14 @@
         network.send(machine.address, self.host, 60, self._syn_arrives)
 
     def _syn_arrives(self) -> None:
-        """Handle the SYN in the kernel of the other machine; none of its processes runs."""
+        """Handle the SYN in the kernel of the other machine, without an event of its processes."""
         if self.is_finished:
             return
         network = self.machine.network
         destination = self.machine.network.machines.get(self.host)
         if destination is None or not destination.attached:
-            return  # Nobody answers.
+            # Nobody answers.
+            return
         listener = destination.listeners.get(self.port)
         impairment = network.link(self.machine.address, self.host).impairment
         if impairment.deaf:
@@ -326,7 +332,8 @@
             network.send(self.host, self.machine.address, 60, self._refusal_arrives)
             return
         if len(listener.accept_queue) >= listener.backlog:
-            return  # The kernel drops the SYN.
+            # The kernel drops the SYN, as the backlog is full.
+            return
         client_end, server_end = create_connection(self.machine, destination, self.port)
         listener.enqueue(server_end)
         network.send(self.host, self.machine.address, 60, lambda: self._syn_ack_arrives(client_end))
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -47,7 +47,7 @@
 
 
 class Direction:
-    """The state of one direction between two parties."""
+    """The impairment of one direction between two parties, and its buffers."""
 
     __slots__ = ("source", "destination", "impairment", "busy_until", "buffers")
 
@@ -122,6 +122,7 @@
             rng.random() * impairment.jitter_ms / 1000 if impairment.jitter_ms else 0.0
         )
         if impairment.bandwidth < UNLIMITED:
+            # The headers of IP and TCP add 40 bytes.
             direction.busy_until = (
                 max(now, direction.busy_until) + (size + 40) / impairment.bandwidth
             )
@@ -250,7 +251,8 @@
         # The remote port that the server sees, and that of the client.
         self.upstream_port = self.client_port = 0
         self.is_close_recorded = self.is_closed = False
-        # The endpoint that was reset while its direction was silent: the other side does not know.
+        # The endpoint whose socket was reset while the direction away from it was silent: the other
+        # side does not know of the reset yet.
         self.reset_side: RelayEndpoint | None = None
 
     def connected(self, side: RelayEndpoint) -> None:
@@ -289,19 +291,23 @@
         if self.is_closed:
             return
         other = self.server_side if side is self.client_side else self.client_side
-        if not was_reset:  # Both streams of this socket have ended; bytes in flight are forwarded.
+        if not was_reset:
+            # Both streams of this socket have ended; bytes in flight are still forwarded.
             if other.is_disconnected:
                 self.tear_down()
             return
         if side.read_buffer.direction.impairment.silent:
-            # The reset is lost. What the other side sends from now on is not received.
+            # The reset is lost, and bytes that the other side sends from now on are discarded.
             side.read_buffer.queue.clear()
             self.reset_side = side
             return
         self.tear_down()
 
     def impairment_changed(self) -> None:
-        """Continue after a change of a direction: forward, or reset if data or a reset was lost."""
+        """Forward what the new impairments let through.
+
+        If a direction that is no longer silent has lost data or a reset, reset the connection.
+        """
         if self.is_closed:
             return
         is_broken = any(
@@ -365,7 +371,7 @@
         self.update()
 
     def buildProtocol(self, addr: Any) -> RelayEndpoint | None:
-        """Accept a connection, unless it is one of those that filled the backlog."""
+        """Accept a connection, unless its only purpose was to fill the backlog."""
         if (addr.host, addr.port) in self.backlog_fillers:
             return None
         connection = ProxiedConnection(self)
@@ -404,8 +410,8 @@
             self.port.stopReading()
             self.port.socket.listen(0)
             self.backlog_fillers = {}
-            # One connection fills a backlog of 0; the second one is not answered, which shows that
-            # the backlog is full.
+            # The first connection fills a backlog of 0; the second one gets no answer, which shows
+            # that the backlog is full.
             for _ in range(2):
                 filler = socket.socket()
                 filler.setblocking(False)
@@ -445,7 +451,8 @@
 class DatagramForwarder(DatagramProtocol):
     """The socket at which one node reaches another by UDP.
 
-    What it receives is sent on from the opposite socket, at which the other node reaches the first.
+    A datagram that arrives here is forwarded from the opposite socket, the one at which the other
+    node reaches the first.
     """
 
     def __init__(
@@ -457,7 +464,7 @@
         self.opposite: DatagramForwarder | None = None
 
     def datagramReceived(self, data: bytes, addr: object) -> None:
-        """Forward a datagram as the impairment of its direction has it."""
+        """Forward a datagram; its direction's impairment may lose, duplicate or delay it."""
         impairment = self.direction.impairment
         relay = self.relay
         rng = self.relay.rng
@@ -468,9 +475,11 @@
                 rng.random() * impairment.jitter_ms if impairment.jitter_ms else 0.0
             )
             if impairment.reorder and rng.random() < impairment.reorder:
+                # Datagrams that are sent in the meantime overtake it.
                 transit_ms += 2 * impairment.delay_ms + 5.0
             if impairment.bandwidth < UNLIMITED:
                 now = relay.reactor.seconds()
+                # The headers of IP and UDP add 28 bytes.
                 self.direction.busy_until = (
                     max(now, self.direction.busy_until) + (len(data) + 28) / impairment.bandwidth
                 )
@@ -539,30 +548,30 @@
 
     def add_udp_link(
         self,
-        a: str,
-        b: str,
-        address_for_a: tuple[str, int],
-        address_for_b: tuple[str, int],
+        first: str,
+        second: str,
+        address_for_first: tuple[str, int],
+        address_for_second: tuple[str, int],
         node_addresses: dict[str, tuple[str, int]],
     ) -> None:
         """Forward datagrams between two nodes.
 
-        `address_for_a` is the one at which node a reaches node b; `node_addresses` are the nodes'
-        own.
+        `address_for_first` is where the first node reaches the second, and `address_for_second` is
+        where the second reaches the first; `node_addresses` are the nodes' own.
         """
-        to_b = DatagramForwarder(self, a, b, node_addresses[b])
-        to_a = DatagramForwarder(self, b, a, node_addresses[a])
-        to_b.opposite = to_a
-        to_a.opposite = to_b
-        self.reactor.listenUDP(address_for_a[1], to_b, interface=address_for_a[0])
-        self.reactor.listenUDP(address_for_b[1], to_a, interface=address_for_b[0])
+        to_second = DatagramForwarder(self, first, second, node_addresses[second])
+        to_first = DatagramForwarder(self, second, first, node_addresses[first])
+        to_second.opposite = to_first
+        to_first.opposite = to_second
+        self.reactor.listenUDP(address_for_first[1], to_second, interface=address_for_first[0])
+        self.reactor.listenUDP(address_for_second[1], to_first, interface=address_for_second[0])
 
     def connect_upstream(self, connection: ProxiedConnection) -> None:
         """Connect to the server for a connection that was accepted."""
         listener = connection.listener
         port = self._last_ports.get(listener.source_host, FIRST_PORT) + 1
         self._last_ports[listener.source_host] = FIRST_PORT if port >= LAST_PORT else port
-        # Known even if the client leaves before the server is reached.
+        # The port is recorded even if the client closes before the server is reached.
         connection.upstream_port = port
         host, server_port = listener.server_address
         factory = _UpstreamConnector(self, connection)
@@ -597,8 +606,11 @@
             for listener in self._listeners_between(*args):
                 listener.sever()
 
-    def _listeners_between(self, a: str, b: str) -> list[ProxyListener]:
-        return [*self.listeners.get((a, b), ()), *self.listeners.get((b, a), ())]
+    def _listeners_between(self, first: str, second: str) -> list[ProxyListener]:
+        return [
+            *self.listeners.get((first, second), ()),
+            *self.listeners.get((second, first), ()),
+        ]
 
 
 def create_relay(
@@ -610,13 +622,20 @@
         relay.add_tcp_link(
             client, server, tuple(listen_address), tuple(server_address), source_host
         )
-    for a, b, address_for_a, address_for_b, b_address, a_address in options["udp"]:
+    for (
+        first,
+        second,
+        address_for_first,
+        address_for_second,
+        second_address,
+        first_address,
+    ) in options["udp"]:
         relay.add_udp_link(
-            a,
-            b,
-            tuple(address_for_a),
-            tuple(address_for_b),
-            {b: tuple(b_address), a: tuple(a_address)},
+            first,
+            second,
+            tuple(address_for_first),
+            tuple(address_for_second),
+            {second: tuple(second_address), first: tuple(first_address)},
         )
 
     def execute(command: str, *args: Any) -> None:
--- a/hookpitch/testbed/simulated_tcp.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -43,7 +43,7 @@
 
 
 class _SocketView:
-    """The socket of an endpoint: whether it has unread bytes, and since when."""
+    """What programs query of an endpoint's socket: unread bytes, and when bytes last arrived."""
 
     __slots__ = ("endpoint",)
 
@@ -207,6 +207,7 @@
                 self.send_buffer.appendleft(data[MAX_SEGMENT_BYTES:])
                 data = data[:MAX_SEGMENT_BYTES]
             self.bytes_in_flight += len(data)
+            # The headers of IP and TCP add 40 bytes.
             network.send(
                 self.machine.address,
                 self.peer_address,
@@ -282,6 +283,7 @@
             peer = self.peer
             network = self.machine.network
             if peer.send_buffer:
+                # A window update: the peer continues to send once it arrives.
                 network.send(self.machine.address, self.peer_address, 40, peer.pump)
             self.protocol.dataReceived(data)
         elif self.received_reset:
@@ -329,7 +331,8 @@
                 self._release()
             elif self.is_reading:
                 self._schedule_read()
-            else:  # A connection that is not being read is notified of a reset all the same.
+            else:
+                # A program that does not read is notified of a reset all the same.
                 self.machine.network.call_at(
                     self.machine.network.now,
                     self.machine,
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -163,7 +163,8 @@
                 continue
             machine = call.machine
             if machine is not None:
-                if call.incarnation != machine.incarnation:  # The process that scheduled it died.
+                if call.incarnation != machine.incarnation:
+                    # The process that scheduled the call has died.
                     continue
                 if machine.busy_until > time or machine.deferred:
                     # The machine is busy or paused: its events are deferred, in their order.
@@ -203,13 +204,18 @@
         return found if found is not None else self.default_link
 
     def connect(
-        self, a: str, b: str, delay: float, jitter: float = 0.0, bandwidth: float = UNLIMITED
+        self,
+        first: str,
+        second: str,
+        delay: float,
+        jitter: float = 0.0,
+        bandwidth: float = UNLIMITED,
     ) -> None:
         """Set the links between two machines, in both directions.
 
         `delay` and `jitter` (the maximum) are in seconds, `bandwidth` is in bytes per second.
         """
-        for direction in ((a, b), (b, a)):
+        for direction in ((first, second), (second, first)):
             self.links[direction] = Link(delay, jitter, bandwidth)
 
     def dedicated_link(self, source: str, destination: str) -> Link:
@@ -254,7 +260,8 @@
                     break
                 arrives_at = arrives_at + timeout * 2**attempt
                 was_lost = True
-        if endpoint is not None:  # TCP delivers a direction in order.
+        if endpoint is not None:
+            # TCP delivers the bytes of a direction in order.
             arrives_at = endpoint.last_arrival_at = max(arrives_at, endpoint.last_arrival_at)
         self.call_at(
             arrives_at,
@@ -283,7 +290,8 @@
         # A kernel that has reset a connection retransmits nothing of it.
         if was_lost and endpoint is not None and endpoint.sent_reset and not no_retransmit:
             return
-        if link.impairment.silent:  # The link was cut while the packet was in flight.
+        if link.impairment.silent:
+            # The link was cut while the packet was in flight.
             self._block(link, (source, destination, size, deliver, endpoint), no_retransmit)
         elif self.machines[destination].attached:
             deliver()
@@ -375,17 +383,19 @@
         """Undo `silence`."""
         self.impair(source, destination, "silence", None)
 
-    def sever(self, a: str, b: str) -> None:
+    def sever(self, first: str, second: str) -> None:
         """Reset all connections between two machines, at both ends."""
-        for endpoint in [one for machine in self.machines_at(a) for one in machine.endpoints]:
-            if endpoint.peer_address == b:
+        for endpoint in [
+            endpoint for machine in self.machines_at(first) for endpoint in machine.endpoints
+        ]:
+            if endpoint.peer_address == second:
                 for end in (endpoint, endpoint.peer):
                     end.drop(reset=False, notify_program=True)
 
     def machines_at(self, address: str) -> list[Machine]:
         """Return the machine at an address and the further processes there."""
-        first = self.machines.get(address)
-        return [] if first is None else [first, *first.siblings]
+        machine = self.machines.get(address)
+        return [] if machine is None else [machine, *machine.siblings]
 
 
 @dataclass(slots=True)
@@ -413,7 +423,7 @@
     def __init__(self, network: SimulatedNetwork, address: str, descriptors: int = 1 << 20) -> None:
         self.network = network
         self.address = address
-        self.descriptors = descriptors  # the limit
+        self.descriptors = descriptors  # how many a process may have open
         self.listeners: dict[int, ListeningSocket] = {}  # by port, of all processes here
         # By descriptor: sockets that every process here inherits.
         self.inherited_listeners: dict[int, ListeningSocket] = {}
@@ -474,11 +484,12 @@
         self._deferred_scheduled = False
         while self.deferred and self.busy_until <= self.network.now:
             call, number = self.deferred.popleft()
+            # Skip calls that were cancelled or rescheduled, and calls of a process that has died.
             if (
                 call.func is not None
                 and call.number == number
                 and call.incarnation == self.incarnation
-            ):  # The call was neither cancelled nor rescheduled, and its process is alive.
+            ):
                 self.network._execute(call, self)
         self.schedule_deferred()
 
@@ -497,7 +508,9 @@
             connector.abandon()
         for port in list(self.listening_ports):
             port.close()
-        for socket in [s for s in self.datagram_ports.values() if s.machine is self]:
+        for socket in [
+            candidate for candidate in self.datagram_ports.values() if candidate.machine is self
+        ]:
             socket.close()
         self.reactor = SimulatedReactor(self)
 
