--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -17,7 +17,7 @@
 from hookpitch.core.deadlines import Deadline
 from hookpitch.net.clock import Clock
 
-MAX_WAITING_CONNECTIONS = 8  # one more closes the one that has waited longest
+MAX_WAITING_CONNECTIONS = 8  # a further connection closes the one that has waited longest
 MAX_CLOSING_CONNECTIONS = 4  # further connections, whose answers are still being read
 CONNECTION_TIMEOUT_MS = 3000.0  # from the accept of a connection until it is aborted
 MAX_LINE_BYTES = 512
@@ -78,7 +78,7 @@
             self._answer_and_close(NO + b"a line has at most %d bytes" % MAX_LINE_BYTES)
 
     def _answer_and_close(self, answer: bytes) -> None:
-        """Send an answer and close; bytes that are unread at the deadline are discarded."""
+        """Send an answer and close; the deadline discards bytes that the operator has not read."""
         self._server.waiting.pop(self, None)
         self.transport.write(answer + b"\n")
         self.transport.loseConnection()
@@ -98,7 +98,7 @@
         self._target = target
         self.count = count
         self.waiting: dict[AdminConnection, None] = {}  # those without a line, the oldest first
-        self.connections = 0  # number of open ones, also those whose answer is being written
+        self.connection_count = 0  # open ones, also those whose answer is being written
         self._commands: dict[bytes, Callable[[], str]] = {
             b"STATUS": target.not_ready_reason,
             b"PAUSE": target.pause,
@@ -114,14 +114,18 @@
         }
 
     def buildProtocol(self, addr: Any) -> AdminConnection | None:  # noqa: ANN401 - Twisted's own type
-        """Return a protocol, or None to close the connection where too many are open."""
-        if self.connections >= MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS:
+        """Return a protocol, or None to close the connection where too many are open.
+
+        Operators that do not read their answers could otherwise hold any number of connections
+        until their deadlines.
+        """
+        if self.connection_count >= MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS:
             return None
         return AdminConnection(self)
 
     def connection_opened(self, connection: AdminConnection) -> None:
         """Wait for a connection's line; abort the oldest one where too many wait."""
-        self.connections += 1
+        self.connection_count += 1
         self.waiting[connection] = None
         if len(self.waiting) > MAX_WAITING_CONNECTIONS:
             oldest = next(iter(self.waiting))
@@ -135,7 +139,7 @@
     def connection_closed(self, connection: AdminConnection) -> None:
         """Remove a closed connection."""
         self.waiting.pop(connection, None)
-        self.connections -= 1
+        self.connection_count -= 1
         self._clock.deadlines.cancel(connection.deadline)
 
     def answer(self, line: bytes) -> bytes:
