--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -226,7 +226,7 @@
     fleet.receive_endpoints([*caches, make_endpoint("o1", kind=ORIGIN_KIND)], EndpointUpdate.CACHED)
     for index in range(100):
         rpc = fleet.arrive(f"k{index}")
-        fleet.pass_time(120.0)  # of a soft deadline of 400 ms
+        fleet.pass_time(120.0)  # the answer takes a while; the soft deadline is 400 ms
         if fleet.in_flight:
             fleet.end_attempt(rpc, Outcome.COMPLETED)
         fleet.pass_time(20.0)
@@ -363,7 +363,7 @@
                 rpc, Outcome.OVERLOADED if is_at_cache and index % 6 else Outcome.COMPLETED
             )
         fleet.pass_time(10.0)
-    # Both are RPCs a second at each cache.
+    # Both sides are in RPCs a second at each cache.
     assert 0 < fleet.router.slow_start.warm_rate < 2 * completed / 12 / 4
 
 
@@ -478,14 +478,14 @@
 
 @pytest.mark.parametrize(("nodes", "limit"), [(2, 12.0), (8, 8.0), (64, 1.0), (256, 0.25)])
 def test_the_origins_start_limit_is_64_over_all_nodes(nodes: int, limit: float) -> None:
-    # With half of that limit the nodes exhausted 3% of the RPCs of a quiet start; with a far
-    # higher limit many clients overload the origin.
+    # With half of that limit the nodes answered 3% of the RPCs of a quiet start with `exhausted`;
+    # with a far higher limit many clients overload the origin.
     fleet = make_fleet(4, nodes=nodes)
     assert fleet.router.origin.concurrency_limit == limit
     rpc = fleet.arrive("w", write=True)
     fleet.pass_time(50.0)
     fleet.end_attempt(rpc, Outcome.COMPLETED)
-    pause_ms = fleet.router.origin.paused_until - fleet.now  # a limit under one has doubled
+    pause_ms = fleet.router.origin.paused_until - fleet.now  # a limit below one has doubled
     assert 25.0 <= pause_ms < 75.0 if nodes == 256 else pause_ms <= 0.0
 
 
@@ -495,8 +495,8 @@
 def test_an_unreachable_origin_is_tried_by_the_fleet_some_times_a_second(
     nodes: int, rest_ms: float
 ) -> None:
-    # The few nodes of a small fleet paused as long as hundreds of nodes have to: 9 s, after the
-    # origin had been unreachable for 2 s.
+    # The few nodes of a small fleet must not pause for as long as hundreds of nodes have to: they
+    # sent the origin nothing for 9 s after the end of an outage of 2 s.
     fleet, attempted_at = make_fleet(2, nodes=nodes), list[float]()
     for index in range(2400):
         fleet.arrive(f"k{index}")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Tests of the lab: reproducible histories, the judge, experiment files and virtual time."""
+"""Tests of the lab: reproducible histories, the faults the judge finds, files, virtual time."""
 
 import os
 import subprocess
@@ -217,7 +217,7 @@
         "drain",
         "door",
     ]
-    history.add(8150.0, "stop", NODE)  # A killed node answers nobody.
+    history.add(8150.0, "stop", NODE)  # a killed node answers nobody
     assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == [
         "unused",
         "drain",
@@ -231,7 +231,7 @@
     for index in range(10):
         add_answered_rpc(history, 1000.0 + 20 * index, f"q{index}")
     history.add(2000.0, "asked", NODE, "q99", "read", 500.0, 7)
-    history.add(2100.0, "left", NODE, "q99")  # The node may have counted it or not.
+    history.add(2100.0, "left", NODE, "q99")  # The node may or may not count q99.
     for completed, sent, violations in (
         (10, 10, 0),
         (13, 10, 0),
@@ -252,7 +252,7 @@
 def test_the_judge_takes_no_crossing_for_a_second_copy_and_no_death_for_a_ban() -> None:
     history = History()
     history.add(1000.0, "asked", NODE, "q1", "read", 500.0, 7)
-    history.add(1000.5, "closed", NODE, port=1)  # While the transmission was in flight.
+    history.add(1000.5, "closed", NODE, port=1)  # while the attempt was in flight
     history.add(1001.0, "came", SERVER, "q1", NODE, 0.0, 1)
     history.add(1005.0, "came", "s1", "q1", NODE, 0.0, 2)
     history.add(1006.0, "sent", "s1", "q1", "hit")
@@ -261,7 +261,7 @@
     history.add(2000.0, "banned", NODE, what=SERVER)
     history.add(3000.0, "stop", NODE)
     history.add(3500.0, "start", NODE)
-    add_answered_rpc(history, 9000.0, "q2")  # By a process that was not notified of the ban.
+    add_answered_rpc(history, 9000.0, "q2")  # the new process was not notified
     assert not Judge(Rules()).judge(history, 60000.0)
 
 
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -28,14 +28,14 @@
 
 HOLDER_A, HOLDER_B, REQUESTER = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
 NO_LIST_STATUS = ListStatus(0, False, False)
-SEED = 17  # by its draws a node of a fleet of 400 calls discovery late
-TEXT = json.dumps([random.Random(n).random() for n in range(2000)]).encode()  # of several chunks
+SEED = 17  # with this seed a node of a fleet of 400 polls discovery late
+TEXT = json.dumps([random.Random(n).random() for n in range(2000)]).encode()  # several chunks
 
 
 class SimulatedExchange:
     """A requester, the members that hold lists, and the messages in flight between them.
 
-    `held_lists`: by address, the status and the document of the list that a member holds.
+    `held_lists` has, by the address of a member, the status and the document of its list, or None.
     """
 
     def __init__(self, seed: int = 1, **holders: tuple[ListStatus, bytes]) -> None:
@@ -47,7 +47,7 @@
             for address in self.held_lists
         }
         self.own_status, self.accepted = NO_LIST_STATUS, list[ReceivedList]()
-        self.in_flight: list[tuple[tuple, tuple, Message]] = []  # sender, receiver
+        self.in_flight: list[tuple[tuple, tuple, Message]] = []  # from, to, message
 
     def count(self, name: str) -> None:
         """Add one to a counter."""
@@ -67,7 +67,7 @@
         self.requester.outbox = []
 
     def deliver(self, index: int = 0, keep: bool = False) -> None:
-        """Deliver one message in flight; `keep`: leave it in flight as a duplicate."""
+        """Deliver one message in flight; with `keep`, a duplicate of it stays in flight."""
         sender, receiver, message = self.in_flight[index] if keep else self.in_flight.pop(index)
         data = Codec("f").write(message)
         assert len(data) <= MAX_BYTES
@@ -99,7 +99,7 @@
     exchange = SimulatedExchange(a=(FRESH_STATUS, TEXT))
     exchange.tick(0.0)
     exchange.deliver()  # the request
-    # The first chunks, for a requester that does not know the list yet.
+    # A requester that does not know the list yet is sent only its first chunks.
     assert len(exchange.in_flight) == 4
     del exchange.in_flight[1]
     exchange.deliver_all()
@@ -164,9 +164,12 @@
 @pytest.mark.parametrize(
     ("there", "here"),
     [
-        (ListStatus(9, False, False), NO_LIST_STATUS),  # The list is not from discovery.
+        # The holder did not receive its list from discovery.
+        (ListStatus(9, False, False), NO_LIST_STATUS),
+        # The requester's list is equally new.
         (FRESH_STATUS, ListStatus(9, False, False)),
-        (FRESH_STATUS, ListStatus(10, False, False)),  # The requester's list is newer.
+        # The requester's list is newer.
+        (FRESH_STATUS, ListStatus(10, False, False)),
     ],
 )
 def test_a_list_that_is_second_hand_or_no_newer_is_not_sent(
@@ -195,7 +198,7 @@
     exchange.tick(MAX_LIST_AGE_MS + 1000.0)
     exchange.deliver_all()
     assert not exchange.accepted
-    # This member never received a list from discovery while the test ran.
+    # This holder never received a list from discovery while its exchange ran.
     exchange = SimulatedExchange(a=(ListStatus(9, True, False), b"[]"))
     exchange.tick(1000.0)
     exchange.deliver_all()
@@ -377,7 +380,7 @@
                 return tuple(msgspec.msgpack.decode(message.payload))
 
     def send_request(self, version: int) -> None:
-        """Request a list that is newer than this version from the node."""
+        """Request from the node a list that is newer than this version."""
         request = Message(
             MessageKind.LIST_REQUEST, "n9", payload=msgspec.msgpack.encode((version, b"", 1))
         )
@@ -412,8 +415,8 @@
 ) -> tuple[NodeProcess, FakeMember]:
     """Return a node that is not started yet and a fake member of its fleet.
 
-    `first` is what happens first: "list", a list from the member before the call to discovery is
-    due (4 s after the start), or "call", that call.
+    `first` is what happens first: "list" if the member sends a list before the node's first poll of
+    discovery, which is due 4 s after the start; "call" if the node polls discovery.
     """
     node_count = 400 if first == "list" else 1
     node, member = (
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,7 +1,8 @@
 """Tests of membership: failure detection, the state machine in any order of events, and the codec.
 
-The tests of detection use `MembershipSimulation`, which runs the program's state machine and codec
-over simulated datagrams in virtual time.
+The tests of detection cover suspended members, lost datagrams and one-way partitions. They use
+`MembershipSimulation`, which runs the program's state machine and codec over simulated datagrams in
+virtual time.
 """
 
 import copy
@@ -247,8 +248,8 @@
     network.advance(10)
     bytes_before = sum(network.bytes_sent.values())
     network.advance(40)
-    # Each accusation and its refutation go round the whole fleet; each member sends both some
-    # twenty times.
+    # Needless accusations cost traffic: an accusation and its refutation are gossiped to the whole
+    # fleet, and each member sends both some twenty times.
     assert sum(member.counts.get("accusations", 0) for member in network.members.values()) <= 6
     assert (sum(network.bytes_sent.values()) - bytes_before) / 60 / 40 < 1800
 
@@ -256,7 +257,7 @@
 def test_a_third_suspended_at_once_causes_no_deaths() -> None:
     for seed in (6, 7, 8):
         network = started_network(60, seed)
-        network.suspend([f"m{n}" for n in range(0, 60, 3)], 2.0)
+        network.suspend([f"m{index}" for index in range(0, 60, 3)], 2.0)
         network.advance(15)
         assert not declared_dead(network), seed
 
@@ -312,7 +313,8 @@
     network.advance(240)
     member = network.members["m3"]
     accusations_before = member.counts["accusations"]
-    # At most one accusation of each member in `SUPPRESSION_MS`; otherwise one in 47 s.
+    # m3 accuses each member at most once in `SUPPRESSION_MS`; without suppression it would be once
+    # in 47 s.
     network.advance(240)
     assert member.counts.get("held_back", 0) > 0
     assert accusations_before <= (MAX_REFUTED_SUSPICIONS + 1) * len(others)
@@ -530,13 +532,14 @@
                     member.members[other] = Member(
                         Record(other, address, 1, MemberState.ALIVE), 0.0
                     )
-            # The view contains these members after a second without changes.
+            # The view contains the other members after a second without changes.
             member.views.note_change(0.0)
         # The highest incarnation that each member gave itself.
         self.highest_incarnation = {
             name: member.members[name].record.incarnation for name, member in self.members.items()
         }
-        # By member and subject: the incarnation declared dead, and the latest incarnation.
+        # By the member that holds the record and the member that the record is about: the
+        # incarnation that was last recorded as dead, and the latest recorded incarnation.
         self.dead_incarnation: dict[tuple[str, str], int] = {}
         self.seen_incarnation: dict[tuple[str, str], int] = {}
 
@@ -593,8 +596,9 @@
     def settle(self) -> None:
         """Run without further faults and check that the members recover.
 
-        Members tick when they are due, and all datagrams arrive. No running member is recorded as
-        dead after `RECOVERY_LIMIT_MS`, and all views are equal after `CONVERGENCE_LIMIT_MS`.
+        Members tick when they are due, and all datagrams arrive. From `RECOVERY_LIMIT_MS` on, no
+        running member may be recorded as dead, and after `CONVERGENCE_LIMIT_MS` all views must be
+        equal.
         """
         started_at = self.now
         for member in self.members.values():
@@ -622,8 +626,8 @@
     def check(self) -> None:
         """Check the invariants of incarnations and of dead members.
 
-        Recorded incarnations never decrease, only its owner raises an incarnation, and a dead
-        member returns with a higher one only.
+        A recorded incarnation never decreases, a member's incarnation is raised by that member
+        alone, and a dead member returns only with a higher incarnation.
         """
         for name, member in self.members.items():
             self.highest_incarnation[name] = max(
@@ -679,7 +683,8 @@
 def count_explored_states(depth: int, max_states: int, count: int = 3) -> int:
     """Visit the states that `depth` events lead to, and return their count.
 
-    It stops after `max_states` states. The last few states have to settle as well.
+    The search stops after `max_states` states. Up to eight of the last states also have to recover
+    without further faults.
     """
     seen, frontier = set[str](), [SteppedFleet(count)]
     for _ in range(depth):
@@ -702,7 +707,7 @@
 
 
 def walk_randomly(seed: int, event_count: int, count: int = 3) -> SteppedFleet:
-    """Return the fleet after so many random events."""
+    """Return a fleet after `event_count` random events."""
     rng, fleet = random.Random(seed), SteppedFleet(count)
     for _ in range(event_count):
         fleet.apply_event(rng.choice(fleet.possible_events()))
@@ -878,8 +883,9 @@
     assert codec.read(datagram(good)).records[0].name == "m1"
     assert codec.read(datagram(good)).partition_digests == (7,) * PARTITIONS
     assert codec.read(datagram(good)).payload == b"data"
-    assert codec.read(datagram(good[:6])).partition_digests == ()  # an earlier version sends none
-    assert codec.read(datagram(good[:7])).payload == b""  # nor a payload
+    # An earlier version sends neither the digests nor the payload.
+    assert codec.read(datagram(good[:6])).partition_digests == ()
+    assert codec.read(datagram(good[:7])).payload == b""
     too_few = [7] * (PARTITIONS - 1)
     bad = (
         (6, too_few),
@@ -967,7 +973,7 @@
     assert list(port.membership.members) == [node.socket_node.config.name]
 
 
-# ---- nodes, with faults between them, in both clocks
+# ---- nodes with faults between them, in virtual time and in real time
 
 
 def deaths_by_time(logs: list[tuple[float, str, str]]) -> tuple[set[str], set[str], set[str]]:
@@ -1045,4 +1051,4 @@
         for (reporter, subject), state in last_states.items()
         if subject in ("n0", "n1", "n2") and reporter != "n11"
     ]
-    assert set(rack_states) <= {"alive", "left"}  # the members of the rack are back
+    assert set(rack_states) <= {"alive", "left"}  # the members of the rack have returned
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -142,7 +142,7 @@
 
 
 def servers_used(fleet: Fleet, count: int = 200) -> set[str]:
-    """Send RPCs for so many keys; return the servers that they were sent to."""
+    """Send RPCs for `count` keys; return the servers that they were sent to."""
     previous_sends = len(fleet.sends)
     for index in range(count):
         rpc = fleet.arrive(key=f"k{index}")
@@ -218,7 +218,7 @@
     idle, busy, late = node.connect_client(), node.connect_client(), node.connect_client()
     idle.send(b"PING\r\n".join([b"*1\r\n$4\r\n", b""]))
     assert idle.receive() == b"+PONG\r\n"
-    late.unread_input = get_command("b")  # unread in the kernel
+    late.unread_input = get_command("b")  # still unread in the kernel
     assert send_admin_command(node, b"PAUSE\n") == b"YES\n"
     assert send_admin_command(node, b"STATUS\n") == b"NO draining\n"
     health_check = node.connect_client()
@@ -264,7 +264,7 @@
 
 
 def open_shared_state(folder: Path, damage: list[str]) -> SharedState:
-    """Open the shared state of a node, which appends what is damaged to `damage`."""
+    """Open the shared state of a node; it adds a text to `damage` for what is damaged."""
     return SharedState(str(folder), "n/0", damage.append)
 
 
@@ -408,7 +408,7 @@
     for index in range(400):
         partial = node.connect_client()
         partial.send(get_command(f"h{index}")[: index % 40])
-        if index % 24 == 0 and index < 240:  # the slow request takes two seconds
+        if index % 24 == 0 and index < 240:  # the slow request is sent over two seconds
             slow.send(data[index * len(data) // 240 : (index + 24) * len(data) // 240])
         complete = node.connect_client()
         complete.send(get_command(f"t{index}"))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -84,7 +84,7 @@
         request.startswith(b"GET /91f03b7c55d20a64 HTTP/1.1")
         and b"\r\nX-Request-Id: r1\r\n" in request
     )
-    # The origin is sent the remaining time, as caches are, and not the client's original figure.
+    # The origin is sent the remaining time, as caches are, and not the time that the client gave.
     deadline = request.partition(b"X-Extras: c=read,d=")[2].partition(b"\r\n")[0]
     assert 390 <= int(deadline) <= 398 and client.receive() == bulk(b"from origin")
     client.send(command(b"OBJ.SET", b"a b/", b"r2", b"c=read,d=900", b"\x00\r\n"))
@@ -186,7 +186,8 @@
     client.send(get_command("r2"))
     (connection,) = node.network.connections_to(7000)
     connection.send(VALUE)
-    # r2 is sent after r1's answer, while the dial for it has not completed.
+    # r2 is sent on the connection of r1 after r1's answer: the connection that the node dialed for
+    # r2 is not established yet.
     assert b"r2" in connection.receive()[len(command(b"OBJ.GET")) :]
     connection.send(VALUE)
     assert client.receive() == bulk(b"v") * 2
@@ -307,7 +308,7 @@
     node = NodeOnMemoryNetwork(1)
     client = node.connect_client()
     origin_limit = node.socket_node.host.router.backends["o1"].concurrency_limit
-    # Every second answer is noise: the RPC is retried at the same cache and not at the origin.
+    # Every second response is noise: the RPC is retried at the same cache and not at the origin.
     for i in range(12):
         client.send(get_command(f"r{i}"))
         answer_caches(node, b"\xab\r\n" if i % 2 else VALUE)
@@ -659,7 +660,7 @@
         )
         node.pass_time(1000)
     polls = node.counters.counts["lists.asked"]
-    # Discovery insists on the older version: it has restarted its count.
+    # Discovery keeps sending the older version, so it has restarted the count of its versions.
     send_from_discovery(node, b"")
     assert polls == node.counters.counts["lists.asked"] == 2  # all on one watch
     assert (
@@ -723,7 +724,7 @@
         node.pass_time(1000)
         assert len(node.network.connections_to(DISCOVERY_PORT)) == 1
     node = NodeOnMemoryNetwork()
-    # An object may span several lines; one that is never continued counts as silence.
+    # A JSON object may span several lines; an object that is never completed counts as silence.
     send_from_discovery(node, b"{")
     node.pass_time(3300)
     assert node.counters.counts["lists.failed"] == 1
