--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -121,7 +121,7 @@
         cache_connection, client = open_idle_connection(node), node.connect_client()
         client.send(get_command("r1", wait=5000))
         assert cache_connection.receive_value()[2] == b"r1"
-        # These wait for the first answer; the node stops reading at 4096 pending commands.
+        # The PINGs wait for the answer to r1; the node stops reading at 4096 pending commands.
         client.send(PING * 4200)
         node.wait_until(lambda: node.counter("clients.paused") == 1)
         client.send(PING * 100)  # the end of the stream follows unread bytes
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The parser of discovery's wire format."""
+"""Tests of the parser of discovery's wire format, without I/O."""
 
 import pytest
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -257,14 +257,14 @@
         # The other backends are not ejected.
         assert not any(cache.ejected for cache in fleet.router.caches if cache.id not in rack)
         sent_before = len(fleet.sends)
-        # For 1.5 s the rack accepts connections again, cold, and without a change of the list.
+        # For 1.5 s the rack accepts connections again, with cold caches; the list does not change.
         for index in range(150):
             fleet.end_attempt(fleet.arrive(f"k{index % 200}"), Outcome.COMPLETED)
             fleet.pass_time(10.0)
         receivers = [receiver for _, receiver, _ in fleet.sends[sent_before:]]
         # Each return starts another slow start, with less than half of the share of a warm cache.
         assert all(receivers.count(name) < 0.5 * len(receivers) / 6 for name in rack), turn
-    # One failed RPC a server and turn, three in the first turn.
+    # In each turn one RPC fails at each server of the rack; in the first turn three do.
     assert max(failed_counts[1:]) <= failed_counts[0] // 2
     for index in range(4000):  # after the last turn all backends become available again
         fleet.end_attempt(fleet.arrive(f"k{index % 200}"), Outcome.COMPLETED)
@@ -353,6 +353,6 @@
             rpc = fleet.arrive(f"k{index}", write=write)
             if not write:
                 fleet.end_attempt(rpc, Outcome.MISS)
-            fleet.pass_time(230.0)  # of a soft deadline of 400 ms
+            fleet.pass_time(230.0)  # a slow response; the soft deadline is 400 ms
             fleet.end_attempt(rpc, Outcome.COMPLETED)
         assert (origin.concurrency_limit >= limit_before) == write
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -1,4 +1,4 @@
-"""Tests of endpoint lists from other members: requests, chunks, and a node that serves by one."""
+"""Tests of endpoint lists from other members: requests, chunks, and nodes that use such a list."""
 
 import json
 import random
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -76,7 +76,7 @@
         source: str = "n0",
         destination: str = "s0",
     ) -> None:
-        """Impair one direction of a link; `backwards`: the direction to the source."""
+        """Impair one direction of a link; with `backwards`, the direction to the source."""
         self.execute(
             "impair",
             *((destination, source) if backwards else (source, destination)),
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -143,7 +143,8 @@
     assert backend.warmup_until > new.now
     assert backend.concurrency_limit <= 2.0
     assert not backend.available
-    # A backend that was cold when the snapshot was written warms up for no longer than usual.
+    # A backend that was cold when the snapshot was written warms up for the rest of its slow start,
+    # and never for longer than a whole one.
     cold = tuple(
         replace_fields(stored, warmup_until_ms=snapshot.written_at_ms + 9e9)
         if stored.id == "s1"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The configuration of a node: read or rejected at the start, and reloaded on SIGHUP."""
+"""A node's configuration: read, or rejected in one line, at the start; reloaded on SIGHUP."""
 
 import json
 import os
