--- a/hookpitch/members/suspicion.py
+++ b/hookpitch/members/suspicion.py
@@ -16,9 +16,9 @@
 MIN_SUSPICION_MS = 3300.0
 # Suspicions last longer in a fleet of more than 2 ** BASE_FLEET_LOG2 = 512 members.
 BASE_FLEET_LOG2 = 9
-# A suspicion that no other member confirms lasts this many times as long.
+# A suspicion that no other member confirms lasts this many times the shortest time.
 MAX_SUSPICION_FACTOR = 2.0
-# A suspicion that this number of other members confirm is the shortest.
+# A suspicion that is confirmed by this number of other members lasts the shortest time.
 CONFIRMATIONS_FOR_MIN_SUSPICION = 2
 MAX_ACCUSERS = 8
 # Suspicions of one member are suppressed once `MAX_REFUTED_SUSPICIONS` were refuted in this window.
@@ -48,7 +48,8 @@
     """Return whether this member's suspicions of `member` were recently refuted too often.
 
     If the path between the two is cut in one direction, this member would otherwise suspect
-    forever a member that all others can reach.
+    forever a member that all others can reach. Because the window is extended by `SUPPRESSION_MS`
+    here, a single refutation after a suppression can begin the next one.
     """
     refuted_at = member.refuted_suspicions_at
     if len(refuted_at) < MAX_REFUTED_SUSPICIONS:
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -7,8 +7,8 @@
 
 Lines are appended under a lock, so all readers see the same order, and each reader continues from
 its previous position. While a process runs, it holds a lock on a file of its own, by which the
-other processes find it. A line that is incomplete, of another version or wrong is skipped; the
-first such line is reported. See docs/design.md.
+other processes find it. A line that is incomplete, of another version or wrong is skipped; only
+the first such line is reported. See docs/design.md.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
         is wrong. `process_id` defaults to the operating system's process id.
         """
         self._on_damage = on_damage
-        self._damage_reported = False
+        self._has_reported_damage = False
         self._process_id = process_id or str(os.getpid())
         self._stem = Path(directory) / f"hookpitch-{quote(name, safe='')}"
         self._file = _open(f"{self._stem}.calls", os.O_RDWR | os.O_CREAT | os.O_APPEND)
@@ -117,7 +117,7 @@
 
     def _read_data(self) -> bytes:
         size = os.fstat(self._file).st_size
-        if size < self._read_bytes:  # another process has rewritten it
+        if size < self._read_bytes:  # another process has rewritten the file
             self._read_bytes = 0
         unread_bytes = size - self._read_bytes
         if unread_bytes == 0:
@@ -172,9 +172,9 @@
         os.close(self._file)
 
     def _report_damage(self, reason: str) -> None:
-        if self._damage_reported:  # otherwise a damaged file would be reported at each read
+        if self._has_reported_damage:  # otherwise a damaged file would be reported at each read
             return
-        self._damage_reported = True
+        self._has_reported_damage = True
         self._on_damage(reason)
 
 
--- a/hookpitch/net/snapshot_store.py
+++ b/hookpitch/net/snapshot_store.py
@@ -3,7 +3,7 @@
 Without the section this module is not imported.
 
     [snapshot]
-    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: the node's; the directory has to exist
+    path = "/var/lib/hookpitch/{name}.snapshot"   # {name}: node's name; the directory has to exist
     fleet = "sydney"                              # snapshots of another fleet are ignored
     every_s = 10.0
     oldest_s = 3600.0
@@ -40,7 +40,7 @@
 MAX_EVERY_S = 3600.0
 MIN_OLDEST_S = 1.0
 MAX_OLDEST_S = 1e9
-# The age of a snapshot that is further ahead of this clock is unknown.
+# A snapshot whose time is further ahead of this clock is not restored, as its age is unknown.
 MAX_CLOCK_SKEW_MS = 3600000.0
 # The time between two writes is the interval times a random factor from INTERVAL_BASE to
 # INTERVAL_BASE + INTERVAL_JITTER, so that nodes that share a disk do not all write at once.
@@ -68,10 +68,10 @@
     known = SnapshotSettings.__slots__
     for name in table:
         if name not in known:
-            raise ConfigError(f"{name}: no such setting; the settings are {', '.join(known)}")
+            raise ConfigError(f"{name}: unknown setting, expected one of {', '.join(known)}")
     path = table.get("path")
     if not isinstance(path, str) or not path or "\0" in path:
-        raise ConfigError(f"path: expected the name of a file, found {path!r:.80}")
+        raise ConfigError(f"path: expected the path of a file, found {path!r:.80}")
     fleet = table.get("fleet", "")
     if not isinstance(fleet, str):
         raise ConfigError(f"fleet: expected a string, found {fleet!r:.80}")
