--- a/hookpitch/testbed/faults.py
+++ b/hookpitch/testbed/faults.py
@@ -23,7 +23,7 @@
 DRAIN_CHECK_DELAY_S = 0.3  # until the load balancer notices that a node was drained or resumed
 DRAIN_TIMEOUT_S = 4.0  # after this time a drained node must hold no client connection
 LOAD_BALANCER_DETECTION_S = 3.0  # until the load balancer notices that a node has died
-CPU_SLICE_S = 0.1  # a fraction of each slice is taken away
+CPU_SLICE_S = 0.1  # `starved` pauses a process for a fraction of each slice
 # A fault of the link between a node and one of these goes into the history as an `apart` event,
 # because the judge's rules depend on it.
 RECORDED_PARTITION_PEERS = ("clients", "discovery")
@@ -40,7 +40,7 @@
     def schedule(self, offset: float = 0.0) -> None:
         """Schedule the beginning and the end of the fault.
 
-        `offset` is the time on the network's clock at which the experiment began.
+        `offset` is the time on the run's clock at which the experiment began.
         """
         run = self.run
         fault = self.fault
@@ -87,6 +87,11 @@
         return self.run.experiment.directions(self.index, self.run.seed)
 
     def _impairment(self) -> Impairment:
+        """Return the impairment that a link fault sets.
+
+        `by` is a probability for `lossy` (0.1), `doubled` and `shuffled` (0.3), a delay in ms for
+        `lag` (20), and a bandwidth in KiB per second for `narrow` (64).
+        """
         fault = self.fault
         return {
             "cut": Impairment(silent=True, kept=fault.kept),
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -359,6 +359,11 @@
     def _relay_options(self, nodes: list[str]) -> dict[str, Any]:
         """Return the links of some nodes.
 
+        A TCP link is a list: client, server, the address on which the relay listens, the server's
+        address, and the host from which the relay connects to the server. A UDP link is a list:
+        both nodes, the address at which each reaches the other, and the own addresses, that of the
+        second node first.
+
         A node connects only to addresses in its own subnet. Servers see its connections come from
         that subnet; a peer sees them come from the address at which the peer reaches the node.
         """
@@ -585,7 +590,11 @@
     # ---- messages of child processes
 
     def message_received(self, child: Child, kind: str, *args: Any) -> None:
-        """Handle a message of a child process."""
+        """Handle a message of a child process.
+
+        `miss` is for the origin: an RPC missed in a cache server. `order` is for the fake server
+        that it names. `failed` ends the run.
+        """
         if kind == "miss":
             self.server_processes["origin"].send_command("origin", "miss", *args)
         elif kind == "order":
--- a/hookpitch/testbed/relay.py
+++ b/hookpitch/testbed/relay.py
@@ -639,7 +639,8 @@
         )
 
     def execute(command: str, *args: Any) -> None:
-        if command == "sync":  # Confirms that all earlier commands are executed.
+        if command == "sync":
+            # The answer confirms that all earlier commands are executed.
             control.send("done", *args)
         else:
             relay.execute(command, *args)
