--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -46,6 +46,7 @@
     def data_received(self, data: bytes) -> None:
         """Schedule the answers to all complete commands."""
         self.data += data
+        # A command has nine lines: the number of words, then the length and the text of four words.
         while self.data.startswith(b"*") and self.data.count(b"\r\n") >= 9:
             words = self.data.split(b"\r\n", 9)
             self.data = words[9]
@@ -214,6 +215,7 @@
     def rpc_finished(self, connection: ClientConnection | None, rpc: tuple, result: str) -> None:
         """Count the result of an RPC, retry it if it failed, and release its connection."""
         self.results[result] = self.results.get(result, 0) + 1
+        # `sent` holds the time at which the RPC was sent, and nothing if the RPC was not sent.
         *sent, due, method, attempts = rpc
         now = time.monotonic()
         if sent and now - sent[0] > 0.85:
--- a/hookpitch/testbed/standins.py
+++ b/hookpitch/testbed/standins.py
@@ -67,7 +67,8 @@
         self.reactor = reactor
         self.history = history
         self.control = control
-        self.started_at = options["begun"]  # of the run, on the reactor's clock, in seconds
+        # The start of the run on the reactor's clock, in seconds.
+        self.started_at = options["begun"]
         self.nets = options["nets"]  # the nodes' names by subnet
         self.rng = random.Random(options["seed"])
         self.large = options["large"]  # the fraction of keys that have a large value
