--- a/hookpitch/balancer/attempt_outcomes.py
+++ b/hookpitch/balancer/attempt_outcomes.py
@@ -34,7 +34,7 @@
         self._slow_start = slow_start
         self._local_delay = local_delay
 
-    def record(self, attempt: Attempt, outcome: Outcome, took_ms: float, now: float) -> None:
+    def record(self, attempt: Attempt, outcome: Outcome, latency_ms: float, now: float) -> None:
         """Record how an attempt ended."""
         rpc = attempt.rpc
         backend = attempt.backend
@@ -42,7 +42,7 @@
             # A miss is less than a cache's full work; a write is not the origin's usual work.
             write_at_origin = rpc.write and backend is self._table.origin
             full_work = outcome == Outcome.COMPLETED and not write_at_origin
-            self.record_response(attempt, took_ms, full_work, now)
+            self.record_response(attempt, latency_ms, full_work, now)
             self._outliers.confirm_suspect(rpc, backend, now)
         elif outcome == Outcome.OVERLOADED:
             self._record_rejection(attempt, now)
@@ -54,19 +54,19 @@
             self._outliers.record_timeout(attempt, now, self._local_delay)
 
     def record_response(
-        self, attempt: Attempt, took_ms: float, full_work: bool, now: float
+        self, attempt: Attempt, latency_ms: float, full_work: bool, now: float
     ) -> None:
         """Record an answer; `full_work`: the answer took the backend's usual amount of work."""
         backend = attempt.backend
         soft_ms = attempt.rpc.method.soft_ms
         self._outliers.record_response(backend, now)
         if self._local_delay.overlaps_stall(attempt):
-            took_ms = min(took_ms, backend.latency_ms)
+            latency_ms = min(latency_ms, backend.latency_ms)
             full_work = False
         if full_work:
-            self._concurrency.record_latency(backend, took_ms)
-        self._slow_start.record_response(backend, took_ms, soft_ms, now)
-        self._concurrency.adapt(backend, took_ms, soft_ms, full_work)
+            self._concurrency.record_latency(backend, latency_ms)
+        self._slow_start.record_response(backend, latency_ms, soft_ms, now)
+        self._concurrency.adapt(backend, latency_ms, soft_ms, full_work)
 
     def is_late(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
         """Return whether a cache's answer or timeout came too late for the latency objective.
--- a/hookpitch/balancer/concurrency.py
+++ b/hookpitch/balancer/concurrency.py
@@ -116,7 +116,7 @@
         origin.concurrency_limit = max(origin.min_concurrency_limit, reduced)
 
     def pause(
-        self, backend: Backend, method: Method, outcome: Outcome, took_ms: float, now: float
+        self, backend: Backend, method: Method, outcome: Outcome, latency_ms: float, now: float
     ) -> None:
         """Pause a backend whose limit is below one after an attempt has ended.
 
@@ -125,6 +125,6 @@
         typical_ms = (
             backend.latency_ms if outcome <= Outcome.MISS else SLOW_ORIGIN_FRACTION * method.soft_ms
         )
-        span_ms = max(took_ms, typical_ms)
+        span_ms = max(latency_ms, typical_ms)
         pause_factor = 1 / min(backend.concurrency_limit, 1.0) - 1
         backend.paused_until = now + span_ms * pause_factor * (0.5 + self._draws.fraction())
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -205,7 +205,7 @@
         attempt_number: int,
         outcome: Outcome,
         is_last: bool,
-        took_ms: float,
+        latency_ms: float,
         report: Report,
     ) -> None:
         """Record how an attempt of an RPC ended; `is_last`: the RPC ends with this attempt."""
@@ -220,8 +220,8 @@
             self.load_shedder.record_rejected()
         if report and self.endpoints.nominal_sizes is None:
             backend.record_report(report)
-        self.outcomes.record(attempt, outcome, took_ms, now)
-        self.concurrency.pause(backend, rpc.method, outcome, took_ms, now)
+        self.outcomes.record(attempt, outcome, latency_ms, now)
+        self.concurrency.pause(backend, rpc.method, outcome, latency_ms, now)
         if backend.fresh_queue or backend.retry_queue:
             self.work.freed_backends.append(backend)
         if outcome == Outcome.MISS:
