--- a/examples/ask.py
+++ b/examples/ask.py
@@ -18,7 +18,7 @@
     """Send one command and print the reply; return the exit code."""
     # Every RPC needs an id that no other RPC has.
     rpc_id = os.urandom(8).hex()
-    # The fields after the id are the method (`c`) and the time limit in milliseconds (`d`).
+    # The fields after the id are the method (`c`) and the timeout in milliseconds (`d`).
     match words:
         case ["get", key]:
             parts = ["OBJ.GET", key, rpc_id, "c=read,d=900"]
--- a/hookpitch/balancer/router.py
+++ b/hookpitch/balancer/router.py
@@ -163,20 +163,20 @@
         method_name: str,
         tenant: str,
         write: bool,
-        client_wait_ms: float,
+        client_timeout_ms: float,
         age_ms: float = 0.0,
         work_ms: float = 0.0,
     ) -> None:
         """Accept an RPC.
 
-        `client_wait_ms` is how long the client waits for the answer, `age_ms` how long the RPC
+        `client_timeout_ms` is how long the client waits for the answer, `age_ms` how long the RPC
         waited before this node read it, and `work_ms` the work that the RPC states (0: none).
         """
         self.now = now
         if id in self.rpcs:
             return
         method_settings = self.methods.get(method_name) or Method(
-            method_name, client_wait_ms, client_wait_ms, 0.0, 0.0, Idempotency.NON_IDEMPOTENT
+            method_name, client_timeout_ms, client_timeout_ms, 0.0, 0.0, Idempotency.NON_IDEMPOTENT
         )
         bucket = self._bucket_of(key, method_settings)
         if key:
@@ -186,9 +186,9 @@
         bucket.request_count += 1
         rpc = Rpc(self._draws.next_number(), id, bucket, method_settings, write)
         useful_ms = (
-            client_wait_ms
+            client_timeout_ms
             if method_settings.late_gain > 0
-            else min(client_wait_ms, method_settings.soft_ms)
+            else min(client_timeout_ms, method_settings.soft_ms)
         )
         margin_ms = self.retries.margin_ms
         rpc.deadline = now + useful_ms - age_ms - margin_ms
--- a/hookpitch/core/host.py
+++ b/hookpitch/core/host.py
@@ -102,17 +102,17 @@
         method = self.methods.get(fields.method)
         if method is None or not is_forwardable(words) or words[2] in self.rpcs.ids:
             return None
-        time_limit_ms = fields.time_limit_within(method.hard_ms)
-        if not time_limit_ms > 0:
+        timeout_ms = fields.timeout_within(method.hard_ms)
+        if not timeout_ms > 0:
             return None
         self.admission.record_arrival(age_ms)
         retry_after_ms = self.router.shed_delay(now, method.name, fields.tenant, age_ms)
-        if retry_after_ms >= 0 or age_ms >= time_limit_ms:
+        if retry_after_ms >= 0 or age_ms >= timeout_ms:
             self._shed(slot, method, retry_after_ms)
             return None
         rpc = Rpc(client, slot, words, method.name)
         rpc.accepted_at = now
-        rpc.hard_deadline = now + time_limit_ms - age_ms
+        rpc.hard_deadline = now + timeout_ms - age_ms
         self.rpcs.add(rpc)
         self.router.rpc_arrived(
             now,
@@ -121,7 +121,7 @@
             method.name,
             fields.tenant,
             rpc.value is not None,
-            time_limit_ms,
+            timeout_ms,
             age_ms,
         )
         self.decide(now)
--- a/hookpitch/core/request_parser.py
+++ b/hookpitch/core/request_parser.py
@@ -19,9 +19,9 @@
 CACHED_EXTRAS = 512  # parsed extras that are kept: clients keep sending the same few
 
 METHOD_FIELD = b"c"
-TIME_LIMIT_FIELD = b"d"  # milliseconds
+TIMEOUT_FIELD = b"d"  # milliseconds
 TENANT_FIELD = b"t"
-NUMERIC_FIELDS = (TIME_LIMIT_FIELD, b"r", b"size")
+NUMERIC_FIELDS = (TIMEOUT_FIELD, b"r", b"size")
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,12 +29,12 @@
     """The fields of an RPC's extras that this node uses."""
 
     method: bytes = b""
-    time_limit_ms: float | None = None
+    timeout_ms: float | None = None
     tenant: str = ""
 
-    def time_limit_within(self, hard_ms: float) -> float:
-        """Return the client's time limit in milliseconds, capped at `hard_ms`."""
-        requested = float(hard_ms) if self.time_limit_ms is None else self.time_limit_ms
+    def timeout_within(self, hard_ms: float) -> float:
+        """Return the client's timeout in milliseconds, capped at `hard_ms`."""
+        requested = float(hard_ms) if self.timeout_ms is None else self.timeout_ms
         return min(requested, hard_ms)
 
 
@@ -61,9 +61,9 @@
         name in values and not NUMBER_PATTERN.fullmatch(values[name]) for name in NUMERIC_FIELDS
     ):
         return INVALID
-    time_limit = values.get(TIME_LIMIT_FIELD)
+    timeout = values.get(TIMEOUT_FIELD)
     return RequestFields(
         method=values.get(METHOD_FIELD, b""),
-        time_limit_ms=None if time_limit is None else float(time_limit),
+        timeout_ms=None if timeout is None else float(timeout),
         tenant=values.get(TENANT_FIELD, b"").decode("latin-1"),
     )
--- a/hookpitch/core/rpc.py
+++ b/hookpitch/core/rpc.py
@@ -49,7 +49,7 @@
         self.done = False
 
     def extras(self, now: float) -> bytes:
-        """Return the RPC's extras with `d`, the time limit, set to the remaining time."""
+        """Return the RPC's extras with `d`, the timeout, set to the remaining time."""
         # A backend that was given more time would go on working after the node stopped waiting.
         limit = b"d=%d" % max(1, int(self.deadline - now))
         pairs = [
--- a/hookpitch/net/client_registry.py
+++ b/hookpitch/net/client_registry.py
@@ -22,11 +22,11 @@
 from hookpitch.net.clock import Clock
 
 SWEEP_INTERVAL_MS = 250.0
-FIRST_COMMAND_MS = 2500.0  # time limit for completing the first command, or any command begun
+FIRST_COMMAND_MS = 2500.0  # timeout for completing the first command, or any command begun
 MIN_IDLE_MS = 2000.0  # an idle connection stays open for at least this time
 MIN_IDLE_DRAINING_MS = 1000.0  # the same in a drain, also for a connection that has sent nothing
 OVER_LIMIT_MS = 100.0  # time for a connection over the limit to send a command and be answered
-LAST_REPLY_MS = 5000.0  # time limit for the client of a closing connection to read its replies
+LAST_REPLY_MS = 5000.0  # timeout for the client of a closing connection to read its replies
 MIN_SILENCE_MS = 250.0  # silence after which a connection without a complete command is evictable
 EVICTION_CANDIDATES = 16  # connections examined in search of one to evict
 
--- a/hookpitch/simwire/adapter.py
+++ b/hookpitch/simwire/adapter.py
@@ -133,7 +133,7 @@
             request.method,
             request.tenant,
             request.write,
-            request.time_limit_ms,
+            request.timeout_ms,
             0.0,
             request.work_ms,
         )
--- a/hookpitch/simwire/codec.py
+++ b/hookpitch/simwire/codec.py
@@ -47,7 +47,7 @@
     method: str
     tenant: str  # empty if absent
     write: bool
-    time_limit_ms: float  # how long the client waits
+    timeout_ms: float  # how long the client waits
     work_ms: float  # the service time that the RPC states; 0 if it states none
 
 
@@ -85,7 +85,7 @@
 
 def parse_request(values: list[str]) -> RpcArrived:
     """Parse the nine values of a REQUEST."""
-    _, rpc_id, key, options, time_limit, _, tenant, work, method = values
+    _, rpc_id, key, options, timeout, _, tenant, work, method = values
     option_bits = int(options) if options != ABSENT else 0
     return RpcArrived(
         rpc_id=rpc_id,
@@ -94,7 +94,7 @@
         tenant="" if tenant == ABSENT else tenant,
         work_ms=parse_ms(work) if option_bits & STATES_WORK_BIT else 0.0,
         write=bool(option_bits & IS_WRITE_BIT),
-        time_limit_ms=parse_ms(time_limit),
+        timeout_ms=parse_ms(timeout),
     )
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -159,5 +159,5 @@
     assert parse_extras(b"c=read") == RequestFields(b"read", None, "")
     for extras in (b"c=read,c=read", b"c=read,d=soon", b"c", b"", b"c=" + b"x" * 512):
         assert parse_extras(extras) == INVALID
-    assert RequestFields(b"read", 900.0).time_limit_within(400.0) == 400.0
-    assert RequestFields(b"read").time_limit_within(400.0) == 400.0
+    assert RequestFields(b"read", 900.0).timeout_within(400.0) == 400.0
+    assert RequestFields(b"read").timeout_within(400.0) == 400.0
