--- a/hookpitch/fakes/admin_clients.py
+++ b/hookpitch/fakes/admin_clients.py
@@ -1,4 +1,4 @@
-"""Operators' clients of a node's admin port: complete requests and requests without an end.
+"""Operators' clients of a node's admin endpoint: complete requests and requests without an end.
 
 The answers to complete requests are checked. The result of a check goes into the history as a
 `call` event: `well`, `wrong: ...` or `late: ...`.
@@ -93,7 +93,7 @@
 
 
 class AdminClients(ClientFactory):
-    """Sends `REQUESTS` one after another to the admin port of one node."""
+    """Sends `REQUESTS` one after another to the admin endpoint of one node."""
 
     noisy = False
 
@@ -105,7 +105,7 @@
         address: tuple[str, int],
         run_start_s: float = 0.0,
     ) -> None:
-        """Create clients of the admin port at `address`.
+        """Create clients of the admin endpoint at `address`.
 
         `run_start_s` is the time of the reactor's clock at which the run started.
         """
--- a/hookpitch/net/admin.py
+++ b/hookpitch/net/admin.py
@@ -1,4 +1,4 @@
-"""The admin server: each connection of an operator carries one command line and one answer.
+"""The admin endpoint: each connection of an operator carries one command line and one answer.
 
 Invariants: at most `MAX_WAITING_CONNECTIONS` connections wait for their line at the same time, each
 for at most `CONNECTION_TIMEOUT_MS` and `MAX_LINE_BYTES`; the cost of a command does not grow with
--- a/hookpitch/net/operator_commands.py
+++ b/hookpitch/net/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands of the admin server: status, metrics, bans and drains.
+"""Operators' commands on the admin endpoint: status, metrics, bans and drains.
 
 A command is checked here and published by `HotRestart`, which passes the command to `apply` in
 every process of the node, in the same order. A banned backend receives no RPCs until it is
@@ -37,7 +37,7 @@
 
 
 class OperatorCommands:
-    """The target of the admin server; commands return why they were rejected, or ''."""
+    """The target of the admin endpoint; commands return why they were rejected, or ''."""
 
     def __init__(self, node: CommandNode) -> None:
         self._node = node
--- a/hookpitch/net/resource_budget.py
+++ b/hookpitch/net/resource_budget.py
@@ -9,7 +9,7 @@
 
 # For standard input, output and error, the poller, discovery (two) and Twisted's reserve.
 PROCESS_DESCRIPTORS = 14
-# For the admin server, the inherited socket and the shared files.
+# For the admin endpoint, the inherited socket and the shared files.
 ADMIN_DESCRIPTORS = MAX_WAITING_CONNECTIONS + MAX_CLOSING_CONNECTIONS + 4
 MIN_REJECTED_CLIENTS = 4
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands to a node: the admin server, bans, drains and hot restarts."""
+"""Operators' commands to a node: the admin endpoint, bans, drains and hot restarts."""
 
 import os
 import socket
@@ -21,7 +21,7 @@
 
 
 def send_admin_command(node: NodeOnMemoryNetwork, line: bytes) -> bytes:
-    """Send bytes to the admin server on a connection that it then closes; return its answer."""
+    """Send bytes to the admin endpoint on a connection that it then closes; return its answer."""
     connection = MemoryConnection(
         node.network, node.socket_node.admin_server.buildProtocol(None), 0
     )
@@ -34,14 +34,14 @@
 
 
 def read_metrics(node: NodeOnMemoryNetwork) -> dict[str, int]:
-    """Return the metrics that the admin server reports."""
+    """Return the metrics that the admin endpoint reports."""
     lines = send_admin_command(node, b"METRICS\n").decode().splitlines()
     assert lines.pop() == "END"
     assert all(line.startswith("svc.") for line in lines)
     return {name[4:]: int(value) for name, _, value in (line.partition("=") for line in lines)}
 
 
-# ---- the admin server
+# ---- the admin endpoint
 
 
 @pytest.mark.parametrize(
