--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -14,7 +14,7 @@
 from hookpitch.testbed.reactor import MAX_UNREAD_DATAGRAM_BYTES
 from hookpitch.testbed.simulation import SimulatedNetwork
 
-A, B = "1.1.1.1", "2.2.2.2"
+ADDRESS_A, ADDRESS_B = "1.1.1.1", "2.2.2.2"
 
 
 def connected_pair() -> ConnectedPair:
@@ -26,31 +26,31 @@
 
 def test_two_cuts_of_one_way_end_with_the_later_one() -> None:
     pair = connected_pair()
-    pair.network.impair(A, B, 1, Impairment(silent=True))
-    pair.network.impair(A, B, 2, Impairment(silent=True))
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, Impairment(silent=True))
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 2, Impairment(silent=True))
     pair.client.transport.write(b"late")
     pair.network.run(1.0)
-    pair.network.impair(A, B, 1, None)
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, None)
     pair.network.run(2.0)
     assert not pair.server_events, "the second cut is still on"
-    pair.network.impair(A, B, 2, None)
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 2, None)
     pair.network.run(3.0)
     assert pair.server_events == [(2.1, 4)]
 
 
 def test_what_a_cut_swallows_never_comes_and_breaks_its_connection_and_no_other() -> None:
     pair = connected_pair()
-    pair.network.impair(A, B, 1, Impairment(silent=True, kept=False))
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, Impairment(silent=True, kept=False))
     pair.network.run(1.0)
-    pair.network.impair(A, B, 1, None)
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, None)
     pair.client.transport.write(b"well")
     pair.network.run(2.0)
     # Nothing was sent during the cut: the connection is intact.
     assert pair.server_events == [(1.1, 4)] and not pair.client_events
-    pair.network.impair(A, B, 1, Impairment(silent=True, kept=False))
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, Impairment(silent=True, kept=False))
     pair.client.transport.write(b"gone")
     pair.network.run(3.0)
-    pair.network.impair(A, B, 1, None)
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, None)
     pair.network.run(4.0)
     assert pair.server_events == [(1.1, 4), (3.0, "ConnectionLost")] and pair.client_events == [
         (3.0, "ConnectionLost")
@@ -59,12 +59,12 @@
 
 def test_a_lossy_stream_comes_whole_and_late_and_a_reset_one_comes_no_more() -> None:
     pair = connected_pair()
-    pair.network.impair(A, B, 1, Impairment(loss=0.3))
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, Impairment(loss=0.3))
     for _ in range(40):
         pair.client.transport.write(b"x" * 10)
     pair.network.run(30.0)
     assert sum(size for _, size in pair.server_events) == 400 and pair.server_events[-1][0] >= 0.55
-    pair.network.impair(A, B, 1, Impairment(loss=0.999))
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, Impairment(loss=0.999))
     before = len(pair.server_events)
     pair.client.transport.write(b"x")
     pair.client.transport.abortConnection()
@@ -83,19 +83,19 @@
 def test_a_dial_is_refused_or_gets_no_answer(impairment: Impairment, events: list) -> None:
     pair = connected_pair()
     pair.network.run(1.0)
-    pair.network.impair(A, B, 1, impairment)
-    pair.client_machine.reactor.connectTCP(B, 80, pair.client_factory, timeout=None)
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, impairment)
+    pair.client_machine.reactor.connectTCP(ADDRESS_B, 80, pair.client_factory, timeout=None)
     pair.network.run(5.0)
     assert pair.client_events == events
 
 
 def test_a_severed_link_loses_all_its_connections_and_a_narrow_one_takes_its_time() -> None:
     pair = connected_pair()
-    pair.network.impair(A, B, 1, Impairment(bandwidth=100.0))
+    pair.network.impair(ADDRESS_A, ADDRESS_B, 1, Impairment(bandwidth=100.0))
     pair.client.transport.write(b"x" * 60)  # The packet has 40 bytes of headers as well.
     pair.network.run(3.0)
     assert pair.server_events == [(1.35, 60)]
-    pair.network.sever(A, B)
+    pair.network.sever(ADDRESS_A, ADDRESS_B)
     pair.network.run(4.0)
     assert pair.server_events[1:] == [(3.0, "ConnectionLost")] and pair.client_events == [
         (3.0, "ConnectionLost")
@@ -118,21 +118,21 @@
 ]:
     """Return a network of two machines, and a datagram socket on each."""
     network = SimulatedNetwork(5)
-    network.connect(A, B, 0.01)
+    network.connect(ADDRESS_A, ADDRESS_B, 0.01)
     socket_a, socket_b = RecordingDatagramProtocol(network), RecordingDatagramProtocol(network)
-    network.machine(A).reactor.listenUDP(7, socket_a, interface=A)
-    network.machine(B).reactor.listenUDP(7, socket_b, interface=B)
+    network.machine(ADDRESS_A).reactor.listenUDP(7, socket_a, interface=ADDRESS_A)
+    network.machine(ADDRESS_B).reactor.listenUDP(7, socket_b, interface=ADDRESS_B)
     return network, socket_a, socket_b
 
 
 def test_datagrams_go_both_ways_and_each_fault_is_what_it_says() -> None:
     network, socket_a, socket_b = datagram_network()
-    socket_a.transport.write(b"to", (B, 7))
-    socket_b.transport.write(b"back", (A, 7))
-    socket_a.transport.write(b"nobody", (B, 8))
+    socket_a.transport.write(b"to", (ADDRESS_B, 7))
+    socket_b.transport.write(b"back", (ADDRESS_A, 7))
+    socket_a.transport.write(b"nobody", (ADDRESS_B, 8))
     network.run(1.0)
-    assert socket_b.received == [(0.01, b"to", (A, 7))] and socket_a.received == [
-        (0.01, b"back", (B, 7))
+    assert socket_b.received == [(0.01, b"to", (ADDRESS_A, 7))] and socket_a.received == [
+        (0.01, b"back", (ADDRESS_B, 7))
     ]
     cases = (
         (Impairment(loss=0.5), 60, 140),
@@ -140,17 +140,21 @@
         (Impairment(silent=True), 0, 0),
     )
     for impairment, least, most in cases:
-        network.impair(A, B, 1, impairment)
+        network.impair(ADDRESS_A, ADDRESS_B, 1, impairment)
         before = len(socket_b.received)
         for _ in range(200):
-            socket_a.transport.write(b"x", (B, 7))
+            socket_a.transport.write(b"x", (ADDRESS_B, 7))
         network.run(network.now + 1.0)
         assert least <= len(socket_b.received) - before <= most
-    network.impair(A, B, 1, Impairment(reorder=0.3))
+    network.impair(ADDRESS_A, ADDRESS_B, 1, Impairment(reorder=0.3))
     before = len(socket_b.received)
     for index in range(100):
         network.call_at(
-            network.now + index * 0.005, None, socket_a.transport.write, b"%d" % index, (B, 7)
+            network.now + index * 0.005,
+            None,
+            socket_a.transport.write,
+            b"%d" % index,
+            (ADDRESS_B, 7),
         )
     network.run(network.now + 2.0)
     numbers = [int(data) for _, data, _ in socket_b.received[before:]]
@@ -159,9 +163,9 @@
 
 def test_a_stopped_process_reads_what_its_socket_held_and_loses_the_rest() -> None:
     network, socket_a, socket_b = datagram_network()
-    network.machine(B).pause(5.0)
+    network.machine(ADDRESS_B).pause(5.0)
     for _ in range(300):
-        socket_a.transport.write(b"x" * 1024, (B, 7))
+        socket_a.transport.write(b"x" * 1024, (ADDRESS_B, 7))
     network.run(4.0)
     assert not socket_b.received
     network.run(6.0)
@@ -170,8 +174,8 @@
     ) == MAX_UNREAD_DATAGRAM_BYTES // 1024 and socket_b.transport.dropped == 300 - len(
         socket_b.received
     )
-    network.machine(B).kill()
-    socket_a.transport.write(b"dead", (B, 7))
+    network.machine(ADDRESS_B).kill()
+    socket_a.transport.write(b"dead", (ADDRESS_B, 7))
     network.run(7.0)
     assert len(socket_b.received) == MAX_UNREAD_DATAGRAM_BYTES // 1024
 
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -29,7 +29,7 @@
 HOLDER_A, HOLDER_B, REQUESTER = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
 NO_LIST_STATUS = ListStatus(0, False, False)
 SEED = 17  # with this seed a node of a fleet of 400 polls discovery late
-TEXT = json.dumps([random.Random(n).random() for n in range(2000)]).encode()  # several chunks
+TEXT = json.dumps([random.Random(seed).random() for seed in range(2000)]).encode()  # several chunks
 
 
 class SimulatedExchange:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -990,12 +990,12 @@
 
 def test_nodes_detect_a_death_and_no_other_in_virtual_time() -> None:
     run = Run(load(FAULTS), 1)
-    ended = run.run()
-    assert not ended.violations
-    assert not ended.program_errors
+    result = run.run()
+    assert not result.violations
+    assert not result.program_errors
     logs = [
         (time_ms, reporter, text.removeprefix("members: "))
-        for time_ms, reporter, text in ended.logs
+        for time_ms, reporter, text in result.logs
         if "members: " in text
     ]
     detectors, early, later = deaths_by_time(logs)
