--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -1,6 +1,6 @@
 """The common part of a run in virtual time (`run.py`) and on real processes (`process_run.py`).
 
-A run is in one of two clocks: virtual time, or the wall clock for real processes. `BaseRun` holds
+A run uses one of two clocks: virtual time, or the wall clock for real processes. `BaseRun` holds
 the state of a run and what is the same in both clocks: the configurations of nodes, cache servers
 and the origin, the load clients, and the judge's rules. Methods whose implementation depends on the
 clock are declared here and raise `NotImplementedError`. Times are in ms unless a name says
--- a/hookpitch/testbed/child.py
+++ b/hookpitch/testbed/child.py
@@ -3,7 +3,7 @@
 The control connection carries JSON over a Unix socket, one list per line; when it is closed, the
 child process exits. Events are written to disk one by one, so that a process that is killed has
 recorded everything it saw. The monitor records how late the process's own event loop was: a run
-whose testbed fell behind is void.
+whose test environment fell behind is void.
 """
 
 from __future__ import annotations
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -209,7 +209,7 @@
         return self.address, ADMIN_PORT + self.starts
 
     def start(self) -> None:
-        """Start a process, with its configuration files written anew."""
+        """Write the configuration files, and start a process with them."""
         run = self.run
         self.starts = self.starts + 1
         path = run.folder / f"{self.name}.json"
--- a/tests/socket_node.py
+++ b/tests/socket_node.py
@@ -75,7 +75,7 @@
     """A node and its network in memory; caches listen on the ports from 7000 on.
 
     `logged_events`: the names of the events that the node logged. `cpu_seconds`: the CPU time that
-    the node is told it has used.
+    the node reads as its own.
     """
 
     def __init__(self, caches: int = 2, shared: str = "", **limits: int) -> None:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,7 +1,7 @@
 """Tests of what counts as a failure of a backend.
 
 RPCs that fail at every backend count against none of them. The tests also cover backends that fail
-by turns, and lists and load reports that are wrong.
+and recover in turn, and wrong endpoint lists and load reports.
 """
 
 import pytest
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,6 +1,6 @@
 """Tests of experiments on real processes: nodes, fakes and relays, with faults between them.
 
-The runs are judged from outside, and five of them go on at a time. A run whose test environment
+The runs are judged from outside, five of them in parallel. A run whose test environment
 fell behind is void and is repeated once; if it is void again, its test is skipped.
 """
 
@@ -129,20 +129,20 @@
 @pytest.fixture(scope="module")
 def completed_runs(tmp_path_factory: pytest.TempPathFactory) -> dict[str, tuple[int, str, dict]]:
     """Run all experiments; return exit status, output and figures of each, by its name."""
-    folder, ended = tmp_path_factory.mktemp("wall"), {}
+    folder, results = tmp_path_factory.mktemp("wall"), {}
     for index in range(0, len(FILES), CONCURRENT_RUNS):
         runs = {
             path: ExperimentProcess(path, folder) for path in FILES[index : index + CONCURRENT_RUNS]
         }
         for path, run in runs.items():
-            ended[path.stem] = *run.end(), run.figures_path
+            results[path.stem] = *run.end(), run.figures_path
     for path in FILES:
-        if ended[path.stem][0] == VOID:
+        if results[path.stem][0] == VOID:
             run = ExperimentProcess(path, folder)
-            ended[path.stem] = *run.end(), run.figures_path
+            results[path.stem] = *run.end(), run.figures_path
     return {
         name: (code, output, json.loads(figures_path.read_text()) if figures_path.exists() else {})
-        for name, (code, output, figures_path) in ended.items()
+        for name, (code, output, figures_path) in results.items()
     }
 
 
@@ -237,7 +237,7 @@
 
 
 class StoppedClock:
-    """A wall clock that stands still."""
+    """A clock that always reads zero."""
 
     def seconds(self) -> float:
         """Return the time since the start of the run."""
