--- a/benchmarks/members_size.py
+++ b/benchmarks/members_size.py
@@ -6,7 +6,7 @@
 `detect` kills one member (or the fraction `--part` of all) and prints the seconds to the first
 suspicion and the seconds until all members agree. `lossy`, `pause`, `deaf` and `calm` print how
 many members were declared dead wrongly, the bytes a second of each member, and the seconds until
-all members agree again. Each seed is a process of its own, `--jobs` of them at a time. The
+all members agree again. Each seed is a separate process, `--jobs` of them at a time. The
 simulation is in `hookpitch/testbed/membership_simulation.py`.
 """
 
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -3,7 +3,7 @@
     python benchmarks/relay_cost.py
 
 Each connection has one request and one answer of 100 bytes in flight at a time, either directly or
-through a relay process. The server and the clients are processes of their own on loopback. Each
+through a relay process. The server and the clients are separate processes on loopback. Each
 measurement takes `DURATION_S`.
 """
 
--- a/hookpitch/balancer/concurrency.py
+++ b/hookpitch/balancer/concurrency.py
@@ -70,7 +70,7 @@
     def scale_origin(self, factor: float) -> None:
         """Scale the origin's limit with this process's share, until the origin first answers.
 
-        Otherwise a process that starts beside an older one would double the load on the origin.
+        Otherwise a process that starts alongside an older one would double the load on the origin.
         """
         origin = self._table.origin
         if origin and not origin.response_count:
--- a/hookpitch/balancer/placement.py
+++ b/hookpitch/balancer/placement.py
@@ -5,7 +5,7 @@
 may move it), `chain` its failover order, computed on first use. Invariants: `assigned` differs from
 `primary` only after a move, and only while the assigned cache is ready and allowed; the constraints
 of a method always hold, and the origin is always allowed. A hot bucket is spread over replicas,
-among which each router draws a preference of its own. Sizes are in units of a cache of size one,
+among which each router draws its own preference. Sizes are in units of a cache of size one,
 `recent_requests` is in RPCs.
 """
 
--- a/hookpitch/balancer/retries.py
+++ b/hookpitch/balancer/retries.py
@@ -92,8 +92,8 @@
     def cancel_or_hedge(self, attempt: Attempt, now: float) -> None:
         """Cancel or hedge an attempt if another backend may still answer in time.
 
-        Where hedging is allowed, the attempt continues beside the hedged request: if the attempt is
-        only slow, cancelling it would waste the work already done.
+        Where hedging is allowed, the attempt continues alongside the hedged request: if the
+        attempt is only slow, cancelling it would waste the work already done.
         """
         rpc = attempt.rpc
         if (
--- a/hookpitch/fakes/traffic.py
+++ b/hookpitch/fakes/traffic.py
@@ -26,7 +26,7 @@
     max_retries: int = 0  # retries of an RPC that is not completed
     retry_delay_ms: float = 30.0  # from the failure of an RPC until its retry
     early_close_fraction: float = 0.0  # RPCs whose client closes before its timeout
-    single_use_fraction: float = 0.0  # RPCs that have a connection of their own
+    single_use_fraction: float = 0.0  # RPCs that have their own connection
     max_connections: int = 200  # open connections to one node
     slow_reader_fraction: float = 0.0  # connections that pause after each read
     half_close_fraction: float = 0.0  # single-use connections that half-close after the request
--- a/hookpitch/net/backend_pool.py
+++ b/hookpitch/net/backend_pool.py
@@ -158,7 +158,7 @@
         """Give a free connection to a waiting attempt, or keep the connection as idle."""
         if connection.is_lost:
             return
-        if self.waiting:  # a waiting attempt need not wait for a connect of its own
+        if self.waiting:  # a waiting attempt need not wait for its own connect
             if self._is_clean(connection):
                 self._begin_first(connection)
             # Where this connection was aborted for its unread bytes, one waiting attempt has no
--- a/hookpitch/net/operator_settings.py
+++ b/hookpitch/net/operator_settings.py
@@ -55,7 +55,7 @@
     return OperatorSettings(sections)
 
 
-def _section_parser(name: str) -> Any:  # noqa: ANN401 - each section has a type of its own
+def _section_parser(name: str) -> Any:  # noqa: ANN401 - each section has its own type
     module, _, function = SECTION_PARSERS[name].partition(":")
     return getattr(import_module(module), function)
 
--- a/hookpitch/net/shared_state.py
+++ b/hookpitch/net/shared_state.py
@@ -6,7 +6,7 @@
     1 SUSPEND s-5be2a07c 6d1f03b2
 
 Lines are appended under a lock, so all readers see the same order, and each reader continues from
-its previous position. While a process runs, it holds a lock on a file of its own, by which the
+its previous position. While a process runs, it holds a lock on its own file, by which the
 other processes find it. A line that is incomplete, of another version or wrong is skipped; only
 the first such line is reported. See docs/design.md.
 """
--- a/hookpitch/testbed/base_run.py
+++ b/hookpitch/testbed/base_run.py
@@ -53,9 +53,9 @@
     # How long each connection of a misbehaving client was kept open.
     misbehaving_lifetimes_ms: list[float] = field(default_factory=list)
     connection_limit_hits: int = 0  # RPCs not sent because of the limit of client connections
-    # Why the verdict is void, for example because the testbed was late.
+    # Why the verdict is void, for example because the test environment was late.
     void_reasons: list[str] = field(default_factory=list)
-    # How late each process of the testbed was at worst.
+    # How late each process of the test environment was at worst.
     lateness_ms: dict[str, float] = field(default_factory=dict)
 
 
--- a/hookpitch/testbed/experiment_schema.py
+++ b/hookpitch/testbed/experiment_schema.py
@@ -192,7 +192,7 @@
     tries: int = 0  # retries of an RPC that is not completed
     pause_ms: float = 30.0  # the delay before a retry
     leaving: float = 0.0  # the fraction of RPCs whose client closes its connection early
-    fresh: float = 0.0  # the fraction of RPCs that have a connection of their own
+    fresh: float = 0.0  # the fraction of RPCs that have their own connection
     connections: int = 200  # the most open connections to one node
     large: float = 0.0  # the fraction of keys that have a large value
     large_kb: float = 256.0  # the size of a large value
--- a/hookpitch/testbed/fuzz.py
+++ b/hookpitch/testbed/fuzz.py
@@ -18,7 +18,7 @@
 from hookpitch.testbed.run import Run
 
 PARALLEL_RUNS = 4  # on real processes
-VOID_EXIT_CODE = 3  # of a run that is void because its testbed fell behind
+VOID_EXIT_CODE = 3  # of a run that is void because its test environment fell behind
 RUNS_PER_REPORT = 20
 
 
--- a/hookpitch/testbed/nodes.py
+++ b/hookpitch/testbed/nodes.py
@@ -22,7 +22,7 @@
 
 DISCOVERY_PORT = 8500
 ADMIN_PORT = 15000
-UPGRADE_READY_TIMEOUT_S = 6.0  # for a new process beside an old one to be ready
+UPGRADE_READY_TIMEOUT_S = 6.0  # for the new process of an upgrade to be ready
 POLL_INTERVAL_S = 0.1  # between two checks of whether the new process is ready
 SEED_MEMBERS = 3  # members whose addresses all others are configured with
 SNAPSHOT_WRITE_S = 0.005  # the time that writing a snapshot takes
@@ -79,7 +79,7 @@
         self.admin_port = ADMIN_PORT
 
     def start(self) -> None:
-        """Start a process with the current configuration and an admin port of its own."""
+        """Start a process with the current configuration and its own admin port."""
         run = self.run
         self.starts = self.starts + 1
         run.history.add(run.now(), "start", self.name)
--- a/hookpitch/testbed/process_run.py
+++ b/hookpitch/testbed/process_run.py
@@ -1,10 +1,10 @@
 """An experiment on loopback in real time: each node, fake server and relay is a process.
 
-Each node has a loopback subnet of its own (127.10.x.x, 127.11.x.x, ...), in which relays take the
+Each node has its own loopback subnet (127.10.x.x, 127.11.x.x, ...), in which relays take the
 place of everything it talks to: servers, the origin, discovery, its clients, the other nodes. So
 the testbed controls every link, and the node's program is unchanged. Subnets are reserved in
 blocks, so that several runs can take place at the same time. This process holds the clients and
-schedules the faults, and merges the histories of all processes. A run in which the testbed fell
+schedules the faults, and merges the histories of all processes. A run whose test environment fell
 behind is void. Sources: signal(7).
 """
 
@@ -45,12 +45,12 @@
 SUBNETS_PER_BLOCK = 13
 MAX_NODES = BLOCK_COUNT * SUBNETS_PER_BLOCK
 NODES_PER_RELAY = 16
-CACHES_PER_PROCESS = 8  # of the caches that need no process of their own
+CACHES_PER_PROCESS = 8  # of the caches that need no separate process
 # Faults that stop or kill the process of a server, which then must not be shared.
 SERVER_PROCESS_FAULTS = ("crash", "drain", "suspend")
 SHUTDOWN_TIMEOUT_S = 3.0  # for a node to exit, in addition to its longest deadline
 START_TIMEOUT_S = 60.0  # for all processes to be ready
-MAX_LATENESS_MS = 150.0  # a run in which a process of the testbed was later than this is void
+MAX_LATENESS_MS = 150.0  # a run with a process of the test environment later than this is void
 OVERLAP_MS = 5.0  # how far a relay's and a server's records of the same moment may differ
 # If a connection ends this soon after an RPC was sent on it, the two may have crossed on the way.
 CROSSING_MS = 20.0
@@ -187,7 +187,7 @@
     # ---- building
 
     def _find_isolated_servers(self) -> set[str]:
-        """Return the servers that a fault stops or kills: each gets a process of its own."""
+        """Return the servers that a fault stops or kills: each gets its own process."""
         found = {
             fault.whom for fault in self.experiment.fault if fault.what in SERVER_PROCESS_FAULTS
         }
--- a/hookpitch/testbed/processes.py
+++ b/hookpitch/testbed/processes.py
@@ -24,7 +24,7 @@
 PR_SET_PDEATHSIG = 1
 # An old process that still runs this long after the longest deadline is killed.
 TERMINATION_GRACE_S = 0.7
-UPGRADE_READY_TIMEOUT_S = 6.0  # for a new process beside an old one to be ready
+UPGRADE_READY_TIMEOUT_S = 6.0  # for the new process of an upgrade to be ready
 POLL_INTERVAL_S = 0.05
 SEED_MEMBERS = 3  # members whose addresses all others are configured with
 NODE_PORT = 26380
@@ -69,7 +69,7 @@
             self.popen.send_signal(number)
 
     def pause(self) -> None:
-        """Stop the process with SIGSTOP; each pause needs a `resume` of its own."""
+        """Stop the process with SIGSTOP; each pause needs its own `resume`."""
         self.pause_count += 1
         self.signal(signal.SIGSTOP)
 
@@ -205,7 +205,7 @@
             self.inherited_socket.listen(4096)
 
     def admin_address(self) -> tuple[str, int]:
-        """Return the address of the admin endpoint; each process has a port of its own."""
+        """Return the address of the admin endpoint; each process has its own port."""
         return self.address, ADMIN_PORT + self.starts
 
     def start(self) -> None:
--- a/hookpitch/testbed/simulated_tcp.py
+++ b/hookpitch/testbed/simulated_tcp.py
@@ -395,7 +395,7 @@
     def drop(self, reset: bool, notify_program: bool = False) -> None:
         """Close this end in the kernel, without the program: it died or never had the connection.
 
-        With `notify_program` the program is alive and gets `connectionLost` in an event of its own.
+        With `notify_program` the program is alive and gets `connectionLost` in a separate event.
         """
         if not self.is_closed:
             if self.machine.attached:
--- a/hookpitch/testbed/simulation.py
+++ b/hookpitch/testbed/simulation.py
@@ -416,7 +416,7 @@
 class Machine:
     """One address and one process there, with its descriptors and its CPU.
 
-    A second process at the same address is a `Machine` of its own, created by `add_process`; both
+    A second process at the same address is a separate `Machine`, created by `add_process`; both
     share the listening sockets of the kernel.
     """
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -120,7 +120,7 @@
     member.receive = lambda now, source, message: receive(now - behind_ms, source, message)  # type: ignore[method-assign]
 
     def run() -> None:
-        """Tick the member with the time of its own clock."""
+        """Tick the member with the time of its clock."""
         tick(network.now - behind_ms)
         network.send_outbox("m2", member)
         network.schedule(max(1.0, member.due - (network.now - behind_ms)), run)
