--- a/hookpitch/balancer/deployment.py
+++ b/hookpitch/balancer/deployment.py
@@ -50,12 +50,12 @@
     for pair in text.split(","):
         name, has_separator, value = pair.partition(separator)
         if not has_separator:
-            raise LoadReportError(f"'{pair}' is no name{separator}value pair")
+            raise LoadReportError(f"'{pair}': expected name{separator}value")
         if name not in REPORT_FIELDS:
             continue
         number = float(value)
         if not 0 <= number <= MAX_REPORTED_VALUE:  # a NaN fails this check too
-            raise LoadReportError(f"'{pair}' is no figure that a server can have")
+            raise LoadReportError(f"'{pair}': expected a value from 0 to {MAX_REPORTED_VALUE:g}")
         values[REPORT_FIELDS[name]] = number
     return values
 
--- a/hookpitch/balancer/interface.py
+++ b/hookpitch/balancer/interface.py
@@ -143,7 +143,7 @@
     slow_start_ms: float
     overload_factor: float
     overload_window_ms: float
-    connection_hold_cost: float  # points for a hundred connections held at each server
+    connection_hold_cost: float  # points for a hundred connections held open to each backend
     connection_open_cost: float  # points for a new connection with each RPC
     over_quota_gain_factor: float  # fraction of its gain that an RPC over quota keeps
     # If set, listed sizes are reduced by load: nominal / (1 + RPCs in flight per core).
--- a/hookpitch/net/discovery.py
+++ b/hookpitch/net/discovery.py
@@ -147,7 +147,7 @@
         update = parse_endpoint_list(text, self.host.deployment.kinds)
         if update.complete and not update.endpoints:
             # A discovery service that has lost its data would empty the list of every node.
-            raise EndpointListError(f"whole list of version {update.version} is without servers")
+            raise EndpointListError(f"complete list of version {update.version} has no endpoints")
         self.poll_schedule.endpoints_received()
         self.schedule_poll()
         if update.version < self.version:
