--- a/hookpitch/net/backend_pool.py
+++ b/hookpitch/net/backend_pool.py
@@ -1,8 +1,8 @@
 """The connections to one backend: idle connections, connects in progress, and waiting attempts.
 
-Invariants: a connection carries at most one attempt; every waiting attempt has a connect of its
-own, so that no attempt waits forever; an attempt that may no longer be sent is not started, however
-late a connection is established.
+Invariants: a connection carries at most one attempt; every waiting attempt has its own
+connect, so that no attempt waits forever; an attempt that may no longer be sent is not started,
+however late a connection is established.
 """
 
 from __future__ import annotations
