--- a/hookpitch/net/backend_pool.py
+++ b/hookpitch/net/backend_pool.py
@@ -1,8 +1,8 @@
 """The connections to one backend: idle connections, connects in progress, and waiting attempts.
 
-Invariants: a connection carries at most one attempt; every waiting attempt has a connect of its
-own, so that no attempt waits forever; an attempt that may no longer be sent is not started, however
-late a connection is established.
+Invariants: a connection carries at most one attempt; every waiting attempt has its own
+connect, so that no attempt waits forever; an attempt that may no longer be sent is not started,
+however late a connection is established.
 """
 
 from __future__ import annotations
@@ -158,7 +158,7 @@
         """Give a free connection to a waiting attempt, or keep the connection as idle."""
         if connection.is_lost:
             return
-        if self.waiting:  # a waiting attempt need not wait for a connect of its own
+        if self.waiting:  # a waiting attempt need not wait for its own connect
             if self._is_clean(connection):
                 self._begin_first(connection)
             # Where this connection was aborted for its unread bytes, one waiting attempt has no
