--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -36,7 +36,7 @@
 """
 
 
-def test_one_seed_is_one_history_whatever_the_order_of_hashes() -> None:
+def test_a_seed_gives_the_same_history_for_any_hash_seed() -> None:
     code = (
         "from hookpitch.testbed.experiment import read; from hookpitch.testbed.run import Run; import sys; "  # noqa: E501
         "print(Run(read(sys.argv[1]), int(sys.argv[2])).run().history.digest())"
@@ -153,13 +153,13 @@
         (["unknown"], [CAME, SENT, ANSWERED, (1100.0, "came", SERVER, "q9", NODE, 0.0, 2)]),
     ],
 )
-def test_the_judge_names_what_is_broken_and_nothing_else(
+def test_the_judge_reports_exactly_the_violated_rules(
     rules: list[str], events: list[tuple]
 ) -> None:
     assert violated_rules(*events) == rules
 
 
-def test_the_judge_counts_a_drain_from_the_telling_or_six_seconds_after_the_change() -> None:
+def test_the_judge_times_a_drain_from_the_notification_or_six_seconds_after_the_change() -> None:
     for at, notified_at, rules in (
         (4040.0, 1000.0, []),
         (4060.0, 1000.0, ["rule 3"]),
@@ -190,7 +190,9 @@
 
 
 @pytest.mark.parametrize(("at", "rules"), [(4040.0, []), (4060.0, ["rule 3"])])
-def test_the_judge_holds_a_ban_whatever_the_list_says(at: float, rules: list[str]) -> None:
+def test_the_judge_enforces_a_ban_regardless_of_the_endpoint_list(
+    at: float, rules: list[str]
+) -> None:
     history = History()
     history.add(1000.0, "banned", NODE, what=SERVER)
     history.add(1500.0, "told", NODE, what=f"{SERVER} in_service")
@@ -201,9 +203,7 @@
     assert [violation.rule for violation in Judge(Rules()).judge(history, 60000.0)] == rules
 
 
-def test_the_judge_names_a_server_left_unused_a_drain_that_holds_clients_and_a_door_that_fails() -> (  # noqa: E501
-    None
-):
+def test_the_judge_reports_unused_servers_undrained_clients_and_admin_endpoint_failures() -> None:
     history = History()
     history.add(1000.0, "back", NODE, what=SERVER)
     for index in range(300):
@@ -224,9 +224,7 @@
     ]
 
 
-def test_the_judge_holds_a_nodes_figures_against_what_others_saw_and_owes_a_slow_head_its_time() -> (  # noqa: E501
-    None
-):
+def test_the_judge_compares_node_counters_with_the_history_and_reports_cut_off_clients() -> None:
     history = History()
     for index in range(10):
         add_answered_rpc(history, 1000.0 + 20 * index, f"q{index}")
@@ -249,7 +247,7 @@
     assert not Judge(Rules(has_descriptors_for_all_clients=False)).judge(history, 60000.0)
 
 
-def test_the_judge_takes_no_crossing_for_a_second_copy_and_no_death_for_a_ban() -> None:
+def test_the_judge_allows_attempts_that_cross_a_close_and_bans_that_end_with_a_process() -> None:
     history = History()
     history.add(1000.0, "asked", NODE, "q1", "read", 500.0, 7)
     history.add(1000.5, "closed", NODE, port=1)  # while the attempt was in flight
@@ -265,9 +263,7 @@
     assert not Judge(Rules()).judge(history, 60000.0)
 
 
-def test_a_node_owes_no_use_of_a_server_where_keys_are_few_nor_a_place_where_descriptors_are() -> (
-    None
-):
+def test_rules_require_no_reuse_with_few_keys_and_no_free_descriptor_with_few_sockets() -> None:
     def rules(lines: str) -> Rules:
         """Return the rules for an experiment with these lines."""
         return Run(read("name = 'a-b'\n" + lines), 1).rules()
@@ -324,7 +320,7 @@
         (None, "", None, set()),
     ],
 )
-def test_an_upgrade_done_wrong_is_named_and_one_done_right_is_not(
+def test_a_faulty_upgrade_is_reported_and_a_correct_one_is_not(
     owner: type | None,
     method: str,
     replacement: object,
@@ -340,7 +336,7 @@
     assert run.nodes["n0"].starts == 2 and run.nodes["n0"].previous_process is None
 
 
-def test_only_a_process_that_another_follows_takes_its_time_to_part(
+def test_only_a_replaced_process_closes_its_connections_gradually(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     close_spans_ms, shut_down = list[float](), ClientRegistry.shut_down
@@ -396,7 +392,9 @@
         ("name = ", "Invalid"),
     ],
 )
-def test_a_slip_is_told_with_its_place(text: str, message: str) -> None:
+def test_an_invalid_experiment_is_rejected_with_the_location_of_the_error(
+    text: str, message: str
+) -> None:
     with pytest.raises(ValueError, match=message) as error:
         read(text)
     assert "\n" not in str(error.value)
@@ -447,7 +445,7 @@
         )
 
 
-def test_bytes_take_their_time_and_a_close_comes_behind_them() -> None:
+def test_bytes_arrive_after_the_link_delay_and_a_close_arrives_after_them() -> None:
     pair = ConnectedPair()
     pair.network.run(0.25)
     pair.client.transport.write(b"x" * 10)
@@ -458,7 +456,7 @@
     ]
 
 
-def test_a_reader_that_stops_holds_the_writer_back() -> None:
+def test_a_reader_that_stops_reading_pauses_the_writer() -> None:
     pair = ConnectedPair()
     pair.network.run(0.25)
     pair.server.transport.pauseProducing()
@@ -474,7 +472,7 @@
     )
 
 
-def test_silence_holds_back_what_stands_and_a_reset_end_sends_nothing_more() -> None:
+def test_a_silent_link_delays_data_until_restored_and_a_reset_discards_unsent_data() -> None:
     pair = ConnectedPair()
     pair.network.run(0.25)
     pair.network.silence("1.1.1.1", "2.2.2.2")
@@ -493,7 +491,7 @@
     assert pair.server_events == [(3.1, 4)] and pair.client_events == [(4.0, "ConnectionAborted")]
 
 
-def test_death_resets_vanishing_says_nothing_and_nobody_listens_after() -> None:
+def test_a_detached_machine_is_silent_then_resets_and_a_killed_one_fails_connects() -> None:
     pair = ConnectedPair()
     pair.network.run(0.25)
     pair.server_machine.detach()
@@ -509,7 +507,7 @@
     assert pair.client_events[1:] == [(2.2, "failed")]
 
 
-def test_a_busy_machine_does_its_events_in_order_when_it_is_free() -> None:
+def test_a_busy_machine_runs_its_events_in_order_once_it_is_idle() -> None:
     network, events = SimulatedNetwork(1), []
     machine = network.machine("1.1.1.1")
     machine.event_cpu_s = 0.01
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -24,7 +24,7 @@
     return pair
 
 
-def test_two_cuts_of_one_way_end_with_the_later_one() -> None:
+def test_overlapping_cuts_of_one_direction_end_with_the_later_one() -> None:
     pair = connected_pair()
     pair.network.impair(A, B, 1, Impairment(silent=True))
     pair.network.impair(A, B, 2, Impairment(silent=True))
@@ -38,7 +38,7 @@
     assert pair.server_events == [(2.1, 4)]
 
 
-def test_what_a_cut_swallows_never_comes_and_breaks_its_connection_and_no_other() -> None:
+def test_a_cut_that_discards_data_breaks_a_connection_only_if_it_sent_data() -> None:
     pair = connected_pair()
     pair.network.impair(A, B, 1, Impairment(silent=True, kept=False))
     pair.network.run(1.0)
@@ -57,7 +57,7 @@
     ]
 
 
-def test_a_lossy_stream_comes_whole_and_late_and_a_reset_one_comes_no_more() -> None:
+def test_a_lossy_link_delivers_a_stream_late_but_complete_and_nothing_after_a_reset() -> None:
     pair = connected_pair()
     pair.network.impair(A, B, 1, Impairment(loss=0.3))
     for _ in range(40):
@@ -80,7 +80,7 @@
         (Impairment(delay_ms=100.0), []),
     ],
 )
-def test_a_dial_is_refused_or_gets_no_answer(impairment: Impairment, events: list) -> None:
+def test_a_connect_is_refused_or_gets_no_answer(impairment: Impairment, events: list) -> None:
     pair = connected_pair()
     pair.network.run(1.0)
     pair.network.impair(A, B, 1, impairment)
@@ -89,7 +89,7 @@
     assert pair.client_events == events
 
 
-def test_a_severed_link_loses_all_its_connections_and_a_narrow_one_takes_its_time() -> None:
+def test_a_severed_link_drops_its_connections_and_a_low_bandwidth_delays_data() -> None:
     pair = connected_pair()
     pair.network.impair(A, B, 1, Impairment(bandwidth=100.0))
     pair.client.transport.write(b"x" * 60)  # The packet has 40 bytes of headers as well.
@@ -125,7 +125,7 @@
     return network, socket_a, socket_b
 
 
-def test_datagrams_go_both_ways_and_each_fault_is_what_it_says() -> None:
+def test_datagrams_travel_both_ways_and_each_impairment_has_its_effect() -> None:
     network, socket_a, socket_b = datagram_network()
     socket_a.transport.write(b"to", (B, 7))
     socket_b.transport.write(b"back", (A, 7))
@@ -157,7 +157,7 @@
     assert sorted(numbers) == list(range(100)) != numbers
 
 
-def test_a_stopped_process_reads_what_its_socket_held_and_loses_the_rest() -> None:
+def test_a_paused_process_reads_what_its_socket_buffer_held_and_loses_the_rest() -> None:
     network, socket_a, socket_b = datagram_network()
     network.machine(B).pause(5.0)
     for _ in range(300):
@@ -239,6 +239,8 @@
         ("what = 'crash'\nwhom = 's0'\nto = 'n0'", "crash does not support `to`"),
     ],
 )
-def test_a_slip_in_a_groups_fault_is_told_with_its_place(fault: str, message: str) -> None:
+def test_an_invalid_group_fault_is_rejected_with_the_location_of_the_error(
+    fault: str, message: str
+) -> None:
     with pytest.raises(ValueError, match=message):
         read(f"name = 'a-b'\n[[fault]]\nat = 1.0\n{fault}")
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -171,7 +171,7 @@
     assert str(error.value) == text and isinstance(error.value, ValueError)
 
 
-def test_the_judge_sees_an_attempt_outside_its_constraints_and_allows_the_origin() -> None:
+def test_the_judge_reports_an_attempt_outside_its_constraints_except_at_the_origin() -> None:
     rules = Rules(placement={"status": (("std",), ())})
     for server, violated in (("s1", []), ("s0", ["placement"]), ("origin", [])):
         history = History()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -162,7 +162,7 @@
         )
 
 
-def test_most_runs_on_processes_were_judged(completed_runs: dict) -> None:
+def test_most_runs_on_processes_are_not_void(completed_runs: dict) -> None:
     # On a machine on which every test environment falls behind, all tests would be
     # skipped and prove nothing.
     void = [name for name, (code, _, _) in completed_runs.items() if code == VOID]
@@ -195,7 +195,7 @@
 ORIGINAL_SET_STATE = EndpointList.set_state
 
 
-def test_a_node_that_sends_past_the_grace_is_caught_in_both_clocks(
+def test_a_node_that_sends_after_the_drain_grace_period_is_reported_in_both_clocks(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "past-grace.toml").write_text(PAST_GRACE)
@@ -247,7 +247,7 @@
 @pytest.mark.parametrize(
     "path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda file: file.stem
 )
-def test_every_experiment_plays_in_both_clocks_or_its_reader_says_why_not(
+def test_every_experiment_can_run_on_processes_or_is_rejected_with_a_reason(
     path: Path, tmp_path: Path
 ) -> None:
     experiment = load(path)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -120,7 +120,7 @@
         peer.settimeout(3)
 
 
-def test_a_clean_link_passes_bytes_ends_and_resets_on_and_tells_of_a_nodes_end(
+def test_a_link_forwards_bytes_half_closes_and_resets_and_records_a_nodes_close(
     relay: RelayProcess,
 ) -> None:
     client, server = relay.connect()
@@ -165,7 +165,9 @@
     assert server.recv(100) + (b"" if receives_nothing(server) else b"?") == b"one two"
 
 
-def test_what_a_cut_swallows_breaks_its_connection_alone(relay: RelayProcess) -> None:
+def test_a_cut_that_discards_data_breaks_only_connections_that_sent_data(
+    relay: RelayProcess,
+) -> None:
     broken, idle = relay.connect(), relay.connect()
     relay.impair(Impairment(silent=True, kept=False))
     broken[0].sendall(b"gone")
@@ -178,7 +180,7 @@
     assert idle[1].recv(10) == b"well"
 
 
-def test_a_reset_in_a_cut_is_told_when_it_ends_and_an_end_comes_behind_the_bytes(
+def test_a_reset_during_a_cut_arrives_after_it_and_a_close_arrives_after_the_data(
     relay: RelayProcess,
 ) -> None:
     reset, ended = relay.connect(), relay.connect()
@@ -196,7 +198,7 @@
 
 
 @pytest.mark.parametrize("impairment", [Impairment(deaf=True), Impairment(silent=True)])
-def test_a_dial_through_a_dead_link_never_comes_up_and_does_when_it_is_well(
+def test_a_connect_through_a_dead_link_times_out_and_succeeds_once_it_is_restored(
     relay: RelayProcess, impairment: Impairment
 ) -> None:
     # A cut of the opposite direction suffices.
@@ -209,7 +211,9 @@
     assert server.recv(10) == b"well"
 
 
-def test_dials_are_refused_while_told_so_and_a_severed_link_resets_all(relay: RelayProcess) -> None:
+def test_connects_are_refused_on_command_and_severing_a_link_resets_all(
+    relay: RelayProcess,
+) -> None:
     first = relay.connect()
     relay.impair(Impairment(refusing=True))
     with pytest.raises(ConnectionRefusedError):
@@ -224,7 +228,7 @@
             peer.recv(10)
 
 
-def test_a_dial_to_a_dead_server_is_reset_at_once(relay: RelayProcess) -> None:
+def test_a_connect_to_a_dead_server_is_reset_at_once(relay: RelayProcess) -> None:
     relay.server.close()
     # The reset arrives while the connection is established, or right afterwards.
     with pytest.raises(ConnectionResetError):
@@ -239,7 +243,7 @@
         (Impairment(loss=0.95), 0.2, 10),  # Lost bytes of a stream arrive late.
     ],
 )
-def test_a_slow_narrow_or_lossy_link_takes_its_time(
+def test_a_slow_low_bandwidth_or_lossy_link_delays_data(
     relay: RelayProcess, impairment: Impairment, least_s: float, size: int
 ) -> None:
     client, server = relay.connect()
@@ -255,7 +259,7 @@
     assert least_s * 0.95 <= time.monotonic() - started_at < least_s + LOADED_MACHINE_S
 
 
-def test_a_reader_that_stops_holds_the_writer_back(relay: RelayProcess) -> None:
+def test_a_reader_that_stops_reading_pauses_the_writer(relay: RelayProcess) -> None:
     client, _ = relay.connect()
     relay.impair(Impairment(silent=True))
     client.settimeout(0.5)
@@ -272,7 +276,9 @@
     assert sent < 1 << 25
 
 
-def test_datagrams_find_both_ways_and_are_lost_doubled_and_overtaken(relay: RelayProcess) -> None:
+def test_datagrams_travel_both_ways_and_can_be_lost_duplicated_or_reordered(
+    relay: RelayProcess,
+) -> None:
     n0, n1 = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     n0.bind(NODE_ADDRESSES["n0"])
     n1.bind(NODE_ADDRESSES["n1"])
