--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -174,7 +174,7 @@
             assert schedule.due_at < 500.0 + NOTIFY_LIMIT_MS - 1000
 
 
-def test_where_an_agent_pushes_lists_a_node_polls_at_once_and_again_at_once() -> None:
+def test_with_a_local_agent_a_node_polls_without_delay_and_retries_promptly() -> None:
     # A node is expected to know at once what the agent knows. With spread polls, a drain that the
     # agent knew at the start took effect seconds later.
     for seed in range(40):
@@ -223,7 +223,7 @@
     )
 
 
-def test_an_instance_on_the_bench_polls_by_the_same_schedule() -> None:
+def test_a_simulated_node_polls_by_the_same_schedule() -> None:
     output: list[str] = []
     node = SimulatedNode("n1", output)
     node.poll_schedule = start_schedules(60)[3]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -114,7 +114,7 @@
         pass
 
 
-def test_a_freed_slot_number_names_nothing_even_once_its_slot_is_used_again() -> None:
+def test_the_handle_of_a_freed_slot_stays_invalid_after_the_slot_is_reused() -> None:
     slots: SlotTable[str] = SlotTable()
     slot_a, slot_b = slots.add("a"), slots.add("b")
     slots.free(slot_a)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -351,7 +351,7 @@
     raise AssertionError("no RPC was sent to s1")
 
 
-def test_refusals_of_warm_backends_do_not_raise_the_warmup_rate() -> None:
+def test_rejections_by_warm_backends_do_not_raise_the_warmup_rate() -> None:
     # In overload warm caches reject most RPCs; a warming cache that gets as many would fail.
     fleet, completed = make_fleet(4), 0
     for index in range(1200):
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -58,7 +58,7 @@
     )
 
 
-def test_second_opinions_are_limited_to_a_part_of_the_good_responses() -> None:
+def test_second_attempts_after_failures_are_limited_to_a_fraction_of_the_successes() -> None:
     fleet = make_fleet()
     second_attempts = sum(
         end_all_attempts(fleet, fleet.arrive(f"bad{index}")) - 1 for index in range(100)
@@ -233,7 +233,7 @@
     assert not any(receiver == "o1" for _, receiver, _ in fleet.sends)
 
 
-def test_backends_that_fail_by_turns_while_the_list_is_silent_are_not_ejected_for_good() -> None:
+def test_backends_that_alternately_fail_and_recover_are_not_ejected_permanently() -> None:
     fleet = make_fleet(6, nodes=1, slow_start_ms=20000.0, max_attempts=3)
     rack, failed_counts = {"s0", "s1"}, []
     for turn in range(6):
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -185,7 +185,7 @@
     assert "members.lists_told" not in exchange.counts
 
 
-def test_a_list_whose_holder_has_long_not_heard_discovery_is_not_sent() -> None:
+def test_a_list_is_not_sent_by_a_holder_without_recent_contact_to_discovery() -> None:
     exchange = SimulatedExchange(a=(FRESH_STATUS, b"[]"))
     exchange.holders[HOLDER_A].tick(0.0, FRESH_STATUS, [])
     exchange.held_lists[HOLDER_A] = (ListStatus(9, True, False), b"[]")
@@ -460,7 +460,7 @@
     return {"seq": seq, "whole": True, "hosts": hosts}
 
 
-def test_a_node_serves_by_a_members_list_and_then_polls_for_the_whole_one(
+def test_a_node_serves_from_a_members_list_and_then_polls_for_the_complete_list(
     tmp_path: Path,
 ) -> None:
     node, member = node_and_member(tmp_path)
@@ -513,7 +513,7 @@
         assert polled_version(node) == b"0"
 
 
-def test_a_wrong_list_lasts_no_longer_than_an_old_one_would(tmp_path: Path) -> None:
+def test_a_wrong_list_of_a_member_is_replaced_by_the_list_of_discovery(tmp_path: Path) -> None:
     node, member = node_and_member(tmp_path)
     with node:
         member.receive_request()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -297,14 +297,14 @@
     assert sum(message.full_sync for _, message in receiver.outbox) == 1
 
 
-def test_one_way_partitions_between_one_and_some_cause_no_deaths() -> None:
+def test_one_way_partitions_between_one_member_and_several_cause_no_deaths() -> None:
     network = started_network(20)
     network.partition(["m3"], ["m4", "m6", "m7", "m9"], both_ways=False)
     network.advance(30)
     assert not declared_dead(network)
 
 
-def test_repeated_unconfirmed_suspicions_are_held_back() -> None:
+def test_repeated_unconfirmed_suspicions_are_suppressed() -> None:
     # m3 receives datagrams from m4 alone. The members that m3 accuses refute, and the refutations
     # reach m3 by way of m4.
     network = started_network(8)
@@ -334,7 +334,7 @@
         assert declared_dead(network) <= {"m3"} and network.members["m3"].counts["deaf"] == 1, seed
 
 
-def test_a_death_is_detected_by_others_where_one_holds_its_suspicions_back() -> None:
+def test_a_death_is_detected_by_others_while_one_member_suppresses_its_suspicions() -> None:
     network = started_network(8)
     member = network.members["m3"]
     member.members["m5"].refuted_suspicions_at.extend(
@@ -370,7 +370,7 @@
     assert network.members["m5"].members["m5"].record.incarnation > old_incarnation
 
 
-def test_of_two_members_with_one_name_one_falls_silent() -> None:
+def test_one_of_two_members_with_the_same_name_is_silenced() -> None:
     network = started_network(6)
     network.members["m9"] = Membership(
         network.now,
@@ -423,7 +423,7 @@
     assert network.advance_until(network.has_converged, 30) < 20
 
 
-def test_a_member_that_leaves_is_not_called_dead() -> None:
+def test_a_member_that_leaves_is_not_declared_dead() -> None:
     network = started_network(12)
     member = network.members["m3"]
     member.leave(network.now)
@@ -724,7 +724,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_after_faults_no_one_is_held_dead_and_views_converge(count: int) -> None:
+def test_after_faults_no_running_member_is_believed_dead_and_views_converge(count: int) -> None:
     for seed in range(12):
         walk_randomly(seed, 120, count).settle()
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -356,7 +356,7 @@
     node.socket_node.hot_restart.shared_state.close()
 
 
-def test_a_second_process_takes_over_bans_and_drain_and_one_that_starts_alone_only_bans(
+def test_a_second_process_inherits_bans_and_drain_and_a_single_process_only_bans(
     tmp_path: Path,
 ) -> None:
     other = SharedState(str(tmp_path), "n0", print, "2")
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -157,7 +157,7 @@
     assert fleet.attempts[rpc][0].cancelled and not fleet.attempts[rpc][1].cancelled
 
 
-def test_how_late_counts_as_away_goes_by_the_new_deadlines() -> None:
+def test_the_lateness_threshold_follows_the_reloaded_deadlines() -> None:
     node = NodeOnMemoryNetwork()
     threshold = node.clock.late_threshold_ms
     methods = [method | {"soft_deadline_s": 0.1} for method in SETTINGS["methods"]]
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -57,7 +57,7 @@
     assert replies[3:] == [[], []] and errors == ""
 
 
-def test_malformed_lines_are_named_and_harm_nothing() -> None:
+def test_malformed_lines_are_reported_and_do_not_affect_later_lines() -> None:
     malformed = [
         "WHATEVER node/0 1",
         "REQUEST node/0 r1",
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -80,7 +80,7 @@
     )
 
 
-def test_an_overloaded_origin_is_asked_less_and_less_by_each_node() -> None:
+def test_each_node_sends_less_and_less_to_an_overloaded_origin() -> None:
     node = make_node(300)
     attempted_at = []
     for index in range(60):
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -325,7 +325,7 @@
         ("", "file"),
     ],
 )
-def test_a_snapshot_that_is_foreign_old_torn_or_missing_is_reported_and_left_alone(
+def test_a_foreign_expired_truncated_or_missing_snapshot_is_reported_and_not_modified(
     tmp_path: Path, told: dict | str | None, expected: str
 ) -> None:
     path = tmp_path / "n.snapshot"
