--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -97,7 +97,7 @@
     assert node.run(1000, 1.2 * core, core) == 1.0 and node.admission.admitted_per_ms == UNLIMITED
 
 
-def test_immediate_retries_do_not_use_the_core_up_with_rejections() -> None:
+def test_rejecting_immediate_retries_leaves_cpu_time_for_admitted_rpcs() -> None:
     node = SimulatedNode(max_waiting=1200, retries=True)
     node.run(1000, 1.2)
     node.run(1000, 4.0)
@@ -107,7 +107,7 @@
     )
 
 
-def test_a_pause_of_the_process_is_no_overload() -> None:
+def test_a_pause_of_the_process_does_not_count_as_overload() -> None:
     admission = Admission(0.0, SOFT_DEADLINE_MS)
     admission.end_window(50.0, 0.0, 20.0)
     assert (
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -161,7 +161,7 @@
         assert fleet.answers[fleet.arrive("")] == "exhausted"
 
 
-def test_resets_concern_connections_and_start_no_warmup() -> None:
+def test_connection_resets_do_not_start_a_warmup_of_their_backend() -> None:
     fleet = make_fleet(4)
     fleet.router.placement.recent_requests = 1e6  # one key is a small part of the load
     victim = fleet.attempts[fleet.arrive("k")][0].server
@@ -367,7 +367,7 @@
     assert 0 < fleet.router.slow_start.warm_rate < 2 * completed / 12 / 4
 
 
-def test_a_hot_bucket_is_spread_by_a_draw_of_each_routers_own() -> None:
+def test_each_router_spreads_a_hot_bucket_by_its_own_random_choice() -> None:
     # Rebalancing whole buckets does not help a cache that has too little capacity for one hot key.
     chosen_ids = set[str]()
     for seed in range(24):
@@ -399,7 +399,7 @@
     assert not fleet.open_rpcs and fleet.attempts[rpc][0].cancelled
 
 
-def test_a_few_requests_for_a_key_spread_nothing() -> None:
+def test_a_few_requests_for_a_key_do_not_spread_its_bucket() -> None:
     # After a release each node has seen few RPCs. Cold keys that were spread by chance would miss
     # on each of their caches.
     fleet = make_fleet(16)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -38,7 +38,7 @@
     assert not result.program_errors
 
 
-def test_a_failing_experiment_is_shrunk_to_a_file_that_plays_again(
+def test_a_failing_experiment_is_shrunk_and_its_file_reads_back_unchanged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     drawn = fuzz_draw.draw_experiment(7)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -102,7 +102,7 @@
     assert end_all_attempts(fleet, fleet.arrive("w", write=True)) == 2
 
 
-def test_removal_is_advisory_where_configured_and_draining_binds() -> None:
+def test_removal_is_advisory_if_configured_and_draining_is_binding() -> None:
     fleet = make_fleet(2, removal_is_advisory=True)
     fleet.pass_time(5000.0)
     fleet.receive_endpoints(
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("errors", [False, True])
-def test_measured_load_goes_before_reported_load_and_true_reports_count_again(
+def test_measured_load_overrides_false_load_reports_and_true_ones_count_again(
     errors: bool,
 ) -> None:
     fleet = make_fleet(3, nodes=2)
--- a/tests/test_member_lists.py
+++ b/tests/test_member_lists.py
@@ -254,7 +254,7 @@
     )
 
 
-def test_a_torn_malformed_or_oversized_list_is_refused() -> None:
+def test_a_truncated_malformed_or_oversized_list_is_rejected() -> None:
     bomb = zlib.compress(b"\0" * (MAX_LIST_BYTES + 1), 9)
     for message in (
         chunk_message(chunk=bomb[:900], digest=list_digest(bomb)),
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -151,7 +151,7 @@
     assert {"m20", "m21", "m22"} <= set(network.members["m5"].active_members())
 
 
-def test_a_third_killed_at_once_is_at_most_three_versions_of_the_view() -> None:
+def test_a_third_killed_at_once_causes_at_most_three_view_versions() -> None:
     network = started_network(30)
     killed = [f"m{index}" for index in range(0, 30, 3)]
     old_versions = {name: network.members[name].view.version for name in network.running()}
@@ -192,7 +192,7 @@
     assert member.view.members == ("m0", "m1", "m2", "m3")
 
 
-def test_failures_close_together_after_a_long_calm_are_one_version_of_the_view() -> None:
+def test_failures_close_together_after_a_quiet_minute_cause_one_view_version() -> None:
     network = started_network(6)
     member, now = network.members["m0"], network.now + 60000.0
     old_version = member.view.version
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -94,7 +94,7 @@
     assert served_10_to_16_s(without_members) < 0.85
 
 
-def test_nodes_that_start_while_discovery_is_down_serve_by_members_lists_on_processes(
+def test_nodes_that_start_while_discovery_is_down_serve_from_members_lists_on_processes(
     tmp_path: Path,
 ) -> None:
     json_path = tmp_path / "figures.json"
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -296,7 +296,7 @@
 
 
 @pytest.mark.parametrize("verb", ["SUSPEND", "PAUSE"])
-def test_a_line_cut_or_changed_at_any_byte_is_no_command(verb: str) -> None:
+def test_a_line_truncated_or_altered_at_any_byte_is_not_a_command(verb: str) -> None:
     target = "s-5be2a07c" if verb == "SUSPEND" else ""
     line = encode_command(Command(Verb(verb), target)).rstrip(b"\n")
     assert decode_command(line) is not None
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -169,7 +169,7 @@
     assert 2 * len(void) < len(completed_runs), f"void twice: {void}"
 
 
-def test_settings_change_there_and_back_under_load_and_bad_files_change_nothing_in_both_clocks(
+def test_settings_change_and_revert_under_load_and_bad_files_change_nothing_in_both_clocks(
     completed_runs: dict,
 ) -> None:
     code, output, figures = completed_runs["processes-replaced"]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -93,7 +93,7 @@
     assert sum(1 for at in attempted_at if at > 16000.0) <= 8
 
 
-def test_idle_connections_are_closed_where_they_cost() -> None:
+def test_idle_connections_are_closed_if_holding_them_has_a_cost() -> None:
     for cost, is_closed in ((0.03, True), (0.0, False)):
         node = make_node(300, connection_hold_cost=cost, connection_open_cost=0.03)
         # A node for which idle connections cost nothing at first keeps them only briefly.
@@ -103,7 +103,7 @@
         assert bool(node.closed_backends) == is_closed
 
 
-def test_where_holding_costs_nothing_the_idle_limit_grows_until_a_failure() -> None:
+def test_without_a_holding_cost_the_idle_limit_grows_until_a_failure() -> None:
     node = make_node(300)
     initial_limit_ms = node.router.idle_connections.idle_limit_ms
     assert (
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -160,7 +160,7 @@
     return msgspec.structs.replace(backend, **changes)
 
 
-def test_buckets_stay_moved_while_the_move_is_young_and_its_target_is_ready() -> None:
+def test_buckets_stay_moved_while_the_move_is_recent_and_its_target_is_ready() -> None:
     fleet = make_fleet()
     bucket = fleet.router.placement.bucket(77)
     target = next(backend.id for backend in fleet.router.caches if backend is not bucket.primary)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -85,7 +85,7 @@
     )
 
 
-def test_a_stream_is_ended_by_silence_and_by_no_deadline() -> None:
+def test_a_stream_is_ended_by_a_silent_backend_but_not_by_a_deadline() -> None:
     node, client, server = send_rpc()
     send_head(server)
     for at in range(0, 10_000, 1000):
@@ -247,7 +247,7 @@
     assert client.is_closed and node.socket_node.host.value_budget.used == 0
 
 
-def test_what_a_stream_passes_on_plus_its_tail_is_what_it_was_fed() -> None:
+def test_the_output_of_a_stream_and_its_tail_equal_its_input() -> None:
     for size in (1, TAIL_BYTES - 1, TAIL_BYTES, TAIL_BYTES + 1, 5000):
         stream = Stream(None, LARGE, 0.0, 0.0)
         passed_on = b"".join(stream.feed(VALUE[at : at + size]) for at in range(0, LARGE, size))
