--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -120,7 +120,7 @@
     member.receive = lambda now, source, message: receive(now - behind_ms, source, message)  # type: ignore[method-assign]
 
     def run() -> None:
-        """Tick the member with the time of its own clock."""
+        """Tick the member with the time of its clock."""
         tick(network.now - behind_ms)
         network.send_outbox("m2", member)
         network.schedule(max(1.0, member.due - (network.now - behind_ms)), run)
@@ -990,12 +990,12 @@
 
 def test_nodes_detect_a_death_and_no_other_in_virtual_time() -> None:
     run = Run(load(FAULTS), 1)
-    ended = run.run()
-    assert not ended.violations
-    assert not ended.program_errors
+    result = run.run()
+    assert not result.violations
+    assert not result.program_errors
     logs = [
         (time_ms, reporter, text.removeprefix("members: "))
-        for time_ms, reporter, text in ended.logs
+        for time_ms, reporter, text in result.logs
         if "members: " in text
     ]
     detectors, early, later = deaths_by_time(logs)
