--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -296,7 +296,7 @@
 
 
 @pytest.mark.parametrize("verb", ["SUSPEND", "PAUSE"])
-def test_a_line_cut_or_changed_at_any_byte_is_no_command(verb: str) -> None:
+def test_a_line_truncated_or_altered_at_any_byte_is_not_a_command(verb: str) -> None:
     target = "s-5be2a07c" if verb == "SUSPEND" else ""
     line = encode_command(Command(Verb(verb), target)).rstrip(b"\n")
     assert decode_command(line) is not None
@@ -356,7 +356,7 @@
     node.socket_node.hot_restart.shared_state.close()
 
 
-def test_a_second_process_takes_over_bans_and_drain_and_one_that_starts_alone_only_bans(
+def test_a_second_process_inherits_bans_and_drain_and_a_single_process_only_bans(
     tmp_path: Path,
 ) -> None:
     other = SharedState(str(tmp_path), "n0", print, "2")
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -160,7 +160,7 @@
     return msgspec.structs.replace(backend, **changes)
 
 
-def test_buckets_stay_moved_while_the_move_is_young_and_its_target_is_ready() -> None:
+def test_buckets_stay_moved_while_the_move_is_recent_and_its_target_is_ready() -> None:
     fleet = make_fleet()
     bucket = fleet.router.placement.bucket(77)
     target = next(backend.id for backend in fleet.router.caches if backend is not bucket.primary)
@@ -325,7 +325,7 @@
         ("", "file"),
     ],
 )
-def test_a_snapshot_that_is_foreign_old_torn_or_missing_is_reported_and_left_alone(
+def test_a_foreign_expired_truncated_or_missing_snapshot_is_reported_and_not_modified(
     tmp_path: Path, told: dict | str | None, expected: str
 ) -> None:
     path = tmp_path / "n.snapshot"
